--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use serde::Serialize;
-use tideroute_tenants::{Entry, Expected, Store, StoreError, Tenant};
+use tideroute_tenant_store::{Entry, Expected, Store, StoreError, Tenant};
 use tideroute_wire::tenant::{Figures, Watcher};
 use tideroute_wire::{Malformed, Micros};
 
--- a/crates/admin/src/program.rs
+++ b/crates/admin/src/program.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
-use tideroute_tenants::Entry;
+use tideroute_tenant_store::Entry;
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::Micros;
 
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use tideroute_admin::{Admin, Administrator, Api, Role};
-use tideroute_tenants::Store;
+use tideroute_tenant_store::Store;
 use tideroute_wire::link::{Act, Link, Outbox, Program};
 
 const NOW: u64 = 1_000_000_000;
--- a/crates/shares/benches/tenants.rs
+++ b/crates/admission/benches/tenants.rs
@@ -1,12 +1,12 @@
 //! What a verdict costs with one tenant and with many, all of them with work; choosing the next by an ordered set
 //! beside looking through all; and counting callers by sketch beside a table.
-//! `cargo bench -p tideroute-shares --bench tenants`.
+//! `cargo bench -p tideroute-admission --bench tenants`.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hint::black_box;
 use std::time::Instant;
 
-use tideroute_shares::{Asked, Known, Limits, Rate, Shares, Sketch, Tenant, Terms, Ticket, Verdict};
+use tideroute_admission::{Asked, Known, Limits, Rate, Shares, Sketch, Tenant, Terms, Ticket, Verdict};
 
 const TERMS: Terms = Terms { longest_wait: 60_000_000, most_waiting: 100_000, longest_advice: 1_000_000 };
 /// Submissions for each figure, and how many wait while it is taken.
--- a/crates/shares/tests/plain.rs
+++ b/crates/admission/tests/plain.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_shares::{
+use tideroute_admission::{
     Asked, Capacity, Known, Limits, Micros, Rate, Shares, Tenant, Terms, Ticket, Verdict,
 };
 
--- a/crates/wirehost/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -268,7 +268,7 @@
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("tideroute-wirehost: {problem}");
+            eprintln!("tideroute-bench-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/tests/frames.rs
+++ b/crates/bench-adapter/tests/frames.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tideroute-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_tideroute-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/command/src/admin.rs
+++ b/crates/command/src/admin.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use tideroute_tenants::Store;
+use tideroute_tenant_store::Store;
 
 use crate::Ended;
 
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -10,11 +10,11 @@
 use bytes::Bytes;
 use metrics::counter;
 use tideroute_admin::{Admin, Administrator, Api, Role};
-use tideroute_host::TenantTerms;
-use tideroute_lab::convert;
+use tideroute_config_language::kinds;
+use tideroute_lifecycle::TenantTerms;
 use tideroute_reactor::{Mailbox, Reactor};
-use tideroute_records::kinds;
-use tideroute_tenants::{Entry, Rate, Store, Tenant};
+use tideroute_simulation::convert;
+use tideroute_tenant_store::{Entry, Rate, Store, Tenant};
 use tideroute_wire::tenant;
 
 /// How long a change waits for a core to have heard of it; one that is stalled for longer hears of it late.
@@ -89,8 +89,8 @@
 }
 
 fn terms(entry: &Entry, tenant: &Tenant) -> TenantTerms {
-    let rate = |rate: Rate| tideroute_shares::Rate { a_second: rate.a_second, burst: rate.once };
-    let limits = tideroute_shares::Limits {
+    let rate = |rate: Rate| tideroute_admission::Rate { a_second: rate.a_second, burst: rate.once };
+    let limits = tideroute_admission::Limits {
         submissions: tenant.submissions.map(rate),
         tokens: tenant.tokens.map(rate),
         in_flight: tenant.in_flight,
--- a/crates/command/src/cores.rs
+++ b/crates/command/src/cores.rs
@@ -10,11 +10,11 @@
 
 use metrics::counter;
 use signal_hook::consts::{SIGINT, SIGTERM};
-use tideroute_host::Host;
-use tideroute_lab::convert;
-use tideroute_lab::processes::NUMBERS_A_CORE;
+use tideroute_config_language::kinds::Router;
+use tideroute_lifecycle::Host;
 use tideroute_reactor::{Ended as Loop, Reactor, ReactorError};
-use tideroute_records::kinds::Router;
+use tideroute_simulation::convert;
+use tideroute_simulation::processes::NUMBERS_A_CORE;
 use tideroute_wire::Origin;
 
 use crate::administration::Administration;
--- a/crates/command/src/day.rs
+++ b/crates/command/src/day.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 use signal_hook::consts::{SIGINT, SIGTERM};
-use tideroute_lab::day::{self, DayError, Played};
-use tideroute_lab::{faults, fleet};
-use tideroute_records::kinds::{Day, File, Trouble};
-use tideroute_rules::{Report, Rule};
-use tideroute_views::Report as Views;
+use tideroute_config_language::kinds::{Day, File, Trouble};
+use tideroute_membership_checker::Report as Views;
+use tideroute_simulation::day::{self, DayError, Played};
+use tideroute_simulation::{faults, fleet};
+use tideroute_trace_checker::{Report, Rule};
 
 use crate::{serve, Ended};
 
@@ -116,7 +116,7 @@
     });
     let file = File { day: Some(with(&left)), ..File::default() };
     let path = folder.join("shrunk.cue");
-    let text = tideroute_records::print(&file).map_err(|p| p.to_string())?;
+    let text = tideroute_config_language::print(&file).map_err(|p| p.to_string())?;
     std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
     println!("{} of {} troubles matter: {}", left.len(), day.troubles.len(), path.display());
     Ok(())
--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use tideroute_lab::convert;
 use tideroute_membership::{part_of, Seal};
+use tideroute_simulation::convert;
 use tideroute_wire::fleet::{self, Ear, Saying, Standing, LARGEST, PARTS};
 use tideroute_wire::Address;
 
--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -21,7 +21,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use tideroute_lab::choosers::Way;
+use tideroute_simulation::choosers::Way;
 
 /// A router for language-model servers that read and write in two stages.
 #[derive(Parser)]
@@ -29,7 +29,7 @@
 struct Call {
     #[command(subcommand)]
     command: Command,
-    /// How much is logged: error, warn, info, debug, trace, or a filter such as tideroute_host=debug.
+    /// How much is logged: error, warn, info, debug, trace, or a filter such as tideroute_lifecycle=debug.
     #[arg(long, global = true, default_value = "warn", value_name = "FILTER")]
     log: String,
     /// Logs as JSON lines.
--- a/crates/command/src/measure.rs
+++ b/crates/command/src/measure.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use signal_hook::consts::{SIGINT, SIGTERM};
-use tideroute_lab::choosers::Way;
-use tideroute_lab::day::{self, DayError};
-use tideroute_records::kinds::Day;
+use tideroute_config_language::kinds::Day;
+use tideroute_simulation::choosers::Way;
+use tideroute_simulation::day::{self, DayError};
 
 use crate::plot::{self, Seen};
 use crate::{serve, Ended};
@@ -137,7 +137,7 @@
             Err(DayError::Interrupted) => return Ok(false),
             played => {
                 let reader = day::open(&played.map_err(|e| e.to_string())?).map_err(|e| e.to_string())?;
-                tideroute_spread::measure(reader).map_err(|e| e.to_string())?
+                tideroute_load_balance_report::measure(reader).map_err(|e| e.to_string())?
             }
         };
         let _ = std::fs::remove_dir_all(&folder);
--- a/crates/command/src/measure_fleet.rs
+++ b/crates/command/src/measure_fleet.rs
@@ -1,6 +1,6 @@
 //! What membership costs, and how soon a kill is known, in virtual time.
 
-use tideroute_lab::crowd::{name, Crowd, Network, CALM};
+use tideroute_simulation::crowd::{name, Crowd, Network, CALM};
 use tideroute_wire::fleet::Standing;
 use tideroute_wire::Micros;
 
@@ -46,7 +46,7 @@
             let (gone, at) = (count - 1 - kill, crowd.now());
             crowd.kill(gone);
             crowd.run_for(APART * S);
-            let of_it = |s: &&tideroute_lab::crowd::Sighting| {
+            let of_it = |s: &&tideroute_simulation::crowd::Sighting| {
                 s.at >= at && s.seen.standing == Standing::Dead && s.seen.name == name(gone)
             };
             let before = known.len();
--- a/crates/command/src/measure_tenants.rs
+++ b/crates/command/src/measure_tenants.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use tideroute_shares::{Asked, Known, Limits, Rate, Shares, Tenant, Terms, Ticket, Verdict};
+use tideroute_admission::{Asked, Known, Limits, Rate, Shares, Tenant, Terms, Ticket, Verdict};
 
 use crate::Ended;
 
--- a/crates/command/src/member.rs
+++ b/crates/command/src/member.rs
@@ -6,11 +6,11 @@
 use std::thread::JoinHandle;
 
 use bytes::Bytes;
-use tideroute_lab::convert;
-use tideroute_lab::processes::NUMBERS_A_CORE;
+use tideroute_config_language::kinds::Router;
 use tideroute_membership::Member;
 use tideroute_reactor::{Mailbox, Reactor};
-use tideroute_records::kinds::Router;
+use tideroute_simulation::convert;
+use tideroute_simulation::processes::NUMBERS_A_CORE;
 
 use crate::{cores, serve, Run};
 
--- a/crates/command/src/platform.rs
+++ b/crates/command/src/platform.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use tideroute_platform::Platform;
+use tideroute_gateway::Platform;
 use tideroute_reactor::{Ended as Loop, Reactor};
 
 use crate::Ended;
@@ -23,7 +23,7 @@
         return Err(named(format!("{size} bytes are more than a configuration may have")));
     }
     let text = std::fs::read(&path).map_err(|e| named(e.to_string()))?;
-    let terms = tideroute_platform::read(&text).map_err(|e| named(e.to_string()))?;
+    let terms = tideroute_gateway::read(&text).map_err(|e| named(e.to_string()))?;
     let mut reactor = Reactor::new(&[terms.listen]).map_err(|e| e.to_string())?;
     reactor.raw(terms.rooms.lingering);
     reactor.patient();
--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tideroute_lab::choosers::Way;
-use tideroute_lab::convert;
-use tideroute_lab::load::Load;
-use tideroute_lab::straight::Straight;
+use tideroute_config_language::File;
+use tideroute_emulator::{List, Worker};
 use tideroute_reactor::{Ended as Loop, Reactor, Tap, Warp};
-use tideroute_records::File;
 use tideroute_relay::Relay;
-use tideroute_standins::{List, Worker};
+use tideroute_simulation::choosers::Way;
+use tideroute_simulation::convert;
+use tideroute_simulation::load::Load;
+use tideroute_simulation::straight::Straight;
 use tideroute_wire::link::Program;
 use tideroute_wire::tap::Who;
 use tideroute_wire::{Address, Micros};
@@ -35,7 +35,7 @@
         return Err(format!("{}: {size} bytes are more than a file of records may have", path.display()));
     }
     let text = std::fs::read_to_string(path).map_err(named)?;
-    tideroute_records::read(&path.display().to_string(), &text).map_err(|p| p.report())
+    tideroute_config_language::read(&path.display().to_string(), &text).map_err(|p| p.report())
 }
 
 pub fn part<T>(path: &Path, part: Option<T>, name: &str) -> Result<T, String> {
--- a/crates/command/src/spread.rs
+++ b/crates/command/src/spread.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use plotters::prelude::*;
-use tideroute_lab::day;
-use tideroute_spread::{Side, Spread};
+use tideroute_load_balance_report::{Side, Spread};
+use tideroute_simulation::day;
 
 use crate::Ended;
 
@@ -13,7 +13,8 @@
 
 pub fn run(record: &Path, json: bool, plot: Option<&Path>) -> Ended {
     let reader = day::open(record).map_err(|e| e.to_string())?;
-    let spread = tideroute_spread::measure(reader).map_err(|e| format!("{}: {e}", record.display()))?;
+    let spread =
+        tideroute_load_balance_report::measure(reader).map_err(|e| format!("{}: {e}", record.display()))?;
     if json {
         println!("{}", serde_json::to_string(&spread).map_err(|e| e.to_string())?);
     } else {
--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use tideroute_wire::{client, frame, say_hello_with, Malformed, Party};
 
-use tideroute_rig::process::{free, until, PATIENCE};
+use tideroute_test_support::process::{free, until, PATIENCE};
 
 const KEY: &str = "a-key-for-tests";
 
--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -1,5 +1,5 @@
 //! Drawn customers on real processes over loopback, with faults between them, beside the same checker as in virtual
-//! time (`crates/platform/tests/customers`). `PROCESS_CUSTOMERS` and `FIRST_CUSTOMER` set how many are drawn and the seed
+//! time (`crates/gateway/tests/customers`). `PROCESS_CUSTOMERS` and `FIRST_CUSTOMER` set how many are drawn and the seed
 //! of the first. The routers' logs of a customer for whom a rule broke are kept, and named.
 
 use std::io::{Read, Write};
@@ -12,11 +12,11 @@
 
 use serde_json::{json, Value};
 use tideroute::chance::Chance;
-use tideroute_rig::customer::Customer;
-use tideroute_rig::judge::{Judge, Report};
-use tideroute_rig::process::{free, signal, until, Running};
-use tideroute_rig::text::{ask_for, chunk, MS};
-use tideroute_rig::worker::{self, waits, Surroundings, LOOKS};
+use tideroute_test_support::customer::Customer;
+use tideroute_test_support::judge::{Judge, Report};
+use tideroute_test_support::process::{free, signal, until, Running};
+use tideroute_test_support::text::{ask_for, chunk, MS};
+use tideroute_test_support::worker::{self, waits, Surroundings, LOOKS};
 use tideroute_wire::Micros;
 
 /// Customers drawn where nothing else is said, and how many of them play side by side.
--- a/crates/command/tests/deployed.rs
+++ b/crates/command/tests/deployed.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 
-use tideroute_rig::fixture;
-use tideroute_rig::process::{free, until, Running};
+use tideroute_test_support::fixture;
+use tideroute_test_support::process::{free, until, Running};
 
 /// A value of the deploy file, which has one assignment a line.
 fn line(key: &str) -> String {
--- a/crates/command/tests/endings.rs
+++ b/crates/command/tests/endings.rs
@@ -12,10 +12,10 @@
 
 use serde_json::{json, Value};
 
-use tideroute_rig::fixture::WORKERS;
-use tideroute_rig::process::{free, signal, until, Running, PATIENCE};
-use tideroute_rig::text::{ask, ask_for, chunk, plain, unchunked, EVENTS, HEAD, NEVER_RAN, READ};
-use tideroute_rig::{fixture, text};
+use tideroute_test_support::fixture::WORKERS;
+use tideroute_test_support::process::{free, signal, until, Running, PATIENCE};
+use tideroute_test_support::text::{ask, ask_for, chunk, plain, unchunked, EVENTS, HEAD, NEVER_RAN, READ};
+use tideroute_test_support::{fixture, text};
 
 const RELEASE: &str = "DELETE /internal/reservations/";
 const PLACE: &str = "POST /internal/reservations/";
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use tideroute_rig::process;
-use tideroute_rig::process::{free, until, Running};
+use tideroute_test_support::process;
+use tideroute_test_support::process::{free, until, Running};
 
 /// Loss, a kill, halts, three that are back at once, and a cut in two: judged by the record alone.
 #[test]
--- a/crates/command/tests/platform.rs
+++ b/crates/command/tests/platform.rs
@@ -11,9 +11,9 @@
 
 use serde_json::{json, Value};
 
-use tideroute_rig::process::{free, signal, until, Running};
-use tideroute_rig::text::{EVENTS, NEVER_RAN, READ};
-use tideroute_rig::{fixture, text};
+use tideroute_test_support::process::{free, signal, until, Running};
+use tideroute_test_support::text::{EVENTS, NEVER_RAN, READ};
+use tideroute_test_support::{fixture, text};
 
 /// How long the clients ask, when the new configuration comes, and when the signal to end.
 const ASKS: Duration = Duration::from_millis(3_000);
--- a/crates/command/tests/program.rs
+++ b/crates/command/tests/program.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-use tideroute_rig::process::{signal, until, PATIENCE};
+use tideroute_test_support::process::{signal, until, PATIENCE};
 
 fn tideroute() -> Command {
     Command::new(env!("CARGO_BIN_EXE_tideroute"))
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -14,12 +14,12 @@
 use std::time::{Duration, Instant};
 
 use tideroute::chance::Chance;
-use tideroute_rig::control::Remote;
-use tideroute_rig::customer::Customer;
-use tideroute_rig::judge::Judge;
-use tideroute_rig::proxy::Orders;
-use tideroute_rig::text::MS;
-use tideroute_rig::worker::LOOKS;
+use tideroute_test_support::control::Remote;
+use tideroute_test_support::customer::Customer;
+use tideroute_test_support::judge::Judge;
+use tideroute_test_support::proxy::Orders;
+use tideroute_test_support::text::MS;
+use tideroute_test_support::worker::LOOKS;
 use tideroute_wire::Micros;
 
 #[path = "soak/clients.rs"]
@@ -203,7 +203,7 @@
         "worker" => {
             let kind = serde_json::from_str(argument(1)?)?;
             let at = Remote::new(argument(2)?, argument(3)?.parse()?);
-            std::thread::spawn(move || tideroute_rig::worker::serve(listener, kind, Arc::new(at)));
+            std::thread::spawn(move || tideroute_test_support::worker::serve(listener, kind, Arc::new(at)));
             let _ = std::io::read_to_string(std::io::stdin())?;
         }
         "proxy" => {
@@ -211,7 +211,7 @@
             let (to, orders) = (argument(3)?.clone(), Arc::new(Orders::default()));
             let taken = orders.clone();
             std::thread::spawn(move || {
-                tideroute_rig::proxy::serve(listener, worker, &to, &taken, Arc::new(at));
+                tideroute_test_support::proxy::serve(listener, worker, &to, &taken, Arc::new(at));
             });
             for line in std::io::stdin().lines() {
                 let line = line?;
--- a/crates/command/tests/soak/clients.rs
+++ b/crates/command/tests/soak/clients.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use tideroute_rig::text::{ask_for, MS};
-use tideroute_rig::worker::{waits, LOOKS};
+use tideroute_test_support::text::{ask_for, MS};
+use tideroute_test_support::worker::{waits, LOOKS};
 
 use crate::fleet::{lock, ms, Fleet, Life, Router};
 
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
-use tideroute_rig::judge::Judge;
-use tideroute_rig::process::{free, Running};
-use tideroute_rig::text::{chunk, BEGAN, MS};
+use tideroute_test_support::judge::Judge;
+use tideroute_test_support::process::{free, Running};
+use tideroute_test_support::text::{chunk, BEGAN, MS};
 use tideroute_wire::Micros;
 
 use crate::{Failure, ROLE};
@@ -115,7 +115,7 @@
             control: control.local_addr()?.to_string(),
         };
         let to = fleet.judge.clone();
-        std::thread::spawn(move || tideroute_rig::control::hear(control, to));
+        std::thread::spawn(move || tideroute_test_support::control::hear(control, to));
         for number in 0..fleet.judge.customer.workers.len() {
             let worker = fleet.start_worker(number)?;
             fleet.workers.push(worker);
--- a/crates/command/tests/soak/stories.rs
+++ b/crates/command/tests/soak/stories.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_rig::judge::{attempt_of, word, Report};
+use tideroute_test_support::judge::{attempt_of, word, Report};
 
 use crate::fleet::Fleet;
 
--- a/crates/command/tests/soak/troubles.rs
+++ b/crates/command/tests/soak/troubles.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use tideroute_rig::process::signal;
+use tideroute_test_support::process::signal;
 
 use crate::clients;
 use crate::fleet::{lock, Fleet, Life, Router};
--- a/crates/records/tests/records.rs
+++ b/crates/config-language/tests/records.rs
@@ -1,7 +1,7 @@
 //! Files good and bad, as a user would write them.
 
 use quickcheck::quickcheck;
-use tideroute_records::read;
+use tideroute_config_language::read;
 
 const GOOD: &str = include_str!("good.cue");
 
@@ -18,7 +18,7 @@
 #[test]
 fn what_is_printed_is_read_again() {
     let file = read("good.cue", GOOD).unwrap();
-    let text = tideroute_records::print(&file).unwrap();
+    let text = tideroute_config_language::print(&file).unwrap();
     let again = read("printed", &text).unwrap();
     assert_eq!(format!("{file:?}"), format!("{again:?}"));
 }
--- a/crates/platform/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use metrics::counter;
-use tideroute_host::Submission;
 use tideroute_http::{write, Body, Bounds, Framing, Request};
+use tideroute_lifecycle::Submission;
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
--- a/crates/platform/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use tideroute::interface::{Ending, Repeat, SubmissionId, WorkerId};
-use tideroute_host::{Answer, Shot, Submission, Timer, Ways};
 use tideroute_http::write;
 use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
+use tideroute_lifecycle::{Answer, Shot, Submission, Timer, Ways};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
--- a/crates/platform/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use tideroute::interface::Repeat;
-use tideroute_host::BookTerms;
+use tideroute_lifecycle::BookTerms;
 use tideroute_settings::Report;
 use tideroute_wire::{Address, Micros};
 
--- a/crates/platform/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 use tideroute::interface::{SubmissionId, WorkerId};
-use tideroute_host::short;
 use tideroute_http::write;
+use tideroute_lifecycle::short;
 use tideroute_wire::link::Link;
 use tideroute_wire::Micros;
 
--- a/crates/platform/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute::interface::{Ending, Listing, Standing, SubmissionId};
-use tideroute_host::{short, Books, Timer};
+use tideroute_lifecycle::{short, Books, Timer};
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{Address, Micros};
 
--- a/crates/platform/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -292,7 +292,7 @@
     /// What a read that ended badly may have left is released at once where no attempt follows it.
     pub(super) fn clean_up(&mut self, now: Micros, out: &mut Outbox) {
         for id in self.held.doubtful() {
-            let wanted = |s: &tideroute_host::Submission<Asked>| s.shot.is_some() || s.state.is_some();
+            let wanted = |s: &tideroute_lifecycle::Submission<Asked>| s.shot.is_some() || s.state.is_some();
             if !self.books.submissions.get(id).is_some_and(wanted) {
                 let (held, mut context) = self.held(now, out);
                 held.unwanted(id, &mut context);
--- a/crates/platform/src/story.rs
+++ b/crates/gateway/src/story.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 
 use tideroute::interface::{Ending, SubmissionId};
-use tideroute_host::Answer;
+use tideroute_lifecycle::Answer;
 use tideroute_wire::Address;
 
 /// The target of all events here, by which they can be chosen.
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use tideroute_platform::Platform;
-pub use tideroute_rig::fixture::*;
-pub use tideroute_rig::text::*;
+use tideroute_gateway::Platform;
+pub use tideroute_test_support::fixture::*;
+pub use tideroute_test_support::text::*;
 use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
 use tideroute_wire::{Address, Micros};
 
@@ -50,7 +50,7 @@
     }
 
     pub fn with(file: &serde_json::Value) -> Stage {
-        let terms = tideroute_platform::read(file.to_string().as_bytes()).expect("a sound configuration");
+        let terms = tideroute_gateway::read(file.to_string().as_bytes()).expect("a sound configuration");
         let mut stage = Stage {
             program: Platform::new(terms, BEGAN),
             now: BEGAN,
--- a/crates/platform/tests/customers/world.rs
+++ b/crates/gateway/tests/customers/world.rs
@@ -9,8 +9,8 @@
 use tideroute_wire::Micros;
 
 use crate::common::*;
-use tideroute_rig::checker::{Break, Checker, Connection};
-use tideroute_rig::customer::{between, Customer, Role};
+use tideroute_test_support::checker::{Break, Checker, Connection};
+use tideroute_test_support::customer::{between, Customer, Role};
 
 #[path = "servers.rs"]
 mod servers;
--- a/crates/host/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -1,11 +1,11 @@
 //! How long a router's loop stands still for a whole list of 1,200 workers, one in ten of them changed, with 6,000
-//! submissions open: decoding, books, the module, the page that is kept. `cargo bench -p tideroute-host`.
+//! submissions open: decoding, books, the module, the page that is kept. `cargo bench -p tideroute-lifecycle`.
 
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
 use tideroute::interface::{Repeat, Role, Terms as Module, Track};
-use tideroute_host::{BookTerms, Host, Terms};
+use tideroute_lifecycle::{BookTerms, Host, Terms};
 use tideroute_wire::link::{Act, Link, Outbox, Program};
 use tideroute_wire::list::{Page, Standing};
 use tideroute_wire::{client, say_hello, Party};
--- a/crates/host/src/books.rs
+++ b/crates/lifecycle/src/books.rs
@@ -8,8 +8,8 @@
 use tideroute::interface::{
     Arrival, Ending, Listing, Repeat, Role, Standing, SubmissionId, Tenths, WorkerId,
 };
+use tideroute_admission::{Asked, Known, Tenant, Ticket, Verdict};
 use tideroute_invariants::{AttemptPermit, FinalAnswer, RequestRecord, Violation};
-use tideroute_shares::{Asked, Known, Tenant, Ticket, Verdict};
 use tideroute_wire::Micros;
 
 use crate::lateness::Lateness;
@@ -479,8 +479,8 @@
 }
 
 /// A quarter of what may be open may wait to be let in.
-fn shares_terms(terms: &BookTerms) -> tideroute_shares::Terms {
-    tideroute_shares::Terms {
+fn shares_terms(terms: &BookTerms) -> tideroute_admission::Terms {
+    tideroute_admission::Terms {
         longest_wait: terms.longest_wait,
         most_waiting: (terms.most_open / 4).max(1),
         longest_advice: terms.module.longest_advice.max(0) as Micros * TENTH,
--- a/crates/host/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -4,7 +4,7 @@
 //! socket and no clock, so several can run in one process, in virtual time.
 //!
 //! The books ([`Books`]) know no protocol: they speak through [`Ways`], which the host here has for the protobuf
-//! links and `crates/platform` for HTTP.
+//! links and `crates/gateway` for HTTP.
 //!
 //! It decides nothing. What it must know beyond the module's terms (how long a dial may take, how many
 //! submissions may be open) stands in its own [`Terms`], which the operator gives.
--- a/crates/host/src/tenancy.rs
+++ b/crates/lifecycle/src/tenancy.rs
@@ -1,10 +1,10 @@
 //! Whose submissions come in. Where there are tenants, a client's Hello must show the key of one, and the module
-//! hears of a submission only once [`tideroute_shares`] lets it in; the host carries out both verdicts.
+//! hears of a submission only once [`tideroute_admission`] lets it in; the host carries out both verdicts.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
-use tideroute_shares::{Figures, Limits, Rate, Shares, Tenant};
+use tideroute_admission::{Figures, Limits, Rate, Shares, Tenant};
 use tideroute_wire::{tenant, Malformed, Micros};
 
 /// Tenants whose figures one letter tells.
@@ -40,7 +40,12 @@
 }
 
 impl Tenancy {
-    pub fn new(tenants: &[TenantTerms], part: f64, terms: tideroute_shares::Terms, now: Micros) -> Tenancy {
+    pub fn new(
+        tenants: &[TenantTerms],
+        part: f64,
+        terms: tideroute_admission::Terms,
+        now: Micros,
+    ) -> Tenancy {
         let shares = Shares::new(terms);
         let (by_key, by_name) = (HashMap::new(), HashMap::new());
         let mut tenancy = Tenancy { shares, part, by_key, by_name, numbers: 0 };
--- a/crates/host/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
 use tideroute::interface::{Repeat, Role, Terms as Module, Track};
-use tideroute_host::{BookTerms, Host, Terms};
+use tideroute_lifecycle::{BookTerms, Host, Terms};
 use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
 use tideroute_wire::list::{Page, Standing};
 use tideroute_wire::{client, say_hello, worker, Address, Malformed, Micros, Party};
--- a/crates/spread/src/measure.rs
+++ b/crates/load-balance-report/src/measure.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use tideroute_rules::Terms;
+use tideroute_trace_checker::Terms;
 use tideroute_wire::tap::{Passed, Reader, TapError, What};
 use tideroute_wire::worker::How;
 use tideroute_wire::{client, worker, Address, Malformed, Micros, Party};
--- a/crates/views/tests/broken.rs
+++ b/crates/membership-checker/tests/broken.rs
@@ -1,7 +1,7 @@
 //! Records in which one thing is wrong, each found; and the good one that they are made from.
 
 use bytes::Bytes;
-use tideroute_views::{check, Cut, Members, Report, Terms};
+use tideroute_membership_checker::{check, Cut, Members, Report, Terms};
 use tideroute_wire::tap::{self, Passed, What, Who};
 
 const S: u64 = 1_000_000;
--- a/crates/lab/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddrV4;
 
 use tideroute::interface::{self, Group, Repeat};
-use tideroute_membership::Seal;
-use tideroute_records::kinds::{
+use tideroute_admission::{Limits, Rate};
+use tideroute_config_language::kinds::{
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
+use tideroute_emulator::{Does, ListTerms, Trouble, WorkerTerms};
+use tideroute_membership::Seal;
 use tideroute_relay::{How, RelayTerms, Way};
-use tideroute_shares::{Limits, Rate};
-use tideroute_standins::{Does, ListTerms, Trouble, WorkerTerms};
 use tideroute_wire::{Address, Micros, Origin};
 
 /// Microseconds in one of the module's tenths of a millisecond.
@@ -80,11 +80,16 @@
 
 /// The terms of one core of a router. Each is a router of its own to the decisions, so that what all of them
 /// send to a cold worker stays within the rule with no word between them; bounds are shared out evenly.
-pub fn router(r: &Router, core: u32, seed: u64, origin: Origin) -> Result<tideroute_host::Terms, String> {
+pub fn router(
+    r: &Router,
+    core: u32,
+    seed: u64,
+    origin: Origin,
+) -> Result<tideroute_lifecycle::Terms, String> {
     let cores = r.cores as usize;
     let mut module = module(&r.terms, r);
     module.routers = module.routers.saturating_mul(r.cores);
-    let books = tideroute_host::BookTerms {
+    let books = tideroute_lifecycle::BookTerms {
         name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
         module,
         tracks: r.tracks.iter().map(|t| t.name.clone()).collect(),
@@ -95,7 +100,7 @@
         longest_wait: r.terms.longest_wait,
         seed,
     };
-    Ok(tideroute_host::Terms {
+    Ok(tideroute_lifecycle::Terms {
         books,
         list: address(&r.list)?,
         origin,
@@ -115,12 +120,12 @@
 }
 
 /// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
-fn tenants(r: &Router) -> Result<Option<Vec<tideroute_host::TenantTerms>>, String> {
+fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantTerms>>, String> {
     let named = r.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
     Ok((r.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
-fn tenant(t: &Tenant) -> Result<tideroute_host::TenantTerms, String> {
+fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantTerms, String> {
     let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
     let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
     let limits = Limits {
@@ -130,7 +135,7 @@
         weight: t.weight,
         waiting: t.waiting,
     };
-    Ok(tideroute_host::TenantTerms { name: t.name.clone(), version: 0, keys: vec![key], limits })
+    Ok(tideroute_lifecycle::TenantTerms { name: t.name.clone(), version: 0, keys: vec![key], limits })
 }
 
 /// What of a script is still to come, from `now` on.
--- a/crates/lab/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
+use tideroute_config_language::kinds::{Day, Trouble};
+use tideroute_config_language::Problems;
+use tideroute_membership_checker::Report as Views;
 use tideroute_reactor::clock::Clock;
-use tideroute_records::kinds::{Day, Trouble};
-use tideroute_records::Problems;
-use tideroute_rules::{CheckError, Report};
-use tideroute_views::Report as Views;
+use tideroute_trace_checker::{CheckError, Report};
 use tideroute_wire::tap::TapError;
 use tideroute_wire::Micros;
 
@@ -54,7 +54,7 @@
     #[error(transparent)]
     Check(#[from] CheckError),
     #[error(transparent)]
-    Views(#[from] tideroute_views::CheckError),
+    Views(#[from] tideroute_membership_checker::CheckError),
     #[error("the load ended without its figures")]
     NoFigures,
     #[error("a day in which tenants are removed is played with --in-virtual-time only")]
@@ -195,12 +195,12 @@
 
 /// Checks the rules on a record that was kept.
 pub fn check(record: &Path) -> Result<Report, DayError> {
-    Ok(tideroute_rules::check(open(record)?)?)
+    Ok(tideroute_trace_checker::check(open(record)?)?)
 }
 
 /// Checks on a record that was kept how routers saw each other; None if they did not know each other.
 pub fn views(record: &Path) -> Result<Option<Views>, DayError> {
-    Ok(tideroute_views::check(open(record)?)?)
+    Ok(tideroute_membership_checker::check(open(record)?)?)
 }
 
 /// How many processes a day has.
@@ -264,9 +264,9 @@
     Remove(&'a str),
 }
 
-fn write(folder: &Path, name: &str, file: &tideroute_records::File) -> Result<String, DayError> {
+fn write(folder: &Path, name: &str, file: &tideroute_config_language::File) -> Result<String, DayError> {
     let path = folder.join(format!("{name}.cue"));
-    let text = tideroute_records::print(file)?;
+    let text = tideroute_config_language::print(file)?;
     std::fs::write(&path, text).map_err(|e| DayError::File(path.display().to_string(), e))?;
     Ok(path.display().to_string())
 }
--- a/crates/lab/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_records::kinds::{Day, Trouble};
+use tideroute_config_language::kinds::{Day, Trouble};
 use tideroute_wire::Micros;
 
 /// Microseconds: the shortest fault drawn; less passes unseen.
--- a/crates/lab/src/files.rs
+++ b/crates/simulation/src/files.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_records::kinds::{
+use tideroute_config_language::kinds::{
     Burst, Day, File, Fleet, Group, Key, Late, List, Load, Role, Router, Step, Tenant, Terms, Worker,
 };
-use tideroute_rules::{Group as Among, Repeat, TrackTerms, WorkerTerms};
-use tideroute_views::{Cut, Members};
+use tideroute_membership_checker::{Cut, Members};
+use tideroute_trace_checker::{Group as Among, Repeat, TrackTerms, WorkerTerms};
 use tideroute_wire::Micros;
 
 use crate::straight::Known;
@@ -82,7 +82,7 @@
 /// The worker that stands at a place among all of the day's.
 pub fn worker(day: &Day, ports: &Ports, place: usize, name: &str, group: &Group, n: usize) -> File {
     let cell = (n % usize::from(day.cells)) as u16;
-    let mine = |t: &&tideroute_records::kinds::Trouble| t.who.iter().any(|w| w == name);
+    let mine = |t: &&tideroute_config_language::kinds::Trouble| t.who.iter().any(|w| w == name);
     let scripted = day.troubles.iter().filter(mine).filter(|t| !t.from_outside());
     let script = scripted.map(|t| Step { at: t.at, act: t.act.clone(), lasts: t.lasts, times: t.times });
     let worker = Worker {
@@ -102,7 +102,7 @@
 
 pub fn load(day: &Day, ports: &Ports) -> File {
     let bursts = day.troubles.iter().filter(|t| t.act == "burst");
-    let burst = |t: &tideroute_records::kinds::Trouble| Burst {
+    let burst = |t: &tideroute_config_language::kinds::Trouble| Burst {
         at: t.at,
         lasts: t.lasts.unwrap_or(0),
         times: t.times,
@@ -161,7 +161,7 @@
 }
 
 /// What the rules are read by.
-pub fn rules(day: &Day, ports: &Ports) -> tideroute_rules::Terms {
+pub fn rules(day: &Day, ports: &Ports) -> tideroute_trace_checker::Terms {
     let tracks = day.tracks.iter().map(|t| TrackTerms {
         name: t.name.clone(),
         repeat: match t.repeat.as_str() {
@@ -194,7 +194,7 @@
             (ports.workers[place].clone(), WorkerTerms { rate, reader, cell, zone, at_once })
         })
         .collect();
-    tideroute_rules::Terms {
+    tideroute_trace_checker::Terms {
         tracks: tracks.collect(),
         workers,
         release: day.terms.release,
--- a/crates/lab/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::Bytes;
-use tideroute_host::Host;
-use tideroute_records::kinds::Day;
-use tideroute_rules::{CheckError, Report};
-use tideroute_standins::{List, Worker};
+use tideroute_config_language::kinds::Day;
+use tideroute_emulator::{List, Worker};
+use tideroute_lifecycle::Host;
+use tideroute_trace_checker::{CheckError, Report};
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::Micros;
 
@@ -149,7 +149,7 @@
         }
         let terms = serde_json::to_string(&files::rules(self.day, &self.ports)).unwrap_or_default();
         let record = self.world.record(&terms)?;
-        let report = tideroute_rules::check(record.as_slice())?;
+        let report = tideroute_trace_checker::check(record.as_slice())?;
         let (events, lasted) = (self.world.events(), self.world.now() - DAWN);
         let mut load = self.load.0.lock().unwrap_or_else(|e| e.into_inner());
         let tally = std::mem::replace(&mut load.tally, Tally::new(&self.day.tracks, []));
--- a/crates/lab/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use tideroute_records::kinds::Load as Record;
-use tideroute_standins::state;
+use tideroute_config_language::kinds::Load as Record;
+use tideroute_emulator::state;
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{client, say_hello_with, Address, Malformed, Micros, Party};
 
--- a/crates/lab/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use tideroute_records::kinds::{Day, Door, Fault, File, Relay, Trouble};
+use tideroute_config_language::kinds::{Day, Door, Fault, File, Relay, Trouble};
 
 use crate::files::Ports;
 
--- a/crates/lab/src/straight.rs
+++ b/crates/simulation/src/straight.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use tideroute_records::kinds::Load as Record;
+use tideroute_config_language::kinds::Load as Record;
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::worker::{self, How};
 use tideroute_wire::{say_router, Address, Malformed, Micros};
--- a/crates/lab/src/tally.rs
+++ b/crates/simulation/src/tally.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use hdrhistogram::Histogram;
-use tideroute_records::kinds::Track;
+use tideroute_config_language::kinds::Track;
 use tideroute_wire::Micros;
 
 /// Microseconds: the longest time that the histograms tell apart, and their figures.
--- a/crates/lab/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_records::kinds::{Burst, Load, Range, Traffic};
+use tideroute_config_language::kinds::{Burst, Load, Range, Traffic};
 use tideroute_wire::Micros;
 
 /// One submission that will be made, whatever happens before.
--- a/crates/lab/tests/cores.rs
+++ b/crates/simulation/tests/cores.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_lab::fleet::{play, Virtual};
-use tideroute_records::kinds::Day;
+use tideroute_config_language::kinds::Day;
+use tideroute_simulation::fleet::{play, Virtual};
 use tideroute_wire::tap::{Reader, What};
 
 /// The field of a frame that asks a reader for a read.
@@ -31,7 +31,10 @@
 }}
 "#
     );
-    tideroute_records::read("a test's day", &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
+    tideroute_config_language::read("a test's day", &text)
+        .unwrap_or_else(|p| panic!("{p}"))
+        .day
+        .expect("a day")
 }
 
 const BOTH: &str = r#"{track: "query", part: 3}, {track: "lodge"}"#;
--- a/crates/lab/tests/crowd.rs
+++ b/crates/simulation/tests/crowd.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_lab::crowd::{name, Crowd, Network, CALM};
+use tideroute_simulation::crowd::{name, Crowd, Network, CALM};
 use tideroute_wire::fleet::Standing;
 
 const S: u64 = 1_000_000;
@@ -121,7 +121,7 @@
     c.leave(33);
     c.run_for(1_500 * MS);
     assert_eq!(c.wrong(), []);
-    let of_it = |s: &&tideroute_lab::crowd::Sighting| s.at >= at && s.seen.name == name(33);
+    let of_it = |s: &&tideroute_simulation::crowd::Sighting| s.at >= at && s.seen.name == name(33);
     let seen: Vec<_> = c.sightings.iter().filter(of_it).map(|s| s.seen.standing).collect();
     assert_eq!(seen.len(), 59);
     assert!(seen.iter().all(|s| *s == Standing::Left), "{seen:?}");
--- a/crates/lab/tests/drawn.rs
+++ b/crates/simulation/tests/drawn.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use tideroute_lab::faults::drawn;
-use tideroute_lab::traffic::routers_of;
-use tideroute_records::kinds::Day;
+use tideroute_config_language::kinds::Day;
+use tideroute_simulation::faults::drawn;
+use tideroute_simulation::traffic::routers_of;
 
 fn day(more: &str) -> Day {
     let text = format!(
@@ -24,7 +24,10 @@
 }}
 "#
     );
-    tideroute_records::read("a test's day", &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
+    tideroute_config_language::read("a test's day", &text)
+        .unwrap_or_else(|p| panic!("{p}"))
+        .day
+        .expect("a day")
 }
 
 #[test]
@@ -39,9 +42,9 @@
         let known: BTreeSet<String> =
             day.workers().map(|(name, ..)| name).chain(day.router_names()).collect();
         // Written down, as when a failed day was shrunk, it is the same day.
-        let file = tideroute_records::kinds::File { day: Some(one.clone()), ..Default::default() };
-        let printed = tideroute_records::print(&file).unwrap_or_else(|p| panic!("{p}"));
-        let again = tideroute_records::read("printed", &printed).unwrap_or_else(|p| panic!("{p}"));
+        let file = tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
+        let printed = tideroute_config_language::print(&file).unwrap_or_else(|p| panic!("{p}"));
+        let again = tideroute_config_language::read("printed", &printed).unwrap_or_else(|p| panic!("{p}"));
         assert_eq!(text(&again.day.expect("a day")), text(&one));
         let mut clocks = BTreeSet::new();
         for t in &one.troubles {
@@ -58,7 +61,7 @@
 
 #[test]
 fn busy_routers_get_so_many_times_as_many_clients() {
-    let mut load = tideroute_records::read(
+    let mut load = tideroute_config_language::read(
         "a load",
         r#"load: {
 	routers: ["127.0.0.1:1"], clients: 920, uneven: {part: 10%, times: 6}
@@ -68,7 +71,7 @@
     .unwrap_or_else(|p| panic!("{p}"))
     .load
     .expect("a load");
-    let of = |load: &tideroute_records::kinds::Load| {
+    let of = |load: &tideroute_config_language::kinds::Load| {
         let mut counts = vec![0; 60];
         routers_of(load, 60).into_iter().for_each(|n| counts[n] += 1);
         counts
--- a/crates/lab/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -1,8 +1,8 @@
 //! The hard cases in virtual time: the real host, module, stand-ins and load, with the rules read from what
 //! passed. Each test first shows that its case came about.
 
-use tideroute_lab::fleet::{play, Virtual};
-use tideroute_records::kinds::Day;
+use tideroute_config_language::kinds::Day;
+use tideroute_simulation::fleet::{play, Virtual};
 use tideroute_wire::tap::{Passed, Reader, What};
 
 /// A small day with a place for its troubles.
@@ -32,7 +32,10 @@
 }}
 "#
     );
-    tideroute_records::read("a test's day", &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
+    tideroute_config_language::read("a test's day", &text)
+        .unwrap_or_else(|p| panic!("{p}"))
+        .day
+        .expect("a day")
 }
 
 fn kept(played: &Virtual) {
--- a/crates/lab/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use tideroute_lab::fleet::{play, Virtual};
-use tideroute_records::kinds::Day;
+use tideroute_config_language::kinds::Day;
+use tideroute_simulation::fleet::{play, Virtual};
 use tideroute_wire::tap::{Reader, What};
 
 fn day(name: &str) -> Day {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     let text = std::fs::read_to_string(path).expect("the day is there");
-    tideroute_records::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
+    tideroute_config_language::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
 }
 
 fn kept(played: &Virtual) {
--- a/crates/tenants/tests/store.rs
+++ b/crates/tenant-store/tests/store.rs
@@ -8,7 +8,7 @@
 
 use rand::{RngExt, SeedableRng};
 use redb::StorageBackend;
-use tideroute_tenants::{Expected, Key, Rate, SnapshotError, Store, StoreError, Tenant};
+use tideroute_tenant_store::{Expected, Key, Rate, SnapshotError, Store, StoreError, Tenant};
 
 /// Set in a process that this test starts to kill it: where its store is.
 const VICTIM: &str = "TIDEROUTE_TEST_STORE";
--- a/crates/rules/tests/broken.rs
+++ b/crates/trace-checker/tests/broken.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use tideroute_rules::{check, Group, Repeat, Report, Rule, Terms, TrackTerms, WorkerTerms};
+use tideroute_trace_checker::{check, Group, Repeat, Report, Rule, Terms, TrackTerms, WorkerTerms};
 use tideroute_wire::list::{Page, Standing};
 use tideroute_wire::tap::{self, counts, Passed, What, Who};
 use tideroute_wire::{client, list, say_hello, say_router, worker, Address, Party};
