--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -12,25 +12,25 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use tideroute::interface::*;
 use tideroute::ranking::{draw, Ranking};
+use tideroute::types::*;
 // The old module names these by the root of its crate.
-use tideroute::{chance, fading, interface};
+use tideroute::{ewma, rng, types};
 
-const MS: Tenths = 10;
-const START: Tenths = 1_000_000;
+const MS: TenthMillis = 10;
+const START: TenthMillis = 1_000_000;
 /// How long a read takes.
-const READ: Tenths = 60 * MS;
+const READ: TenthMillis = 60 * MS;
 /// Runs of which the best counts: other work on the machine only adds.
 const RUNS: usize = 3;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Arrive,
-    Held(SubmissionId),
-    Read(SubmissionId, u16),
-    Start(SubmissionId, u16),
-    End(SubmissionId, u16),
+    Held(RequestId),
+    Read(RequestId, u16),
+    Start(RequestId, u16),
+    End(RequestId, u16),
     Wake,
 }
 
@@ -40,7 +40,7 @@
     workers: u16,
     /// Submissions a second; with the length of an answer they make how many are open.
     rate: u64,
-    answer: Tenths,
+    answer: TenthMillis,
     measured: u64,
     /// No two submissions share a prefix or a session.
     alone: bool,
@@ -49,14 +49,14 @@
 /// The calls that both modules have.
 trait Module {
     fn begin(seed: u64) -> Self;
-    fn list_anew(&mut self, now: Tenths);
-    fn listed(&mut self, now: Tenths, list: Listing);
-    fn arrived(&mut self, now: Tenths, arrival: Arrival) -> bool;
-    fn answered_ahead(&mut self, now: Tenths, id: SubmissionId, held: bool);
-    fn started(&mut self, now: Tenths, id: SubmissionId, shot: u16);
-    fn settled(&mut self, now: Tenths, id: SubmissionId, shot: u16, ending: Ending, terminal: bool);
-    fn woken(&mut self, now: Tenths);
-    fn decide(&mut self, now: Tenths) -> Option<Decision>;
+    fn list_anew(&mut self, now: TenthMillis);
+    fn listed(&mut self, now: TenthMillis, list: Endpoint);
+    fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool;
+    fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool);
+    fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16);
+    fn settled(&mut self, now: TenthMillis, id: RequestId, shot: u16, ending: AttemptOutcome, terminal: bool);
+    fn woken(&mut self, now: TenthMillis);
+    fn decide(&mut self, now: TenthMillis) -> Option<Action>;
 }
 
 macro_rules! module {
@@ -65,7 +65,7 @@
             fn begin(seed: u64) -> Self {
                 <$router>::new(terms(), seed, START)
             }
-            $(fn $call(&mut self, now: Tenths $(, $name: $kind)*) -> $gives {
+            $(fn $call(&mut self, now: TenthMillis $(, $name: $kind)*) -> $gives {
                 <$router>::$call(self, now $(, $name)*)
             })*
         }
@@ -73,27 +73,31 @@
     ($router:ty) => {
         module!($router,
             list_anew() -> ();
-            listed(list: Listing) -> ();
-            arrived(arrival: Arrival) -> bool;
-            answered_ahead(id: SubmissionId, held: bool) -> ();
-            started(id: SubmissionId, shot: u16) -> ();
-            settled(id: SubmissionId, shot: u16, ending: Ending, terminal: bool) -> ();
+            listed(list: Endpoint) -> ();
+            arrived(arrival: NewRequest) -> bool;
+            answered_ahead(id: RequestId, held: bool) -> ();
+            started(id: RequestId, shot: u16) -> ();
+            settled(id: RequestId, shot: u16, ending: AttemptOutcome, terminal: bool) -> ();
             woken() -> ();
-            decide() -> Option<Decision>;
+            decide() -> Option<Action>;
         );
     };
 }
 
-module!(tideroute::choice::Router);
+module!(tideroute::scheduler::Scheduler);
 module!(before::choice::Router);
 
-fn terms() -> Terms {
-    let track =
-        Track { repeat: Repeat::Replayable, contract: 1_500 * MS, per_thousand: 40 * MS, earnings: 1.0 };
-    Terms {
+fn terms() -> SchedulerConfig {
+    let track = RequestClass {
+        repeat: Idempotency::Idempotent,
+        contract: 1_500 * MS,
+        per_thousand: 40 * MS,
+        earnings: 1.0,
+    };
+    SchedulerConfig {
         routers: 3,
         tracks: vec![track],
-        roles: vec![Role::Reader, Role::Writer],
+        roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 500 * MS,
         cold_share: 0.3,
@@ -106,7 +110,7 @@
         asks: false,
         advice: true,
         longest_advice: 1_000 * MS,
-        ..Terms::default()
+        ..SchedulerConfig::default()
     }
 }
 
@@ -118,12 +122,12 @@
     for n in 0..size.workers {
         let worker = [10, 0, 0, (n >> 8) as u8, n as u8, 1];
         let (kind, cell, zone) = (u16::from(n % 3 != 0), n / 9, (n / 9 % 3) as u8);
-        let standing = Standing::Ready;
-        module.listed(now, Listing { worker, kind, size: 8.0, standing, cell, zone, started: 0 });
+        let standing = EndpointStatus::Serving;
+        module.listed(now, Endpoint { worker, kind, size: 8.0, standing, cell, zone, started: 0 });
     }
     let gap = 10_000 / size.rate.max(1);
     let warm_up = size.rate * (size.answer as u64 / 10_000 + 1);
-    let (mut due, mut order) = (BinaryHeap::<Reverse<(Tenths, u64, What)>>::new(), 0u64);
+    let (mut due, mut order) = (BinaryHeap::<Reverse<(TenthMillis, u64, What)>>::new(), 0u64);
     let (mut came, mut shots) = (0u64, HashMap::new());
     let (mut open, mut took) = (0usize, Duration::ZERO);
     due.push(Reverse((now, 0, What::Arrive)));
@@ -140,7 +144,7 @@
                     return (took.as_secs_f64() * 1e6 / size.measured as f64, open);
                 }
                 open += 1;
-                due.push(Reverse((now + gap as Tenths, order, What::Arrive)));
+                due.push(Reverse((now + gap as TenthMillis, order, What::Arrive)));
             }
             What::End(..) => open -= 1,
             _ => {}
@@ -150,13 +154,13 @@
             What::Arrive => {
                 let (session, prefix) = if size.alone { (came, 0) } else { (came % 997, came % 20) };
                 let arrival =
-                    Arrival { id: came, track: 0, session, prefix, prompt: 800.0, left: 5_000 * MS };
+                    NewRequest { id: came, track: 0, session, prefix, prompt: 800.0, left: 5_000 * MS };
                 assert!(module.arrived(now, arrival));
             }
             What::Held(id) => module.answered_ahead(now, id, true),
-            What::Read(id, shot) => module.settled(now, id, shot, Ending::Read, false),
+            What::Read(id, shot) => module.settled(now, id, shot, AttemptOutcome::PrefillComplete, false),
             What::Start(id, shot) => module.started(now, id, shot),
-            What::End(id, shot) => module.settled(now, id, shot, Ending::Honoured, true),
+            What::End(id, shot) => module.settled(now, id, shot, AttemptOutcome::Completed, true),
             What::Wake => module.woken(now),
         }
         let mut decisions = vec![];
@@ -166,7 +170,7 @@
             order += 1;
             let mut push = |after, what| due.push(Reverse((now + after, order, what)));
             match decision {
-                Decision::Send { id, .. } => {
+                Action::Dispatch { id, .. } => {
                     let shot = shots.entry(id).or_insert(0u16);
                     if *shot == 0 {
                         push(READ, What::Read(id, 0));
@@ -176,9 +180,9 @@
                     }
                     *shot += 1;
                 }
-                Decision::Hold { id, .. } => push(2 * MS, What::Held(id)),
-                Decision::Wake { after } => push(after, What::Wake),
-                Decision::TurnBack { .. } | Decision::Abandon { .. } => open -= 1,
+                Action::ReserveDecode { id, .. } => push(2 * MS, What::Held(id)),
+                Action::SetTimer { after } => push(after, What::Wake),
+                Action::Reject { .. } | Action::Fail { .. } => open -= 1,
                 _ => {}
             }
         }
@@ -187,7 +191,7 @@
 }
 
 fn line(size: Size) {
-    let runs = (0..RUNS).map(|_| cost::<tideroute::choice::Router>(size));
+    let runs = (0..RUNS).map(|_| cost::<tideroute::scheduler::Scheduler>(size));
     let (now, open) = runs.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or_default();
     let (then, _) = cost::<before::choice::Router>(Size { measured: size.measured.min(300), ..size });
     let who = if size.alone { "alone" } else { "shared" };
@@ -222,7 +226,7 @@
 /// The longest that the module takes for a whole list of 1,200, with 6,000 open and one in ten changed.
 fn reloads() {
     let worker = |n: u16| [10, 0, 0, (n >> 8) as u8, n as u8, 1];
-    let listing = |n: u16, standing| Listing {
+    let listing = |n: u16, standing| Endpoint {
         worker: worker(n),
         kind: u16::from(!n.is_multiple_of(3)),
         size: 8.0,
@@ -231,13 +235,13 @@
         zone: (n / 9 % 3) as u8,
         started: 0,
     };
-    let (mut router, mut now) = (tideroute::choice::Router::new(terms(), 7, START), START);
+    let (mut router, mut now) = (tideroute::scheduler::Scheduler::new(terms(), 7, START), START);
     let (mut longest, mut sum) = (Duration::ZERO, Duration::ZERO);
     for round in 0..50u16 {
         for n in 0..120 {
             let id = u64::from(round) * 120 + n;
             let arrival =
-                Arrival { id, track: 0, session: id, prefix: n % 20, prompt: 80.0, left: 60_000 * MS };
+                NewRequest { id, track: 0, session: id, prefix: n % 20, prompt: 80.0, left: 60_000 * MS };
             assert!(router.arrived(now, arrival));
         }
         while router.decide(now).is_some() {}
@@ -246,7 +250,10 @@
         router.list_anew(now);
         for n in 0..1_200 {
             let drains = n % 10 == round % 10;
-            router.listed(now, listing(n, if drains { Standing::Draining } else { Standing::Ready }));
+            router.listed(
+                now,
+                listing(n, if drains { EndpointStatus::Draining } else { EndpointStatus::Serving }),
+            );
         }
         while black_box(router.decide(now)).is_some() {}
         (longest, sum) = (longest.max(began.elapsed()), sum + began.elapsed());
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -7,34 +7,34 @@
 use std::process::ExitCode;
 
 use bytes::Fields;
-use tideroute::choice::Router;
-use tideroute::interface::{Arrival, Decision, Ending, Listing, Standing, Tenths};
+use tideroute::scheduler::Scheduler;
+use tideroute::types::{Action, AttemptOutcome, Endpoint, EndpointStatus, NewRequest, TenthMillis};
 use tideroute_settings::{tenths, Report};
 
 /// Each router, and what a probe brings it of a worker's load.
-type Routers = BTreeMap<u16, (Router, Option<Report>)>;
+type Routers = BTreeMap<u16, (Scheduler, Option<Report>)>;
 
-fn standing(code: u8) -> Result<Standing, String> {
+fn standing(code: u8) -> Result<EndpointStatus, String> {
     match code {
-        0 => Ok(Standing::Gone),
-        1 => Ok(Standing::Ready),
-        2 => Ok(Standing::Draining),
+        0 => Ok(EndpointStatus::Removed),
+        1 => Ok(EndpointStatus::Serving),
+        2 => Ok(EndpointStatus::Draining),
         other => Err(format!("worker state {other} is unknown")),
     }
 }
 
-fn ending(code: u8, info: u32) -> Result<Ending, String> {
+fn ending(code: u8, info: u32) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        0 => Ending::Honoured,
-        1 => Ending::Fault,
-        2 if info == 1 => Ending::Stateless,
-        2 => Ending::Full,
-        3 => Ending::TimedOut,
-        4 => Ending::Unreachable,
-        5 => Ending::Broken,
-        6 => Ending::Withdrawn,
-        7 => Ending::NeverSent,
-        100 => Ending::Read,
+        0 => AttemptOutcome::Completed,
+        1 => AttemptOutcome::ServerError,
+        2 if info == 1 => AttemptOutcome::StateMissing,
+        2 => AttemptOutcome::Rejected,
+        3 => AttemptOutcome::TimedOut,
+        4 => AttemptOutcome::Unreachable,
+        5 => AttemptOutcome::ConnectionReset,
+        6 => AttemptOutcome::Cancelled,
+        7 => AttemptOutcome::NotSent,
+        100 => AttemptOutcome::PrefillComplete,
         other => return Err(format!("outcome {other} is unknown")),
     })
 }
@@ -44,8 +44,8 @@
     (0..count).map(|_| f.f32("report value")).collect()
 }
 
-fn member(f: &mut Fields) -> Result<Listing, String> {
-    Ok(Listing {
+fn member(f: &mut Fields) -> Result<Endpoint, String> {
+    Ok(Endpoint {
         kind: f.u16("worker kind")?,
         size: f64::from(f.f32("capacity_hint")?),
         standing: standing(f.u8("worker state")?)?,
@@ -57,7 +57,7 @@
 }
 
 /// Passes one record on to the instance that it names, whose number comes back.
-fn event(f: &mut Fields, now: Tenths, routers: &mut Routers) -> Result<u16, String> {
+fn event(f: &mut Fields, now: TenthMillis, routers: &mut Routers) -> Result<u16, String> {
     let code = f.u8("code")?;
     if !matches!(code, 10 | 20 | 30 | 40 | 50 | 60 | 70 | 80 | 90 | 100 | 110) {
         return Err(format!("event code {code} is unknown"));
@@ -67,7 +67,7 @@
         let salt = f.u64("salt")?;
         let length = f.u32("config length")? as usize;
         let (terms, report) = tideroute_settings::read(f.bytes(length, "config")?)?;
-        routers.insert(who, (Router::new(terms, salt, now), report));
+        routers.insert(who, (Scheduler::new(terms, salt, now), report));
         return Ok(who);
     }
     if code == 100 {
@@ -104,7 +104,7 @@
             f.f32("prefix_tokens")?;
             f.f32("n_max")?;
             f.u8("marks")?;
-            if !router.arrived(now, Arrival { id, track, session, prefix, prompt, left }) {
+            if !router.arrived(now, NewRequest { id, track, session, prefix, prompt, left }) {
                 return Err(format!("class {track} of request {id} is not in the settings"));
             }
         }
@@ -159,42 +159,42 @@
     Ok(who)
 }
 
-fn write(out: &mut Vec<u8>, who: u16, decision: Decision) {
+fn write(out: &mut Vec<u8>, who: u16, decision: Action) {
     let mut head = |code: u8, id: Option<u64>| {
         out.push(code);
         out.extend(who.to_le_bytes());
         out.extend(id.iter().flat_map(|id| id.to_le_bytes()));
     };
-    let ms = |time: Tenths| (time as f64 / 10.0).to_le_bytes();
+    let ms = |time: TenthMillis| (time as f64 / 10.0).to_le_bytes();
     match decision {
-        Decision::Send { id, worker, within } => {
+        Action::Dispatch { id, worker, within } => {
             head(20, Some(id));
             out.extend(worker);
             out.extend(ms(within));
         }
-        Decision::Hold { id, worker } => {
+        Action::ReserveDecode { id, worker } => {
             head(60, Some(id));
             out.extend(worker);
         }
-        Decision::LetGo { id } => head(110, Some(id)),
-        Decision::Withdraw { id, shot } => {
+        Action::Release { id } => head(110, Some(id)),
+        Action::CancelAttempt { id, shot } => {
             head(100, Some(id));
             out.extend(shot.to_le_bytes());
         }
-        Decision::TurnBack { id, after } => {
+        Action::Reject { id, after } => {
             head(140, Some(id));
             out.extend(ms(after));
         }
-        Decision::Abandon { id } => head(130, Some(id)),
-        Decision::Probe { worker } => {
+        Action::Fail { id } => head(130, Some(id)),
+        Action::CheckHealth { worker } => {
             head(80, None);
             out.extend(worker);
         }
-        Decision::Subscribe => {
+        Action::WatchEndpoints => {
             head(40, None);
             out.push(1);
         }
-        Decision::Wake { after } => {
+        Action::SetTimer { after } => {
             head(30, None);
             out.extend(ms(after));
             out.extend(0u32.to_le_bytes());
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use tideroute_admin::{Admin, Administrator, Api, Role};
 use tideroute_config_language::kinds;
-use tideroute_lifecycle::TenantTerms;
+use tideroute_lifecycle::TenantConfig;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
 use tideroute_tenant_store::{Entry, Rate, Store, Tenant};
@@ -61,7 +61,7 @@
     }
 
     /// A core that starts: it is told all changes from now on, and gets the tenants as they stand.
-    pub fn join(&self, core: u32, mailbox: Mailbox) -> Result<Vec<TenantTerms>, String> {
+    pub fn join(&self, core: u32, mailbox: Mailbox) -> Result<Vec<TenantConfig>, String> {
         // First the letters, then the store: a change in between comes twice, and the older is not heeded.
         self.cores.lock().unwrap_or_else(|e| e.into_inner()).insert(core, mailbox);
         let (mut all, mut after) = (vec![], String::new());
@@ -88,7 +88,7 @@
     tenant.keys.iter().filter_map(|key| convert::hash(&key.hash).ok()).collect()
 }
 
-fn terms(entry: &Entry, tenant: &Tenant) -> TenantTerms {
+fn terms(entry: &Entry, tenant: &Tenant) -> TenantConfig {
     let rate = |rate: Rate| tideroute_admission::Rate { a_second: rate.a_second, burst: rate.once };
     let limits = tideroute_admission::Limits {
         submissions: tenant.submissions.map(rate),
@@ -97,7 +97,7 @@
         weight: tenant.weight,
         waiting: tenant.waiting,
     };
-    TenantTerms { name: entry.name.clone(), version: entry.version, keys: keys(tenant), limits }
+    TenantConfig { name: entry.name.clone(), version: entry.version, keys: keys(tenant), limits }
 }
 
 /// Hands a change to all cores and waits until each was told.
--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_test_support::customer::Customer;
 use tideroute_test_support::judge::{Judge, Report};
 use tideroute_test_support::process::{free, signal, until, Running};
@@ -284,7 +284,7 @@
 
 /// Plays one customer; what broke, if something did.
 fn play(seed: u64) -> Option<String> {
-    let mut draw = Chance::new(2 * seed);
+    let mut draw = Rng::new(2 * seed);
     let customer = Customer::drawn(&mut draw);
     let listeners: Vec<_> =
         customer.workers.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_test_support::control::Remote;
 use tideroute_test_support::customer::Customer;
 use tideroute_test_support::judge::Judge;
@@ -118,7 +118,7 @@
 }
 
 fn play(seed: u64) -> Result<Run, Failure> {
-    let mut draw = Chance::new(3 * seed + 1);
+    let mut draw = Rng::new(3 * seed + 1);
     let customer = Customer::drawn(&mut draw);
     let judge = Arc::new(Judge::new(customer, draw, NOISE));
     let fleet = Fleet::start(judge.clone(), seed)?;
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
-use tideroute_wire::list::{self, Page, Standing};
+use tideroute_wire::list::{self, EndpointStatus, Page};
 use tideroute_wire::{Address, Malformed, Micros, Party};
 
 /// Changes that a router may have missed and still be told one by one.
@@ -30,7 +30,7 @@
     worker: Address,
     kind: u16,
     size: f64,
-    standing: Standing,
+    standing: EndpointStatus,
     cell: u16,
     zone: u8,
     started: Micros,
@@ -125,7 +125,7 @@
                 self.history.iter().skip(skip).for_each(|e| e.add_to(&mut page));
             }
             None => {
-                let there = |e: &&Entry| e.standing != Standing::Gone;
+                let there = |e: &&Entry| e.standing != EndpointStatus::Removed;
                 self.told.values().filter(there).for_each(|e| e.add_to(&mut page));
             }
         }
@@ -167,7 +167,7 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: Standing,
+        standing: EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
@@ -217,7 +217,7 @@
         self.speaks.remove(&worker);
         let pending = self.pending.iter().rev().find(|(_, e)| e.worker == worker).map(|(_, e)| *e);
         if let Some(last) = pending.or(self.told.get(&worker).copied()) {
-            self.changed(now, Entry { standing: Standing::Gone, ..last }, out);
+            self.changed(now, Entry { standing: EndpointStatus::Removed, ..last }, out);
         }
     }
 
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
-use tideroute_wire::list::Standing;
+use tideroute_wire::list::EndpointStatus;
 use tideroute_wire::{fetch, list, say_hello, worker, Address, Malformed, Micros, Origin, Party, Whose};
 
 use crate::reading::Reading;
@@ -216,7 +216,7 @@
     fn say_here(&mut self, out: &mut Outbox) {
         let Some(link) = self.list else { return };
         let t = &self.bench.terms;
-        let standing = if self.bench.draining { Standing::Draining } else { Standing::Ready };
+        let standing = if self.bench.draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let started = if t.warm { 0 } else { self.bench.began };
         out.send(link, list::here(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bytes::{Bytes, BytesMut};
-use tideroute::interface::SubmissionId;
+use tideroute::types::RequestId;
 use tideroute_http::Body;
 use tideroute_wire::link::Link;
 use tideroute_wire::Micros;
@@ -19,7 +19,7 @@
     /// The rest of a body.
     Body(Box<(Ask, Body, BytesMut)>),
     /// The answer. Its events have begun if that is said.
-    Answer(SubmissionId, Arc<str>, bool),
+    Response(RequestId, Arc<str>, bool),
 }
 
 pub struct Client {
@@ -44,7 +44,7 @@
     /// Those with no request open, the longest wait first: they are the first to go when room is needed.
     waiting: BTreeSet<(Micros, Link)>,
     /// Trace ids that are open.
-    traces: HashMap<Arc<str>, SubmissionId>,
+    traces: HashMap<Arc<str>, RequestId>,
     /// Bytes that have arrived and are not gone again.
     pub held: usize,
 }
@@ -101,18 +101,18 @@
     }
 
     /// The client's submission is taken.
-    pub fn asked(&mut self, link: Link, trace: Arc<str>, id: SubmissionId) {
+    pub fn asked(&mut self, link: Link, trace: Arc<str>, id: RequestId) {
         if let Some(client) = self.links.get_mut(&link) {
             client.since.take().map(|since| self.waiting.remove(&(since, link)));
             self.traces.insert(trace.clone(), id);
-            client.at = At::Answer(id, trace, false);
+            client.at = At::Response(id, trace, false);
         }
     }
 
     /// Its answer is complete, or its request was none: the next one may begin.
     pub fn answered(&mut self, now: Micros, link: Link) {
         let Some(client) = self.links.get_mut(&link) else { return };
-        if let At::Answer(_, trace, _) = std::mem::replace(&mut client.at, At::Head) {
+        if let At::Response(_, trace, _) = std::mem::replace(&mut client.at, At::Head) {
             self.traces.remove(&trace);
         }
         if let Some(before) = client.since.replace(now) {
@@ -134,26 +134,26 @@
     }
 
     /// The connection is gone; the submission that was open on it comes back.
-    pub fn lose(&mut self, link: Link) -> Option<SubmissionId> {
+    pub fn lose(&mut self, link: Link) -> Option<RequestId> {
         let client = self.links.remove(&link)?;
         client.since.map(|since| self.waiting.remove(&(since, link)));
         self.held -= client.counted;
-        let At::Answer(id, trace, _) = client.at else { return None };
+        let At::Response(id, trace, _) = client.at else { return None };
         self.traces.remove(&trace);
         Some(id)
     }
 
     /// Whether the events of this submission have begun to go to the client.
-    pub fn streams(&self, link: Link, id: SubmissionId) -> Option<bool> {
+    pub fn streams(&self, link: Link, id: RequestId) -> Option<bool> {
         match self.links.get(&link)?.at {
-            At::Answer(open, _, streams) if open == id => Some(streams),
+            At::Response(open, _, streams) if open == id => Some(streams),
             _ => None,
         }
     }
 
     /// They begin.
     pub fn begin(&mut self, link: Link) {
-        if let Some(Client { at: At::Answer(.., streams), .. }) = self.links.get_mut(&link) {
+        if let Some(Client { at: At::Response(.., streams), .. }) = self.links.get_mut(&link) {
             *streams = true;
         }
     }
--- a/crates/gateway/src/conn.rs
+++ b/crates/gateway/src/conn.rs
@@ -1,7 +1,7 @@
 //! One connection to a worker, and the answers that come on it.
 
 use bytes::{Bytes, BytesMut};
-use tideroute::interface::{SubmissionId, WorkerId};
+use tideroute::types::{RequestId, WorkerId};
 use tideroute_http::{Body, Bounds, Problem};
 use tideroute_wire::{Address, Micros};
 
@@ -19,24 +19,24 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Job {
     /// `once` for the writing of a submission that may run but once.
-    Shot {
-        id: SubmissionId,
+    Attempt {
+        id: RequestId,
         number: u16,
         reading: bool,
         once: bool,
     },
     Place {
-        id: SubmissionId,
+        id: RequestId,
     },
     Release {
-        id: SubmissionId,
+        id: RequestId,
     },
     Probe {
         nonce: u64,
     },
     /// Asks the reader of a request for a sign of life.
     Liveness {
-        id: SubmissionId,
+        id: RequestId,
     },
 }
 
@@ -117,7 +117,7 @@
 
     /// Whether its call is one that a worker which drains must not get.
     pub fn brings_new(&self) -> bool {
-        matches!(self.job, Some(Job::Shot { .. } | Job::Place { .. }))
+        matches!(self.job, Some(Job::Attempt { .. } | Job::Place { .. }))
     }
 
     pub fn heard(&mut self, bytes: &Bytes) {
@@ -138,7 +138,7 @@
                 }
                 continue;
             }
-            let stream = matches!(self.job, Some(Job::Shot { reading: false, .. })) && head.status == 200;
+            let stream = matches!(self.job, Some(Job::Attempt { reading: false, .. })) && head.status == 200;
             let most = if stream { BOUNDS.body } else { SHORT };
             let never_ran = head.fields.one(words::NEVER_RAN) == Some("1");
             let body = Body::new(head.framing, most);
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -3,7 +3,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use metrics::counter;
 use tideroute_http::{write, Body, Bounds, Framing, Request};
-use tideroute_lifecycle::Submission;
+use tideroute_lifecycle::RequestState;
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
@@ -54,7 +54,7 @@
         let over = self.clients.held > self.terms.rooms.held;
         let Some(client) = self.clients.get_mut(link) else { return };
         let ahead = client.arrived.len() + bytes.len();
-        if matches!(client.at, At::Answer(..)) && (over || client.wasted > 0 || ahead > BEHIND) {
+        if matches!(client.at, At::Response(..)) && (over || client.wasted > 0 || ahead > BEHIND) {
             return self.wasted(now, link, bytes.len(), out);
         }
         let begins = client.arrived.is_empty() && matches!(client.at, At::Head);
@@ -80,7 +80,7 @@
             let more = match &mut client.at {
                 At::Head => self.head(now, link, out),
                 At::Body(_) => self.body(now, link, out),
-                At::Answer(..) => false,
+                At::Response(..) => false,
             };
             self.clients.count(link);
             if !more {
@@ -88,7 +88,7 @@
             }
         }
         if self.clients.held > self.terms.rooms.held {
-            let full = self.clients.get(link).is_some_and(|c| !matches!(c.at, At::Answer(..)));
+            let full = self.clients.get(link).is_some_and(|c| !matches!(c.at, At::Response(..)));
             if full {
                 return self.refuse(link, Refusal(503, "no memory for one more request"), out);
             }
@@ -105,7 +105,7 @@
         client.last = true;
         client.wasted += bytes + std::mem::take(&mut client.arrived).len();
         let without_end = client.wasted > WASTED;
-        let streams = matches!(client.at, At::Answer(.., true));
+        let streams = matches!(client.at, At::Response(.., true));
         self.clients.count(link);
         if without_end {
             let why = "sends without end while its request is open";
@@ -242,7 +242,7 @@
         let tokens = ask.prompt_tokens(body.len());
         let (trace, target, fields) = (ask.trace.clone(), ask.target, ask.fields);
         let asked = Asked { client: link, trace: ask.trace, target, fields, body };
-        let s = Submission::new(asked, ask.track, (ask.session, ask.prefix), tokens).waits(now, left);
+        let s = RequestState::new(asked, ask.track, (ask.session, ask.prefix), tokens).waits(now, left);
         let id = self.books.submissions.coming();
         story::tell(id, &trace, State::Taken);
         tracing::debug!(id, link = link.0, "takes a request");
@@ -266,7 +266,7 @@
     /// The wait for a client may be over.
     pub(crate) fn client_rang(&mut self, now: Micros, link: Link, out: &mut Outbox) {
         let Some(client) = self.clients.get_mut(link) else { return };
-        if !client.patience.over(now, key(Ring::Client(link)), out) || matches!(client.at, At::Answer(..)) {
+        if !client.patience.over(now, key(Ring::Client(link)), out) || matches!(client.at, At::Response(..)) {
             return;
         }
         if matches!(client.at, At::Head) && client.arrived.is_empty() {
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use tideroute::interface::{Ending, Repeat, SubmissionId, WorkerId};
+use tideroute::types::{AttemptOutcome, Idempotency, RequestId, WorkerId};
 use tideroute_http::write;
 use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
-use tideroute_lifecycle::{Answer, Shot, Submission, Timer, Ways};
+use tideroute_lifecycle::{Attempt, RequestState, Response, Timer, Transport};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
@@ -27,7 +27,7 @@
 /// What came of decisions while they were carried out, to be told to the books afterwards.
 #[derive(Default)]
 pub struct Later {
-    pub endings: Vec<(SubmissionId, u16, Ending)>,
+    pub endings: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Clients whose answer is complete: their next request may be there already.
     pub answered: Vec<Link>,
 }
@@ -60,7 +60,7 @@
     }
 
     /// Asks for a place; only called once the reader has the whole request.
-    pub fn place(&mut self, id: SubmissionId, trace: &Arc<str>, at: WorkerId) {
+    pub fn place(&mut self, id: RequestId, trace: &Arc<str>, at: WorkerId) {
         // Guards against a worker that was told to drain while the reader's connection came up.
         if !self.pools.takes(at) {
             return;
@@ -77,7 +77,7 @@
     }
 
     /// Probes the reader of a request, whose answer is a sign of life.
-    pub fn ask_for_sign(&mut self, id: SubmissionId, reader: WorkerId) {
+    pub fn ask_for_sign(&mut self, id: RequestId, reader: WorkerId) {
         let bytes = write::request("GET", words::ALIVE, [("host", "worker")], None);
         let Some(link) = self.pools.call(self.now, reader, Job::Liveness { id }, bytes, self.out) else {
             return;
@@ -88,7 +88,7 @@
     }
 
     /// An attempt leaves on its connection, which is up: it tells how long its client waits from now.
-    pub fn attempt(&mut self, link: Link, s: &Submission<Asked>, _permit: AttemptPermit) {
+    pub fn attempt(&mut self, link: Link, s: &RequestState<Asked>, _permit: AttemptPermit) {
         let left = (s.cut_off.saturating_sub(self.now) / 1_000).to_string();
         let fields = s.asked.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
         let fields = fields.chain([(words::LEFT, left.as_str())]);
@@ -119,14 +119,14 @@
     }
 }
 
-impl Ways for Exit<'_> {
+impl Transport for Exit<'_> {
     type Asked = Asked;
 
     fn shoot(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Asked>,
-        shot: &Shot,
+        id: RequestId,
+        s: &RequestState<Asked>,
+        shot: &Attempt,
         _left: Micros,
         permit: AttemptPermit,
     ) {
@@ -136,10 +136,10 @@
             held.unasked(id, &mut context);
         }
         let track = self.terms.books.module.tracks.get(usize::from(s.track));
-        let once = !shot.reading && track.is_some_and(|t| t.repeat == Repeat::SingleUse);
-        let job = Job::Shot { id, number: shot.number, reading: shot.reading, once };
+        let once = !shot.reading && track.is_some_and(|t| t.repeat == Idempotency::NonIdempotent);
+        let job = Job::Attempt { id, number: shot.number, reading: shot.reading, once };
         let Some(link) = self.pools.begin(self.now, shot.worker, job, self.out) else {
-            return self.later.endings.push((id, shot.number, Ending::NeverSent));
+            return self.later.endings.push((id, shot.number, AttemptOutcome::NotSent));
         };
         if let Some(conn) = self.pools.get_mut(link) {
             story::tell(id, &s.asked.trace, State::AttemptChosen(shot.number, conn.to));
@@ -153,8 +153,8 @@
 
     fn hold(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Asked>,
+        id: RequestId,
+        s: &RequestState<Asked>,
         at: WorkerId,
         _reader: WorkerId,
         _permit: PlacePermit,
@@ -168,12 +168,12 @@
     }
 
     /// A new place or a shot elsewhere takes the old place's turn by itself; a word here would free the state too.
-    fn unplace(&mut self, _id: SubmissionId, _at: WorkerId, _tell: bool) {}
+    fn unplace(&mut self, _id: RequestId, _at: WorkerId, _tell: bool) {}
 
     fn let_go(
         &mut self,
-        id: SubmissionId,
-        _s: &Submission<Asked>,
+        id: RequestId,
+        _s: &RequestState<Asked>,
         places: &[WorkerId],
         state: Option<WorkerId>,
     ) {
@@ -182,38 +182,41 @@
         held.let_go(id, at, &mut context);
     }
 
-    fn withdraw(&mut self, id: SubmissionId, _shot: &Shot) -> bool {
+    fn withdraw(&mut self, id: RequestId, _shot: &Attempt) -> bool {
         let Some(link) = self.pools.shot(id) else { return true };
         let left = self.has_left(link);
         self.pools.end(link, self.out);
         !left
     }
 
-    fn recall(&mut self, id: SubmissionId, shot: &Shot) -> bool {
+    fn recall(&mut self, id: RequestId, shot: &Attempt) -> bool {
         let left = self.pools.shot(id).is_some_and(|link| self.has_left(link));
         !left && self.withdraw(id, shot)
     }
 
-    fn settled(&mut self, id: SubmissionId, s: &Submission<Asked>, shot: &Shot, ending: Ending) {
+    fn settled(&mut self, id: RequestId, s: &RequestState<Asked>, shot: &Attempt, ending: AttemptOutcome) {
         let sent = self.pools.over(id).unwrap_or(self.now);
         let trace = &s.asked.trace;
         story::tell(id, trace, State::AttemptEnded(shot.number, ending));
         let (held, mut context) = self.held();
-        let failed = ending != Ending::Honoured && !shot.started;
+        let failed = ending != AttemptOutcome::Completed && !shot.started;
         // One that was sent with no state waiting for it has read the prompt itself.
         let read = shot.reading || s.state.is_none();
-        if ending == Ending::Read {
+        if ending == AttemptOutcome::PrefillComplete {
             held.read(id, trace, shot.worker, &mut context);
         } else if failed && read && !ending.never_ran() {
             held.read_badly(id, trace, (shot.worker, sent), &mut context);
         } else if failed {
-            let spoke = matches!(ending, Ending::Full | Ending::Stateless | Ending::Fault);
-            let reached = !matches!(ending, Ending::Unreachable | Ending::NeverSent);
+            let spoke = matches!(
+                ending,
+                AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
+            );
+            let reached = !matches!(ending, AttemptOutcome::Unreachable | AttemptOutcome::NotSent);
             held.stays(id, trace, (s.state, reached, spoke), &mut context);
         }
         let ended_by = match ending {
-            Ending::Withdrawn | Ending::TimedOut => Some(EndedBy::ThisSide),
-            Ending::Broken if !shot.started => Some(EndedBy::Reset),
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => Some(EndedBy::ThisSide),
+            AttemptOutcome::ConnectionReset if !shot.started => Some(EndedBy::Reset),
             _ => None,
         };
         if let Some(by) = ended_by {
@@ -221,29 +224,29 @@
         }
     }
 
-    fn closed(&mut self, id: SubmissionId, _permit: ClosePermit) {
+    fn closed(&mut self, id: RequestId, _permit: ClosePermit) {
         let (held, mut context) = self.held();
         held.over(id, &mut context);
     }
 
-    fn answer(&mut self, id: SubmissionId, s: &Submission<Asked>, answer: Answer, _permit: AnswerPermit) {
+    fn answer(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: AnswerPermit) {
         let link = s.asked.client;
         story::tell(id, &s.asked.trace, State::Answered(answer));
         let Some(streams) = self.clients.streams(link, id) else { return };
         match answer {
-            Answer::Honoured(_) => {
+            Response::Completed(_) => {
                 let last = self.stopping || self.clients.get(link).is_none_or(|c| c.last);
                 self.out.send(link, write::LAST_CHUNK.into());
                 self.complete(link, last);
             }
             // The client sees from the missing last chunk that there was more.
-            Answer::Abandoned if streams => {
+            Response::Failed if streams => {
                 self.clients.lose(link);
                 self.out.close(link, "its stream broke");
             }
-            Answer::Abandoned if self.now >= s.cut_off => self.say(link, 504, 0, "no answer in time"),
-            Answer::Abandoned => self.say(link, 502, 0, "no worker answered it"),
-            Answer::TurnedBack(after) => self.say(link, 503, after, "turned back: it has not run"),
+            Response::Failed if self.now >= s.cut_off => self.say(link, 504, 0, "no answer in time"),
+            Response::Failed => self.say(link, 502, 0, "no worker answered it"),
+            Response::Rejected(after) => self.say(link, 503, after, "turned back: it has not run"),
         }
     }
 
@@ -263,6 +266,6 @@
     }
 
     fn ring(&mut self, at: Micros, timer: Timer) {
-        self.out.ring(at, key(Ring::Books(timer)));
+        self.out.ring(at, key(Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use tideroute::interface::Repeat;
-use tideroute_lifecycle::BookTerms;
+use tideroute::types::Idempotency;
+use tideroute_lifecycle::LifecycleConfig;
 use tideroute_settings::Report;
 use tideroute_wire::{Address, Micros};
 
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub books: BookTerms,
+    pub books: LifecycleConfig,
     pub listen: SocketAddr,
     pub discovery: Address,
     pub rooms: Rooms,
@@ -65,7 +65,7 @@
             ));
         }
         for (name, track) in self.books.tracks.iter().zip(&self.books.module.tracks) {
-            if matches!(track.repeat, Repeat::Referenced { window: 0, .. }) {
+            if matches!(track.repeat, Idempotency::IdempotentWithKey { window: 0, .. }) {
                 found.push(format!(
                     "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never repeated",
                     self.dial / 1_000
@@ -121,7 +121,7 @@
     if !known.is_null() {
         list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
     }
-    let books = BookTerms {
+    let books = LifecycleConfig {
         name,
         module,
         tracks,
@@ -146,5 +146,5 @@
         false
     }
 
-    fn entry(&mut self, _listing: tideroute::interface::Listing, _at: Address) {}
+    fn entry(&mut self, _listing: tideroute::types::Endpoint, _at: Address) {}
 }
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use tideroute::interface::{SubmissionId, WorkerId};
+use tideroute::types::{RequestId, WorkerId};
 use tideroute_http::write;
 use tideroute_lifecycle::short;
 use tideroute_wire::link::Link;
@@ -43,11 +43,11 @@
 const BEYOND: Micros = 300_000;
 
 pub struct Held {
-    entries: BTreeMap<SubmissionId, Entry>,
+    entries: BTreeMap<RequestId, Entry>,
     /// Requests of which a read has just ended badly.
-    doubtful: Vec<SubmissionId>,
+    doubtful: Vec<RequestId>,
     /// Requests of which it has to be asked whether their reads are still out.
-    unsure: Vec<SubmissionId>,
+    unsure: Vec<RequestId>,
     /// The time allowed, by the settings.
     allowed: Micros,
 }
@@ -62,23 +62,23 @@
     }
 
     /// Requests of which a read has ended badly since the last call.
-    pub fn doubtful(&mut self) -> Vec<SubmissionId> {
+    pub fn doubtful(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.doubtful)
     }
 
     /// Requests of which it has to be asked now whether their reads are still out, with their trace ids.
-    pub fn unsure(&mut self) -> Vec<(SubmissionId, Arc<str>)> {
+    pub fn unsure(&mut self) -> Vec<(RequestId, Arc<str>)> {
         let unsure = std::mem::take(&mut self.unsure);
         unsure.into_iter().filter_map(|id| Some((id, self.entries.get(&id)?.trace.clone()))).collect()
     }
 
     /// The reader of a request has given a sign of life.
-    pub fn reader_lives(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn reader_lives(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.since().is_none()) else { return };
         entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.out);
     }
 
-    fn entry(&mut self, now: Micros, id: SubmissionId, trace: &Arc<str>) -> &mut Entry {
+    fn entry(&mut self, now: Micros, id: RequestId, trace: &Arc<str>) -> &mut Entry {
         self.entries.entry(id).or_insert_with(|| Entry {
             trace: trace.clone(),
             at: None,
@@ -94,7 +94,7 @@
     }
 
     /// The time runs since then, and a release under way, which may have come too early, is none.
-    fn runs(&mut self, id: SubmissionId, since: Micros, at: &mut Context) {
+    fn runs(&mut self, id: RequestId, since: Micros, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         stop(entry, None, at);
         entry.clock = Clock::Runs(since);
@@ -102,7 +102,7 @@
     }
 
     /// A read has ended well: its state takes the turn of whatever was held before.
-    pub fn read(&mut self, id: SubmissionId, trace: &Arc<str>, worker: WorkerId, at: &mut Context) {
+    pub fn read(&mut self, id: RequestId, trace: &Arc<str>, worker: WorkerId, at: &mut Context) {
         let entry = self.entry(at.now, id, trace);
         (entry.at, entry.asked, entry.rounds) = (Some(worker), false, 0);
         self.runs(id, at.now, at);
@@ -112,7 +112,7 @@
     /// any time since.
     pub fn read_badly(
         &mut self,
-        id: SubmissionId,
+        id: RequestId,
         trace: &Arc<str>,
         (worker, sent): (WorkerId, Micros),
         at: &mut Context,
@@ -127,7 +127,7 @@
     }
 
     /// The connection of an attempt at a worker was ended.
-    pub fn gave_up(&mut self, id: SubmissionId, worker: WorkerId, by: EndedBy, now: Micros) {
+    pub fn gave_up(&mut self, id: RequestId, worker: WorkerId, by: EndedBy, now: Micros) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.given_up.push(GivenUp { worker, when: now, by, heard: false });
         }
@@ -136,7 +136,7 @@
     /// The call that asks a worker for a place goes out on that link.
     pub fn asked(
         &mut self,
-        id: SubmissionId,
+        id: RequestId,
         trace: &Arc<str>,
         (worker, on): (WorkerId, Link),
         at: &mut Context,
@@ -152,13 +152,7 @@
     }
 
     /// That call is over; `reading` if its read is out.
-    pub fn answered(
-        &mut self,
-        id: SubmissionId,
-        on: Link,
-        (place, reading): (Place, bool),
-        at: &mut Context,
-    ) {
+    pub fn answered(&mut self, id: RequestId, on: Link, (place, reading): (Place, bool), at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         // An answer to an earlier call may be of an earlier read.
         let known = entry.asking.last() == Some(&on) && matches!(place, Place::Held | Place::Refused);
@@ -184,7 +178,7 @@
     }
 
     /// No place is wanted any more: calls for one that have not left never do.
-    pub fn unasked(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn unasked(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.asking.retain(|link| {
             let left = at.pools.get_mut(*link).is_some_and(|conn| conn.written);
@@ -203,7 +197,7 @@
     /// with which the time begins anew, and `reached` if it may have come there.
     pub fn stays(
         &mut self,
-        id: SubmissionId,
+        id: RequestId,
         trace: &Arc<str>,
         (state, reached, spoke): (Option<WorkerId>, bool, bool),
         at: &mut Context,
@@ -223,14 +217,14 @@
     }
 
     /// Events have begun, with which all that is held goes by itself.
-    pub fn taken(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn taken(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.over = true;
         self.paid(id, None, at);
     }
 
     /// A worker has answered a release, on that link. It frees nothing that an attempt waits with.
-    pub fn released(&mut self, id: SubmissionId, on: Link, at: &mut Context) {
+    pub fn released(&mut self, id: RequestId, on: Link, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         story::tell(id, &entry.trace, State::Released);
         let began = entry.release.as_ref().map_or(at.now, |release| release.began);
@@ -250,7 +244,7 @@
     }
 
     /// The entry is looked at after so long, if that is not done before.
-    fn looks_again(&mut self, id: SubmissionId, after: Micros, at: &mut Context) {
+    fn looks_again(&mut self, id: RequestId, after: Micros, at: &mut Context) {
         if let Some(entry) = self.entries.get_mut(&id) {
             let until = (at.now + after).min(entry.patience.until());
             entry.patience.set(until, key(Ring::Held(short(id))), at.out);
@@ -258,7 +252,7 @@
     }
 
     /// Nothing is held any more, but for what a call for a place under way may hold yet.
-    fn paid(&mut self, id: SubmissionId, on: Option<Link>, at: &mut Context) {
+    fn paid(&mut self, id: RequestId, on: Option<Link>, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         stop(entry, on, at);
         entry.asked = true;
@@ -268,7 +262,7 @@
     }
 
     /// The request is over, and nobody wants what is held for it.
-    pub fn over(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn over(&mut self, id: RequestId, at: &mut Context) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.over = true;
             // What comes of a call for a place is waited for, as long as its time lasts.
@@ -280,7 +274,7 @@
 
     /// The next attempt is there. What it makes takes the turn of what is held, and must not be released under it,
     /// unless the time is over.
-    pub fn pause(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn pause(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Some(due) = entry.since().map(|since| entry.due(since, self.allowed)) else { return };
         if at.now >= due {
@@ -291,7 +285,7 @@
     }
 
     /// Nobody wants what is held. Without an entry there is nothing to do.
-    pub fn unwanted(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn unwanted(&mut self, id: RequestId, at: &mut Context) {
         self.unasked(id, at);
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.release.is_none()) else { return };
         let since = entry.since().unwrap_or(at.now);
@@ -305,14 +299,14 @@
 
     /// The same of what the books take to be held, there as far as they know. Without an entry nothing ever came to be: a
     /// place that was wanted was never asked for, or a state was released since.
-    pub fn let_go(&mut self, id: SubmissionId, worker: Option<WorkerId>, at: &mut Context) {
+    pub fn let_go(&mut self, id: RequestId, worker: Option<WorkerId>, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.at = worker.or(entry.at);
         self.unwanted(id, at);
     }
 
     /// Makes so many calls more, and sets the time for those after them.
-    fn go(&mut self, id: SubmissionId, more: usize, at: &mut Context) {
+    fn go(&mut self, id: RequestId, more: usize, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Some(release) = &mut entry.release else { return };
         if at.now >= release.until {
@@ -341,7 +335,7 @@
     }
 
     /// The time of an entry is over, or a worker has not answered in time: the next ones are asked too.
-    pub fn rang(&mut self, id: SubmissionId, at: &mut Context) {
+    pub fn rang(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if !entry.patience.over(at.now, key(Ring::Held(short(id))), at.out) {
             return;
@@ -355,7 +349,7 @@
     }
 
     /// The time of an entry that is not being released is over, or has to be looked at.
-    fn comes_due(&mut self, id: SubmissionId, at: &mut Context) {
+    fn comes_due(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let next = match entry.clock {
             Clock::Runs(since) if at.pools.shot_is_up(id) => entry.due(since, self.allowed),
@@ -383,7 +377,7 @@
     }
 
     /// A connection with a release on it came to nothing.
-    pub fn lost(&mut self, id: SubmissionId, link: Link, at: &mut Context) {
+    pub fn lost(&mut self, id: RequestId, link: Link, at: &mut Context) {
         let Some(release) = self.entries.get_mut(&id).and_then(|e| e.release.as_mut()) else { return };
         release.out.retain(|l| *l != link);
         // Beyond the first few, and where a round begins anew, it goes on by time alone, or refusals would follow each
--- a/crates/gateway/src/held/entry.rs
+++ b/crates/gateway/src/held/entry.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use tideroute::interface::WorkerId;
+use tideroute::types::WorkerId;
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,7 +1,7 @@
 //! Discovery's lines: one JSON object each, whose fields go straight into calls.
 
 use serde_json::Value;
-use tideroute::interface::{Listing, Standing, WorkerId};
+use tideroute::types::{Endpoint, EndpointStatus, WorkerId};
 use tideroute_wire::Address;
 
 use crate::words::{address, number_of};
@@ -25,7 +25,7 @@
 pub trait Ear {
     /// False if the page shall not be heard.
     fn page(&mut self, version: u64, whole: bool) -> bool;
-    fn entry(&mut self, listing: Listing, at: Address);
+    fn entry(&mut self, listing: Endpoint, at: Address);
 }
 
 /// What the module calls a worker: it ranks workers by it, so it comes from the name that every router sees, and
@@ -53,15 +53,15 @@
     hear(&serde_json::from_slice(line).map_err(|_| Unreadable::Json)?, names, ear)
 }
 
-fn entry(server: &Value, names: &Names) -> Result<Option<(Listing, Address)>, Unreadable> {
+fn entry(server: &Value, names: &Names) -> Result<Option<(Endpoint, Address)>, Unreadable> {
     let word = |field| server[field].as_str().ok_or(Unreadable::Field(field));
     let worker = worker_of(word("id")?);
     let standing = match word("state")? {
-        "SERVING" => Standing::Ready,
-        "DRAINING" => Standing::Draining,
+        "SERVING" => EndpointStatus::Serving,
+        "DRAINING" => EndpointStatus::Draining,
         "DELETED" => {
             // One that is gone needs nothing but its name.
-            let listing = Listing { worker, standing: Standing::Gone, ..Listing::default() };
+            let listing = Endpoint { worker, standing: EndpointStatus::Removed, ..Endpoint::default() };
             return Ok(Some((listing, [0; 6])));
         }
         _ => return Err(Unreadable::Field("state")),
@@ -79,5 +79,5 @@
     };
     let (kind, zone) = (kind as u16, zone as u8);
     let started = tideroute_settings::tenths(started.max(0.0));
-    Ok(Some((Listing { worker, kind, size, standing, cell, zone, started }, at)))
+    Ok(Some((Endpoint { worker, kind, size, standing, cell, zone, started }, at)))
 }
--- a/crates/gateway/src/pools.rs
+++ b/crates/gateway/src/pools.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use bytes::{Bytes, BytesMut};
-use tideroute::interface::{SubmissionId, WorkerId};
+use tideroute::types::{RequestId, WorkerId};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::{Address, Micros};
 
@@ -28,7 +28,7 @@
     /// Resting connections of all workers, the longest rest first.
     rests: BTreeSet<(Micros, Link)>,
     /// The connection that each request's attempt is out on, and since when.
-    shots: HashMap<SubmissionId, (Link, Micros)>,
+    shots: HashMap<RequestId, (Link, Micros)>,
     /// When each worker was last heard.
     heard: HashMap<WorkerId, Micros>,
     places: BTreeMap<WorkerId, Address>,
@@ -57,57 +57,57 @@
     }
 
     /// The connection that a submission's shot is out on.
-    pub fn shot(&self, id: SubmissionId) -> Option<Link> {
+    pub fn shot(&self, id: RequestId) -> Option<Link> {
         self.shots.get(&id).map(|(link, _)| *link)
     }
 
     /// How many shots are out on connections to each worker, and how many connections there are and rest.
     pub fn carried(&self) -> (BTreeMap<WorkerId, usize>, usize, usize) {
         let mut shots = BTreeMap::new();
-        for conn in self.conns.values().filter(|c| matches!(c.job, Some(Job::Shot { .. }))) {
+        for conn in self.conns.values().filter(|c| matches!(c.job, Some(Job::Attempt { .. }))) {
             *shots.entry(conn.worker).or_default() += 1;
         }
         (shots, self.conns.len(), self.rests.len())
     }
 
     /// Whether a submission's shot has a connection that is there.
-    pub fn shot_is_up(&self, id: SubmissionId) -> bool {
+    pub fn shot_is_up(&self, id: RequestId) -> bool {
         self.shot(id).and_then(|link| self.conns.get(&link)).is_some_and(|conn| conn.up)
     }
 
     /// Whether a submission's attempt to be read has left.
-    pub fn reads(&self, id: SubmissionId) -> bool {
+    pub fn reads(&self, id: RequestId) -> bool {
         self.attempt(id).is_some_and(|(conn, reading)| reading && conn.written)
     }
 
     /// The worker that reads it.
-    pub fn reader(&self, id: SubmissionId) -> Option<WorkerId> {
+    pub fn reader(&self, id: RequestId) -> Option<WorkerId> {
         self.attempt(id).filter(|(_, reading)| *reading).map(|(conn, _)| conn.worker)
     }
 
     /// Whether it is out to be answered.
-    pub fn writes(&self, id: SubmissionId) -> bool {
+    pub fn writes(&self, id: RequestId) -> bool {
         self.attempt(id).is_some_and(|(_, reading)| !reading)
     }
 
-    fn attempt(&self, id: SubmissionId) -> Option<(&Conn, bool)> {
+    fn attempt(&self, id: RequestId) -> Option<(&Conn, bool)> {
         let conn = self.conns.get(&self.shot(id)?)?;
         match conn.job {
-            Some(Job::Shot { reading, .. }) => Some((conn, reading)),
+            Some(Job::Attempt { reading, .. }) => Some((conn, reading)),
             _ => None,
         }
     }
 
     /// When the worker of a submission's attempt was last heard, on connections that were there before the attempt, 0 if
     /// it never was: a process that has started since would be heard on later ones only.
-    pub fn reader_heard(&self, id: SubmissionId) -> Micros {
+    pub fn reader_heard(&self, id: RequestId) -> Micros {
         let (Some((_, sent)), Some((attempt, _))) = (self.shots.get(&id), self.attempt(id)) else { return 0 };
         let before = self.conns.values().filter(|c| c.worker == attempt.worker && c.opened <= *sent);
         before.map(|c| c.heard).max().unwrap_or(0)
     }
 
     /// A submission's attempt is over: when it went out, if it did.
-    pub fn over(&mut self, id: SubmissionId) -> Option<Micros> {
+    pub fn over(&mut self, id: RequestId) -> Option<Micros> {
         self.shots.remove(&id).map(|(_, sent)| sent)
     }
 
@@ -273,7 +273,7 @@
     pub fn begin(&mut self, now: Micros, worker: WorkerId, job: Job, out: &mut Outbox) -> Option<Link> {
         // Whether a request on an old connection that breaks has run is never known. One that may run but once
         // goes on a new one.
-        let fresh = matches!(job, Job::Shot { once: true, .. });
+        let fresh = matches!(job, Job::Attempt { once: true, .. });
         let rested = if fresh { None } else { self.rested(now, worker, out) };
         let link = match rested {
             Some(link) => link,
@@ -287,7 +287,7 @@
         (conn.place, conn.streams, conn.heads) = (None, false, 0);
         conn.leaves_by = leaves_by;
         conn.patience.set(Micros::MAX, 0, out);
-        if let Job::Shot { id, .. } = job {
+        if let Job::Attempt { id, .. } = job {
             conn.patience.set(leaves_by, key(Ring::Worker(link)), out);
             self.shots.insert(id, (link, now));
         }
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use tideroute::interface::{Ending, Listing, Standing, SubmissionId};
-use tideroute_lifecycle::{short, Books, Timer};
+use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, RequestId};
+use tideroute_lifecycle::{short, RequestLifecycle, Timer};
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{Address, Micros};
 
@@ -46,7 +46,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy)]
 pub(crate) enum Ring {
-    Books(Timer),
+    RequestLifecycle(Timer),
     Client(Link),
     Worker(Link),
     /// What is held for a request, by the short form of its id.
@@ -60,10 +60,10 @@
 
 pub(crate) fn key(ring: Ring) -> u64 {
     let (kind, what) = match ring {
-        Ring::Books(Timer::Wake) => (0, 0),
-        Ring::Books(Timer::CutOff(id)) => (1, short(id)),
-        Ring::Books(Timer::Probe(nonce)) => (2, nonce),
-        Ring::Books(Timer::Shares) => (3, 0),
+        Ring::RequestLifecycle(Timer::Wake) => (0, 0),
+        Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
+        Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
+        Ring::RequestLifecycle(Timer::Shares) => (3, 0),
         Ring::Client(link) => (4, link.number()),
         Ring::Worker(link) => (5, link.number()),
         Ring::Held(id) => (6, id),
@@ -76,7 +76,7 @@
 
 pub struct Platform {
     pub(crate) terms: Terms,
-    pub(crate) books: Books<Asked>,
+    pub(crate) books: RequestLifecycle<Asked>,
     pub(crate) clients: Clients,
     pools: Pools,
     held: Held,
@@ -98,7 +98,7 @@
             tracing::warn!(problem, "the settings leave no room");
         }
         Platform {
-            books: Books::new(terms.books.clone(), now),
+            books: RequestLifecycle::new(terms.books.clone(), now),
             pools: Pools::new(terms.rooms.workers, terms.dial, terms.idle / REST),
             held: Held::new(terms.release),
             terms,
@@ -119,7 +119,7 @@
         &'a mut self,
         now: Micros,
         out: &'a mut Outbox,
-    ) -> (&'a mut Books<Asked>, Exit<'a>) {
+    ) -> (&'a mut RequestLifecycle<Asked>, Exit<'a>) {
         let exit = Exit {
             terms: &self.terms,
             clients: &mut self.clients,
@@ -145,7 +145,7 @@
         (&mut self.held, Context { now, pools: &mut self.pools, out })
     }
 
-    fn settle(&mut self, now: Micros, id: SubmissionId, number: u16, ending: Ending, out: &mut Outbox) {
+    fn settle(&mut self, now: Micros, id: RequestId, number: u16, ending: AttemptOutcome, out: &mut Outbox) {
         let (books, mut exit) = self.parts(now, out);
         books.settle(now, id, number, ending, &mut exit);
     }
@@ -207,18 +207,18 @@
         let Some(conn) = self.pools.get_mut(link) else { return };
         conn.up = true;
         let leaves_by = conn.leaves_by;
-        let Some(job @ Job::Shot { id, number, .. }) = conn.job else { return };
+        let Some(job @ Job::Attempt { id, number, .. }) = conn.job else { return };
         if now > leaves_by || !self.books.submissions.get(id).is_some_and(|s| s.shot_is(number)) {
             // Guards against a loop that comes to it late, and an attempt that nobody waits for.
             self.pools.end(link, out);
-            return self.came_to_nothing(now, link, job, Ending::Unreachable, out);
+            return self.came_to_nothing(now, link, job, AttemptOutcome::Unreachable, out);
         }
         let (books, mut exit) = self.parts(now, out);
         let permit = books.permit_bytes(now, id, number);
         let leaves = permit.and_then(|permit| Some((permit, books.submissions.get(id)?)));
         let Some((permit, s)) = leaves else {
             self.pools.end(link, out);
-            return self.came_to_nothing(now, link, job, Ending::NeverSent, out);
+            return self.came_to_nothing(now, link, job, AttemptOutcome::NotSent, out);
         };
         exit.attempt(link, s, permit);
         let (held, mut context) = self.held(now, out);
@@ -254,10 +254,10 @@
         let Some(conn) = self.pools.get_mut(link) else { return };
         conn.written = true;
         let (place, job, to) = (conn.place.take(), conn.job, conn.to);
-        if conn.silent() && matches!(job, Some(Job::Shot { .. })) {
+        if conn.silent() && matches!(job, Some(Job::Attempt { .. })) {
             conn.patience.set(Micros::MAX, key(Ring::Worker(link)), out);
         }
-        let Some(Job::Shot { id, number, .. }) = job else { return };
+        let Some(Job::Attempt { id, number, .. }) = job else { return };
         let Some(trace) = self.books.submissions.get(id).map(|s| s.asked.trace.clone()) else { return };
         story::tell(id, &trace, State::AttemptWritten(number, to));
         if let Some(at) = place {
@@ -280,7 +280,7 @@
     /// A client that reads slowly slows its own stream only.
     fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
         let Some(client) = self.clients.get(link) else { return };
-        if let At::Answer(id, ..) = client.at {
+        if let At::Response(id, ..) = client.at {
             if let Some(worker) = self.pools.shot(id) {
                 out.hush(worker, crowded);
                 // Nothing is read from the worker meanwhile: it is the client that is waited for.
@@ -423,14 +423,14 @@
         true
     }
 
-    fn entry(&mut self, listing: Listing, at: Address) {
+    fn entry(&mut self, listing: Endpoint, at: Address) {
         let p = &mut *self.platform;
-        if listing.standing == Standing::Gone {
+        if listing.standing == EndpointStatus::Removed {
             p.pools.gone(listing.worker, self.out);
             return p.books.gone(self.now, listing.worker);
         }
         let process = p.books.entry(self.now, listing);
-        let takes = listing.standing == Standing::Ready;
+        let takes = listing.standing == EndpointStatus::Serving;
         for link in p.pools.listed(listing.worker, at, process.replaces_until, takes) {
             p.worker_ends(self.now, link, self.out);
         }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -1,7 +1,7 @@
 //! Connections to workers: what comes on them goes to the books and to what is held, and what ends on them too.
 
 use bytes::Bytes;
-use tideroute::interface::Ending;
+use tideroute::types::AttemptOutcome;
 use tideroute_http::write;
 use tideroute_wire::link::{Link, Loss, Outbox};
 use tideroute_wire::Micros;
@@ -32,7 +32,7 @@
             match conn.next() {
                 Ok(Heard::Nothing) => return,
                 Ok(Heard::Piece(200, piece))
-                    if matches!(conn.job, Some(Job::Shot { reading: false, .. })) =>
+                    if matches!(conn.job, Some(Job::Attempt { reading: false, .. })) =>
                 {
                     if !self.events(now, link, piece, out) {
                         return self.spoilt(now, link, out);
@@ -56,13 +56,13 @@
     /// Passes a piece of a stream on; its start only once a first event is whole. False if that is none.
     fn events(&mut self, now: Micros, link: Link, piece: Bytes, out: &mut Outbox) -> bool {
         let Some(conn) = self.pools.get_mut(link) else { return true };
-        let Some(Job::Shot { id, number, .. }) = conn.job else { return true };
+        let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
         conn.patience.set(now + SILENCE, key(Ring::Worker(link)), out);
         let Some(s) = self.books.submissions.get(id) else { return true };
         if s.over {
             // Nobody reads it: it ends like a stream whose client goes.
             self.pools.end(link, out);
-            self.settle(now, id, number, Ending::Withdrawn, out);
+            self.settle(now, id, number, AttemptOutcome::Cancelled, out);
             return true;
         }
         let client = s.asked.client;
@@ -106,13 +106,13 @@
         let (worker, streamed, report) = (conn.worker, conn.streams, std::mem::take(&mut conn.first));
         let Some(job) = self.pools.ended(now, link, out) else { return };
         match job {
-            Job::Shot { id, number, reading, .. } => {
+            Job::Attempt { id, number, reading, .. } => {
                 let ending = match status {
-                    202 if reading => Ending::Read,
-                    200 if !reading && streamed => Ending::Honoured,
-                    410 if never_ran => Ending::Stateless,
-                    503 | 504 if never_ran => Ending::Full,
-                    _ => Ending::Fault,
+                    202 if reading => AttemptOutcome::PrefillComplete,
+                    200 if !reading && streamed => AttemptOutcome::Completed,
+                    410 if never_ran => AttemptOutcome::StateMissing,
+                    503 | 504 if never_ran => AttemptOutcome::Rejected,
+                    _ => AttemptOutcome::ServerError,
                 };
                 self.settle(now, id, number, ending, out);
             }
@@ -159,7 +159,7 @@
         };
         self.pools.end(link, out);
         // A stream that began well is given up by this side; only an answer that never was one is a fault.
-        let ending = if streams { Ending::Withdrawn } else { Ending::Fault };
+        let ending = if streams { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
         self.came_to_nothing(now, link, job, ending, out);
     }
 
@@ -168,11 +168,11 @@
         now: Micros,
         link: Link,
         job: Job,
-        ending: Ending,
+        ending: AttemptOutcome,
         out: &mut Outbox,
     ) {
         match job {
-            Job::Shot { id, number, .. } => self.settle(now, id, number, ending, out),
+            Job::Attempt { id, number, .. } => self.settle(now, id, number, ending, out),
             Job::Place { id } => {
                 let place = if ending.never_ran() { Place::None } else { Place::Unknown };
                 let (held, mut context) = self.held(now, out);
@@ -217,9 +217,9 @@
         }
         // An old connection that was found dead says nothing of the worker, nor does one that could not be dialled here.
         let ending = match (conn.written, conn.used, loss) {
-            (true, ..) => Ending::Broken,
-            (false, true, _) | (false, false, Loss::NotDialled) => Ending::NeverSent,
-            (false, false, _) => Ending::Unreachable,
+            (true, ..) => AttemptOutcome::ConnectionReset,
+            (false, true, _) | (false, false, Loss::NotDialled) => AttemptOutcome::NotSent,
+            (false, false, _) => AttemptOutcome::Unreachable,
         };
         self.came_to_nothing(now, link, job, ending, out);
     }
@@ -231,7 +231,7 @@
         self.worker_lost(now, link, Loss::Broken, out);
         out.cut(link);
         // Guards against a process that did get it, on a connection that came up behind its start.
-        if let Some((worker, Some(Job::Shot { id, .. }))) = attempt {
+        if let Some((worker, Some(Job::Attempt { id, .. }))) = attempt {
             self.held.gave_up(id, worker, EndedBy::ThisSide, now);
         }
     }
@@ -243,19 +243,19 @@
             return;
         }
         match conn.job {
-            Some(job @ Job::Shot { .. }) if !conn.written && conn.silent() => {
+            Some(job @ Job::Attempt { .. }) if !conn.written && conn.silent() => {
                 tracing::debug!(worker = ?conn.worker, "an attempt has not left in time");
                 self.pools.end(link, out);
-                self.came_to_nothing(now, link, job, Ending::Unreachable, out);
+                self.came_to_nothing(now, link, job, AttemptOutcome::Unreachable, out);
             }
             // Also one whose first event is not whole: its request may have run.
-            Some(Job::Shot { .. }) => {
+            Some(Job::Attempt { .. }) => {
                 tracing::debug!(worker = ?conn.worker, "a stream is silent");
                 self.spoilt(now, link, out);
             }
             Some(job @ Job::Place { .. }) if !conn.written => {
                 self.pools.end(link, out);
-                self.came_to_nothing(now, link, job, Ending::NeverSent, out);
+                self.came_to_nothing(now, link, job, AttemptOutcome::NotSent, out);
             }
             Some(Job::Place { .. }) => {
                 if let Some(oldest) = self.pools.is_late(now, link, out) {
@@ -270,7 +270,7 @@
     fn forget_place(&mut self, now: Micros, link: Link, out: &mut Outbox) {
         if let Some(job @ Job::Place { .. }) = self.pools.get_mut(link).and_then(|conn| conn.job) {
             self.pools.end(link, out);
-            self.came_to_nothing(now, link, job, Ending::Broken, out);
+            self.came_to_nothing(now, link, job, AttemptOutcome::ConnectionReset, out);
         }
     }
 
@@ -292,7 +292,7 @@
     /// What a read that ended badly may have left is released at once where no attempt follows it.
     pub(super) fn clean_up(&mut self, now: Micros, out: &mut Outbox) {
         for id in self.held.doubtful() {
-            let wanted = |s: &tideroute_lifecycle::Submission<Asked>| s.shot.is_some() || s.state.is_some();
+            let wanted = |s: &tideroute_lifecycle::RequestState<Asked>| s.shot.is_some() || s.state.is_some();
             if !self.books.submissions.get(id).is_some_and(wanted) {
                 let (held, mut context) = self.held(now, out);
                 held.unwanted(id, &mut context);
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/story.rs
@@ -4,8 +4,8 @@
 
 use std::net::SocketAddrV4;
 
-use tideroute::interface::{Ending, SubmissionId};
-use tideroute_lifecycle::Answer;
+use tideroute::types::{AttemptOutcome, RequestId};
+use tideroute_lifecycle::Response;
 use tideroute_wire::Address;
 
 /// The target of all events here, by which they can be chosen.
@@ -19,14 +19,14 @@
     AttemptChosen(u16, Address),
     /// The last byte of an attempt has left.
     AttemptWritten(u16, Address),
-    AttemptEnded(u16, Ending),
+    AttemptEnded(u16, AttemptOutcome),
     /// Its answer has begun to go to the client.
     Began,
     PlaceAsked(Address),
     /// A worker is told to free what is held, and has answered.
     ReleaseSent(Address),
     Released,
-    Answered(Answer),
+    Answered(Response),
     ClientLeft,
 }
 
@@ -68,26 +68,26 @@
     fn reason(self) -> Option<&'static str> {
         match self {
             State::AttemptEnded(_, ending) => Some(reason_of(ending)),
-            State::Answered(Answer::Honoured(_)) => Some("served"),
-            State::Answered(Answer::TurnedBack(_)) => Some("refused"),
-            State::Answered(Answer::Abandoned) => Some("failed"),
+            State::Answered(Response::Completed(_)) => Some("served"),
+            State::Answered(Response::Rejected(_)) => Some("refused"),
+            State::Answered(Response::Failed) => Some("failed"),
             _ => None,
         }
     }
 }
 
-fn reason_of(ending: Ending) -> &'static str {
+fn reason_of(ending: AttemptOutcome) -> &'static str {
     match ending {
-        Ending::Honoured => "served",
-        Ending::Fault => "error",
-        Ending::Full => "turned-away",
-        Ending::Stateless => "no-state",
-        Ending::TimedOut => "timed-out",
-        Ending::Unreachable => "could-not-connect",
-        Ending::Broken => "reset",
-        Ending::Withdrawn => "called-back",
-        Ending::NeverSent => "never-sent",
-        Ending::Read => "read",
+        AttemptOutcome::Completed => "served",
+        AttemptOutcome::ServerError => "error",
+        AttemptOutcome::Rejected => "turned-away",
+        AttemptOutcome::StateMissing => "no-state",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::Unreachable => "could-not-connect",
+        AttemptOutcome::ConnectionReset => "reset",
+        AttemptOutcome::Cancelled => "called-back",
+        AttemptOutcome::NotSent => "never-sent",
+        AttemptOutcome::PrefillComplete => "read",
     }
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Tells that a request, or something done for it, is in another state.
-pub fn tell(id: SubmissionId, trace: &str, state: State) {
+pub fn tell(id: RequestId, trace: &str, state: State) {
     // Nothing is made up for a log that does not want it.
     if !tracing::enabled!(target: TARGET, tracing::Level::DEBUG) {
         return;
--- a/crates/gateway/tests/customers/world.rs
+++ b/crates/gateway/tests/customers/world.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use serde_json::json;
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::link::{Link, Loss};
 use tideroute_wire::Micros;
 
@@ -90,7 +90,7 @@
 pub struct World {
     customer: Customer,
     checker: Checker,
-    draw: Chance,
+    draw: Rng,
     now: Micros,
     routers: Vec<Router>,
     servers: Vec<Server>,
@@ -104,7 +104,7 @@
 impl World {
     pub fn drawn(seed: u64) -> World {
         // The generator's lowest bit is always set.
-        let mut draw = Chance::new(2 * seed);
+        let mut draw = Rng::new(2 * seed);
         let customer = Customer::drawn(&mut draw);
         let routers =
             (0..1 + (draw.unit() * draw.unit() * 3.0) as usize).map(|_| router(&customer)).collect();
--- a/crates/gateway/tests/debts.rs
+++ b/crates/gateway/tests/debts.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 use serde_json::json;
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::link::{Link, Loss};
 use tideroute_wire::Micros;
 
@@ -58,7 +58,7 @@
 
 struct World {
     stage: Stage,
-    draw: Chance,
+    draw: Rng,
     queue: BinaryHeap<Reverse<(Micros, u64, Next)>>,
     events: u64,
     requests: BTreeMap<String, Request>,
@@ -74,7 +74,7 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let (mut draw, mut file) = (Chance::new(seed), file());
+        let (mut draw, mut file) = (Rng::new(seed), file());
         file["settings"]["family_info"]["ahead"] = (draw.unit() < 0.7).into();
         file["settings"]["caps"]["probing"] = (draw.unit() < 0.8).into();
         let mut stage = Stage::with(&file);
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! No I/O, no clock, no chance.
 
-use tideroute::interface::{Ending, Listing, Repeat, Standing, Tenths};
+use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, Idempotency, TenthMillis};
 
 /// The rules that a request may break.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
@@ -142,8 +142,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Out {
     number: u16,
-    sent: Tenths,
-    to: Listing,
+    sent: TenthMillis,
+    to: Endpoint,
     /// It has the request's effect, and does not only read the prompt.
     writes: bool,
 }
@@ -151,22 +151,22 @@
 /// What is known of one request, and what may be done for it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    repeat: Repeat,
-    deadline: Tenths,
+    repeat: Idempotency,
+    deadline: TenthMillis,
     phase: Phase,
     out: Option<Out>,
     /// When and where the first attempt went that may have run.
-    ran: Option<(Tenths, Listing)>,
+    ran: Option<(TenthMillis, Endpoint)>,
 }
 
 impl RequestRecord {
     /// A request that has just been taken.
-    pub fn new(repeat: Repeat, deadline: Tenths) -> RequestRecord {
+    pub fn new(repeat: Idempotency, deadline: TenthMillis) -> RequestRecord {
         RequestRecord { repeat, deadline, phase: Phase::Open, out: None, ran: None }
     }
 
     /// Nothing new may be sent in this phase, or after the deadline.
-    fn permit_new(&self, now: Tenths) -> Result<(), Violation> {
+    fn permit_new(&self, now: TenthMillis) -> Result<(), Violation> {
         let reason = match self.phase {
             Phase::Streaming => Reason::AfterStreamBegan,
             Phase::Answered => Reason::AfterFinalAnswer,
@@ -178,10 +178,10 @@
     }
 
     /// A worker takes nothing new once it drains, or is no longer listed.
-    fn permit_worker(to: Option<&Listing>) -> Result<&Listing, Violation> {
+    fn permit_worker(to: Option<&Endpoint>) -> Result<&Endpoint, Violation> {
         match to {
-            Some(listing) if listing.standing == Standing::Ready => Ok(listing),
-            Some(listing) if listing.standing == Standing::Draining => {
+            Some(listing) if listing.standing == EndpointStatus::Serving => Ok(listing),
+            Some(listing) if listing.standing == EndpointStatus::Draining => {
                 Err(Violation { reason: Reason::WorkerDrains })
             }
             _ => Err(Violation { reason: Reason::WorkerIsNotListed }),
@@ -191,9 +191,9 @@
     /// Asks whether an attempt may be sent to a worker now, as it is listed.
     pub fn permit_attempt(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         number: u16,
-        to: Option<&Listing>,
+        to: Option<&Endpoint>,
         writes: bool,
     ) -> Result<AttemptPermit, Violation> {
         self.permit_new(now)?;
@@ -209,20 +209,24 @@
     }
 
     /// Whether the effect may be had at a worker, given what may have had it before.
-    fn permit_repeat(&self, now: Tenths, to: &Listing) -> Result<(), Violation> {
+    fn permit_repeat(&self, now: TenthMillis, to: &Endpoint) -> Result<(), Violation> {
         let Some((first, _)) = self.ran else { return Ok(()) };
         let reason = match self.repeat {
-            Repeat::Replayable => return Ok(()),
-            Repeat::SingleUse => Reason::EarlierAttemptMayHaveRun,
-            Repeat::Referenced { .. } if !self.repeat.allows(now - first) => Reason::OutsideRepeatWindow,
-            Repeat::Referenced { .. } if !self.repeat.is_known(self.ran, to) => Reason::OutsideRepeatGroup,
-            Repeat::Referenced { .. } => return Ok(()),
+            Idempotency::Idempotent => return Ok(()),
+            Idempotency::NonIdempotent => Reason::EarlierAttemptMayHaveRun,
+            Idempotency::IdempotentWithKey { .. } if !self.repeat.allows(now - first) => {
+                Reason::OutsideRepeatWindow
+            }
+            Idempotency::IdempotentWithKey { .. } if !self.repeat.is_known(self.ran, to) => {
+                Reason::OutsideRepeatGroup
+            }
+            Idempotency::IdempotentWithKey { .. } => return Ok(()),
         };
         Err(Violation { reason })
     }
 
     /// Asks whether the attempt that is out may leave now: its connection was not there before.
-    pub fn permit_bytes(&self, now: Tenths, number: u16) -> Result<AttemptPermit, Violation> {
+    pub fn permit_bytes(&self, now: TenthMillis, number: u16) -> Result<AttemptPermit, Violation> {
         self.permit_new(now)?;
         if self.out.is_none_or(|out| out.number != number) {
             return Err(Violation { reason: Reason::AnotherAttemptIsOut });
@@ -231,14 +235,14 @@
     }
 
     /// Asks whether a place may be asked for at a worker.
-    pub fn permit_place(&self, now: Tenths, at: Option<&Listing>) -> Result<PlacePermit, Violation> {
+    pub fn permit_place(&self, now: TenthMillis, at: Option<&Endpoint>) -> Result<PlacePermit, Violation> {
         self.permit_new(now)?;
         RequestRecord::permit_worker(at)?;
         Ok(PlacePermit(()))
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(&mut self, number: u16, ending: Ending) {
+    pub fn attempt_ended(&mut self, number: u16, ending: AttemptOutcome) {
         let Some(out) = self.out.take_if(|out| out.number == number) else { return };
         if out.writes && !ending.never_ran() {
             self.ran.get_or_insert((out.sent, out.to));
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -1,21 +1,21 @@
 //! Each reason for which something may not be done, seen once; and what may be done.
 
-use tideroute::interface::{Ending, Group, Listing, Repeat, Standing};
+use tideroute::types::{AttemptOutcome, DeduplicationScope, Endpoint, EndpointStatus, Idempotency};
 use tideroute_invariants::{FinalAnswer, Reason, RequestRecord, Rule, Violation};
 
 const DEADLINE: i64 = 10_000;
-const KEYED: Repeat = Repeat::Referenced { group: Group::Cell, window: 5_000 };
+const KEYED: Idempotency = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 5_000 };
 
-fn at(cell: u16) -> Listing {
-    Listing { cell, ..Listing::default() }
+fn at(cell: u16) -> Endpoint {
+    Endpoint { cell, ..Endpoint::default() }
 }
 
-fn record(repeat: Repeat) -> RequestRecord {
+fn record(repeat: Idempotency) -> RequestRecord {
     RequestRecord::new(repeat, DEADLINE)
 }
 
 /// One whose attempt 0 to write has ended so, at 1,000 in cell 0.
-fn after(repeat: Repeat, ending: Ending) -> RequestRecord {
+fn after(repeat: Idempotency, ending: AttemptOutcome) -> RequestRecord {
     let mut record = record(repeat);
     record.permit_attempt(1_000, 0, Some(&at(0)), true).expect("the first");
     record.attempt_ended(0, ending);
@@ -29,7 +29,7 @@
 #[test]
 fn nothing_is_sent_after_the_end_of_a_request() {
     let (mut answered, mut left, mut begun) =
-        (record(KEYED), record(KEYED), after(Repeat::Replayable, Ending::Fault));
+        (record(KEYED), record(KEYED), after(Idempotency::Idempotent, AttemptOutcome::ServerError));
     answered.permit_answer(FinalAnswer::Failed).expect("the first answer");
     left.client_left();
     begun.began();
@@ -51,28 +51,32 @@
     let mut record = record(KEYED);
     record.permit_answer(FinalAnswer::Served).expect("the first");
     assert_eq!(reason(record.permit_answer(FinalAnswer::Failed)), Reason::SecondFinalAnswer);
-    let mut left = after(KEYED, Ending::Fault);
+    let mut left = after(KEYED, AttemptOutcome::ServerError);
     left.client_left();
     assert_eq!(reason(left.permit_answer(FinalAnswer::Failed)), Reason::AfterClientLeft);
 }
 
 #[test]
 fn what_may_have_run_is_repeated_only_where_that_is_harmless() {
-    use Ending::*;
-    for ending in [Fault, TimedOut, Broken, Withdrawn] {
+    use AttemptOutcome::*;
+    for ending in [ServerError, TimedOut, ConnectionReset, Cancelled] {
         let again = |repeat, now, cell| after(repeat, ending).permit_attempt(now, 1, Some(&at(cell)), true);
-        assert!(again(Repeat::Replayable, 9_000, 1).is_ok());
+        assert!(again(Idempotency::Idempotent, 9_000, 1).is_ok());
         assert!(again(KEYED, 5_999, 0).is_ok());
         assert_eq!(reason(again(KEYED, 6_000, 0)), Reason::OutsideRepeatWindow);
         assert_eq!(reason(again(KEYED, 5_999, 1)), Reason::OutsideRepeatGroup);
-        assert_eq!(reason(again(Repeat::SingleUse, 2_000, 0)), Reason::EarlierAttemptMayHaveRun);
+        assert_eq!(reason(again(Idempotency::NonIdempotent, 2_000, 0)), Reason::EarlierAttemptMayHaveRun);
         // A read has no effect.
-        assert!(after(Repeat::SingleUse, ending).permit_attempt(2_000, 1, Some(&at(0)), false).is_ok());
+        assert!(after(Idempotency::NonIdempotent, ending)
+            .permit_attempt(2_000, 1, Some(&at(0)), false)
+            .is_ok());
     }
-    for ending in [Full, Stateless, Unreachable, NeverSent] {
-        assert!(after(Repeat::SingleUse, ending).permit_attempt(9_000, 1, Some(&at(1)), true).is_ok());
+    for ending in [Rejected, StateMissing, Unreachable, NotSent] {
+        assert!(after(Idempotency::NonIdempotent, ending)
+            .permit_attempt(9_000, 1, Some(&at(1)), true)
+            .is_ok());
     }
-    let mut out = record(Repeat::Replayable);
+    let mut out = record(Idempotency::Idempotent);
     out.permit_attempt(1_000, 0, Some(&at(0)), true).expect("the first");
     assert_eq!(reason(out.permit_attempt(1_000, 1, Some(&at(0)), true)), Reason::AnotherAttemptIsOut);
     assert_eq!(reason(out.permit_bytes(1_000, 1)), Reason::AnotherAttemptIsOut);
@@ -81,14 +85,20 @@
 
 #[test]
 fn a_refusal_is_given_only_where_another_try_is_harmless() {
-    let anywhere = Repeat::Referenced { group: Group::All, window: 5_000 };
-    for (repeat, harmless) in
-        [(Repeat::Replayable, true), (anywhere, true), (KEYED, false), (Repeat::SingleUse, false)]
-    {
+    let anywhere = Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 5_000 };
+    for (repeat, harmless) in [
+        (Idempotency::Idempotent, true),
+        (anywhere, true),
+        (KEYED, false),
+        (Idempotency::NonIdempotent, false),
+    ] {
         assert!(record(repeat).permit_answer(FinalAnswer::Refused).is_ok());
-        assert!(after(repeat, Ending::Full).permit_answer(FinalAnswer::Refused).is_ok());
-        assert_eq!(after(repeat, Ending::Broken).permit_answer(FinalAnswer::Refused).is_ok(), harmless);
-        assert!(after(repeat, Ending::Broken).permit_answer(FinalAnswer::Failed).is_ok());
+        assert!(after(repeat, AttemptOutcome::Rejected).permit_answer(FinalAnswer::Refused).is_ok());
+        assert_eq!(
+            after(repeat, AttemptOutcome::ConnectionReset).permit_answer(FinalAnswer::Refused).is_ok(),
+            harmless
+        );
+        assert!(after(repeat, AttemptOutcome::ConnectionReset).permit_answer(FinalAnswer::Failed).is_ok());
         let mut out = record(repeat);
         out.permit_attempt(1_000, 0, Some(&at(0)), true).expect("the first");
         assert_eq!(out.permit_answer(FinalAnswer::Refused).is_ok(), harmless, "while it is out");
@@ -97,8 +107,8 @@
 
 #[test]
 fn a_worker_that_drains_or_is_gone_gets_nothing_new() {
-    let drains = Listing { standing: Standing::Draining, ..at(0) };
-    let gone = Listing { standing: Standing::Gone, ..at(0) };
+    let drains = Endpoint { standing: EndpointStatus::Draining, ..at(0) };
+    let gone = Endpoint { standing: EndpointStatus::Removed, ..at(0) };
     for (to, expected) in [
         (Some(&drains), Reason::WorkerDrains),
         (Some(&gone), Reason::WorkerIsNotListed),
@@ -118,6 +128,6 @@
     assert_eq!(Reason::ClosedWhileHolding.rule(), Rule::Pinned);
     record.permit_attempt(1_000, 0, Some(&at(0)), false).expect("the first");
     assert_eq!(reason(record.permit_close(true)), Reason::ClosedWithAttemptOut);
-    record.attempt_ended(0, Ending::Withdrawn);
+    record.attempt_ended(0, AttemptOutcome::Cancelled);
     assert!(record.permit_close(true).is_ok());
 }
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use tideroute::interface::{Repeat, Role, Terms as Module, Track};
-use tideroute_lifecycle::{BookTerms, Host, Terms};
+use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
+use tideroute_lifecycle::{Host, LifecycleConfig, Terms};
 use tideroute_wire::link::{Act, Link, Outbox, Program};
-use tideroute_wire::list::{Page, Standing};
+use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, Party};
 
 const LIST: [u8; 6] = [10, 0, 0, 1, 0, 1];
@@ -16,11 +16,12 @@
 const ROUNDS: u16 = 40;
 
 fn terms() -> Terms {
-    let track = Track { repeat: Repeat::Replayable, contract: 600_000, per_thousand: 400, earnings: 1.0 };
+    let track =
+        RequestClass { repeat: Idempotency::Idempotent, contract: 600_000, per_thousand: 400, earnings: 1.0 };
     let module = Module {
         routers: 3,
         tracks: vec![track],
-        roles: vec![Role::Reader, Role::Writer],
+        roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 5_000,
         cold_share: 0.3,
@@ -36,7 +37,7 @@
         longest_advice: 10_000,
         ..Module::default()
     };
-    let books = BookTerms {
+    let books = LifecycleConfig {
         name: "r".into(),
         module,
         tracks: vec!["query".into()],
@@ -53,7 +54,7 @@
 fn page(round: u16) -> Bytes {
     let mut page = Page::new(u64::from(round) + 1, true);
     for n in 0..WORKERS {
-        let standing = if n % 10 == round % 10 { Standing::Draining } else { Standing::Ready };
+        let standing = if n % 10 == round % 10 { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let worker = [10, 1, (n >> 8) as u8, n as u8, 1, 1];
         page.add(worker, u16::from(!n.is_multiple_of(3)), 4.0, standing, n / 9, (n / 27 % 3) as u8, 0);
     }
--- a/crates/lifecycle/src/books.rs
+++ b/crates/lifecycle/src/books.rs
@@ -1,70 +1,73 @@
 //! The books of one router: submissions, shots and workers as plain data, and the pulling of the module's
-//! decisions. Both protocols keep theirs here and carry words through [`Ways`].
+//! decisions. Both protocols keep theirs here and carry words through [`Transport`].
 
 use std::collections::BTreeMap;
 
 use metrics::{counter, gauge, histogram};
-use tideroute::choice::Router;
-use tideroute::interface::{
-    Arrival, Ending, Listing, Repeat, Role, Standing, SubmissionId, Tenths, WorkerId,
+use tideroute::scheduler::Scheduler;
+use tideroute::types::{
+    AttemptOutcome, Endpoint, EndpointStatus, Idempotency, NewRequest, RequestId, Role, TenthMillis, WorkerId,
 };
 use tideroute_admission::{Asked, Known, Tenant, Ticket, Verdict};
 use tideroute_invariants::{AttemptPermit, FinalAnswer, RequestRecord, Violation};
 use tideroute_wire::Micros;
 
-use crate::lateness::Lateness;
-use crate::starts::{Process, Starts};
-use crate::submissions::{Submission, Submissions};
-use crate::tenancy::Tenancy;
-use crate::terms::BookTerms;
-use crate::ways::{Answer, Timer, Ways};
+use crate::lateness::LoopLag;
+use crate::starts::{EndpointIncarnations, Incarnation};
+use crate::submissions::{RequestState, RequestTable};
+use crate::tenancy::TenantAdmission;
+use crate::terms::LifecycleConfig;
+use crate::ways::{Response, Timer, Transport};
 
 /// Microseconds in one of the module's tenths of a millisecond.
 pub(crate) const TENTH: Micros = 100;
 
-pub(crate) fn tenths(at: Micros) -> Tenths {
-    (at / TENTH) as Tenths
+pub(crate) fn tenths(at: Micros) -> TenthMillis {
+    (at / TENTH) as TenthMillis
 }
 
-pub struct Books<A> {
-    pub(crate) terms: BookTerms,
-    pub(crate) module: Router,
-    pub submissions: Submissions<A>,
+pub struct RequestLifecycle<A> {
+    pub(crate) terms: LifecycleConfig,
+    pub(crate) module: Scheduler,
+    pub submissions: RequestTable<A>,
     /// What the list says of each worker, the role by its kind beside it.
-    pub(crate) listed: BTreeMap<WorkerId, (Listing, Role)>,
+    pub(crate) listed: BTreeMap<WorkerId, (Endpoint, Role)>,
     version: u64,
-    starts: Starts,
+    starts: EndpointIncarnations,
     /// What came of decisions while they were pulled; the module hears it after the last of them.
-    pub(crate) settled: Vec<(SubmissionId, u16, Ending)>,
+    pub(crate) settled: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Submissions that may be over and free of everything.
-    pub(crate) closing: Vec<SubmissionId>,
+    pub(crate) closing: Vec<RequestId>,
     pub(crate) probes: BTreeMap<u64, WorkerId>,
     pub(crate) nonce: u64,
     /// The module has heard something since it was last asked.
     pub(crate) stirred: bool,
-    pub(crate) lateness: Lateness,
-    pub(crate) tenancy: Option<Tenancy>,
+    pub(crate) lateness: LoopLag,
+    pub(crate) tenancy: Option<TenantAdmission>,
     stopping: bool,
     /// How many open submissions the figures show.
     shown: Option<usize>,
 }
 
-impl<A> Books<A> {
-    pub fn new(terms: BookTerms, now: Micros) -> Books<A> {
-        Books {
-            module: Router::new(terms.module.clone(), terms.seed, tenths(now)),
-            submissions: Submissions::new(terms.seed),
-            tenancy: terms.tenants.as_ref().map(|t| Tenancy::new(t, terms.part, shares_terms(&terms), now)),
+impl<A> RequestLifecycle<A> {
+    pub fn new(terms: LifecycleConfig, now: Micros) -> RequestLifecycle<A> {
+        RequestLifecycle {
+            module: Scheduler::new(terms.module.clone(), terms.seed, tenths(now)),
+            submissions: RequestTable::new(terms.seed),
+            tenancy: terms
+                .tenants
+                .as_ref()
+                .map(|t| TenantAdmission::new(t, terms.part, shares_terms(&terms), now)),
             terms,
             listed: BTreeMap::new(),
             version: 0,
-            starts: Starts::default(),
+            starts: EndpointIncarnations::default(),
             settled: vec![],
             closing: vec![],
             probes: BTreeMap::new(),
             nonce: 0,
             stirred: true,
-            lateness: Lateness::default(),
+            lateness: LoopLag::default(),
             stopping: false,
             shown: None,
         }
@@ -90,12 +93,12 @@
         self.starts.told(worker)
     }
 
-    pub fn listed(&self) -> impl Iterator<Item = &Listing> {
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.listed.values().map(|(listing, _)| listing)
     }
 
     /// Whether the shot is the one that is out, at this worker. What comes for another was called back.
-    pub fn is_out(&self, id: SubmissionId, number: u16, worker: WorkerId) -> bool {
+    pub fn is_out(&self, id: RequestId, number: u16, worker: WorkerId) -> bool {
         let shot = self.submissions.get(id).and_then(|s| s.shot.as_ref());
         shot.is_some_and(|s| s.number == number && s.worker == worker)
     }
@@ -104,9 +107,9 @@
     pub(crate) fn answer(
         &mut self,
         now: Micros,
-        id: SubmissionId,
-        answer: Answer,
-        ways: &mut impl Ways<Asked = A>,
+        id: RequestId,
+        answer: Response,
+        ways: &mut impl Transport<Asked = A>,
     ) {
         let Some(s) = self.submissions.get_mut(id).filter(|s| !s.over) else { return };
         let (answer, permit) = match s.record.permit_answer(kind_of(answer)) {
@@ -116,19 +119,19 @@
                 // What may not be refused has failed: it is owed an answer all the same.
                 let Some(s) = self.submissions.get_mut(id) else { return };
                 let Ok(permit) = s.record.permit_answer(FinalAnswer::Failed) else { return };
-                (Answer::Abandoned, permit)
+                (Response::Failed, permit)
             }
         };
         let Some(s) = self.submissions.get_mut(id) else { return };
         s.over = true;
         self.closing.push(id);
-        let first = s.first.or_else(|| matches!(answer, Answer::TurnedBack(_)).then_some(Micros::MAX));
+        let first = s.first.or_else(|| matches!(answer, Response::Rejected(_)).then_some(Micros::MAX));
         let (came, prompt, track_of) = (s.came, s.prompt_tokens, usize::from(s.track));
         ways.answer(id, s, answer, permit);
         let outcome = match answer {
-            Answer::Honoured(_) => "honoured",
-            Answer::TurnedBack(_) => "turned back",
-            Answer::Abandoned => "abandoned",
+            Response::Completed(_) => "honoured",
+            Response::Rejected(_) => "turned back",
+            Response::Failed => "abandoned",
         };
         let track = self.terms.tracks.get(track_of).cloned().unwrap_or_default();
         counter!("tideroute_answers_total", "outcome" => outcome, "track" => track).increment(1);
@@ -143,7 +146,7 @@
     }
 
     /// Counts and tells a step that a rule forbids, with the request's story. The step is not done.
-    pub(crate) fn refuse_step(&mut self, id: SubmissionId, violation: Violation) {
+    pub(crate) fn refuse_step(&mut self, id: RequestId, violation: Violation) {
         let (rule, reason) = (violation.rule().name(), violation.reason.name());
         counter!("tideroute_invariant_violations_total", "rule" => rule).increment(1);
         let record = self.submissions.get(id).map(|s| &s.record);
@@ -151,7 +154,7 @@
     }
 
     /// Asks whether an attempt may leave on its connection, which has just come up.
-    pub fn permit_bytes(&mut self, now: Micros, id: SubmissionId, number: u16) -> Option<AttemptPermit> {
+    pub fn permit_bytes(&mut self, now: Micros, id: RequestId, number: u16) -> Option<AttemptPermit> {
         let permit = self.submissions.get(id)?.record.permit_bytes(tenths(now), number);
         permit.map_err(|violation| self.refuse_step(id, violation)).ok()
     }
@@ -160,17 +163,17 @@
     pub fn settle(
         &mut self,
         now: Micros,
-        id: SubmissionId,
+        id: RequestId,
         number: u16,
-        ending: Ending,
-        ways: &mut impl Ways<Asked = A>,
+        ending: AttemptOutcome,
+        ways: &mut impl Transport<Asked = A>,
     ) {
         let Some(s) = self.submissions.get_mut(id) else { return };
         let Some(shot) = s.shot.take_if(|s| s.number == number) else { return };
         s.record.attempt_ended(number, ending);
         ways.settled(id, s, &shot, ending);
-        let terminal = s.over || shot.started || ending == Ending::Honoured;
-        if ending == Ending::Read {
+        let terminal = s.over || shot.started || ending == AttemptOutcome::Completed;
+        if ending == AttemptOutcome::PrefillComplete {
             s.state = Some(shot.worker);
         }
         tracing::debug!(id, shot = number, worker = ?shot.worker, ?ending, "a shot ended");
@@ -178,15 +181,15 @@
         self.module.settled(tenths(now), id, number, ending, terminal);
         self.stirred = true;
         self.closing.push(id);
-        if ending == Ending::Honoured {
-            self.answer(now, id, Answer::Honoured(shot.tokens), ways);
+        if ending == AttemptOutcome::Completed {
+            self.answer(now, id, Response::Completed(shot.tokens), ways);
         } else if shot.started {
-            self.answer(now, id, Answer::Abandoned, ways);
+            self.answer(now, id, Response::Failed, ways);
         }
     }
 
     /// The first of the shot's answer is there: it belongs to the client now, and all else held goes by itself.
-    pub fn started(&mut self, now: Micros, id: SubmissionId, ways: &mut impl Ways<Asked = A>) {
+    pub fn started(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
         let Some(s) = self.submissions.get_mut(id) else { return };
         let Some(shot) = s.shot.as_mut().filter(|s| !s.started) else { return };
         shot.started = true;
@@ -207,10 +210,10 @@
     pub fn held(
         &mut self,
         now: Micros,
-        id: SubmissionId,
+        id: RequestId,
         at: WorkerId,
         held: bool,
-        ways: &mut impl Ways<Asked = A>,
+        ways: &mut impl Transport<Asked = A>,
     ) {
         let Some(s) = self.submissions.get_mut(id).filter(|s| s.places.last() == Some(&at)) else { return };
         if !held {
@@ -224,7 +227,7 @@
     }
 
     /// The client no longer waits. A stream that nobody reads ends; the rest is the module's to call back.
-    pub fn dropped(&mut self, now: Micros, id: SubmissionId, ways: &mut impl Ways<Asked = A>) {
+    pub fn dropped(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
         let Some(s) = self.submissions.get_mut(id) else { return };
         s.over = true;
         s.record.client_left();
@@ -237,10 +240,10 @@
         let number = shot.number;
         if shot.started {
             ways.withdraw(id, shot);
-            self.settle(now, id, number, Ending::Withdrawn, ways);
+            self.settle(now, id, number, AttemptOutcome::Cancelled, ways);
         } else if ways.recall(id, shot) {
             // Guards against a connection that comes up only now, and an attempt that begins for nobody.
-            self.settle(now, id, number, Ending::NeverSent, ways);
+            self.settle(now, id, number, AttemptOutcome::NotSent, ways);
         }
     }
 
@@ -269,14 +272,15 @@
     pub fn submitted(
         &mut self,
         now: Micros,
-        s: Submission<A>,
+        s: RequestState<A>,
         tenant: Option<Tenant>,
-        ways: &mut impl Ways<Asked = A>,
-    ) -> SubmissionId {
+        ways: &mut impl Transport<Asked = A>,
+    ) -> RequestId {
         let (track, cut_off, tokens) = (s.track, s.cut_off, s.prompt_tokens);
-        let repeat = self.terms.module.tracks.get(usize::from(track)).map_or(Repeat::SingleUse, |t| t.repeat);
+        let repeat =
+            self.terms.module.tracks.get(usize::from(track)).map_or(Idempotency::NonIdempotent, |t| t.repeat);
         let record = RequestRecord::new(repeat, tenths(cut_off));
-        let id = self.submissions.insert(Submission { record, ..s });
+        let id = self.submissions.insert(RequestState { record, ..s });
         counter!("tideroute_taken_total").increment(1);
         ways.ring(cut_off, Timer::CutOff(id));
         self.stirred = true;
@@ -290,15 +294,15 @@
                 let ticket = Ticket(id);
                 tenancy.shares.asked(now, Asked { ticket, tenant, tokens, earnings, cut_off });
             }
-            None => self.answer(now, id, Answer::TurnedBack(0), ways),
+            None => self.answer(now, id, Response::Rejected(0), ways),
         }
         id
     }
 
     /// The module hears of a submission.
-    fn let_in(&mut self, now: Micros, id: SubmissionId) {
+    fn let_in(&mut self, now: Micros, id: RequestId) {
         let Some(s) = self.submissions.get(id).filter(|s| !s.over) else { return };
-        let arrival = Arrival {
+        let arrival = NewRequest {
             id,
             track: s.track,
             session: s.session,
@@ -311,14 +315,14 @@
     }
 
     /// Carries out what the shares decide.
-    fn admit(&mut self, now: Micros, ways: &mut impl Ways<Asked = A>) {
+    fn admit(&mut self, now: Micros, ways: &mut impl Transport<Asked = A>) {
         while let Some(verdict) = self.tenancy.as_mut().and_then(|t| t.shares.decide(now)) {
             match verdict {
                 Verdict::Let(Ticket(id)) => self.let_in(now, id),
                 Verdict::TurnBack { ticket: Ticket(id), after } => {
                     counter!("tideroute_untaken_total", "why" => "share").increment(1);
                     let after = if self.terms.module.advice { after } else { 0 };
-                    self.answer(now, id, Answer::TurnedBack(after), ways);
+                    self.answer(now, id, Response::Rejected(after), ways);
                 }
                 Verdict::Wake { at } => ways.ring(at, Timer::Shares),
             }
@@ -327,14 +331,14 @@
 
     /// The client's time is up: a shot that has not begun to answer has timed out, also where its client has gone and
     /// nothing may be called back.
-    fn cut_off(&mut self, now: Micros, id: SubmissionId, ways: &mut impl Ways<Asked = A>) {
+    fn cut_off(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
         let Some(s) = self.submissions.get(id).filter(|s| !s.streams()) else { return };
         let Some(shot) = &s.shot else {
             self.stirred = true;
             return;
         };
         let number = shot.number;
-        let ending = if ways.withdraw(id, shot) { Ending::NeverSent } else { Ending::TimedOut };
+        let ending = if ways.withdraw(id, shot) { AttemptOutcome::NotSent } else { AttemptOutcome::TimedOut };
         self.settle(now, id, number, ending, ways);
     }
 
@@ -345,7 +349,7 @@
         }
     }
 
-    pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, ways: &mut impl Ways<Asked = A>) {
+    pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, ways: &mut impl Transport<Asked = A>) {
         let Some(worker) = self.probes.remove(&nonce) else { return };
         ways.probed(worker);
         self.module.probed(tenths(now), worker, well);
@@ -355,7 +359,7 @@
     /// Begins a page of the list; entries follow.
     pub fn page(&mut self, now: Micros, version: u64, whole: bool) {
         if whole {
-            self.listed.values_mut().for_each(|(l, _)| l.standing = Standing::Gone);
+            self.listed.values_mut().for_each(|(l, _)| l.standing = EndpointStatus::Removed);
             self.module.list_anew(tenths(now));
         }
         (self.version, self.stirred) = (version, true);
@@ -364,26 +368,26 @@
     /// A worker that is gone may be told by its name alone.
     pub fn gone(&mut self, now: Micros, worker: WorkerId) {
         if let Some((known, _)) = self.listed.get(&worker) {
-            let gone = Listing { standing: Standing::Gone, ..*known };
+            let gone = Endpoint { standing: EndpointStatus::Removed, ..*known };
             self.take_entry(now, gone);
         }
     }
 
     /// A worker is listed, its start in Unix time; what that says of its process.
-    pub fn entry(&mut self, now: Micros, listing: Listing) -> Process {
+    pub fn entry(&mut self, now: Micros, listing: Endpoint) -> Incarnation {
         let told = listing.started.max(0) as Micros * TENTH;
         let process = self.starts.listed(now, listing.worker, told);
-        self.take_entry(now, Listing { started: tenths(process.began), ..listing });
+        self.take_entry(now, Endpoint { started: tenths(process.began), ..listing });
         process
     }
 
     /// The module hears of a worker whose start is one on this router's clock.
-    fn take_entry(&mut self, now: Micros, listing: Listing) {
+    fn take_entry(&mut self, now: Micros, listing: Endpoint) {
         let Some(&role) = self.terms.module.roles.get(usize::from(listing.kind)) else {
             tracing::warn!(worker = %shown(listing.worker), kind = listing.kind, "a kind that no term names");
             return;
         };
-        let Listing { worker, kind, size, standing, cell, zone, started } = listing;
+        let Endpoint { worker, kind, size, standing, cell, zone, started } = listing;
         tracing::debug!(worker = %shown(worker), ?standing, kind, size, cell, zone, started, "listed");
         self.listed.insert(listing.worker, (listing, role));
         self.module.listed(tenths(now), listing);
@@ -391,7 +395,7 @@
 
     /// The page is complete. Workers that are gone need no books.
     pub fn page_over(&mut self, now: Micros) {
-        let gone = |(l, _): &(Listing, Role)| l.standing == Standing::Gone;
+        let gone = |(l, _): &(Endpoint, Role)| l.standing == EndpointStatus::Removed;
         let removed = self.listed.iter().filter(|(_, entry)| gone(entry)).map(|(worker, _)| *worker);
         removed.for_each(|worker| self.starts.removed(now, worker));
         self.listed.retain(|_, entry| !gone(entry));
@@ -404,7 +408,7 @@
         self.stirred = true;
     }
 
-    pub fn rang(&mut self, now: Micros, timer: Timer, ways: &mut impl Ways<Asked = A>) {
+    pub fn rang(&mut self, now: Micros, timer: Timer, ways: &mut impl Transport<Asked = A>) {
         match timer {
             Timer::Wake => {
                 self.module.woken(tenths(now));
@@ -417,7 +421,7 @@
     }
 
     /// Pulls decisions until none is left.
-    pub fn turn(&mut self, now: Micros, ways: &mut impl Ways<Asked = A>) {
+    pub fn turn(&mut self, now: Micros, ways: &mut impl Transport<Asked = A>) {
         while std::mem::take(&mut self.stirred) {
             self.admit(now, ways);
             while let Some(decision) = self.module.decide(tenths(now)) {
@@ -435,7 +439,7 @@
     }
 
     /// Lets go of what is left of submissions that are over and forgets them.
-    fn close_up(&mut self, ways: &mut impl Ways<Asked = A>) {
+    fn close_up(&mut self, ways: &mut impl Transport<Asked = A>) {
         for id in std::mem::take(&mut self.closing) {
             let Some(s) = self.submissions.get(id).filter(|s| s.over && s.shot.is_none()) else { continue };
             if !s.holds_nothing() {
@@ -479,7 +483,7 @@
 }
 
 /// A quarter of what may be open may wait to be let in.
-fn shares_terms(terms: &BookTerms) -> tideroute_admission::Terms {
+fn shares_terms(terms: &LifecycleConfig) -> tideroute_admission::Terms {
     tideroute_admission::Terms {
         longest_wait: terms.longest_wait,
         most_waiting: (terms.most_open / 4).max(1),
@@ -487,26 +491,26 @@
     }
 }
 
-fn kind_of(answer: Answer) -> FinalAnswer {
+fn kind_of(answer: Response) -> FinalAnswer {
     match answer {
-        Answer::Honoured(_) => FinalAnswer::Served,
-        Answer::TurnedBack(_) => FinalAnswer::Refused,
-        Answer::Abandoned => FinalAnswer::Failed,
+        Response::Completed(_) => FinalAnswer::Served,
+        Response::Rejected(_) => FinalAnswer::Refused,
+        Response::Failed => FinalAnswer::Failed,
     }
 }
 
-fn name_of(ending: Ending) -> &'static str {
+fn name_of(ending: AttemptOutcome) -> &'static str {
     match ending {
-        Ending::Honoured => "honoured",
-        Ending::Fault => "fault",
-        Ending::Full => "full",
-        Ending::Stateless => "stateless",
-        Ending::TimedOut => "timed out",
-        Ending::Unreachable => "unreachable",
-        Ending::Broken => "broken",
-        Ending::Withdrawn => "withdrawn",
-        Ending::NeverSent => "never sent",
-        Ending::Read => "read",
+        AttemptOutcome::Completed => "honoured",
+        AttemptOutcome::ServerError => "fault",
+        AttemptOutcome::Rejected => "full",
+        AttemptOutcome::StateMissing => "stateless",
+        AttemptOutcome::TimedOut => "timed out",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::ConnectionReset => "broken",
+        AttemptOutcome::Cancelled => "withdrawn",
+        AttemptOutcome::NotSent => "never sent",
+        AttemptOutcome::PrefillComplete => "read",
     }
 }
 
--- a/crates/lifecycle/src/clients.rs
+++ b/crates/lifecycle/src/clients.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use tideroute::interface::SubmissionId;
+use tideroute::types::RequestId;
 use tideroute_wire::link::Link;
 
 #[derive(Default)]
 pub struct Client {
     /// Its open submissions by its own numbers, in order, so that what follows a loss is the same each time.
-    pub open: BTreeMap<u64, SubmissionId>,
+    pub open: BTreeMap<u64, RequestId>,
     /// The highest number it has used: each must be higher than the last.
     pub last: Option<u64>,
     /// It does not read what is sent: its streams get no more tokens from their workers until it does.
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -1,13 +1,13 @@
 //! What is heard on each kind of link, as calls on the host.
 
 use bytes::Bytes;
-use tideroute::interface::{Ending, Listing, Standing, Tenths};
+use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, TenthMillis};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
 
 use crate::books::TENTH;
 use crate::host::Host;
-use crate::submissions::Submission;
+use crate::submissions::RequestState;
 use crate::wires::Said;
 
 pub(crate) struct ClientLink<'a> {
@@ -40,7 +40,8 @@
         // A day is longer than any client waits, and keeps sums of times far from their ends.
         let left = self.host.books.left(left.min(DAY)).saturating_sub(self.host.terms.travel);
         let said = Said { client: self.link, number, prefix_tokens, most_tokens, mark, prompt };
-        let submission = Submission::new(said, track, (session, prefix), prompt_tokens).waits(self.now, left);
+        let submission =
+            RequestState::new(said, track, (session, prefix), prompt_tokens).waits(self.now, left);
         self.host.submitted(self.now, submission, self.out)
     }
 
@@ -95,7 +96,7 @@
             if !reading {
                 return Err(Malformed::Order("a state from a shot that writes"));
             }
-            self.host.settle(self.now, id, shot, Ending::Read, self.out);
+            self.host.settle(self.now, id, shot, AttemptOutcome::PrefillComplete, self.out);
         }
         Ok(())
     }
@@ -125,7 +126,7 @@
             if s.is_none_or(|s| s.tokens != tokens || tokens == 0) {
                 return Err(Malformed::Order("the end of a stream"));
             }
-            self.host.settle(self.now, id, shot, Ending::Honoured, self.out);
+            self.host.settle(self.now, id, shot, AttemptOutcome::Completed, self.out);
         }
         Ok(())
     }
@@ -133,9 +134,9 @@
     fn ended(&mut self, id: u64, shot: u16, how: worker::How) -> Result<(), Malformed> {
         if self.is_out(id, shot)? {
             let ending = match how {
-                worker::How::Full => Ending::Full,
-                worker::How::Stateless => Ending::Stateless,
-                worker::How::Fault => Ending::Fault,
+                worker::How::Full => AttemptOutcome::Rejected,
+                worker::How::Stateless => AttemptOutcome::StateMissing,
+                worker::How::Fault => AttemptOutcome::ServerError,
             };
             self.host.settle(self.now, id, shot, ending, self.out);
         }
@@ -174,18 +175,18 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: list::Standing,
+        standing: list::EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
     ) -> Result<(), Malformed> {
         let standing = match standing {
-            list::Standing::Gone => Standing::Gone,
-            list::Standing::Ready => Standing::Ready,
-            list::Standing::Draining => Standing::Draining,
+            list::EndpointStatus::Removed => EndpointStatus::Removed,
+            list::EndpointStatus::Serving => EndpointStatus::Serving,
+            list::EndpointStatus::Draining => EndpointStatus::Draining,
         };
-        let started = (started / TENTH) as Tenths;
-        self.host.books.entry(self.now, Listing { worker, kind, size, standing, cell, zone, started });
+        let started = (started / TENTH) as TenthMillis;
+        self.host.books.entry(self.now, Endpoint { worker, kind, size, standing, cell, zone, started });
         Ok(())
     }
 }
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -3,14 +3,14 @@
 
 use bytes::Bytes;
 use metrics::counter;
-use tideroute::interface::{Ending, Standing, SubmissionId};
+use tideroute::types::{AttemptOutcome, EndpointStatus, RequestId};
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{client, list, worker, Malformed, Micros, Party};
 
-use crate::books::{shown, Books};
+use crate::books::{shown, RequestLifecycle};
 use crate::clients::Clients;
 use crate::lines::Lines;
-use crate::submissions::{short, Submission};
+use crate::submissions::{short, RequestState};
 use crate::tenancy::Ear;
 use crate::terms::Terms;
 use crate::ways::Timer;
@@ -24,7 +24,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy)]
 pub(crate) enum Ring {
-    Books(Timer),
+    RequestLifecycle(Timer),
     /// A connection, by its number, has not said Hello.
     Hello(Link),
     /// Tenants' figures are told.
@@ -33,11 +33,11 @@
 
 pub(crate) fn key(ring: Ring) -> u64 {
     let (kind, what) = match ring {
-        Ring::Books(Timer::Wake) => (0, 0),
-        Ring::Books(Timer::CutOff(id)) => (1, short(id)),
-        Ring::Books(Timer::Probe(nonce)) => (2, nonce),
+        Ring::RequestLifecycle(Timer::Wake) => (0, 0),
+        Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
+        Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
         Ring::Hello(link) => (3, link.0),
-        Ring::Books(Timer::Shares) => (4, 0),
+        Ring::RequestLifecycle(Timer::Shares) => (4, 0),
         Ring::Figures => (5, 0),
     };
     kind << KIND | what
@@ -45,7 +45,7 @@
 
 pub struct Host {
     pub(crate) terms: Terms,
-    pub(crate) books: Books<Said>,
+    pub(crate) books: RequestLifecycle<Said>,
     pub(crate) clients: Clients,
     pub(crate) lines: Lines,
     pub(crate) list_link: Option<Link>,
@@ -57,7 +57,7 @@
     /// A router that starts now; `kept` is the list as the last run of it kept it.
     pub fn new(terms: Terms, kept: Option<Bytes>, now: Micros) -> Host {
         Host {
-            books: Books::new(terms.books.clone(), now),
+            books: RequestLifecycle::new(terms.books.clone(), now),
             terms,
             clients: Clients::default(),
             lines: Lines::default(),
@@ -73,7 +73,10 @@
     }
 
     /// The books, and the ways by which they speak.
-    pub(crate) fn parts<'a>(&'a mut self, out: &'a mut Outbox) -> (&'a mut Books<Said>, Wires<'a>) {
+    pub(crate) fn parts<'a>(
+        &'a mut self,
+        out: &'a mut Outbox,
+    ) -> (&'a mut RequestLifecycle<Said>, Wires<'a>) {
         let (terms, clients, lines) = (&self.terms, &mut self.clients, &mut self.lines);
         (&mut self.books, Wires { terms, clients, lines, list_link: &mut self.list_link, out })
     }
@@ -81,16 +84,16 @@
     pub(crate) fn settle(
         &mut self,
         now: Micros,
-        id: SubmissionId,
+        id: RequestId,
         number: u16,
-        ending: Ending,
+        ending: AttemptOutcome,
         out: &mut Outbox,
     ) {
         let (books, mut wires) = self.parts(out);
         books.settle(now, id, number, ending, &mut wires);
     }
 
-    pub(crate) fn dropped(&mut self, now: Micros, id: SubmissionId, out: &mut Outbox) {
+    pub(crate) fn dropped(&mut self, now: Micros, id: RequestId, out: &mut Outbox) {
         let (books, mut wires) = self.parts(out);
         books.dropped(now, id, &mut wires);
     }
@@ -99,7 +102,7 @@
     pub(crate) fn submitted(
         &mut self,
         now: Micros,
-        s: Submission<Said>,
+        s: RequestState<Said>,
         out: &mut Outbox,
     ) -> Result<(), Malformed> {
         if self.terms.books.module.tracks.get(usize::from(s.track)).is_none() {
@@ -161,9 +164,9 @@
             }
         }
         let ending = match loss {
-            Loss::Unreached => Ending::Unreachable,
-            Loss::NotDialled => Ending::NeverSent,
-            Loss::Broken => Ending::Broken,
+            Loss::Unreached => AttemptOutcome::Unreachable,
+            Loss::NotDialled => AttemptOutcome::NotSent,
+            Loss::Broken => AttemptOutcome::ConnectionReset,
         };
         for id in line.shots {
             let number = self.books.submissions.get(id).and_then(|s| s.shot.as_ref()).map(|s| s.number);
@@ -178,7 +181,7 @@
     }
 
     /// Tells the worker of a stream that its client has taken tokens, once `least` of them are owed.
-    pub(crate) fn pay(&mut self, id: SubmissionId, least: u32, out: &mut Outbox) {
+    pub(crate) fn pay(&mut self, id: RequestId, least: u32, out: &mut Outbox) {
         let Some(s) = self.books.submissions.get_mut(id) else { return };
         let crowded = self.clients.get_mut(s.asked.client).is_none_or(|c| c.crowded);
         let Some(shot) = s.shot.as_mut().filter(|s| s.started && s.owed >= least.max(1)) else { return };
@@ -191,10 +194,10 @@
     /// The list as it stands, as a page that `new` takes again.
     fn list_to_keep(&self) -> Bytes {
         let mut page = list::Page::new(self.books.version(), true);
-        for l in self.books.listed().filter(|l| l.standing != Standing::Gone) {
+        for l in self.books.listed().filter(|l| l.standing != EndpointStatus::Removed) {
             let standing = match l.standing {
-                Standing::Ready => list::Standing::Ready,
-                _ => list::Standing::Draining,
+                EndpointStatus::Serving => list::EndpointStatus::Serving,
+                _ => list::EndpointStatus::Draining,
             };
             page.add(l.worker, l.kind, l.size, standing, l.cell, l.zone, self.books.start_told(l.worker));
         }
--- a/crates/lifecycle/src/lateness.rs
+++ b/crates/lifecycle/src/lateness.rs
@@ -7,13 +7,13 @@
 const SPAN: Micros = 1_000_000;
 
 #[derive(Default)]
-pub struct Lateness {
+pub struct LoopLag {
     since: Micros,
     worst: Micros,
     before: Micros,
 }
 
-impl Lateness {
+impl LoopLag {
     pub fn note(&mut self, now: Micros, by: Micros) {
         if now.saturating_sub(self.since) >= SPAN {
             let stale = now.saturating_sub(self.since) >= 2 * SPAN;
@@ -41,7 +41,7 @@
 
     #[test]
     fn the_worst_is_kept_a_second_and_forgotten_after_two() {
-        let mut late = Lateness::default();
+        let mut late = LoopLag::default();
         late.note(10_000_000, 30_000);
         late.note(10_500_000, 2_000);
         assert_eq!(late.worst(), 30_000);
@@ -55,7 +55,7 @@
 
     #[test]
     fn at_most_a_quarter_is_put_down_to_it() {
-        let mut late = Lateness::default();
+        let mut late = LoopLag::default();
         late.note(1_000_000, 100_000);
         assert_eq!((late.left(4_000_000), late.left(100_000), late.left(0)), (3_900_000, 75_000, 0));
     }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -3,7 +3,7 @@
 //! workers as plain data, hands the module what happened, and carries out what the module decides. It has no
 //! socket and no clock, so several can run in one process, in virtual time.
 //!
-//! The books ([`Books`]) know no protocol: they speak through [`Ways`], which the host here has for the protobuf
+//! The books ([`RequestLifecycle`]) know no protocol: they speak through [`Transport`], which the host here has for the protobuf
 //! links and `crates/gateway` for HTTP.
 //!
 //! It decides nothing. What it must know beyond the module's terms (how long a dial may take, how many
@@ -23,10 +23,10 @@
 mod ways;
 mod wires;
 
-pub use books::{shown, Books};
+pub use books::{shown, RequestLifecycle};
 pub use host::Host;
-pub use starts::{Process, Starts};
-pub use submissions::{short, Shot, Submission, Submissions};
-pub use tenancy::TenantTerms;
-pub use terms::{BookTerms, Terms};
-pub use ways::{Answer, Timer, Ways};
+pub use starts::{EndpointIncarnations, Incarnation};
+pub use submissions::{short, Attempt, RequestState, RequestTable};
+pub use tenancy::TenantConfig;
+pub use terms::{LifecycleConfig, Terms};
+pub use ways::{Response, Timer, Transport};
--- a/crates/lifecycle/src/lines.rs
+++ b/crates/lifecycle/src/lines.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use bytes::Bytes;
-use tideroute::interface::{SubmissionId, WorkerId};
+use tideroute::types::{RequestId, WorkerId};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::Micros;
 
@@ -12,8 +12,8 @@
     pub link: Option<Link>,
     /// The probe that has not been answered.
     pub probe: Option<u64>,
-    pub shots: BTreeSet<SubmissionId>,
-    pub places: BTreeSet<SubmissionId>,
+    pub shots: BTreeSet<RequestId>,
+    pub places: BTreeSet<RequestId>,
 }
 
 #[derive(Default)]
--- a/crates/lifecycle/src/starts.rs
+++ b/crates/lifecycle/src/starts.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use tideroute::interface::WorkerId;
+use tideroute::types::WorkerId;
 use tideroute_wire::Micros;
 
 /// Microseconds by which a list may lag behind the fleet: by then whatever discovery has to tell counts as told.
@@ -26,7 +26,7 @@
 
 /// What an entry of the list says of its worker's process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Process {
+pub struct Incarnation {
     /// When it started, on this router's clock; 0 for long ago.
     pub began: Micros,
     /// It is another process than the one that was listed before: connections opened before then led to that one.
@@ -34,23 +34,23 @@
 }
 
 #[derive(Default)]
-pub struct Starts {
+pub struct EndpointIncarnations {
     known: HashMap<WorkerId, Start>,
     /// When discovery was last heard; by then it had told all that it knew.
     heard: Option<Micros>,
 }
 
-impl Starts {
+impl EndpointIncarnations {
     /// Discovery has been heard, and what it told has been taken.
     pub fn heard(&mut self, now: Micros) {
         self.heard = Some(now);
     }
 
     /// A worker is listed with the Unix time of its start.
-    pub fn listed(&mut self, now: Micros, worker: WorkerId, told: Micros) -> Process {
+    pub fn listed(&mut self, now: Micros, worker: WorkerId, told: Micros) -> Incarnation {
         if let Some(known) = self.known.get_mut(&worker).filter(|known| known.told == told) {
             known.removed = None;
-            return Process { began: known.began, replaces_until: None };
+            return Incarnation { began: known.began, replaces_until: None };
         }
         let earliest = self.heard.map_or(0, |heard| heard.saturating_sub(LIST_LAG));
         let agrees = told == 0 || (earliest..=now + CLOCK_SKEW).contains(&told);
@@ -66,7 +66,7 @@
         let before = self.known.insert(worker, Start { told, began, removed: None });
         // Only connections older than any time at which it may have started are surely dead.
         let replaces_until = before.map(|_| if agrees { began } else { earliest });
-        Process { began, replaces_until }
+        Incarnation { began, replaces_until }
     }
 
     /// The Unix time of a worker's start as it was told.
--- a/crates/lifecycle/src/submissions.rs
+++ b/crates/lifecycle/src/submissions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use tideroute::interface::{Repeat, SubmissionId, WorkerId};
+use tideroute::types::{Idempotency, RequestId, WorkerId};
 use tideroute_invariants::RequestRecord;
 use tideroute_wire::Micros;
 
@@ -10,7 +10,7 @@
 const COUNTED: u32 = 40;
 
 /// A submission as the client handed it over, and what is out for it.
-pub struct Submission<A> {
+pub struct RequestState<A> {
     /// What the protocol keeps of it.
     pub asked: A,
     pub track: u8,
@@ -20,7 +20,7 @@
     pub came: Micros,
     pub cut_off: Micros,
     pub shots: u16,
-    pub shot: Option<Shot>,
+    pub shot: Option<Attempt>,
     /// The reader where its state waits.
     pub state: Option<WorkerId>,
     /// Writers asked for a place that have not said no, the last one last.
@@ -33,10 +33,10 @@
     pub record: RequestRecord,
 }
 
-impl<A> Submission<A> {
+impl<A> RequestState<A> {
     /// One that has just come.
-    pub fn new(asked: A, track: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> Submission<A> {
-        Submission {
+    pub fn new(asked: A, track: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> RequestState<A> {
+        RequestState {
             asked,
             track,
             session,
@@ -51,13 +51,13 @@
             first: None,
             over: false,
             // The books put the request's own in its place as they take it.
-            record: RequestRecord::new(Repeat::SingleUse, 0),
+            record: RequestRecord::new(Idempotency::NonIdempotent, 0),
         }
     }
 
     /// It came then and its client waits so long.
-    pub fn waits(self, came: Micros, left: Micros) -> Submission<A> {
-        Submission { came, cut_off: came + left, ..self }
+    pub fn waits(self, came: Micros, left: Micros) -> RequestState<A> {
+        RequestState { came, cut_off: came + left, ..self }
     }
 
     pub fn shot_is(&self, number: u16) -> bool {
@@ -74,7 +74,7 @@
 }
 
 /// The shot that is out.
-pub struct Shot {
+pub struct Attempt {
     pub number: u16,
     pub worker: WorkerId,
     pub reading: bool,
@@ -84,37 +84,37 @@
     pub owed: u32,
 }
 
-impl Shot {
+impl Attempt {
     /// One that goes out now.
-    pub fn new(number: u16, worker: WorkerId, reading: bool) -> Shot {
-        Shot { number, worker, reading, started: false, tokens: 0, owed: 0 }
+    pub fn new(number: u16, worker: WorkerId, reading: bool) -> Attempt {
+        Attempt { number, worker, reading, started: false, tokens: 0, owed: 0 }
     }
 }
 
 /// What a timer's key keeps of an id.
-pub fn short(id: SubmissionId) -> u64 {
+pub fn short(id: RequestId) -> u64 {
     id & ((1 << COUNTED) - 1)
 }
 
 /// All open submissions by id. Ids count up from a base that tells starts apart in logs;
 /// where those of several routers meet, what a router's Hello says stands before them.
-pub struct Submissions<A> {
+pub struct RequestTable<A> {
     base: u64,
     count: u64,
-    open: BTreeMap<SubmissionId, Submission<A>>,
+    open: BTreeMap<RequestId, RequestState<A>>,
 }
 
-impl<A> Submissions<A> {
+impl<A> RequestTable<A> {
     pub fn new(seed: u64) -> Self {
-        Submissions { base: seed << COUNTED, count: 0, open: BTreeMap::new() }
+        RequestTable { base: seed << COUNTED, count: 0, open: BTreeMap::new() }
     }
 
     /// The id that the next submission will have.
-    pub fn coming(&self) -> SubmissionId {
+    pub fn coming(&self) -> RequestId {
         self.base | (self.count + 1)
     }
 
-    pub fn insert(&mut self, submission: Submission<A>) -> SubmissionId {
+    pub fn insert(&mut self, submission: RequestState<A>) -> RequestId {
         let id = self.coming();
         self.count += 1;
         self.open.insert(id, submission);
@@ -122,24 +122,24 @@
     }
 
     /// The id again, of which a timer's key kept what [`short`] gives.
-    pub fn long(&self, short: u64) -> SubmissionId {
+    pub fn long(&self, short: u64) -> RequestId {
         self.base | short
     }
 
-    pub fn get(&self, id: SubmissionId) -> Option<&Submission<A>> {
+    pub fn get(&self, id: RequestId) -> Option<&RequestState<A>> {
         self.open.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: SubmissionId) -> Option<&mut Submission<A>> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState<A>> {
         self.open.get_mut(&id)
     }
 
-    pub fn remove(&mut self, id: SubmissionId) {
+    pub fn remove(&mut self, id: RequestId) {
         self.open.remove(&id);
     }
 
     /// All that are open, in the order in which they came.
-    pub fn iter(&self) -> impl Iterator<Item = (SubmissionId, &Submission<A>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &RequestState<A>)> {
         self.open.iter().map(|(id, s)| (*id, s))
     }
 
--- a/crates/lifecycle/src/tenancy.rs
+++ b/crates/lifecycle/src/tenancy.rs
@@ -12,7 +12,7 @@
 
 /// One tenant, as the operator names it.
 #[derive(Clone, Debug)]
-pub struct TenantTerms {
+pub struct TenantConfig {
     pub name: String,
     /// The change that made it so; an older one is not heeded. 0 where none is counted.
     pub version: u64,
@@ -30,7 +30,7 @@
     keys: Vec<[u8; 32]>,
 }
 
-pub(crate) struct Tenancy {
+pub(crate) struct TenantAdmission {
     pub shares: Shares,
     /// This instance's part of all limits: what all instances let in stays within them with no word between.
     part: f64,
@@ -39,22 +39,22 @@
     numbers: u32,
 }
 
-impl Tenancy {
+impl TenantAdmission {
     pub fn new(
-        tenants: &[TenantTerms],
+        tenants: &[TenantConfig],
         part: f64,
         terms: tideroute_admission::Terms,
         now: Micros,
-    ) -> Tenancy {
+    ) -> TenantAdmission {
         let shares = Shares::new(terms);
         let (by_key, by_name) = (HashMap::new(), HashMap::new());
-        let mut tenancy = Tenancy { shares, part, by_key, by_name, numbers: 0 };
+        let mut tenancy = TenantAdmission { shares, part, by_key, by_name, numbers: 0 };
         tenants.iter().for_each(|t| tenancy.set(now, t.clone()));
         tenancy
     }
 
     /// A tenant is there, or is another than it was.
-    pub fn set(&mut self, now: Micros, terms: TenantTerms) {
+    pub fn set(&mut self, now: Micros, terms: TenantConfig) {
         if self.by_name.get(&terms.name).is_some_and(|known| known.version > terms.version) {
             return;
         }
@@ -122,7 +122,7 @@
 
 /// Takes a letter apart for the tenancy.
 pub(crate) struct Ear<'a> {
-    pub tenancy: &'a mut Tenancy,
+    pub tenancy: &'a mut TenantAdmission,
     pub now: Micros,
 }
 
@@ -141,7 +141,7 @@
         let rate = |(a_second, burst)| Rate { a_second, burst };
         let (submissions, tokens) = (submissions.map(rate), tokens.map(rate));
         let limits = Limits { submissions, tokens, in_flight, weight, waiting };
-        self.tenancy.set(self.now, TenantTerms { name: name.to_string(), version, keys, limits });
+        self.tenancy.set(self.now, TenantConfig { name: name.to_string(), version, keys, limits });
         Ok(())
     }
 
--- a/crates/lifecycle/src/terms.rs
+++ b/crates/lifecycle/src/terms.rs
@@ -2,15 +2,15 @@
 
 use tideroute_wire::{Address, Micros, Origin};
 
-use crate::tenancy::TenantTerms;
+use crate::tenancy::TenantConfig;
 
 /// What the books work under, whichever protocol they serve.
 #[derive(Clone, Debug)]
-pub struct BookTerms {
+pub struct LifecycleConfig {
     /// How it names itself to workers and the list.
     pub name: String,
     /// What the decision module works under.
-    pub module: tideroute::interface::Terms,
+    pub module: tideroute::types::SchedulerConfig,
     /// Names of the tracks, for figures and logs.
     pub tracks: Vec<String>,
     /// A connection or a probe that takes longer has failed.
@@ -18,7 +18,7 @@
     /// Submissions open at once; what comes beyond is turned back before the module hears of it.
     pub most_open: usize,
     /// Who may use it, at first; None where anybody may.
-    pub tenants: Option<Vec<TenantTerms>>,
+    pub tenants: Option<Vec<TenantConfig>>,
     /// This instance's part of each tenant's limits.
     pub part: f64,
     /// How long a tenant's submission may wait to be let in.
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub books: BookTerms,
+    pub books: LifecycleConfig,
     pub list: Address,
     /// What tells its ids from those of every other router and start.
     pub origin: Origin,
--- a/crates/lifecycle/src/ways.rs
+++ b/crates/lifecycle/src/ways.rs
@@ -1,28 +1,28 @@
 //! What the books need of a protocol, and no more: words to workers, clients and the list, and timers.
 
-use tideroute::interface::{Ending, SubmissionId, WorkerId};
+use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
 use tideroute_wire::Micros;
 
-use crate::submissions::{Shot, Submission};
+use crate::submissions::{Attempt, RequestState};
 
 /// A final answer to a client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Answer {
+pub enum Response {
     /// With the tokens that were relayed.
-    Honoured(u32),
+    Completed(u32),
     /// With how long the client should stay away; 0 for no advice.
-    TurnedBack(Micros),
-    Abandoned,
+    Rejected(Micros),
+    Failed,
 }
 
-/// What a timer of the books is for. It goes back to [`Books::rang`](crate::Books::rang).
+/// What a timer of the books is for. It goes back to [`RequestLifecycle::rang`](crate::Books::rang).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Timer {
     /// The module asked to be woken.
     Wake,
     /// A client's time is up.
-    CutOff(SubmissionId),
+    CutOff(RequestId),
     /// A probe, by its nonce, has not been answered.
     Probe(u64),
     /// A verdict on what waits to be let in may be due.
@@ -30,49 +30,61 @@
 }
 
 /// One protocol's way of carrying out what the books say. None of the calls may come back into the books.
-pub trait Ways {
+pub trait Transport {
     /// What the protocol keeps of a submission beside the books.
     type Asked;
 
     /// The shot that the submission has out goes to its worker, which may take so long.
     fn shoot(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Self::Asked>,
-        shot: &Shot,
+        id: RequestId,
+        s: &RequestState<Self::Asked>,
+        shot: &Attempt,
         left: Micros,
         permit: AttemptPermit,
     );
     /// A place is asked for while the reader reads.
     fn hold(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Self::Asked>,
+        id: RequestId,
+        s: &RequestState<Self::Asked>,
         at: WorkerId,
         reader: WorkerId,
         permit: PlacePermit,
     );
     /// A place is no longer wanted because another or a shot took its turn; with `tell` nobody else says so.
-    fn unplace(&mut self, id: SubmissionId, at: WorkerId, tell: bool);
+    fn unplace(&mut self, id: RequestId, at: WorkerId, tell: bool);
     /// All that is held for the submission is let go.
     fn let_go(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Self::Asked>,
+        id: RequestId,
+        s: &RequestState<Self::Asked>,
         places: &[WorkerId],
         state: Option<WorkerId>,
     );
     /// Nobody waits for the shot any more. Whether it never left comes back: then it has not run.
-    fn withdraw(&mut self, id: SubmissionId, shot: &Shot) -> bool;
+    fn withdraw(&mut self, id: RequestId, shot: &Attempt) -> bool;
     /// Takes a shot back that has not left yet; whether it had not. One that has left goes on.
-    fn recall(&mut self, _id: SubmissionId, _shot: &Shot) -> bool {
+    fn recall(&mut self, _id: RequestId, _shot: &Attempt) -> bool {
         false
     }
     /// The shot has ended, whoever ended it.
-    fn settled(&mut self, id: SubmissionId, s: &Submission<Self::Asked>, shot: &Shot, ending: Ending);
-    fn answer(&mut self, id: SubmissionId, s: &Submission<Self::Asked>, answer: Answer, permit: AnswerPermit);
+    fn settled(
+        &mut self,
+        id: RequestId,
+        s: &RequestState<Self::Asked>,
+        shot: &Attempt,
+        ending: AttemptOutcome,
+    );
+    fn answer(
+        &mut self,
+        id: RequestId,
+        s: &RequestState<Self::Asked>,
+        answer: Response,
+        permit: AnswerPermit,
+    );
     /// The submission is over, nothing is out for it, and the books forget it.
-    fn closed(&mut self, _id: SubmissionId, _permit: ClosePermit) {}
+    fn closed(&mut self, _id: RequestId, _permit: ClosePermit) {}
     fn probe(&mut self, nonce: u64, at: WorkerId);
     /// The probe of a worker was answered or given up.
     fn probed(&mut self, at: WorkerId);
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -1,6 +1,6 @@
 //! The books' words on protobuf links.
 
-use tideroute::interface::{Ending, SubmissionId, WorkerId};
+use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_invariants::{AnswerPermit, AttemptPermit, PlacePermit};
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::{client, list, say_router, worker, Micros};
@@ -8,9 +8,9 @@
 use crate::clients::Clients;
 use crate::host::key;
 use crate::lines::Lines;
-use crate::submissions::{Shot, Submission};
+use crate::submissions::{Attempt, RequestState};
 use crate::terms::Terms;
-use crate::ways::{Answer, Timer, Ways};
+use crate::ways::{Response, Timer, Transport};
 
 /// What the protocol keeps of a submission, as the client handed it over.
 pub struct Said {
@@ -39,14 +39,14 @@
     }
 }
 
-impl Ways for Wires<'_> {
+impl Transport for Wires<'_> {
     type Asked = Said;
 
     fn shoot(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Said>,
-        shot: &Shot,
+        id: RequestId,
+        s: &RequestState<Said>,
+        shot: &Attempt,
         left: Micros,
         _permit: AttemptPermit,
     ) {
@@ -86,8 +86,8 @@
 
     fn hold(
         &mut self,
-        id: SubmissionId,
-        s: &Submission<Said>,
+        id: RequestId,
+        s: &RequestState<Said>,
         at: WorkerId,
         reader: WorkerId,
         _permit: PlacePermit,
@@ -97,7 +97,7 @@
         self.send(at, frame);
     }
 
-    fn unplace(&mut self, id: SubmissionId, at: WorkerId, tell: bool) {
+    fn unplace(&mut self, id: RequestId, at: WorkerId, tell: bool) {
         self.lines.at(at).places.remove(&id);
         if tell {
             self.lines.send_if_there(at, worker::let_go(id), self.out);
@@ -106,8 +106,8 @@
 
     fn let_go(
         &mut self,
-        id: SubmissionId,
-        _s: &Submission<Said>,
+        id: RequestId,
+        _s: &RequestState<Said>,
         places: &[WorkerId],
         state: Option<WorkerId>,
     ) {
@@ -118,21 +118,21 @@
     }
 
     /// A frame that was handed to a link may have left at once.
-    fn withdraw(&mut self, id: SubmissionId, shot: &Shot) -> bool {
+    fn withdraw(&mut self, id: RequestId, shot: &Attempt) -> bool {
         self.lines.send_if_there(shot.worker, worker::withdraw(id, shot.number), self.out);
         false
     }
 
-    fn settled(&mut self, id: SubmissionId, _s: &Submission<Said>, shot: &Shot, _ending: Ending) {
+    fn settled(&mut self, id: RequestId, _s: &RequestState<Said>, shot: &Attempt, _ending: AttemptOutcome) {
         self.lines.at(shot.worker).shots.remove(&id);
     }
 
-    fn answer(&mut self, _id: SubmissionId, s: &Submission<Said>, answer: Answer, _permit: AnswerPermit) {
+    fn answer(&mut self, _id: RequestId, s: &RequestState<Said>, answer: Response, _permit: AnswerPermit) {
         let number = s.asked.number;
         let frame = match answer {
-            Answer::Honoured(tokens) => client::honoured(number, tokens),
-            Answer::TurnedBack(after) => client::turned_back(number, after),
-            Answer::Abandoned => client::abandoned(number),
+            Response::Completed(tokens) => client::honoured(number, tokens),
+            Response::Rejected(after) => client::turned_back(number, after),
+            Response::Failed => client::abandoned(number),
         };
         self.out.send(s.asked.client, frame);
         if let Some(client) = self.clients.get_mut(s.asked.client) {
@@ -159,6 +159,6 @@
     }
 
     fn ring(&mut self, at: Micros, timer: Timer) {
-        self.out.ring(at, key(crate::host::Ring::Books(timer)));
+        self.out.ring(at, key(crate::host::Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -5,20 +5,20 @@
 
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
-use tideroute::interface::{Repeat, Role, Terms as Module, Track};
-use tideroute_lifecycle::{BookTerms, Host, Terms};
+use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
+use tideroute_lifecycle::{Host, LifecycleConfig, Terms};
 use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
-use tideroute_wire::list::{Page, Standing};
+use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, worker, Address, Malformed, Micros, Party};
 
 const LIST: Address = [10, 0, 0, 1, 1, 1];
 
 fn terms() -> Terms {
-    let track = |repeat| Track { repeat, contract: 10_000, per_thousand: 400, earnings: 1.0 };
+    let track = |repeat| RequestClass { repeat, contract: 10_000, per_thousand: 400, earnings: 1.0 };
     let module = Module {
         routers: 2,
-        tracks: vec![track(Repeat::Replayable), track(Repeat::SingleUse)],
-        roles: vec![Role::Reader, Role::Writer],
+        tracks: vec![track(Idempotency::Idempotent), track(Idempotency::NonIdempotent)],
+        roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 5_000,
         cold_share: 0.3,
@@ -35,7 +35,7 @@
         longest_advice: 10_000,
         ..Module::default()
     };
-    let books = BookTerms {
+    let books = LifecycleConfig {
         name: "r".into(),
         module,
         tracks: vec!["a".into(), "b".into()],
@@ -124,7 +124,7 @@
         let mut page = Page::new(1, true);
         for n in 0..6u8 {
             let kind = u16::from(n > 1);
-            page.add([10, 0, 1, n, 1, 1], kind, 1.0, Standing::Ready, u16::from(n % 2), 0, 0);
+            page.add([10, 0, 1, n, 1, 1], kind, 1.0, EndpointStatus::Serving, u16::from(n % 2), 0, 0);
         }
         world.hear(list, &page.frame());
         world.meet();
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::fleet::{self, Ear, Saying, Standing, PARTS};
 use tideroute_wire::{Address, Malformed, Micros};
 
@@ -57,7 +57,7 @@
     own_told: Option<u32>,
     table: Table,
     probes: Probes,
-    chance: Chance,
+    rng: Rng,
     acts: VecDeque<Act>,
     health: u32,
     probe_at: Micros,
@@ -79,10 +79,10 @@
     pub fn new(terms: Terms, now: Micros) -> Group {
         let own =
             Seen { name: terms.name.clone(), at: terms.at, incarnation: now / MS, standing: Standing::There };
-        let mut chance = Chance::new(terms.seed);
+        let mut rng = Rng::new(terms.seed);
         // Routers that start together shall not probe together.
-        let spread = |chance: &mut Chance, span: Micros| now + (chance.unit() * span as f64) as Micros;
-        let (probe_at, compare_at) = (spread(&mut chance, PERIOD), spread(&mut chance, COMPARE));
+        let spread = |rng: &mut Rng, span: Micros| now + (rng.unit() * span as f64) as Micros;
+        let (probe_at, compare_at) = (spread(&mut rng, PERIOD), spread(&mut rng, COMPARE));
         Group {
             own_print: print_of(&own.name),
             own,
@@ -90,7 +90,7 @@
             terms,
             table: Table::default(),
             probes: Probes::default(),
-            chance,
+            rng,
             acts: VecDeque::new(),
             health: 0,
             probe_at,
@@ -152,7 +152,7 @@
     }
 
     fn goodbye(&mut self) {
-        for slot in some(&self.table, &mut self.chance, GOODBYES, None) {
+        for slot in some(&self.table, &mut self.rng, GOODBYES, None) {
             self.say_plain(slot);
         }
     }
@@ -201,7 +201,7 @@
         self.end(now);
         if now >= self.compare_at {
             self.compare_at = now + COMPARE;
-            let other = some(&self.table, &mut self.chance, 1, None);
+            let other = some(&self.table, &mut self.rng, 1, None);
             other.into_iter().for_each(|slot| self.compare(slot));
         }
         if now >= self.recall_at {
@@ -209,7 +209,7 @@
         }
         if now >= self.tell_at && (self.table.has_news() || self.own_told.is_some()) {
             self.tell_at = now + TELL;
-            for slot in some(&self.table, &mut self.chance, TOLD, None) {
+            for slot in some(&self.table, &mut self.rng, TOLD, None) {
                 self.say_plain(slot);
             }
         }
@@ -303,7 +303,7 @@
             .map(|(slot, _)| slot)
             .collect();
         if !dead.is_empty() {
-            let slot = dead[below(&mut self.chance, dead.len())];
+            let slot = dead[below(&mut self.rng, dead.len())];
             self.compare(slot);
         }
         let known = |at: &Address| {
@@ -314,7 +314,7 @@
         if alone {
             self.recall_at = now + COMPARE_SOON;
         } else if !seeds.is_empty() {
-            let one = below(&mut self.chance, seeds.len());
+            let one = below(&mut self.rng, seeds.len());
             seeds = vec![seeds[one]];
         }
         for at in seeds {
@@ -337,7 +337,7 @@
         self.probed(now);
         let slower = Micros::from(1 + self.health);
         self.probe_at = now + PERIOD * slower;
-        let Some(slot) = self.probes.next(&self.table, &mut self.chance) else { return };
+        let Some(slot) = self.probes.next(&self.table, &mut self.rng) else { return };
         let Some((name, at)) = self.table.get(slot).map(|e| (e.seen.name.clone(), e.seen.at)) else { return };
         let number = self.probes.number();
         self.counts.probes += 1;
@@ -352,7 +352,7 @@
     fn try_again(&mut self, now: Micros) {
         let Some(probe) = self.probes.under_way.as_mut() else { return };
         let (slot, number) = (probe.slot, probe.number);
-        let helpers = some(&self.table, &mut self.chance, HELPERS, Some(slot));
+        let helpers = some(&self.table, &mut self.rng, HELPERS, Some(slot));
         (probe.tries, probe.helpers) = (probe.tries + 1, probe.helpers + helpers.len() as u32);
         let slower = Micros::from(1 + self.health);
         probe.again_at = (probe.tries < TRIES).then_some(now + ANSWER * slower);
@@ -471,7 +471,7 @@
             Standing::There => {
                 self.table.set(slot, seen.at, weight);
                 if !had.1.is_in() {
-                    self.probes.met(slot, &mut self.chance);
+                    self.probes.met(slot, &mut self.rng);
                 }
                 self.table.end_at(slot, None);
                 // What comes in pages is old; a thousand that meet at once would tell it for half a minute.
@@ -494,7 +494,7 @@
         }
         let suspected = seen.standing == Standing::Suspected;
         let slot = self.table.insert(Seen { standing: Standing::There, ..seen });
-        self.probes.met(slot, &mut self.chance);
+        self.probes.met(slot, &mut self.rng);
         if !in_page {
             self.table.tell(slot);
         }
@@ -544,7 +544,7 @@
             page = self.own_word();
             // Its own word is in every datagram; who only looks finds it there too.
             let listed: Vec<_> = self.table.of_parts(marked).map(|e| (e.seen.clone(), e.by)).collect();
-            let first = below(&mut self.chance, listed.len().max(1));
+            let first = below(&mut self.rng, listed.len().max(1));
             for (s, by) in listed.iter().cycle().skip(first).take(listed.len()) {
                 if !page.claim(&s.name, s.at, s.incarnation, s.standing, *by) {
                     let full = std::mem::replace(&mut page, self.own_word());
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -2,26 +2,26 @@
 
 use std::collections::BTreeMap;
 
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::{Address, Micros};
 
 use crate::table::Table;
 use crate::terms::{DETOURS, MEMBERS, UNHEARD};
 
 /// A number below `n`, which must not be 0.
-pub fn below(chance: &mut Chance, n: usize) -> usize {
-    ((chance.unit() * n as f64) as usize).min(n - 1)
+pub fn below(rng: &mut Rng, n: usize) -> usize {
+    ((rng.unit() * n as f64) as usize).min(n - 1)
 }
 
 /// Some of those that are in, each once, but one.
-pub fn some(table: &Table, chance: &mut Chance, most: usize, but: Option<usize>) -> Vec<usize> {
+pub fn some(table: &Table, rng: &mut Rng, most: usize, but: Option<usize>) -> Vec<usize> {
     let mut chosen = Vec::with_capacity(most);
     // A few more looks than are wanted: with few others most draws repeat.
     for _ in 0..most * 4 {
         if chosen.len() == most || table.ins.is_empty() {
             break;
         }
-        let slot = table.ins[below(chance, table.ins.len())];
+        let slot = table.ins[below(rng, table.ins.len())];
         if Some(slot) != but && !chosen.contains(&slot) {
             chosen.push(slot);
         }
@@ -64,15 +64,15 @@
     }
 
     /// A new one comes somewhere into the pass under way.
-    pub fn met(&mut self, slot: usize, chance: &mut Chance) {
+    pub fn met(&mut self, slot: usize, rng: &mut Rng) {
         if self.order.len() < 2 * MEMBERS {
-            let place = below(chance, self.order.len() + 1);
+            let place = below(rng, self.order.len() + 1);
             self.order.insert(place, slot);
         }
     }
 
     /// The next to be probed that is in.
-    pub fn next(&mut self, table: &Table, chance: &mut Chance) -> Option<usize> {
+    pub fn next(&mut self, table: &Table, rng: &mut Rng) -> Option<usize> {
         loop {
             while let Some(slot) = self.order.pop() {
                 if table.get(slot).is_some_and(|e| e.seen.standing.is_in()) {
@@ -84,7 +84,7 @@
             }
             self.order.clone_from(&table.ins);
             for n in (1..self.order.len()).rev() {
-                self.order.swap(n, below(chance, n + 1));
+                self.order.swap(n, below(rng, n + 1));
             }
         }
     }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_membership::{Act, Group, Terms};
 use tideroute_wire::fleet::{Saying, Standing, PARTS};
 use tideroute_wire::Address;
@@ -16,8 +16,8 @@
     Group::new(Terms { name: "own".into(), at: HERE, seeds: vec![], seed }, NOW)
 }
 
-fn below(chance: &mut Chance, n: usize) -> usize {
-    (chance.unit() * n as f64) as usize
+fn below(rng: &mut Rng, n: usize) -> usize {
+    (rng.unit() * n as f64) as usize
 }
 
 #[derive(Clone)]
@@ -29,12 +29,12 @@
 }
 
 impl Word {
-    fn drawn(chance: &mut Chance, names: usize) -> Word {
+    fn drawn(rng: &mut Rng, names: usize) -> Word {
         Word {
-            name: format!("r{}", below(chance, names)),
-            incarnation: 1 + below(chance, 4) as u64,
-            standing: STANDINGS[below(chance, 4)],
-            in_page: below(chance, 3) == 0,
+            name: format!("r{}", below(rng, names)),
+            incarnation: 1 + below(rng, 4) as u64,
+            standing: STANDINGS[below(rng, 4)],
+            in_page: below(rng, 3) == 0,
         }
     }
 
@@ -76,8 +76,8 @@
 #[test]
 fn what_is_known_follows_the_plain_rules() {
     for seed in 1..=2_000 {
-        let mut chance = Chance::new(seed);
-        let words: Vec<_> = (0..60).map(|_| Word::drawn(&mut chance, 5)).collect();
+        let mut rng = Rng::new(seed);
+        let words: Vec<_> = (0..60).map(|_| Word::drawn(&mut rng, 5)).collect();
         let mut group = group(seed);
         for word in &words {
             group.heard(NOW, HERE, &word.said()).expect("well said");
@@ -89,9 +89,9 @@
 #[test]
 fn news_in_any_order_and_any_often_comes_to_the_same() {
     for seed in 1..=1_000 {
-        let mut chance = Chance::new(seed);
+        let mut rng = Rng::new(seed);
         let mut words: Vec<_> = (0..40)
-            .map(|_| Word { in_page: false, ..Word::drawn(&mut chance, 4) })
+            .map(|_| Word { in_page: false, ..Word::drawn(&mut rng, 4) })
             .filter(|w| w.standing.is_in() || w.incarnation > 1)
             .collect();
         // Of the dead that were never met nothing is kept, so all are met first.
@@ -110,7 +110,7 @@
         };
         let one = come(&words);
         for n in (1..words.len()).rev() {
-            words.swap(n, below(&mut chance, n + 1));
+            words.swap(n, below(&mut rng, n + 1));
         }
         let repeated: Vec<_> = words.iter().chain(words.iter().step_by(3)).cloned().collect();
         assert_eq!(come(&repeated), one, "seed {seed}");
@@ -119,11 +119,11 @@
 
 #[test]
 fn whatever_is_said_of_itself_it_outbids() {
-    let mut chance = Chance::new(3);
+    let mut rng = Rng::new(3);
     let mut group = group(1);
     for _ in 0..1_000 {
-        let incarnation = group.own().incarnation - 2 + below(&mut chance, 5) as u64;
-        let standing = STANDINGS[1 + below(&mut chance, 3)];
+        let incarnation = group.own().incarnation - 2 + below(&mut rng, 5) as u64;
+        let standing = STANDINGS[1 + below(&mut rng, 3)];
         let mut saying = Saying::new(None, 0);
         saying.claim("own", HERE, incarnation, standing, 7);
         group.heard(NOW, HERE, &saying.plain()).expect("well said");
@@ -157,16 +157,16 @@
 /// Bytes as nobody says them: cut, changed and made up. They are refused or heard, and never more than that.
 #[test]
 fn bytes_that_nobody_said_do_no_harm() {
-    let mut chance = Chance::new(9);
+    let mut rng = Rng::new(9);
     let (mut group, mut heard, mut refused, mut most) = (group(1), 0, 0, 0);
     for n in 0..30_000 {
-        let own = format!("r{}", below(&mut chance, 40));
-        let mut saying = Saying::new(Some((&own, HERE, 5, STANDINGS[below(&mut chance, 4)])), 0);
-        for _ in 0..below(&mut chance, 4) {
-            let w = Word::drawn(&mut chance, 40);
+        let own = format!("r{}", below(&mut rng, 40));
+        let mut saying = Saying::new(Some((&own, HERE, 5, STANDINGS[below(&mut rng, 4)])), 0);
+        for _ in 0..below(&mut rng, 4) {
+            let w = Word::drawn(&mut rng, 40);
             saying.claim(&w.name, HERE, w.incarnation, w.standing, 3);
         }
-        let prints = [chance.unit().to_bits(); PARTS];
+        let prints = [rng.unit().to_bits(); PARTS];
         let said = match n % 6 {
             0 => saying.ping(n),
             1 => saying.answer(n),
@@ -176,12 +176,12 @@
             _ => saying.unheard(n),
         };
         let mut bytes = said.to_vec();
-        for _ in 0..below(&mut chance, 4) {
-            let place = below(&mut chance, bytes.len().max(1));
-            match below(&mut chance, 3) {
+        for _ in 0..below(&mut rng, 4) {
+            let place = below(&mut rng, bytes.len().max(1));
+            match below(&mut rng, 3) {
                 0 => bytes.truncate(place),
-                1 if place < bytes.len() => bytes[place] = below(&mut chance, 256) as u8,
-                _ => bytes.insert(place.min(bytes.len()), below(&mut chance, 256) as u8),
+                1 if place < bytes.len() => bytes[place] = below(&mut rng, 256) as u8,
+                _ => bytes.insert(place.min(bytes.len()), below(&mut rng, 256) as u8),
             }
         }
         let now = NOW + u64::from(n) * 1_000;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! on the simulator's wire and the router on the platform have them from here.
 
 use serde_json::Value;
-use tideroute::interface::{Group, Repeat, Role, Tenths, Terms, Track};
+use tideroute::types::{DeduplicationScope, Idempotency, RequestClass, Role, SchedulerConfig, TenthMillis};
 
 /// How the meaning of a column of load reports begins if it counts prompt tokens that wait.
 const TOKENS: &str = "thousands of prompt tokens waiting";
@@ -13,8 +13,8 @@
 const ARRIVES_MS: f64 = 100.0;
 
 /// Milliseconds to tenths, rounded down; what no clock can hold is brought to its ends.
-pub fn tenths(ms: f64) -> Tenths {
-    (ms * 10.0).floor().clamp(-1e15, 1e15) as Tenths
+pub fn tenths(ms: f64) -> TenthMillis {
+    (ms * 10.0).floor().clamp(-1e15, 1e15) as TenthMillis
 }
 
 fn at<'a>(root: &'a Value, path: &str) -> Result<&'a Value, String> {
@@ -87,8 +87,8 @@
 fn roles(root: &Value, writers_read: bool) -> Result<Vec<Role>, String> {
     let path = "family_info.kind_role";
     let role = |kind: &Value| match kind.as_str() {
-        Some("read") => Ok(Role::Reader),
-        Some("write") => Ok(Role::Writer),
+        Some("read") => Ok(Role::Prefill),
+        Some("write") => Ok(Role::Decode),
         Some("both") => Ok(Role::Mixed),
         _ => Err(format!("{path} {kind} in the settings is unknown")),
     };
@@ -97,10 +97,10 @@
     if kinds.is_some_and(|kinds| kinds.len() != roles.len()) {
         return Err(format!("{path} in the settings does not name one role for each of kinds"));
     }
-    if !writers_read && !roles.iter().any(|r| *r != Role::Writer) {
+    if !writers_read && !roles.iter().any(|r| *r != Role::Decode) {
         return Err(format!("{path} in the settings names no kind that reads"));
     }
-    if !roles.iter().any(|r| *r != Role::Reader) {
+    if !roles.iter().any(|r| *r != Role::Prefill) {
         return Err(format!("{path} in the settings names no kind that writes"));
     }
     Ok(roles)
@@ -108,25 +108,30 @@
 
 /// What holds for a class. Its repeats have to arrive whole while the first is remembered, so that the time which a
 /// connection may take to come up, and a request to arrive, is none in which to send one.
-fn track(place: usize, class: &Value, per_thousand_us: f64, comes_up_ms: f64) -> Result<Track, String> {
+fn track(
+    place: usize,
+    class: &Value,
+    per_thousand_us: f64,
+    comes_up_ms: f64,
+) -> Result<RequestClass, String> {
     if class.get("hard_limit_ms").is_some() {
         over_zero(class, place, "hard_limit_ms")?;
     }
     let repeat = match word(class, "idempotency")? {
-        "pure" => Repeat::Replayable,
-        "token" => Repeat::Referenced {
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::IdempotentWithKey {
             group: match word(class, "dedup_scope")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 other => return Err(format!("dedup_scope {other:?} in the settings is unknown")),
             },
             window: tenths((over_zero(class, place, "key_ttl_ms")? - comes_up_ms - ARRIVES_MS).max(0.0)),
         },
-        "side_effect" => Repeat::SingleUse,
+        "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("idempotency {other:?} in the settings is unknown")),
     };
-    Ok(Track {
+    Ok(RequestClass {
         repeat,
         contract: tenths(over_zero(class, place, "on_time_ms")?),
         per_thousand: tenths(per_thousand_us / 1000.0),
@@ -135,7 +140,7 @@
 }
 
 /// The terms of settings, and what a probe brings of a worker's load.
-pub fn read(text: &[u8]) -> Result<(Terms, Option<Report>), String> {
+pub fn read(text: &[u8]) -> Result<(SchedulerConfig, Option<Report>), String> {
     let root: Value = serde_json::from_slice(text).map_err(|e| format!("the settings do not parse: {e}"))?;
     Ok((terms(&root)?, report(&root)?))
 }
@@ -180,7 +185,7 @@
 }
 
 /// The terms of settings that are parsed already.
-pub fn terms(root: &Value) -> Result<Terms, String> {
+pub fn terms(root: &Value) -> Result<SchedulerConfig, String> {
     let classes = list(root, "classes")?;
     no_name_twice(classes)?;
     let stretches = stretches(root, classes.len())?;
@@ -196,7 +201,7 @@
         return Err("caps.max_attempts in the settings allows no attempt".to_string());
     }
     let report = report(root)?;
-    Ok(Terms {
+    Ok(SchedulerConfig {
         routers: number(root, "balancers")?.max(1.0) as u32,
         tracks: classes
             .iter()
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings as a router is told them: what is not known is passed over, what is wrong is named by its key.
 
 use serde_json::{json, Value};
-use tideroute::interface::{Repeat, Role};
+use tideroute::types::{Idempotency, Role};
 
 fn settings() -> Value {
     json!({
@@ -32,10 +32,10 @@
 fn what_is_told_becomes_terms_and_what_is_not_known_is_passed_over() {
     let terms = tideroute_settings::terms(&settings()).expect("sound");
     assert_eq!((terms.routers, terms.max_shots, terms.release), (3, 6, 10_000));
-    assert_eq!(terms.roles, [Role::Reader, Role::Writer]);
+    assert_eq!(terms.roles, [Role::Prefill, Role::Decode]);
     assert!(terms.places && terms.subscribes && terms.probes && terms.withdrawals && !terms.writers_read);
     assert_eq!((terms.advice, terms.longest_advice), (true, 5_000));
-    assert_eq!(terms.tracks[1].repeat, Repeat::SingleUse);
+    assert_eq!(terms.tracks[1].repeat, Idempotency::NonIdempotent);
     assert_eq!(terms.tracks[1].contract_of(2_000.0), 25_000 + 2_400);
     let bare = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
     assert!(!bare.places, "a switch that is not there is off");
@@ -54,7 +54,7 @@
         root["classes"][0]["key_ttl_ms"] = ttl.into();
         dial.into_iter().for_each(|ms| root["caps"]["dial_timeout_ms"] = ms.into());
         match tideroute_settings::terms(&root).expect("sound").tracks[0].repeat {
-            Repeat::Referenced { window, .. } => window,
+            Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
     };
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use tideroute::interface::{self, Group, Repeat};
+use tideroute::types::{self, DeduplicationScope, Idempotency};
 use tideroute_admission::{Limits, Rate};
 use tideroute_config_language::kinds::{
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
@@ -30,32 +30,32 @@
     Ok([a, b, c, d, high, low])
 }
 
-fn tenths(micros: u64) -> interface::Tenths {
-    (micros / TENTH) as interface::Tenths
+fn tenths(micros: u64) -> types::TenthMillis {
+    (micros / TENTH) as types::TenthMillis
 }
 
-fn track(t: &Track) -> interface::Track {
+fn track(t: &Track) -> types::RequestClass {
     let group = match t.group.as_str() {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        _ => DeduplicationScope::All,
     };
     let repeat = match t.repeat.as_str() {
-        "replayable" => Repeat::Replayable,
-        "referenced" => Repeat::Referenced { group, window: tenths(t.window) },
-        _ => Repeat::SingleUse,
+        "replayable" => Idempotency::Idempotent,
+        "referenced" => Idempotency::IdempotentWithKey { group, window: tenths(t.window) },
+        _ => Idempotency::NonIdempotent,
     };
     let (contract, per_thousand) = (tenths(t.contract), tenths(t.per_thousand));
-    interface::Track { repeat, contract, per_thousand, earnings: t.earnings }
+    types::RequestClass { repeat, contract, per_thousand, earnings: t.earnings }
 }
 
-fn module(terms: &Terms, r: &Router) -> interface::Terms {
+fn module(terms: &Terms, r: &Router) -> types::SchedulerConfig {
     let role = |role: &Role| match role {
-        Role::Reader => interface::Role::Reader,
-        Role::Writer => interface::Role::Writer,
-        Role::Mixed => interface::Role::Mixed,
+        Role::Reader => types::Role::Prefill,
+        Role::Writer => types::Role::Decode,
+        Role::Mixed => types::Role::Mixed,
     };
-    interface::Terms {
+    types::SchedulerConfig {
         routers: terms.routers,
         tracks: r.tracks.iter().map(track).collect(),
         roles: r.kinds.iter().map(|k| role(&k.role)).collect(),
@@ -89,7 +89,7 @@
     let cores = r.cores as usize;
     let mut module = module(&r.terms, r);
     module.routers = module.routers.saturating_mul(r.cores);
-    let books = tideroute_lifecycle::BookTerms {
+    let books = tideroute_lifecycle::LifecycleConfig {
         name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
         module,
         tracks: r.tracks.iter().map(|t| t.name.clone()).collect(),
@@ -120,12 +120,12 @@
 }
 
 /// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
-fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantTerms>>, String> {
+fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, String> {
     let named = r.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
     Ok((r.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
-fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantTerms, String> {
+fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, String> {
     let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
     let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
     let limits = Limits {
@@ -135,7 +135,7 @@
         weight: t.weight,
         waiting: t.waiting,
     };
-    Ok(tideroute_lifecycle::TenantTerms { name: t.name.clone(), version: 0, keys: vec![key], limits })
+    Ok(tideroute_lifecycle::TenantConfig { name: t.name.clone(), version: 0, keys: vec![key], limits })
 }
 
 /// What of a script is still to come, from `now` on.
--- a/crates/test-support/src/control.rs
+++ b/crates/test-support/src/control.rs
@@ -5,7 +5,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 
 use crate::judge::{Judge, Report};
 use crate::worker::Surroundings;
@@ -37,12 +37,12 @@
 /// The judge as another process sees it. Without it that process ends.
 pub struct Remote {
     judge: String,
-    draw: Mutex<Chance>,
+    draw: Mutex<Rng>,
 }
 
 impl Remote {
     pub fn new(judge: &str, seed: u64) -> Remote {
-        Remote { judge: judge.to_string(), draw: Mutex::new(Chance::new(seed)) }
+        Remote { judge: judge.to_string(), draw: Mutex::new(Rng::new(seed)) }
     }
 
     fn tell(&self, report: &Report) -> std::io::Result<bool> {
--- a/crates/test-support/src/customer.rs
+++ b/crates/test-support/src/customer.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::Micros;
 
 use crate::text::{address_of, DISCOVERY, MS};
@@ -69,16 +69,16 @@
 }
 
 /// A number between two, small ones as often as large.
-pub fn between(draw: &mut Chance, least: f64, most: f64) -> f64 {
+pub fn between(draw: &mut Rng, least: f64, most: f64) -> f64 {
     least * (most / least).powf(draw.unit())
 }
 
-fn one_of<T: Copy>(draw: &mut Chance, all: &[T]) -> T {
+fn one_of<T: Copy>(draw: &mut Rng, all: &[T]) -> T {
     all[(draw.unit() * all.len() as f64) as usize]
 }
 
 impl Customer {
-    pub fn drawn(draw: &mut Chance) -> Customer {
+    pub fn drawn(draw: &mut Rng) -> Customer {
         let (classes, class_settings) = classes(draw);
         let (kinds, writers_read) = kinds(draw);
         let workers = workers(draw, &kinds);
@@ -179,7 +179,7 @@
 }
 
 /// Each effect is there once, in an order that differs between customers, and one more with an effect of its own.
-fn classes(draw: &mut Chance) -> (Vec<Class>, Vec<Value>) {
+fn classes(draw: &mut Rng) -> (Vec<Class>, Vec<Value>) {
     let first = (draw.unit() * 4.0) as usize;
     (0..4)
         .map(|n| {
@@ -207,7 +207,7 @@
         .unzip()
 }
 
-fn kinds(draw: &mut Chance) -> (Vec<Role>, bool) {
+fn kinds(draw: &mut Rng) -> (Vec<Role>, bool) {
     use Role::*;
     let (kinds, writers_read): (&[Role], bool) = one_of(
         draw,
@@ -225,7 +225,7 @@
 }
 
 /// Two of each kind and more, so that one of each can stay well.
-fn workers(draw: &mut Chance, kinds: &[Role]) -> Vec<Worker> {
+fn workers(draw: &mut Rng, kinds: &[Role]) -> Vec<Worker> {
     let cells = one_of(draw, &[1u16, 2, 3]);
     let zones = one_of(draw, &[1usize, 2, 3]);
     let rounds = one_of(draw, &[2usize, 3]);
--- a/crates/test-support/src/judge.rs
+++ b/crates/test-support/src/judge.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use serde::{Deserialize, Serialize};
-use tideroute::chance::Chance;
+use tideroute::rng::Rng;
 use tideroute_wire::link::Link;
 use tideroute_wire::Micros;
 
@@ -82,7 +82,7 @@
     pub customer: Customer,
     pub began: Instant,
     checker: Mutex<Checker>,
-    draw: Mutex<Chance>,
+    draw: Mutex<Rng>,
     /// When routers were told that a worker drains.
     drains: Mutex<BTreeMap<usize, Micros>>,
     /// All that was told, with its time.
@@ -92,7 +92,7 @@
 
 impl Judge {
     /// One that sees what passes so much later, at most, than it was done.
-    pub fn new(customer: Customer, draw: Chance, noise: Micros) -> Judge {
+    pub fn new(customer: Customer, draw: Rng, noise: Micros) -> Judge {
         Judge {
             customer,
             began: Instant::now(),
--- a/crates/trace-checker/src/cold.rs
+++ b/crates/trace-checker/src/cold.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use tideroute_wire::list::Standing;
+use tideroute_wire::list::EndpointStatus;
 use tideroute_wire::tap::Passed;
 use tideroute_wire::{Address, Micros};
 
@@ -13,7 +13,7 @@
 /// What a router was told of a worker, and when.
 #[derive(Clone, Copy)]
 struct Told {
-    standing: Standing,
+    standing: EndpointStatus,
     since: Micros,
     started: Micros,
 }
@@ -62,16 +62,17 @@
         self.version = version;
         let mine = |(router, _): &(u32, Address)| *router == passed.process;
         for (_, told) in self.told.iter_mut().filter(|(key, _)| whole && mine(key)) {
-            if told.standing == Standing::Ready {
-                (told.standing, told.since) = (Standing::Gone, passed.at);
+            if told.standing == EndpointStatus::Serving {
+                (told.standing, told.since) = (EndpointStatus::Removed, passed.at);
             }
         }
     }
 
-    pub fn entry(&mut self, passed: &Passed, worker: Address, standing: Standing, started: Micros) {
+    pub fn entry(&mut self, passed: &Passed, worker: Address, standing: EndpointStatus, started: Micros) {
         let told = self.told.get(&(passed.process, worker));
         // Told twice that it drains, the first time counts.
-        let before = told.filter(|t| t.standing != Standing::Ready && standing != Standing::Ready);
+        let before =
+            told.filter(|t| t.standing != EndpointStatus::Serving && standing != EndpointStatus::Serving);
         let since = before.map_or(passed.at, |t| t.since);
         self.told.insert((passed.process, worker), Told { standing, since, started });
         // The process as a whole knows what its first core was told; a slower core repeats an older version.
@@ -80,7 +81,7 @@
         // One page may tell of an end and of a new start.
         if self.version >= *version {
             *version = self.version;
-            *first = (standing != Standing::Ready).then(|| first.unwrap_or(passed.at));
+            *first = (standing != EndpointStatus::Serving).then(|| first.unwrap_or(passed.at));
         }
     }
 
@@ -94,7 +95,7 @@
 
     /// Something new goes to a worker: rule 3.
     pub fn new_goes(&self, passed: &Passed, id: u64, worker: Address, halts: &Halts, report: &mut Report) {
-        let told = self.told.get(&(passed.process, worker)).filter(|t| t.standing != Standing::Ready);
+        let told = self.told.get(&(passed.process, worker)).filter(|t| t.standing != EndpointStatus::Serving);
         let home = self.homes.get(&passed.process);
         let first = home.and_then(|&home| self.first.get(&(home, worker))).and_then(|(_, first)| *first);
         let Some(since) = told.map(|t| t.since).into_iter().chain(first).min() else { return };
--- a/crates/trace-checker/src/talk.rs
+++ b/crates/trace-checker/src/talk.rs
@@ -1,7 +1,7 @@
 //! Frames as calls on the books, from either side of a connection.
 
 use bytes::Bytes;
-use tideroute_wire::list::Standing;
+use tideroute_wire::list::EndpointStatus;
 use tideroute_wire::tap::{Passed, What};
 use tideroute_wire::worker::How;
 use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
@@ -245,7 +245,7 @@
         worker: Address,
         _kind: u16,
         _size: f64,
-        standing: Standing,
+        standing: EndpointStatus,
         _cell: u16,
         _zone: u8,
         started: Micros,
@@ -265,7 +265,7 @@
         worker: Address,
         _kind: u16,
         _size: f64,
-        _standing: Standing,
+        _standing: EndpointStatus,
         _cell: u16,
         _zone: u8,
         started: Micros,
--- a/crates/trace-checker/tests/broken.rs
+++ b/crates/trace-checker/tests/broken.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use tideroute_trace_checker::{check, Group, Repeat, Report, Rule, Terms, TrackTerms, WorkerTerms};
-use tideroute_wire::list::{Page, Standing};
+use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::tap::{self, counts, Passed, What, Who};
 use tideroute_wire::{client, list, say_hello, say_router, worker, Address, Party};
 
@@ -90,10 +90,10 @@
         ] {
             book.connect(from, to, party);
         }
-        book.say(4, true, list::here(address(READER), 0, 1.0, Standing::Ready, 0, 0, 0));
-        book.say(5, true, list::here(address(WRITER), 1, 1.0, Standing::Ready, 0, 0, 0));
+        book.say(4, true, list::here(address(READER), 0, 1.0, EndpointStatus::Serving, 0, 0, 0));
+        book.say(5, true, list::here(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, 0));
         book.say(3, true, list::watch(0));
-        book.page(&[(READER, Standing::Ready, 0), (WRITER, Standing::Ready, 0)]);
+        book.page(&[(READER, EndpointStatus::Serving, 0), (WRITER, EndpointStatus::Serving, 0)]);
         book
     }
 
@@ -126,7 +126,7 @@
         self.note(listener, link, What::Heard, place, frame);
     }
 
-    fn page(&mut self, entries: &[(u32, Standing, u64)]) {
+    fn page(&mut self, entries: &[(u32, EndpointStatus, u64)]) {
         let mut page = Page::new(self.now, false);
         for &(process, standing, started) in entries {
             page.add(address(process), u16::from(process != READER), 1.0, standing, 0, 0, started);
@@ -340,7 +340,7 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 0, 4000);
         book.read(ID, 0);
-        book.page(&[(WRITER, Standing::Draining, 0)]);
+        book.page(&[(WRITER, EndpointStatus::Draining, 0)]);
         book.pass(wait);
         if place {
             book.say(2, true, worker::hold(ID, 100, 20, address(READER)));
@@ -369,9 +369,9 @@
     for (tokens, told, kept) in [(480, true, true), (560, true, false), (560, false, true)] {
         let mut book = Book::new();
         let started = book.now;
-        book.say(5, true, list::here(address(WRITER), 1, 1.0, Standing::Ready, 0, 0, started));
+        book.say(5, true, list::here(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, started));
         if told {
-            book.page(&[(WRITER, Standing::Ready, started)]);
+            book.page(&[(WRITER, EndpointStatus::Serving, started)]);
         }
         book.pass(10).submit(1, 0, 4000);
         book.write(2, ID, 0, tokens);
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -7,9 +7,9 @@
 use crate::{address, bytes_of, Address, Malformed, Micros};
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
-pub enum Standing {
-    Gone,
-    Ready,
+pub enum EndpointStatus {
+    Removed,
+    Serving,
     Draining,
 }
 
@@ -21,7 +21,7 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: Standing,
+        standing: EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
@@ -36,18 +36,18 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: Standing,
+        standing: EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
     ) -> Result<(), Malformed>;
 }
 
-fn standing(code: i32) -> Result<Standing, Malformed> {
+fn standing(code: i32) -> Result<EndpointStatus, Malformed> {
     match listing::Standing::try_from(code) {
-        Ok(listing::Standing::Gone) => Ok(Standing::Gone),
-        Ok(listing::Standing::Ready) => Ok(Standing::Ready),
-        Ok(listing::Standing::Draining) => Ok(Standing::Draining),
+        Ok(listing::Standing::Gone) => Ok(EndpointStatus::Removed),
+        Ok(listing::Standing::Ready) => Ok(EndpointStatus::Serving),
+        Ok(listing::Standing::Draining) => Ok(EndpointStatus::Draining),
         Err(_) => Err(Malformed::Range("standing")),
     }
 }
@@ -108,7 +108,7 @@
     worker: Address,
     kind: u16,
     size: f64,
-    standing: Standing,
+    standing: EndpointStatus,
     cell: u16,
     zone: u8,
     started: Micros,
@@ -130,7 +130,7 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: Standing,
+        standing: EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
@@ -147,15 +147,15 @@
     worker: Address,
     kind: u16,
     size: f64,
-    standing: Standing,
+    standing: EndpointStatus,
     cell: u16,
     zone: u8,
     started: Micros,
 ) -> made::Listing {
     let standing = match standing {
-        Standing::Gone => listing::Standing::Gone,
-        Standing::Ready => listing::Standing::Ready,
-        Standing::Draining => listing::Standing::Draining,
+        EndpointStatus::Removed => listing::Standing::Gone,
+        EndpointStatus::Serving => listing::Standing::Ready,
+        EndpointStatus::Draining => listing::Standing::Draining,
     };
     made::Listing {
         worker: bytes_of(Some(worker)),
--- a/crates/wire/src/tap.rs
+++ b/crates/wire/src/tap.rs
@@ -237,7 +237,15 @@
     fn a_list_of_many_workers_is_kept_whole_and_chunks_of_states_are_not() {
         let mut page = crate::list::Page::new(1, true);
         (0..200u8).for_each(|n| {
-            page.add([127, 0, 0, n, 1, 1], 0, 1.0, crate::list::Standing::Ready, 0, 0, 1_700_000_000_000_000);
+            page.add(
+                [127, 0, 0, n, 1, 1],
+                0,
+                1.0,
+                crate::list::EndpointStatus::Serving,
+                0,
+                0,
+                1_700_000_000_000_000,
+            );
         });
         let frame = page.frame();
         assert!(frame.len() > LONGEST);
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -4,17 +4,17 @@
 
 use foldhash::fast::FixedState;
 
-use crate::interface::{Listing, SubmissionId, Tenths, WorkerId};
+use crate::types::{Endpoint, RequestId, TenthMillis, WorkerId};
 
 /// What is out of a submission.
 #[derive(Default)]
-pub struct Shot {
+pub struct Attempt {
     pub number: u16,
     pub worker: WorkerId,
     /// The worker as it was listed when the shot went out.
-    pub list: Listing,
+    pub list: Endpoint,
     pub reading: bool,
-    pub sent: Tenths,
+    pub sent: TenthMillis,
     pub started: bool,
     pub withdrawn: bool,
     /// Its worker was suspected for its sake; and then it was taken for lost.
@@ -31,14 +31,14 @@
     /// Answers out or streaming, and places.
     pub streams: u32,
     /// Shots that have not begun to answer, by when they were sent.
-    pub awaited: BTreeSet<(Tenths, SubmissionId)>,
+    pub awaited: BTreeSet<(TenthMillis, RequestId)>,
 }
 
 /// What a submission counts for at workers.
 #[derive(Clone, Copy, Default)]
 pub struct Booked {
     /// The shot's worker, the prompt while it is read, and when it was sent while it is awaited.
-    pub shot: Option<(WorkerId, Option<f64>, Option<Tenths>)>,
+    pub shot: Option<(WorkerId, Option<f64>, Option<TenthMillis>)>,
     pub place: Option<WorkerId>,
 }
 
@@ -47,7 +47,7 @@
     loads: HashMap<WorkerId, Load, FixedState>,
     /// What was counted ahead, and what is over: both are taken off when the books are closed.
     ahead: Vec<(WorkerId, Option<f64>)>,
-    over: Vec<(SubmissionId, Booked)>,
+    over: Vec<(RequestId, Booked)>,
 }
 
 impl Ledger {
@@ -67,7 +67,7 @@
     }
 
     /// A submission is over; what it counted for stands until the books are closed.
-    pub fn leave(&mut self, id: SubmissionId, booked: Booked) {
+    pub fn leave(&mut self, id: RequestId, booked: Booked) {
         self.over.push((id, booked));
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Books a submission on, or off again.
-    pub fn book(&mut self, id: SubmissionId, booked: Booked, on: bool) {
+    pub fn book(&mut self, id: RequestId, booked: Booked, on: bool) {
         if let Some((worker, prompt, sent)) = booked.shot {
             let load = self.at(worker);
             load.carry(prompt, on);
@@ -100,7 +100,7 @@
 
 impl Load {
     /// Since when an answer has been awaited longest.
-    pub fn oldest(&self, now: Tenths) -> Tenths {
+    pub fn oldest(&self, now: TenthMillis) -> TenthMillis {
         self.awaited.first().map_or(now, |(sent, _)| now.min(*sent))
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! Tideroute: routing decisions for language-model servers that read and write in two stages.
+//! Tideroute: routing decisions for language-model servers that prefill and decode in two stages.
 
-pub mod chance;
-pub mod choice;
-pub mod fading;
-pub mod interface;
+pub mod ewma;
 pub mod ledger;
 pub mod needs;
 pub mod ranking;
+pub mod rng;
 pub mod roster;
+pub mod scheduler;
 pub mod seen;
+pub mod types;
--- a/src/needs.rs
+++ b/src/needs.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use crate::interface::{SubmissionId, Tenths};
+use crate::types::{RequestId, TenthMillis};
 
 /// The order of decisions: whether nothing is read yet, then by contract time.
-pub type Need = (bool, Tenths, SubmissionId);
+pub type Need = (bool, TenthMillis, RequestId);
 
 /// Under what a submission stands.
 #[derive(Clone, Copy, Default)]
@@ -15,9 +15,9 @@
     /// It needs a decision.
     pub need: Option<Need>,
     /// While no reader takes any more a look changes nothing about it before this time.
-    pub parked: Option<(Tenths, Prompt)>,
+    pub parked: Option<(TenthMillis, Prompt)>,
     /// Its shot has not begun to answer, and may from then on count as lost.
-    pub doubt: Option<Tenths>,
+    pub doubt: Option<TenthMillis>,
 }
 
 /// Tokens of a prompt, in order.
@@ -28,16 +28,16 @@
 pub struct Needs {
     all: BTreeSet<Need>,
     eager: BTreeSet<Need>,
-    parked: BTreeMap<u8, BTreeSet<(Tenths, SubmissionId)>>,
+    parked: BTreeMap<u8, BTreeSet<(TenthMillis, RequestId)>>,
     /// Those parked, by their prompts; and the longest that any of them may wait for a read.
     prompts: BTreeSet<(Prompt, Need)>,
     longest_wait: f64,
-    doubtful: BTreeSet<(Tenths, SubmissionId)>,
+    doubtful: BTreeSet<(TenthMillis, RequestId)>,
 }
 
 impl Needs {
     /// Files a submission of a track anew, `filed` being where it stands so far.
-    pub fn file(&mut self, id: SubmissionId, track: u8, filed: &mut Filed, to: Filed) {
+    pub fn file(&mut self, id: RequestId, track: u8, filed: &mut Filed, to: Filed) {
         let old = std::mem::replace(filed, to);
         if let Some(need) = old.need {
             self.all.remove(&need);
@@ -78,9 +78,9 @@
     }
 
     /// Those of a track that are parked no longer than until then.
-    pub fn parked(&self, track: u8, until: Tenths) -> impl Iterator<Item = SubmissionId> + '_ {
+    pub fn parked(&self, track: u8, until: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
         let parked = self.parked.get(&track).into_iter();
-        parked.flat_map(move |p| p.range(..=(until, SubmissionId::MAX)).map(|(_, id)| *id))
+        parked.flat_map(move |p| p.range(..=(until, RequestId::MAX)).map(|(_, id)| *id))
     }
 
     pub fn any_parked(&self) -> bool {
@@ -89,7 +89,7 @@
 
     /// Those parked whose prompt is no longer.
     pub fn short(&self, prompt: f64) -> impl Iterator<Item = Need> + '_ {
-        let last = (Prompt(prompt), (true, Tenths::MAX, SubmissionId::MAX));
+        let last = (Prompt(prompt), (true, TenthMillis::MAX, RequestId::MAX));
         self.prompts.range(..=last).map(|(_, need)| *need)
     }
 
@@ -104,8 +104,8 @@
     }
 
     /// Those whose shot may count as lost by now.
-    pub fn doubtful(&self, now: Tenths) -> impl Iterator<Item = SubmissionId> + '_ {
-        self.doubtful.range(..=(now, SubmissionId::MAX)).map(|(_, id)| *id)
+    pub fn doubtful(&self, now: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
+        self.doubtful.range(..=(now, RequestId::MAX)).map(|(_, id)| *id)
     }
 
     /// Whether any shot has not begun to answer.
--- a/src/ranking.rs
+++ b/src/ranking.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use crate::interface::WorkerId;
+use crate::types::WorkerId;
 
 /// How many of an order are sorted before more are asked for: homes of a prefix and a few to spill to.
 const FEW: usize = 16;
--- a/src/chance.rs
+++ b/src/rng.rs
@@ -1,18 +1,18 @@
 //! Random numbers: Marsaglia's multiply with carry, started from a seed.
 
 #[derive(Default)]
-pub struct Chance {
+pub struct Rng {
     state: u64,
 }
 
-impl Chance {
+impl Rng {
     pub fn new(seed: u64) -> Self {
         // Neither half may be zero, or the sequence would stand still.
-        let mut chance = Chance { state: (seed ^ (seed >> 29)) | 0x1_0000_0001 };
+        let mut rng = Rng { state: (seed ^ (seed >> 29)) | 0x1_0000_0001 };
         for _ in 0..8 {
-            chance.next();
+            rng.next();
         }
-        chance
+        rng
     }
 
     fn next(&mut self) -> u32 {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::{Listing, Role, Standing, Tenths, WorkerId};
 use crate::ranking::Ranking;
+use crate::types::{Endpoint, EndpointStatus, Role, TenthMillis, WorkerId};
 
 #[derive(Default)]
 pub struct Roster {
     /// Readers and mixed workers that are ready, by their parts of all reads.
     pub readers: Ranking,
     /// Of them those of which a start is known, and when it was.
-    started: Vec<(Tenths, WorkerId)>,
+    started: Vec<(TenthMillis, WorkerId)>,
     /// The part of all reads that the readers of a cell take.
     parts: BTreeMap<u16, f64>,
     /// Writers and mixed workers, all and by cell.
@@ -18,13 +18,13 @@
     near: BTreeMap<u16, Vec<WorkerId>>,
     /// Of those that take reads alone and of the others, how many are ready, their sizes in all, and the known starts
     /// of them in order.
-    kin: [(usize, f64, Vec<Tenths>); 2],
+    kin: [(usize, f64, Vec<TenthMillis>); 2],
 }
 
 impl Roster {
     /// Workers, and the parts of all reads of those that read, both by id.
     pub fn new<'a>(
-        workers: impl Iterator<Item = (&'a Listing, Role)>,
+        workers: impl Iterator<Item = (&'a Endpoint, Role)>,
         shares: Vec<(WorkerId, f64)>,
     ) -> Roster {
         let mut roster = Roster::default();
@@ -35,12 +35,12 @@
                 *roster.parts.entry(list.cell).or_default() += part;
                 roster.started.extend((list.started > 0).then_some((list.started, *id)));
             }
-            if role != Role::Reader {
+            if role != Role::Prefill {
                 roster.writers.push(list.worker);
                 roster.near.entry(list.cell).or_default().push(list.worker);
             }
-            if list.standing == Standing::Ready {
-                let (ready, sizes, starts) = &mut roster.kin[usize::from(role == Role::Reader)];
+            if list.standing == EndpointStatus::Serving {
+                let (ready, sizes, starts) = &mut roster.kin[usize::from(role == Role::Prefill)];
                 (*ready, *sizes) = (*ready + 1, *sizes + list.size);
                 starts.extend((list.started > 0).then_some(list.started));
             }
@@ -62,14 +62,20 @@
     }
 
     /// Readers that started less than so long ago, by id.
-    pub fn cold_readers(&self, now: Tenths, warm_after: Tenths) -> Vec<WorkerId> {
+    pub fn cold_readers(&self, now: TenthMillis, warm_after: TenthMillis) -> Vec<WorkerId> {
         self.started.iter().filter(|(at, _)| now - at < warm_after).map(|(_, id)| *id).collect()
     }
 
     /// How many workers are ready that share a worker's flow, reads or all else; how many of them are warm; and its
     /// size as a part of their mean, 1 at most: sizes that follow the load make idle ones look larger than they are.
-    pub fn peers(&self, list: &Listing, role: Role, now: Tenths, warm_after: Tenths) -> (f64, f64, f64) {
-        let (ready, sizes, starts) = &self.kin[usize::from(role == Role::Reader)];
+    pub fn peers(
+        &self,
+        list: &Endpoint,
+        role: Role,
+        now: TenthMillis,
+        warm_after: TenthMillis,
+    ) -> (f64, f64, f64) {
+        let (ready, sizes, starts) = &self.kin[usize::from(role == Role::Prefill)];
         let cold = starts.len() - starts.partition_point(|at| now - at >= warm_after);
         let part = list.size * *ready as f64 / sizes.max(0.01);
         (*ready as f64, (ready - cold) as f64, part.clamp(0.01, 1.0))
