--- a/src/choice.rs
+++ b/src/scheduler.rs
@@ -1,19 +1,19 @@
-//! Every routing decision. The host makes a `Router` for each instance and tells it what happens through its
+//! Every routing decision. The host makes a `Scheduler` for each instance and tells it what happens through its
 //! public calls, which only update what is known; after them it pulls `decide` until that gives None.
-//! The types at the edge are in `interface.rs`; the reasons are in `docs/design.md`.
+//! The types at the edge are in `types.rs`; the reasons are in `docs/design.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use foldhash::fast::FixedState;
 
-use crate::chance::Chance;
-use crate::fading::{Fading, FadingMean};
-use crate::interface::*;
-use crate::ledger::{Booked, Ledger, Load, Shot};
+use crate::ewma::{Ewma, EwmaMean};
+use crate::ledger::{Attempt, Booked, Ledger, Load};
 use crate::needs::{Filed, Need, Needs, Prompt};
 use crate::ranking::draw;
+use crate::rng::Rng;
 use crate::roster::Roster;
 use crate::seen::Seen;
+use crate::types::*;
 
 /// Prompt tokens of this router that may wait at a reader before reads spill.
 const SPILL: f64 = 4_000.0;
@@ -27,9 +27,9 @@
 /// One prefix may take so many times an even part of the reads at each of its homes.
 const CROWD: f64 = 1.0;
 /// Tenths: how long a writer's 'not held' or a server's 'full' is believed; the design's 50 ms.
-const DENIAL: Tenths = 500;
+const DENIAL: TenthMillis = 500;
 /// Tenths: how long a writer's 'not held' is believed when another could be asked.
-const BELIEF: Tenths = 10_000;
+const BELIEF: TenthMillis = 10_000;
 /// Part of the contract time that the way to a first token may take before less is sent that way.
 const READING: f64 = 0.5;
 /// Readings' worth of no wait at all with which the door weighs what it knows of waits: one, so that a second
@@ -42,13 +42,13 @@
 /// Places that a read may ask for, over which it looks no further beyond its cell: each costs a probe.
 const ASKS: usize = 4;
 /// Tenths: the memory of the means, long against one submission and short against a trouble.
-const MEMORY: Tenths = 50_000;
+const MEMORY: TenthMillis = 50_000;
 /// Tenths: the first rest of a worker that failed, about the time in which a process starts again.
-const REST: Tenths = 5_000;
+const REST: TenthMillis = 5_000;
 /// Doublings of the rest at most: a dead worker is tried every eight seconds or so.
 const RESTS: u32 = 4;
 /// Tenths: the memory of losses, flows and which prefixes come: some forty submissions at one a second.
-const KNOWN: Tenths = 400_000;
+const KNOWN: TenthMillis = 400_000;
 /// A prefix seen less than so often of late is forgotten.
 const FADED: f64 = 0.01;
 /// The bound on the chance that many routers' sum at a cold worker goes beyond its budget and twice its root and two.
@@ -72,49 +72,49 @@
 /// Shots like its own by which one has to be emptier: a kept text saves a read about that much work.
 const EMPTIER: f64 = 1.0;
 /// Tenths: how long their word is believed, in which few arrive; longer than it is waited for, two looks.
-const HEARSAY: Tenths = 300;
+const HEARSAY: TenthMillis = 300;
 /// Tenths: how often undecided submissions are looked at, and how often only workers are watched.
-const LOOK: Tenths = 100;
-const WATCH: Tenths = 500;
+const LOOK: TenthMillis = 100;
+const WATCH: TenthMillis = 500;
 
-type Ticket = (SubmissionId, u8);
-type Open = HashMap<SubmissionId, Submission>;
+type Ticket = (RequestId, u8);
+type Open = HashMap<RequestId, RequestState>;
 
 #[derive(Default)]
 struct Worker {
-    list: Listing,
+    list: Endpoint,
     role: Role,
     answers: u32,
-    fresh_from: Tenths,
-    read_wait: FadingMean,
-    denied: Tenths,
+    fresh_from: TenthMillis,
+    read_wait: EwmaMean,
+    denied: TenthMillis,
     rests: u32,
-    rests_until: Tenths,
+    rests_until: TenthMillis,
     suspect: bool,
     probing: bool,
     /// The probe that is out only asks how much it has.
     asked: bool,
     /// When it last said how much it has, and how much with the shots sent since.
-    told: (Tenths, f64),
+    told: (TenthMillis, f64),
     /// The part of shots lost there, by track.
-    losses: BTreeMap<u8, FadingMean>,
+    losses: BTreeMap<u8, EwmaMean>,
 }
 
 #[derive(Default)]
-struct Submission {
-    arrival: Arrival,
-    came: Tenths,
-    contract: Tenths,
-    cut_off: Tenths,
+struct RequestState {
+    arrival: NewRequest,
+    came: TenthMillis,
+    contract: TenthMillis,
+    cut_off: TenthMillis,
     shots: u16,
-    out: Option<Shot>,
+    out: Option<Attempt>,
     /// The writer asked for a place, and whether it is known to be held.
     place: Option<(WorkerId, bool)>,
     asked: Vec<WorkerId>,
     state: Option<WorkerId>,
-    since: Tenths,
+    since: TenthMillis,
     /// When and where the first shot went that may have run.
-    ran: Option<(Tenths, Listing)>,
+    ran: Option<(TenthMillis, Endpoint)>,
     let_go: bool,
     let_in: bool,
     ended: bool,
@@ -123,57 +123,57 @@
 }
 
 #[derive(Default)]
-pub struct Router {
-    terms: Terms,
-    chance: Chance,
+pub struct Scheduler {
+    terms: SchedulerConfig,
+    rng: Rng,
     workers: HashMap<WorkerId, Worker, FixedState>,
     open: Open,
     /// Those that events, and decisions, changed since what is out was last counted.
-    touched: BTreeSet<SubmissionId>,
-    looked: Vec<SubmissionId>,
+    touched: BTreeSet<RequestId>,
+    looked: Vec<RequestId>,
     ledger: Ledger,
     needs: Needs,
     /// Workers that rest or are suspected.
     watched: BTreeSet<WorkerId>,
-    ready: VecDeque<Decision>,
+    ready: VecDeque<Action>,
     surveyed: bool,
     /// No reader takes any more: the rest of a flood need not look.
     shut: bool,
-    wake: Tenths,
-    subscribe: Option<Tenths>,
-    began: Tenths,
+    wake: TenthMillis,
+    subscribe: Option<TenthMillis>,
+    began: TenthMillis,
     /// By track, how long first tokens take and, apart, reads.
-    waits: [BTreeMap<u8, FadingMean>; 2],
-    cross_wait: FadingMean,
+    waits: [BTreeMap<u8, EwmaMean>; 2],
+    cross_wait: EwmaMean,
     roster: Roster,
     relisted: bool,
     /// How often each prefix was seen lately.
     seen: Seen,
     /// What was lately sent to and answered by writers and by readers.
-    flows: [[Fading; 2]; 2],
+    flows: [[Ewma; 2]; 2],
     /// The part of all shots lost, by track.
-    losses: BTreeMap<u8, FadingMean>,
+    losses: BTreeMap<u8, EwmaMean>,
 }
 
-impl Router {
-    pub fn new(terms: Terms, seed: u64, now: Tenths) -> Self {
-        let (subscribe, chance) = (terms.subscribes.then_some(now), Chance::new(seed));
-        Router { chance, wake: Tenths::MAX, subscribe, began: now, terms, ..Router::default() }
+impl Scheduler {
+    pub fn new(terms: SchedulerConfig, seed: u64, now: TenthMillis) -> Self {
+        let (subscribe, rng) = (terms.subscribes.then_some(now), Rng::new(seed));
+        Scheduler { rng, wake: TenthMillis::MAX, subscribe, began: now, terms, ..Scheduler::default() }
     }
 
     /// A whole list begins: workers that it does not name are gone.
-    pub fn list_anew(&mut self, _now: Tenths) {
+    pub fn list_anew(&mut self, _now: TenthMillis) {
         self.relisted = true;
-        self.workers.values_mut().for_each(|w| w.list.standing = Standing::Gone);
+        self.workers.values_mut().for_each(|w| w.list.standing = EndpointStatus::Removed);
     }
 
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
-    pub fn list_failed(&mut self, now: Tenths) {
-        let pause = REST as f64 * (1.0 + self.chance.unit());
-        self.subscribe = self.terms.subscribes.then_some(now + pause as Tenths);
+    pub fn list_failed(&mut self, now: TenthMillis) {
+        let pause = REST as f64 * (1.0 + self.rng.unit());
+        self.subscribe = self.terms.subscribes.then_some(now + pause as TenthMillis);
     }
 
-    pub fn listed(&mut self, now: Tenths, list: Listing) {
+    pub fn listed(&mut self, now: TenthMillis, list: Endpoint) {
         self.relisted = true;
         let Some(&role) = self.terms.roles.get(usize::from(list.kind)) else { return };
         let worker = self.workers.entry(list.worker).or_insert_with(|| Worker {
@@ -190,12 +190,13 @@
     }
 
     /// False if the submission names a track that the terms do not have.
-    pub fn arrived(&mut self, now: Tenths, arrival: Arrival) -> bool {
+    pub fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool {
         let Some(track) = self.terms.tracks.get(usize::from(arrival.track)) else { return false };
         self.seen.add(now, KNOWN, arrival.prefix, FADED);
         let contract = now + track.contract_of(arrival.prompt);
         let (came, cut_off) = (now, now + arrival.left);
-        let submission = Submission { arrival, came, contract, cut_off, since: now, ..Submission::default() };
+        let submission =
+            RequestState { arrival, came, contract, cut_off, since: now, ..RequestState::default() };
         if let Some(mut old) = self.open.insert(arrival.id, submission) {
             self.needs.file(arrival.id, old.arrival.track, &mut old.filed, Filed::default());
             self.ledger.leave(arrival.id, old.booked);
@@ -204,7 +205,7 @@
         true
     }
 
-    pub fn started(&mut self, now: Tenths, id: SubmissionId, shot: u16) {
+    pub fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16) {
         let Some(submission) = self.open.get_mut(&id) else { return };
         let Some(out) = submission.out.as_mut().filter(|out| out.number == shot && !out.started) else {
             return;
@@ -220,7 +221,7 @@
     }
 
     /// A writer, 0, began to answer, or a reader, 1, read.
-    fn answered(&mut self, now: Tenths, worker: WorkerId, track: u8, stage: usize, took: Tenths) {
+    fn answered(&mut self, now: TenthMillis, worker: WorkerId, track: u8, stage: usize, took: TenthMillis) {
         self.waits[stage].entry(track).or_default().add(now, MEMORY, took as f64);
         self.flows[stage][1].add(now, KNOWN, 1.0);
         self.judge(now, worker, track, 0.0);
@@ -231,7 +232,7 @@
     }
 
     /// The answer names the reader, so the writer is the one asked last.
-    pub fn answered_ahead(&mut self, now: Tenths, id: SubmissionId, held: bool) {
+    pub fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool) {
         let Some(submission) = self.open.get_mut(&id) else { return };
         let Some((writer, _)) = submission.place else { return };
         submission.place = held.then_some((writer, true));
@@ -241,7 +242,14 @@
         }
     }
 
-    pub fn settled(&mut self, now: Tenths, id: SubmissionId, shot: u16, ending: Ending, terminal: bool) {
+    pub fn settled(
+        &mut self,
+        now: TenthMillis,
+        id: RequestId,
+        shot: u16,
+        ending: AttemptOutcome,
+        terminal: bool,
+    ) {
         let Some(submission) = self.open.get_mut(&id) else { return };
         let Some(out) = submission.out.take_if(|out| out.number == shot) else { return };
         self.touched.insert(id);
@@ -251,9 +259,9 @@
             submission.ran = Some((out.sent, out.list));
         }
         let held_there = submission.place.is_some_and(|(w, held)| held && w == out.worker);
-        if ending == Ending::Read {
+        if ending == AttemptOutcome::PrefillComplete {
             submission.state = Some(out.worker);
-        } else if out.reading || ending == Ending::Stateless || held_there {
+        } else if out.reading || ending == AttemptOutcome::StateMissing || held_there {
             // The state is gone, or went ahead to a writer that failed: only a new read helps.
             submission.let_go |= submission.state.is_some() || submission.place.is_some();
             (submission.state, submission.place) = (None, None);
@@ -263,28 +271,28 @@
         let track = submission.arrival.track;
         let Some(worker) = self.workers.get_mut(&out.worker) else { return };
         match ending {
-            Ending::Read => self.answered(now, out.worker, track, 1, now - out.sent),
-            Ending::Honoured | Ending::Stateless => worker.answers += 1,
-            Ending::Full => {
+            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, track, 1, now - out.sent),
+            AttemptOutcome::Completed | AttemptOutcome::StateMissing => worker.answers += 1,
+            AttemptOutcome::Rejected => {
                 worker.denied = now;
                 if out.reading {
                     let all = (submission.contract - submission.came) as f64;
                     self.waits[1].entry(track).or_default().add(now, MEMORY, all);
                 }
             }
-            Ending::Unreachable | Ending::Broken => {
+            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
                 // A connection may break by itself: the first time a probe tells at once.
                 let first = worker.rests == 0 && self.terms.probes;
-                worker.rest(now, if first { 0.0 } else { 1.0 + self.chance.unit() });
+                worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
                 self.watched.insert(out.worker);
             }
-            Ending::Fault => self.judge(now, out.worker, track, 1.0),
-            Ending::TimedOut | Ending::Withdrawn | Ending::NeverSent => {}
+            AttemptOutcome::ServerError => self.judge(now, out.worker, track, 1.0),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
     /// Books an answer, or with 1 a loss, to a worker; after a loss a probe tells whether all of it is dead.
-    fn judge(&mut self, now: Tenths, worker: WorkerId, track: u8, lost: f64) {
+    fn judge(&mut self, now: TenthMillis, worker: WorkerId, track: u8, lost: f64) {
         self.losses.entry(track).or_default().add(now, KNOWN, lost);
         let Some(w) = self.workers.get_mut(&worker) else { return };
         w.losses.entry(track).or_default().add(now, KNOWN, lost);
@@ -300,24 +308,24 @@
         self.watched.insert(worker);
     }
 
-    pub fn dropped(&mut self, _now: Tenths, id: SubmissionId) {
+    pub fn dropped(&mut self, _now: TenthMillis, id: RequestId) {
         let Some(s) = self.open.get_mut(&id) else { return };
         s.ended = true;
         self.touched.insert(id);
     }
 
-    pub fn woken(&mut self, now: Tenths) {
-        self.wake = if now >= self.wake { Tenths::MAX } else { self.wake };
+    pub fn woken(&mut self, now: TenthMillis) {
+        self.wake = if now >= self.wake { TenthMillis::MAX } else { self.wake };
     }
 
-    pub fn probed(&mut self, now: Tenths, worker: WorkerId, well: bool) {
+    pub fn probed(&mut self, now: TenthMillis, worker: WorkerId, well: bool) {
         let Some(w) = self.workers.get_mut(&worker) else { return };
         // Where it says nothing that can be read, what was believed stands, and it is not asked again and again.
         (w.probing, w.told.0) = (false, if well { now } else { w.told.0 });
         if std::mem::take(&mut w.asked) && !well {
             self.suspect(worker);
         } else if !well {
-            w.rest(now, 1.0 + self.chance.unit());
+            w.rest(now, 1.0 + self.rng.unit());
             self.watched.insert(worker);
         } else if w.rests_until > 0 {
             w.back(now);
@@ -325,14 +333,14 @@
     }
 
     /// A probed worker says how much it works on or has waiting, in the unit of the terms.
-    pub fn told(&mut self, now: Tenths, worker: WorkerId, amount: f64) {
+    pub fn told(&mut self, now: TenthMillis, worker: WorkerId, amount: f64) {
         // Exception to places: where none may be asked for, prompts that wait at a writer are its 'no'.
         let no = !self.terms.places && self.terms.in_tokens && amount > SPILL;
         let Some(w) = self.workers.get_mut(&worker) else { return };
-        (w.told, w.denied) = ((now, amount), if no && w.role != Role::Reader { now } else { w.denied });
+        (w.told, w.denied) = ((now, amount), if no && w.role != Role::Prefill { now } else { w.denied });
     }
 
-    pub fn decide(&mut self, now: Tenths) -> Option<Decision> {
+    pub fn decide(&mut self, now: TenthMillis) -> Option<Action> {
         // One survey a round of pulls, which ends with None.
         if self.ready.is_empty() && !std::mem::replace(&mut self.surveyed, true) {
             self.survey(now);
@@ -342,7 +350,7 @@
         next
     }
 
-    fn survey(&mut self, now: Tenths) {
+    fn survey(&mut self, now: TenthMillis) {
         if std::mem::take(&mut self.relisted) {
             self.share_out();
         }
@@ -350,7 +358,7 @@
         self.count(&touched);
         self.shut = false;
         if self.subscribe.take_if(|at| *at <= now).is_some() {
-            self.ready.push_back(Decision::Subscribe);
+            self.ready.push_back(Action::WatchEndpoints);
         }
         let mut open = std::mem::take(&mut self.open);
         for id in &touched {
@@ -375,13 +383,13 @@
         let pause = if waits { LOOK } else { WATCH };
         if (waits || busy || resting || self.subscribe.is_some()) && self.wake > now + pause {
             self.wake = now + pause;
-            self.ready.push_back(Decision::Wake { after: pause });
+            self.ready.push_back(Action::SetTimer { after: pause });
         }
     }
 
     /// Decides about all that need it, best first; of those that wait, while no reader takes any more or only
     /// short prompts, about those that a look can change.
-    fn look(&mut self, now: Tenths, open: &mut Open) {
+    fn look(&mut self, now: TenthMillis, open: &mut Open) {
         let (mut last, mut due, mut sent, mut room) = (None, None, usize::MAX, None);
         loop {
             if !self.shut && self.needs.any_parked() && sent != self.ledger.ahead() {
@@ -407,7 +415,7 @@
 
     /// The longest prompt that a reader may still take, if a look for a longer one is sure to change nothing:
     /// no chance is drawn, and some reader, of which nothing is doubted, will take shorter ones.
-    fn room(&mut self, now: Tenths) -> Option<f64> {
+    fn room(&mut self, now: TenthMillis) -> Option<f64> {
         let (tracks, warm) = (self.terms.tracks.len() as u8, self.terms.warm_after);
         let readers = self.roster.readers.all();
         let (mut room, mut takes): (f64, Option<WorkerId>) = (0.0, None);
@@ -430,7 +438,7 @@
     }
 
     /// Whether a writer grants wherever the read is, and whatever is read.
-    fn grants_any(&mut self, now: Tenths) -> bool {
+    fn grants_any(&mut self, now: TenthMillis) -> bool {
         let (tracks, warm) = (self.terms.tracks.len() as u8, self.terms.warm_after);
         let sure = |w: &Worker| !w.tight(now) && !w.cold(now, warm);
         let first = self.roster.writers.iter().copied().find(|id| sure(&self.workers[id]));
@@ -439,10 +447,10 @@
     }
 
     /// Those parked that may be hopeless, may have to end by now, or have a prompt for which there is room.
-    fn due(&mut self, now: Tenths, room: Option<f64>, open: &Open) -> BTreeSet<Need> {
+    fn due(&mut self, now: TenthMillis, room: Option<f64>, open: &Open) -> BTreeSet<Need> {
         let mut due = BTreeSet::new();
         for track in self.needs.tracks() {
-            let until = now + (self.usual(now, track) * SLACK) as Tenths + LOOK;
+            let until = now + (self.usual(now, track) * SLACK) as TenthMillis + LOOK;
             due.extend(self.needs.parked(track, until).filter_map(|id| open.get(&id)?.filed.need));
         }
         due.extend(room.iter().flat_map(|room| self.needs.short(*room)));
@@ -450,7 +458,7 @@
     }
 
     /// Brings what this router has out at each worker up to date.
-    fn count(&mut self, touched: &BTreeSet<SubmissionId>) {
+    fn count(&mut self, touched: &BTreeSet<RequestId>) {
         self.ledger.close();
         for id in std::mem::take(&mut self.looked).iter().chain(touched) {
             let Some(s) = self.open.get_mut(id) else { continue };
@@ -461,18 +469,18 @@
     }
 
     /// Files a submission as it now stands, or takes it off all books if it is over.
-    fn file(&mut self, id: &SubmissionId, looked: bool, open: &mut Open) {
+    fn file(&mut self, id: &RequestId, looked: bool, open: &mut Open) {
         let Some(s) = open.get_mut(id) else { return };
         let (track, mut to) = (s.arrival.track, Filed::default());
         if let Some(out) = s.out.as_ref().filter(|out| !out.started) {
-            to.doubt = Some(out.sent + ((s.contract - s.came) as f64 * DOUBTFUL) as Tenths);
+            to.doubt = Some(out.sent + ((s.contract - s.came) as f64 * DOUBTFUL) as TenthMillis);
         }
-        let asks = |out: &Shot| out.reading && !out.withdrawn && s.place.is_none() && self.terms.places;
+        let asks = |out: &Attempt| out.reading && !out.withdrawn && s.place.is_none() && self.terms.places;
         if !s.ended && s.out.as_ref().is_none_or(asks) {
             to.need = Some((s.state.is_none(), s.contract, *id));
             if looked && s.out.is_none() && s.state.is_none() {
                 let window = match self.terms.tracks[usize::from(track)].repeat {
-                    Repeat::Referenced { window, .. } => s.ran.map(|(first, _)| first + window),
+                    Idempotency::IdempotentWithKey { window, .. } => s.ran.map(|(first, _)| first + window),
                     _ => None,
                 };
                 let latest = s.contract.min(s.cut_off).min(window.unwrap_or(s.cut_off));
@@ -490,7 +498,7 @@
     /// Guards against answers that never come, of a worker or of one track there: a shot out for long has its worker
     /// probed; for some times the usual wait, as slow as it may be while little is known, it is called back where it
     /// may run again and counts against its worker there. Its age is a wait too. Harms slow reads taken for lost.
-    fn watch(&mut self, now: Tenths, touched: &BTreeSet<SubmissionId>, open: &mut Open) {
+    fn watch(&mut self, now: TenthMillis, touched: &BTreeSet<RequestId>, open: &mut Open) {
         // No other shot can be called back: it is too young to be lost, awaited, and at a worker that works.
         let mut suspects: BTreeSet<_> = self.needs.doubtful(now).collect();
         suspects.extend(touched.iter().filter(|id| open.get(id).is_some_and(|s| s.ended)));
@@ -516,21 +524,22 @@
             } else if age > least && !std::mem::replace(&mut out.suspected, true) {
                 self.suspect(out.worker);
             }
-            let free = out.reading || repeat == Repeat::Replayable;
+            let free = out.reading || repeat == Idempotency::Idempotent;
             let again = free && (lost || resting) && s.shots + 1 < self.terms.max_shots;
             if self.terms.withdrawals && (s.ended || again) {
                 out.withdrawn = true;
-                self.ready.push_back(Decision::Withdraw { id, shot: out.number });
+                self.ready.push_back(Action::CancelAttempt { id, shot: out.number });
             }
         }
         for &id in &self.watched {
-            let Some(w) = self.workers.get_mut(&id).filter(|w| w.list.standing != Standing::Gone) else {
+            let Some(w) = self.workers.get_mut(&id).filter(|w| w.list.standing != EndpointStatus::Removed)
+            else {
                 continue;
             };
             let rested = w.rests_until > 0 && now >= w.rests_until;
             if self.terms.probes && !w.probing && (rested || w.suspect && w.rests_until == 0) {
                 (w.probing, w.suspect) = (true, false);
-                self.ready.push_back(Decision::Probe { worker: id });
+                self.ready.push_back(Action::CheckHealth { worker: id });
             } else if !self.terms.probes && rested {
                 w.back(now);
             }
@@ -539,7 +548,7 @@
     }
 
     /// Whether a shot or place may go to the worker, a choice for all or for those read in one cell.
-    fn usable(&mut self, now: Tenths, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
+    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
         let load = self.ledger.at(id);
         let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
@@ -551,7 +560,7 @@
     }
 
     /// Whether the worker loses clearly more of a track than all do; what is known is shrunk by one shot.
-    fn doubted(&mut self, now: Tenths, id: WorkerId, track: u8) -> bool {
+    fn doubted(&mut self, now: TenthMillis, id: WorkerId, track: u8) -> bool {
         let mean = usual_loss(self.losses.entry(track).or_default(), now);
         let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&track));
         known.map_or(mean, |k| k.shrunk(now, KNOWN, mean, 1.0)) - mean > DOUBT * (1.0 - mean)
@@ -560,11 +569,11 @@
     /// Guards against pushing over a cold worker, by any number of routers: only submissions that draw it go
     /// there, by its part of what all can do, and so few that their sum hardly ever goes beyond the stated multiple
     /// of what it can do and what is put down to chance. Fleet-wide, a warm peer answers `peer` in the stated span.
-    fn lot(&mut self, now: Tenths, id: WorkerId, ticket: SubmissionId, cell: Option<u16>) -> bool {
+    fn lot(&mut self, now: TenthMillis, id: WorkerId, ticket: RequestId, cell: Option<u16>) -> bool {
         let flow = cell.map_or(1.0, |cell| self.roster.part(cell));
         let (t, w) = (&self.terms, &self.workers[&id]);
         let (all, warm, part) = self.roster.peers(&w.list, w.role, now, t.warm_after);
-        let flows = self.flows[usize::from(w.role == Role::Reader)].each_mut();
+        let flows = self.flows[usize::from(w.role == Role::Prefill)].each_mut();
         let [sent, done] = flows.map(|flow| flow.read(now, KNOWN));
         let warmed = (now - w.list.started) as f64 / t.warm_after as f64;
         let present = t.cold_share + (1.0 - t.cold_share) * warmed;
@@ -582,14 +591,14 @@
     /// lone readers among writers would drown, and readers with no writers near choke their link.
     fn share_out(&mut self) {
         let mut around: [BTreeMap<u16, (f64, f64)>; 2] = Default::default();
-        let ready = |w: &&&Worker| w.list.standing == Standing::Ready;
+        let ready = |w: &&&Worker| w.list.standing == EndpointStatus::Serving;
         let mut workers: Vec<&Worker> = self.workers.values().collect();
         workers.sort_unstable_by_key(|w| w.list.worker);
         for w in workers.iter().filter(ready) {
             for (map, place) in around.iter_mut().zip([w.list.cell, u16::from(w.list.zone)]) {
                 let (reads, writes) = map.entry(place).or_default();
-                *reads += if w.role == Role::Writer { 0.0 } else { w.list.size.max(0.01) };
-                *writes += if w.role == Role::Reader { 0.0 } else { w.list.size.max(0.01) };
+                *reads += if w.role == Role::Decode { 0.0 } else { w.list.size.max(0.01) };
+                *writes += if w.role == Role::Prefill { 0.0 } else { w.list.size.max(0.01) };
             }
         }
         let per_reader = |(reads, writes): (f64, f64)| writes / reads.max(0.01);
@@ -597,7 +606,7 @@
             let near = [around[0][&w.list.cell], around[1][&u16::from(w.list.zone)]].map(per_reader);
             (near[0] * near[1]).sqrt()
         };
-        let readers = workers.iter().filter(|w| ready(w) && w.role != Role::Writer);
+        let readers = workers.iter().filter(|w| ready(w) && w.role != Role::Decode);
         let leans: Vec<_> = readers.map(|w| (w.list.worker, w.list.size.max(0.01), lean(w))).collect();
         let sum = |all: bool| leans.iter().filter(|l| all || l.2 > 0.0).map(|l| l.1).sum::<f64>();
         let most = LEAN * sum(false) / sum(true).max(0.01);
@@ -612,7 +621,7 @@
 
     /// The readers to try first, by rendezvous hashing of the prefix or session, and how many of its order
     /// these take up.
-    fn readers(&mut self, now: Tenths, arrival: &Arrival) -> (Vec<WorkerId>, usize) {
+    fn readers(&mut self, now: TenthMillis, arrival: &NewRequest) -> (Vec<WorkerId>, usize) {
         let key = arrival.key();
         // A cold reader that the submission drew comes first, or its part would fall to the hash again.
         let mut first = self.roster.cold_readers(now, self.terms.warm_after);
@@ -634,14 +643,14 @@
     }
 
     /// How many readers a prefix takes: its part of what this router has seen, less what chance adds to it.
-    fn homes(&mut self, now: Tenths, prefix: u64, readers: usize) -> usize {
+    fn homes(&mut self, now: TenthMillis, prefix: u64, readers: usize) -> usize {
         let (seen, all) = self.seen.read(now, KNOWN, prefix);
         let part = (seen - seen.sqrt()).max(0.0) / all.max(1.0);
         (part * readers as f64 / CROWD).ceil().max(1.0) as usize
     }
 
     /// Whether a writer in the cell, or beyond it through the gate, may grant.
-    fn grants(&mut self, now: Tenths, cell: u16, ticket: Ticket) -> bool {
+    fn grants(&mut self, now: TenthMillis, cell: u16, ticket: Ticket) -> bool {
         (0..self.roster.writers.len()).any(|n| {
             let id = self.roster.writers[n];
             let near = self.workers[&id].list.cell == cell;
@@ -655,7 +664,7 @@
     /// for its size; a cold one that the submission drew comes first.
     fn least(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         ticket: Ticket,
         (near, cell, zone): (bool, u16, u8),
         fits: impl Fn(&Worker) -> bool,
@@ -671,30 +680,30 @@
             let w = &self.workers[&id];
             let own = f64::from(self.ledger.at(id).streams) / w.list.size.max(0.01);
             let warm = !w.cold(now, self.terms.warm_after);
-            let rank = (w.list.zone != zone, warm, own, self.chance.unit());
+            let rank = (w.list.zone != zone, warm, own, self.rng.unit());
             best = Some(best.filter(|b| b.0 <= rank).unwrap_or((rank, id)));
         }
         best.map(|(_, id)| id)
     }
 
     /// The gate to another cell: open while first tokens over cells come soon enough, else now and then.
-    fn gate(&mut self, now: Tenths) -> bool {
-        self.is_open(now) || self.chance.unit() * MEASURE < 1.0
+    fn gate(&mut self, now: TenthMillis) -> bool {
+        self.is_open(now) || self.rng.unit() * MEASURE < 1.0
     }
 
-    fn is_open(&mut self, now: Tenths) -> bool {
+    fn is_open(&mut self, now: TenthMillis) -> bool {
         let bound = self.terms.tracks.iter().map(|t| t.contract).min().unwrap_or(0) as f64 / 2.0;
         self.cross_wait.read(now, MEMORY).is_none_or(|mean| mean < bound)
     }
 
     /// The next step of a submission that has no shot out.
-    fn forward(&mut self, now: Tenths, s: &mut Submission) {
+    fn forward(&mut self, now: TenthMillis, s: &mut RequestState) {
         // Without a shot left not even a state that waits at its reader can be answered.
         if now + LOOK >= s.cut_off || !self.may_repeat(now, s) || s.shots >= self.terms.max_shots {
             return self.end(s);
         }
         if let Some(reader) = s.state {
-            let overdue = s.since + (self.terms.release as f64 * PINNED) as Tenths <= now;
+            let overdue = s.since + (self.terms.release as f64 * PINNED) as TenthMillis <= now;
             match self.writer_for(now, s, reader) {
                 Some(writer) if self.may_run(now, s, writer) => {
                     let cross = self.workers.get(&reader).map(|w| w.list.cell)
@@ -718,13 +727,13 @@
             let above = self.terms.tracks.iter().filter(|t| t.earnings >= own.earnings);
             let spare = own.contract - above.map(|t| t.contract).min().unwrap_or(own.contract);
             let part = self.recent(now, s.arrival.track) / (s.contract - s.came - spare) as f64;
-            if self.chance.unit() > (READING / part).powi(2) {
+            if self.rng.unit() > (READING / part).powi(2) {
                 return self.end(s);
             }
         }
         let found = self.reader_for(now, s);
         if let Some(worker) = self.emptiest(now, s, &found) {
-            let reading = self.workers.get(&worker).is_some_and(|w| w.role == Role::Reader);
+            let reading = self.workers.get(&worker).is_some_and(|w| w.role == Role::Prefill);
             s.asked.clear();
             self.send(now, s, worker, reading, false);
             return self.ask(now, s);
@@ -737,7 +746,7 @@
     /// Exception to the first reader: the first than which none behind it is clearly emptier by its own word, which
     /// is asked where that may be; none while that is awaited. Guards against reads that meet at one while others
     /// idle, where a router sees little. Harms where a worker that fails at once looks empty.
-    fn emptiest(&mut self, now: Tenths, s: &Submission, found: &[WorkerId]) -> Option<WorkerId> {
+    fn emptiest(&mut self, now: TenthMillis, s: &RequestState, found: &[WorkerId]) -> Option<WorkerId> {
         let (mut best, mut awaited): (Option<(f64, WorkerId)>, bool) = (None, false);
         let margin = EMPTIER * self.terms.amount(s.arrival.prompt);
         for id in found.iter().filter(|_| found.len() > 1) {
@@ -757,7 +766,7 @@
     }
 
     /// The reader to send to; where readers are asked, the first few.
-    fn reader_for(&mut self, now: Tenths, s: &Submission) -> Vec<WorkerId> {
+    fn reader_for(&mut self, now: TenthMillis, s: &RequestState) -> Vec<WorkerId> {
         let (mut found, most) = (vec![], if self.terms.asks { ASKED } else { 1 });
         if self.shut {
             return found;
@@ -817,7 +826,7 @@
     }
 
     /// The held writer, else the fewest own streams in the reader's cell, else beyond it through the gate.
-    fn writer_for(&mut self, now: Tenths, s: &Submission, reader: WorkerId) -> Option<WorkerId> {
+    fn writer_for(&mut self, now: TenthMillis, s: &RequestState, reader: WorkerId) -> Option<WorkerId> {
         // A short read ends before the answer on its place, but the state may have gone ahead all the same.
         let ticket = (s.arrival.id, s.arrival.track);
         if let Some((writer, held)) = s.place {
@@ -847,15 +856,15 @@
     fn inquire(&mut self, worker: WorkerId) {
         let Some(w) = self.workers.get_mut(&worker).filter(|w| !w.probing && w.alive()) else { return };
         (w.probing, w.asked) = (true, true);
-        self.ready.push_back(Decision::Probe { worker });
+        self.ready.push_back(Action::CheckHealth { worker });
     }
 
     /// Asks for a place at the next writer of the reader's cell while the prompt is read; where none may be asked
     /// for, all of them how much they have.
-    fn ask(&mut self, now: Tenths, s: &mut Submission) {
+    fn ask(&mut self, now: TenthMillis, s: &mut RequestState) {
         let may = s.place.is_none() && (self.terms.places || self.terms.asks && self.terms.in_tokens);
         let Some(out) = s.out.as_ref().filter(|o| may && o.reading && !o.withdrawn) else { return };
-        let Some(Listing { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
+        let Some(Endpoint { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
         if !self.terms.places {
             return self.roster.near(cell).to_vec().into_iter().take(ASKS).for_each(|id| self.inquire(id));
         }
@@ -871,12 +880,13 @@
         s.place = Some((worker, false));
         // A place is a send to come: a cold writer's cap must know of it from the start.
         self.ledger.add_ahead(worker, None);
-        self.ready.push_back(Decision::Hold { id: s.arrival.id, worker });
+        self.ready.push_back(Action::ReserveDecode { id: s.arrival.id, worker });
     }
 
-    fn send(&mut self, now: Tenths, s: &mut Submission, worker: WorkerId, reading: bool, cross: bool) {
+    fn send(&mut self, now: TenthMillis, s: &mut RequestState, worker: WorkerId, reading: bool, cross: bool) {
         let list = self.workers.get(&worker).map(|w| w.list).unwrap_or_default();
-        s.out = Some(Shot { number: s.shots, worker, list, reading, sent: now, cross, ..Shot::default() });
+        s.out =
+            Some(Attempt { number: s.shots, worker, list, reading, sent: now, cross, ..Attempt::default() });
         s.shots += 1;
         if let Some(w) = self.workers.get_mut(&worker) {
             w.told.1 += self.terms.amount(s.arrival.prompt);
@@ -887,49 +897,49 @@
             }
             self.flows[usize::from(reading)][0].add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Decision::Send { id: s.arrival.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.arrival.id, worker, within: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
-    fn may_repeat(&self, now: Tenths, s: &Submission) -> bool {
+    fn may_repeat(&self, now: TenthMillis, s: &RequestState) -> bool {
         s.ran.is_none_or(|(first, _)| self.repeat(s).allows(now - first))
     }
 
     /// And whether it may at this worker: one that knows a repeat of what may have run.
-    fn may_run(&self, now: Tenths, s: &Submission, worker: WorkerId) -> bool {
+    fn may_run(&self, now: TenthMillis, s: &RequestState, worker: WorkerId) -> bool {
         let knows = self.workers.get(&worker).is_some_and(|w| self.repeat(s).is_known(s.ran, &w.list));
         s.ran.is_none() || knows && self.may_repeat(now, s)
     }
 
-    fn repeat(&self, s: &Submission) -> Repeat {
+    fn repeat(&self, s: &RequestState) -> Idempotency {
         self.terms.tracks[usize::from(s.arrival.track)].repeat
     }
 
     /// The usual way to a first token: read and wait at the writer.
-    fn usual(&mut self, now: Tenths, track: u8) -> f64 {
+    fn usual(&mut self, now: TenthMillis, track: u8) -> f64 {
         self.waits.iter_mut().filter_map(|w| w.get_mut(&track)?.read(now, MEMORY)).sum()
     }
 
     /// The same, as far as it was seen of late: guards against a door that stays shut for want of readings,
     /// as hardly any comes while it is. Harms where one slow way in a lull tells of a jam that goes on.
-    fn recent(&mut self, now: Tenths, track: u8) -> f64 {
+    fn recent(&mut self, now: TenthMillis, track: u8) -> f64 {
         self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&track)?.shrunk(now, MEMORY, 0.0, DOOR))).sum()
     }
 
-    fn end_if_hopeless(&mut self, now: Tenths, s: &mut Submission) {
+    fn end_if_hopeless(&mut self, now: TenthMillis, s: &mut RequestState) {
         let usual = self.usual(now, s.arrival.track);
-        if now + (usual * SLACK) as Tenths + LOOK > s.contract.min(s.cut_off) {
+        if now + (usual * SLACK) as TenthMillis + LOOK > s.contract.min(s.cut_off) {
             self.end(s);
         }
     }
 
-    fn let_go(&mut self, s: &mut Submission) {
-        self.ready.push_back(Decision::LetGo { id: s.arrival.id });
+    fn let_go(&mut self, s: &mut RequestState) {
+        self.ready.push_back(Action::Release { id: s.arrival.id });
         (s.state, s.place, s.let_go) = (None, None, false);
     }
 
     /// The final answer: a turn-back where its promise is true, else an abandonment.
-    fn end(&mut self, s: &mut Submission) {
+    fn end(&mut self, s: &mut RequestState) {
         let id = s.arrival.id;
         let harmless = s.ran.is_none() || self.repeat(s).anywhere();
         if s.state.is_some() || s.place.is_some() {
@@ -937,17 +947,14 @@
         }
         s.ended = true;
         // Spread out, or a burst would return as one.
-        let spread = 0.5 + self.chance.unit() / 2.0;
-        let after = if self.terms.advice { (self.terms.longest_advice as f64 * spread) as Tenths } else { 0 };
-        self.ready.push_back(if harmless {
-            Decision::TurnBack { id, after }
-        } else {
-            Decision::Abandon { id }
-        });
+        let spread = 0.5 + self.rng.unit() / 2.0;
+        let after =
+            if self.terms.advice { (self.terms.longest_advice as f64 * spread) as TenthMillis } else { 0 };
+        self.ready.push_back(if harmless { Action::Reject { id, after } } else { Action::Fail { id } });
     }
 }
 
-impl Submission {
+impl RequestState {
     /// How long a reader may take to begin a read.
     fn usable_wait(&self) -> f64 {
         (self.contract - self.came) as f64 * READING
@@ -965,39 +972,39 @@
 
 impl Worker {
     /// Back through a trickle: the cap on what is in flight starts anew.
-    fn back(&mut self, now: Tenths) {
+    fn back(&mut self, now: TenthMillis) {
         (self.rests_until, self.answers, self.fresh_from) = (0, 0, now);
     }
 
     /// How long reads take there, of late or by the oldest that is out.
-    fn wait(&mut self, now: Tenths, load: &Load) -> f64 {
+    fn wait(&mut self, now: TenthMillis, load: &Load) -> f64 {
         self.read_wait.read(now, MEMORY).unwrap_or(0.0).max((now - load.oldest(now)) as f64)
     }
 
     fn alive(&self) -> bool {
-        self.list.standing == Standing::Ready && self.rests_until == 0
+        self.list.standing == EndpointStatus::Serving && self.rests_until == 0
     }
 
     /// Its last answer on a place, or to a send, was no, and that is still believed.
-    fn tight(&self, now: Tenths) -> bool {
+    fn tight(&self, now: TenthMillis) -> bool {
         now < self.denied + BELIEF
     }
 
-    fn cold(&self, now: Tenths, warm: Tenths) -> bool {
+    fn cold(&self, now: TenthMillis, warm: TenthMillis) -> bool {
         self.list.started > 0 && now - self.list.started < warm
     }
 
     /// Out of service, twice as long after each failure; the jitter keeps routers apart.
-    fn rest(&mut self, now: Tenths, jitter: f64) {
+    fn rest(&mut self, now: TenthMillis, jitter: f64) {
         if now < self.rests_until {
             return;
         }
-        self.rests_until = now + (REST as f64 * jitter) as Tenths * (1 << self.rests.min(RESTS));
+        self.rests_until = now + (REST as f64 * jitter) as TenthMillis * (1 << self.rests.min(RESTS));
         self.rests += 1;
     }
 }
 
 /// The part of shots that are lost, shrunk by two shots towards what is usual.
-fn usual_loss(losses: &mut FadingMean, now: Tenths) -> f64 {
+fn usual_loss(losses: &mut EwmaMean, now: TenthMillis) -> f64 {
     losses.shrunk(now, KNOWN, RARE, 2.0)
 }
--- a/src/interface.rs
+++ b/src/types.rs
@@ -1,126 +1,129 @@
 //! The plain types at the edge of the decisions in `choice.rs`.
 
 /// Tenths of a millisecond: a moment on the router's clock, or a length of time.
-pub type Tenths = i64;
+pub type TenthMillis = i64;
 
 /// A worker's address and port, as the wire gives them.
 pub type WorkerId = [u8; 6];
 
-pub type SubmissionId = u64;
+pub type RequestId = u64;
 
 /// What a machine of one kind does: reads prompts, writes answers, or takes submissions whole.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Role {
     #[default]
-    Reader,
-    Writer,
+    Prefill,
+    Decode,
     Mixed,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Standing {
+pub enum EndpointStatus {
     #[default]
-    Ready,
+    Serving,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// The workers among which repeats of a referenced submission are dropped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Repeat {
-    Replayable,
-    Referenced { group: Group, window: Tenths },
-    SingleUse,
+pub enum Idempotency {
+    Idempotent,
+    IdempotentWithKey { group: DeduplicationScope, window: TenthMillis },
+    NonIdempotent,
 }
 
-impl Repeat {
+impl Idempotency {
     /// Whether an attempt may follow so long after the first one that may have run.
-    pub fn allows(self, after: Tenths) -> bool {
+    pub fn allows(self, after: TenthMillis) -> bool {
         match self {
-            Repeat::Replayable => true,
-            Repeat::SingleUse => false,
-            Repeat::Referenced { window, .. } => after < window,
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::IdempotentWithKey { window, .. } => after < window,
         }
     }
 
     /// Whether a worker knows a repeat of what may have run first, at a worker that was listed so when it was sent.
-    pub fn is_known(self, first: Option<(Tenths, Listing)>, here: &Listing) -> bool {
+    pub fn is_known(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
         let Some((_, there)) = first else { return true };
         match self {
-            Repeat::Referenced { group: Group::Zone, .. } => there.zone == here.zone,
-            Repeat::Referenced { group: Group::Cell, .. } => there.cell == here.cell,
+            Idempotency::IdempotentWithKey { group: DeduplicationScope::Zone, .. } => there.zone == here.zone,
+            Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, .. } => there.cell == here.cell,
             _ => true,
         }
     }
 
     /// Whether a further attempt is harmless wherever it runs, so that a client may be told to come again.
     pub fn anywhere(self) -> bool {
-        matches!(self, Repeat::Replayable | Repeat::Referenced { group: Group::All, .. })
+        matches!(
+            self,
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { group: DeduplicationScope::All, .. }
+        )
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Ending {
-    Honoured,
-    Fault,
-    Full,
+pub enum AttemptOutcome {
+    Completed,
+    ServerError,
+    Rejected,
     /// There was no read state to fetch.
-    Stateless,
+    StateMissing,
     TimedOut,
     Unreachable,
-    Broken,
-    Withdrawn,
-    NeverSent,
+    ConnectionReset,
+    Cancelled,
+    NotSent,
     /// The prompt was read; its state waits at the reader.
-    Read,
+    PrefillComplete,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// It shows that no answer has begun, nor ever will.
     pub fn never_ran(self) -> bool {
-        use Ending::*;
-        matches!(self, Read | Full | Stateless | Unreachable | NeverSent)
+        use AttemptOutcome::*;
+        matches!(self, PrefillComplete | Rejected | StateMissing | Unreachable | NotSent)
     }
 }
 
 /// What holds for one track of submissions.
 #[derive(Clone, Debug)]
-pub struct Track {
-    pub repeat: Repeat,
-    pub contract: Tenths,
+pub struct RequestClass {
+    pub repeat: Idempotency,
+    pub contract: TenthMillis,
     /// Contract time added for every 1,000 prompt tokens.
-    pub per_thousand: Tenths,
+    pub per_thousand: TenthMillis,
     pub earnings: f64,
 }
 
-impl Track {
+impl RequestClass {
     /// How long after it came the first token of a submission is wanted.
-    pub fn contract_of(&self, prompt: f64) -> Tenths {
+    pub fn contract_of(&self, prompt: f64) -> TenthMillis {
         let stretch = self.per_thousand as f64 * prompt.max(0.0) / 1000.0;
-        self.contract + stretch as Tenths
+        self.contract + stretch as TenthMillis
     }
 }
 
 /// What a router is told when it starts and works under from then on.
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct SchedulerConfig {
     pub routers: u32,
-    pub tracks: Vec<Track>,
+    pub tracks: Vec<RequestClass>,
     pub roles: Vec<Role>,
     pub places: bool,
     pub writers_read: bool,
-    pub release: Tenths,
+    pub release: TenthMillis,
     pub cold_share: f64,
-    pub warm_after: Tenths,
+    pub warm_after: TenthMillis,
     pub fall_multiple: f64,
-    pub fall_span: Tenths,
+    pub fall_span: TenthMillis,
     pub max_shots: u16,
     pub withdrawals: bool,
     pub probes: bool,
@@ -131,10 +134,10 @@
     /// Changes of the list come only once they are asked for.
     pub subscribes: bool,
     pub advice: bool,
-    pub longest_advice: Tenths,
+    pub longest_advice: TenthMillis,
 }
 
-impl Terms {
+impl SchedulerConfig {
     /// What one shot adds to what a worker has, as that is told.
     pub fn amount(&self, prompt: f64) -> f64 {
         if self.in_tokens {
@@ -147,29 +150,29 @@
 
 /// One worker as the list names it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct Endpoint {
     pub worker: WorkerId,
     pub kind: u16,
     pub size: f64,
-    pub standing: Standing,
+    pub standing: EndpointStatus,
     pub cell: u16,
     pub zone: u8,
     /// When its process last started; 0 for long ago.
-    pub started: Tenths,
+    pub started: TenthMillis,
 }
 
 /// One submission as a client hands it over.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Arrival {
-    pub id: SubmissionId,
+pub struct NewRequest {
+    pub id: RequestId,
     pub track: u8,
     pub session: u64,
     pub prefix: u64,
     pub prompt: f64,
-    pub left: Tenths,
+    pub left: TenthMillis,
 }
 
-impl Arrival {
+impl NewRequest {
     /// What its reads are placed by: the prefix that it shares, or its session.
     pub fn key(&self) -> u64 {
         if self.prefix != 0 {
@@ -181,36 +184,36 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Decision {
-    Send {
-        id: SubmissionId,
+pub enum Action {
+    Dispatch {
+        id: RequestId,
         worker: WorkerId,
-        within: Tenths,
+        within: TenthMillis,
     },
-    Hold {
-        id: SubmissionId,
+    ReserveDecode {
+        id: RequestId,
         worker: WorkerId,
     },
-    LetGo {
-        id: SubmissionId,
+    Release {
+        id: RequestId,
     },
-    Withdraw {
-        id: SubmissionId,
+    CancelAttempt {
+        id: RequestId,
         shot: u16,
     },
-    TurnBack {
-        id: SubmissionId,
-        after: Tenths,
+    Reject {
+        id: RequestId,
+        after: TenthMillis,
     },
-    Abandon {
-        id: SubmissionId,
+    Fail {
+        id: RequestId,
     },
-    Probe {
+    CheckHealth {
         worker: WorkerId,
     },
     /// Ask for the list's changes from now on.
-    Subscribe,
-    Wake {
-        after: Tenths,
+    WatchEndpoints,
+    SetTimer {
+        after: TenthMillis,
     },
 }
--- a/tests/before/choice.rs
+++ b/tests/before/choice.rs
@@ -3,13 +3,13 @@
 //!
 //! Every routing decision. The host makes a `Router` for each instance and tells it what happens through its
 //! public calls, which only update what is known; after them it pulls `decide` until that gives None.
-//! The types at the edge are in `interface.rs`; the reasons are in `docs/design.md`.
+//! The types at the edge are in `types.rs`; the reasons are in `docs/design.md`.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::chance::Chance;
-use crate::fading::{Fading, FadingMean};
-use crate::interface::*;
+use crate::ewma::{Ewma, EwmaMean};
+use crate::rng::Rng;
+use crate::types::*;
 
 /// Prompt tokens of this router that may wait at a reader before reads spill.
 const SPILL: f64 = 4_000.0;
@@ -22,9 +22,9 @@
 /// One prefix may take so many times an even part of the reads at each of its homes.
 const CROWD: f64 = 1.0;
 /// Tenths: how long a writer's 'not held' or a server's 'full' is believed; the design's 50 ms.
-const DENIAL: Tenths = 500;
+const DENIAL: TenthMillis = 500;
 /// Tenths: how long a writer's 'not held' is believed when another could be asked.
-const BELIEF: Tenths = 10_000;
+const BELIEF: TenthMillis = 10_000;
 /// Part of the contract time that the way to a first token may take before less is sent that way.
 const READING: f64 = 0.5;
 /// Readings' worth of no wait at all with which the door weighs what it knows of waits: one, so that a second
@@ -37,13 +37,13 @@
 /// Places that a read may ask for, over which it looks no further beyond its cell: each costs a probe.
 const ASKS: usize = 4;
 /// Tenths: the memory of the means, long against one submission and short against a trouble.
-const MEMORY: Tenths = 50_000;
+const MEMORY: TenthMillis = 50_000;
 /// Tenths: the first rest of a worker that failed, about the time in which a process starts again.
-const REST: Tenths = 5_000;
+const REST: TenthMillis = 5_000;
 /// Doublings of the rest at most: a dead worker is tried every eight seconds or so.
 const RESTS: u32 = 4;
 /// Tenths: the memory of losses, flows and which prefixes come: some forty submissions at one a second.
-const KNOWN: Tenths = 400_000;
+const KNOWN: TenthMillis = 400_000;
 /// Standard deviations of a sum of many routers' chances that stay free at a cold worker.
 const RISK: f64 = 1e-4;
 const WARMS: f64 = 1.5;
@@ -60,31 +60,31 @@
 /// Part of the release time after which a state that found no writer is let go; the rest covers ticks.
 const PINNED: f64 = 0.7;
 /// Tenths: how often undecided submissions are looked at, and how often only workers are watched.
-const LOOK: Tenths = 100;
-const WATCH: Tenths = 500;
+const LOOK: TenthMillis = 100;
+const WATCH: TenthMillis = 500;
 
-type Ticket = (SubmissionId, u8);
+type Ticket = (RequestId, u8);
 
 #[derive(Default)]
 struct Worker {
-    list: Listing,
+    list: Endpoint,
     role: Role,
     tokens: f64,
     reads: u32,
     streams: u32,
     /// Those of them that have begun to answer.
     begun: u32,
-    oldest: Tenths,
+    oldest: TenthMillis,
     answers: u32,
-    fresh_from: Tenths,
-    read_wait: FadingMean,
-    denied: Tenths,
+    fresh_from: TenthMillis,
+    read_wait: EwmaMean,
+    denied: TenthMillis,
     rests: u32,
-    rests_until: Tenths,
+    rests_until: TenthMillis,
     suspect: bool,
     probing: bool,
     /// The part of shots lost there, by track.
-    losses: BTreeMap<u8, FadingMean>,
+    losses: BTreeMap<u8, EwmaMean>,
 }
 
 #[derive(Default)]
@@ -92,7 +92,7 @@
     number: u16,
     worker: WorkerId,
     reading: bool,
-    sent: Tenths,
+    sent: TenthMillis,
     started: bool,
     withdrawn: bool,
     doubted: bool,
@@ -102,19 +102,19 @@
 
 #[derive(Default)]
 struct Submission {
-    arrival: Arrival,
-    came: Tenths,
-    contract: Tenths,
-    cut_off: Tenths,
+    arrival: NewRequest,
+    came: TenthMillis,
+    contract: TenthMillis,
+    cut_off: TenthMillis,
     shots: u16,
     out: Option<Shot>,
     /// The writer asked for a place, and whether it is known to be held.
     place: Option<(WorkerId, bool)>,
     asked: Vec<WorkerId>,
     state: Option<WorkerId>,
-    since: Tenths,
+    since: TenthMillis,
     /// When and where the first shot went that may have run.
-    ran: Option<(Tenths, WorkerId)>,
+    ran: Option<(TenthMillis, WorkerId)>,
     let_go: bool,
     let_in: bool,
     ended: bool,
@@ -122,40 +122,40 @@
 
 #[derive(Default)]
 pub struct Router {
-    terms: Terms,
-    chance: Chance,
+    terms: SchedulerConfig,
+    rng: Rng,
     workers: BTreeMap<WorkerId, Worker>,
-    open: BTreeMap<SubmissionId, Submission>,
+    open: BTreeMap<RequestId, Submission>,
     /// Those whose answer streams: until it ends nothing is decided about them, so that no survey meets them.
-    streaming: BTreeMap<SubmissionId, Submission>,
-    ready: VecDeque<Decision>,
+    streaming: BTreeMap<RequestId, Submission>,
+    ready: VecDeque<Action>,
     surveyed: bool,
     /// No reader takes any more: the rest of a flood need not look.
     shut: bool,
-    wake: Tenths,
-    subscribe: Option<Tenths>,
-    began: Tenths,
+    wake: TenthMillis,
+    subscribe: Option<TenthMillis>,
+    began: TenthMillis,
     /// By track, how long first tokens take and, apart, reads.
-    waits: [BTreeMap<u8, FadingMean>; 2],
-    cross_wait: FadingMean,
+    waits: [BTreeMap<u8, EwmaMean>; 2],
+    cross_wait: EwmaMean,
     /// Readers and mixed workers that are ready, and their parts of all reads.
     shares: BTreeMap<WorkerId, f64>,
     relisted: bool,
     /// How often each prefix was seen lately, and all submissions.
-    seen: BTreeMap<u64, Fading>,
-    all_seen: Fading,
+    seen: BTreeMap<u64, Ewma>,
+    all_seen: Ewma,
     /// What was lately sent to and answered by writers and by readers.
-    flows: [(Fading, Fading); 2],
+    flows: [(Ewma, Ewma); 2],
     /// The part of all shots lost, by track.
-    losses: BTreeMap<u8, FadingMean>,
+    losses: BTreeMap<u8, EwmaMean>,
 }
 
 impl Router {
-    pub fn new(terms: Terms, seed: u64, now: Tenths) -> Self {
+    pub fn new(terms: SchedulerConfig, seed: u64, now: TenthMillis) -> Self {
         let subscribe = terms.subscribes.then_some(now);
         Router {
-            chance: Chance::new(seed),
-            wake: Tenths::MAX,
+            rng: Rng::new(seed),
+            wake: TenthMillis::MAX,
             subscribe,
             began: now,
             terms,
@@ -164,18 +164,18 @@
     }
 
     /// A whole list begins: workers that it does not name are gone.
-    pub fn list_anew(&mut self, _now: Tenths) {
+    pub fn list_anew(&mut self, _now: TenthMillis) {
         self.relisted = true;
-        self.workers.values_mut().for_each(|w| w.list.standing = Standing::Gone);
+        self.workers.values_mut().for_each(|w| w.list.standing = EndpointStatus::Removed);
     }
 
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
-    pub fn list_failed(&mut self, now: Tenths) {
-        let pause = REST as f64 * (1.0 + self.chance.unit());
-        self.subscribe = self.terms.subscribes.then_some(now + pause as Tenths);
+    pub fn list_failed(&mut self, now: TenthMillis) {
+        let pause = REST as f64 * (1.0 + self.rng.unit());
+        self.subscribe = self.terms.subscribes.then_some(now + pause as TenthMillis);
     }
 
-    pub fn listed(&mut self, now: Tenths, list: Listing) {
+    pub fn listed(&mut self, now: TenthMillis, list: Endpoint) {
         self.relisted = true;
         let role = self.terms.roles.get(usize::from(list.kind)).copied();
         let Some(role) = role else { return };
@@ -192,7 +192,7 @@
     }
 
     /// False if the submission names a track that the terms do not have.
-    pub fn arrived(&mut self, now: Tenths, arrival: Arrival) -> bool {
+    pub fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool {
         let Some(track) = self.terms.tracks.get(usize::from(arrival.track)) else { return false };
         let stretch = track.per_thousand as f64 * arrival.prompt.max(0.0) / 1000.0;
         self.all_seen.add(now, KNOWN, 1.0);
@@ -200,14 +200,14 @@
             self.seen.entry(arrival.prefix).or_default().add(now, KNOWN, 1.0);
             self.seen.retain(|_, s| s.read(now, KNOWN) > 0.01);
         }
-        let contract = now + track.contract + stretch as Tenths;
+        let contract = now + track.contract + stretch as TenthMillis;
         let (came, cut_off) = (now, now + arrival.left);
         let submission = Submission { arrival, came, contract, cut_off, since: now, ..Submission::default() };
         self.open.insert(arrival.id, submission);
         true
     }
 
-    pub fn started(&mut self, now: Tenths, id: SubmissionId, shot: u16) {
+    pub fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16) {
         let Some(submission) = self.open.get_mut(&id) else { return };
         let Some(out) = submission.out.as_mut().filter(|out| out.number == shot) else { return };
         out.started = true;
@@ -224,7 +224,7 @@
     }
 
     /// A writer, 0, began to answer, or a reader, 1, read.
-    fn answered(&mut self, now: Tenths, worker: WorkerId, track: u8, stage: usize, took: Tenths) {
+    fn answered(&mut self, now: TenthMillis, worker: WorkerId, track: u8, stage: usize, took: TenthMillis) {
         self.waits[stage].entry(track).or_default().add(now, MEMORY, took as f64);
         self.flows[stage].1.add(now, KNOWN, 1.0);
         self.judge(now, worker, track, 0.0);
@@ -235,7 +235,7 @@
     }
 
     /// The answer names the reader, so the writer is the one asked last.
-    pub fn answered_ahead(&mut self, now: Tenths, id: SubmissionId, held: bool) {
+    pub fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool) {
         let Some(submission) = self.open.get_mut(&id) else { return };
         let Some((writer, _)) = submission.place else { return };
         submission.place = held.then_some((writer, true));
@@ -244,7 +244,14 @@
         }
     }
 
-    pub fn settled(&mut self, now: Tenths, id: SubmissionId, shot: u16, ending: Ending, terminal: bool) {
+    pub fn settled(
+        &mut self,
+        now: TenthMillis,
+        id: RequestId,
+        shot: u16,
+        ending: AttemptOutcome,
+        terminal: bool,
+    ) {
         if let Some((id, submission)) = self.streaming.remove_entry(&id) {
             let worker = submission.out.as_ref().and_then(|out| self.workers.get_mut(&out.worker));
             worker.into_iter().for_each(|w| w.begun -= 1);
@@ -256,15 +263,19 @@
         submission.ended |= terminal;
         let proven = matches!(
             ending,
-            Ending::Read | Ending::Full | Ending::Stateless | Ending::Unreachable | Ending::NeverSent
+            AttemptOutcome::PrefillComplete
+                | AttemptOutcome::Rejected
+                | AttemptOutcome::StateMissing
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::NotSent
         );
         if !out.reading && !proven && submission.ran.is_none() {
             submission.ran = Some((out.sent, out.worker));
         }
         let held_there = submission.place.is_some_and(|(w, held)| held && w == out.worker);
-        if ending == Ending::Read {
+        if ending == AttemptOutcome::PrefillComplete {
             submission.state = Some(out.worker);
-        } else if out.reading || ending == Ending::Stateless || held_there {
+        } else if out.reading || ending == AttemptOutcome::StateMissing || held_there {
             // The state is gone, or went ahead to a writer that failed: only a new read helps.
             submission.let_go |= submission.state.is_some() || submission.place.is_some();
             (submission.state, submission.place) = (None, None);
@@ -274,52 +285,52 @@
         let track = submission.arrival.track;
         let Some(worker) = self.workers.get_mut(&out.worker) else { return };
         match ending {
-            Ending::Read => self.answered(now, out.worker, track, 1, now - out.sent),
-            Ending::Honoured | Ending::Stateless => worker.answers += 1,
-            Ending::Full => {
+            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, track, 1, now - out.sent),
+            AttemptOutcome::Completed | AttemptOutcome::StateMissing => worker.answers += 1,
+            AttemptOutcome::Rejected => {
                 worker.denied = now;
                 if out.reading {
                     let all = (submission.contract - submission.came) as f64;
                     self.waits[1].entry(track).or_default().add(now, MEMORY, all);
                 }
             }
-            Ending::Unreachable | Ending::Broken => {
+            AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
                 let first = worker.rests == 0 && self.terms.probes;
-                worker.rest(now, if first { 0.0 } else { 1.0 + self.chance.unit() });
+                worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
             }
-            Ending::Fault => self.judge(now, out.worker, track, 1.0),
-            Ending::TimedOut | Ending::Withdrawn | Ending::NeverSent => {}
+            AttemptOutcome::ServerError => self.judge(now, out.worker, track, 1.0),
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
     /// Books an answer, or with 1 a loss, to a worker; after a loss a probe tells whether all of it is dead.
-    fn judge(&mut self, now: Tenths, worker: WorkerId, track: u8, lost: f64) {
+    fn judge(&mut self, now: TenthMillis, worker: WorkerId, track: u8, lost: f64) {
         self.losses.entry(track).or_default().add(now, KNOWN, lost);
         let Some(w) = self.workers.get_mut(&worker) else { return };
         w.losses.entry(track).or_default().add(now, KNOWN, lost);
         w.suspect |= lost > 0.0;
     }
 
-    pub fn dropped(&mut self, _now: Tenths, id: SubmissionId) {
+    pub fn dropped(&mut self, _now: TenthMillis, id: RequestId) {
         let held = self.open.get_mut(&id).or_else(|| self.streaming.get_mut(&id));
         held.into_iter().for_each(|s| s.ended = true);
     }
 
-    pub fn woken(&mut self, now: Tenths) {
-        self.wake = if now >= self.wake { Tenths::MAX } else { self.wake };
+    pub fn woken(&mut self, now: TenthMillis) {
+        self.wake = if now >= self.wake { TenthMillis::MAX } else { self.wake };
     }
 
-    pub fn probed(&mut self, now: Tenths, worker: WorkerId, well: bool) {
+    pub fn probed(&mut self, now: TenthMillis, worker: WorkerId, well: bool) {
         let Some(w) = self.workers.get_mut(&worker) else { return };
         w.probing = false;
         if !well {
-            w.rest(now, 1.0 + self.chance.unit());
+            w.rest(now, 1.0 + self.rng.unit());
         } else if w.rests_until > 0 {
             w.back(now);
         }
     }
 
-    pub fn decide(&mut self, now: Tenths) -> Option<Decision> {
+    pub fn decide(&mut self, now: TenthMillis) -> Option<Action> {
         // One survey a round of pulls, which ends with None.
         if self.ready.is_empty() && !std::mem::replace(&mut self.surveyed, true) {
             self.survey(now);
@@ -329,14 +340,14 @@
         next
     }
 
-    fn survey(&mut self, now: Tenths) {
+    fn survey(&mut self, now: TenthMillis) {
         if std::mem::take(&mut self.relisted) {
             self.share_out();
         }
         self.count(now);
         self.shut = false;
         if self.subscribe.take_if(|at| *at <= now).is_some() {
-            self.ready.push_back(Decision::Subscribe);
+            self.ready.push_back(Action::WatchEndpoints);
         }
         let mut open = std::mem::take(&mut self.open);
         for s in open.values_mut() {
@@ -369,12 +380,12 @@
         let pause = if waits { LOOK } else { WATCH };
         if (waits || busy || resting || self.subscribe.is_some()) && self.wake > now + pause {
             self.wake = now + pause;
-            self.ready.push_back(Decision::Wake { after: pause });
+            self.ready.push_back(Action::SetTimer { after: pause });
         }
     }
 
     /// Counts anew what this router has out at each worker.
-    fn count(&mut self, now: Tenths) {
+    fn count(&mut self, now: TenthMillis) {
         for w in self.workers.values_mut() {
             (w.tokens, w.reads, w.streams, w.oldest) = (0.0, 0, w.begun, now);
         }
@@ -401,7 +412,7 @@
     /// Guards against answers that never come, of a worker or of one track there: a shot out for some times
     /// the usual wait is called back where it may run again and counts against its worker there. Its age is
     /// a wait too, so that patience grows when all is slow. Harms when a slow read is taken for lost.
-    fn watch(&mut self, now: Tenths, open: &mut BTreeMap<SubmissionId, Submission>) {
+    fn watch(&mut self, now: TenthMillis, open: &mut BTreeMap<RequestId, Submission>) {
         for (&id, s) in open {
             let repeat = self.terms.tracks[usize::from(s.arrival.track)].repeat;
             let Some(out) = s.out.as_mut().filter(|o| !o.started && !o.withdrawn) else { continue };
@@ -422,18 +433,18 @@
                 out.suspected = true;
                 self.workers.entry(out.worker).and_modify(|w| w.suspect = true);
             }
-            let free = out.reading || repeat == Repeat::Replayable;
+            let free = out.reading || repeat == Idempotency::Idempotent;
             let again = free && (lost || resting) && s.shots + 1 < self.terms.max_shots;
             if self.terms.withdrawals && (s.ended || again) {
                 out.withdrawn = true;
-                self.ready.push_back(Decision::Withdraw { id, shot: out.number });
+                self.ready.push_back(Action::CancelAttempt { id, shot: out.number });
             }
         }
-        for (&id, w) in self.workers.iter_mut().filter(|(_, w)| w.list.standing != Standing::Gone) {
+        for (&id, w) in self.workers.iter_mut().filter(|(_, w)| w.list.standing != EndpointStatus::Removed) {
             let rested = w.rests_until > 0 && now >= w.rests_until;
             if self.terms.probes && !w.probing && (rested || w.suspect && w.rests_until == 0) {
                 (w.probing, w.suspect) = (true, false);
-                self.ready.push_back(Decision::Probe { worker: id });
+                self.ready.push_back(Action::CheckHealth { worker: id });
             } else if !self.terms.probes && rested {
                 w.back(now);
             }
@@ -441,7 +452,7 @@
     }
 
     /// Whether a shot or place may go to the worker, a choice for all or for those read in one cell.
-    fn usable(&mut self, now: Tenths, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
+    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
         let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
         let cold = w.cold(now, self.terms.warm_after);
@@ -452,7 +463,7 @@
     }
 
     /// Whether the worker loses clearly more of a track than all do; what is known is shrunk by one shot.
-    fn doubted(&mut self, now: Tenths, id: WorkerId, track: u8) -> bool {
+    fn doubted(&mut self, now: TenthMillis, id: WorkerId, track: u8) -> bool {
         let mean = usual_loss(self.losses.entry(track).or_default(), now);
         let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&track));
         let (lost, shots) = known.map_or((0.0, 0.0), |k| k.sums(now, KNOWN));
@@ -462,17 +473,18 @@
     /// Guards against pushing over a cold worker, by any number of routers: only submissions that draw it go
     /// there, so few that their sum stays under the stated multiple of what it can do by some times its own
     /// spread, reckoned from what warm peers answer. Harms where many are cold: they do little till warm.
-    fn lot(&mut self, now: Tenths, id: WorkerId, ticket: SubmissionId, cell: Option<u16>) -> bool {
+    fn lot(&mut self, now: TenthMillis, id: WorkerId, ticket: RequestId, cell: Option<u16>) -> bool {
         let flow = cell.map_or(1.0, |cell| self.flow(cell));
         let (t, w) = (&self.terms, &self.workers[&id]);
         let kin = self.workers.values().filter(|k| {
-            (k.role == Role::Reader) == (w.role == Role::Reader) && k.list.standing == Standing::Ready
+            (k.role == Role::Prefill) == (w.role == Role::Prefill)
+                && k.list.standing == EndpointStatus::Serving
         });
         let (all, warm, sizes) = kin.fold((0.0, 0.0, 0.0), |(all, warm, sizes), k| {
             (all + 1.0, warm + f64::from(u8::from(!k.cold(now, t.warm_after))), sizes + k.list.size)
         });
         let size: f64 = w.list.size * all / f64::max(sizes, 0.01);
-        let (sent, done) = &mut self.flows[usize::from(w.role == Role::Reader)];
+        let (sent, done) = &mut self.flows[usize::from(w.role == Role::Prefill)];
         let (sent, done) = (sent.read(now, KNOWN), done.read(now, KNOWN));
         let part = (now - w.list.started) as f64 / t.warm_after as f64;
         let present = t.cold_share + (1.0 - t.cold_share) * part;
@@ -491,12 +503,12 @@
     /// lone readers among writers would drown, and readers with no writers near choke their link.
     fn share_out(&mut self) {
         let mut around: [BTreeMap<u16, (f64, f64)>; 2] = Default::default();
-        let ready = |w: &&Worker| w.list.standing == Standing::Ready;
+        let ready = |w: &&Worker| w.list.standing == EndpointStatus::Serving;
         for w in self.workers.values().filter(ready) {
             for (map, place) in around.iter_mut().zip([w.list.cell, u16::from(w.list.zone)]) {
                 let (reads, writes) = map.entry(place).or_default();
-                *reads += if w.role == Role::Writer { 0.0 } else { w.list.size.max(0.01) };
-                *writes += if w.role == Role::Reader { 0.0 } else { w.list.size.max(0.01) };
+                *reads += if w.role == Role::Decode { 0.0 } else { w.list.size.max(0.01) };
+                *writes += if w.role == Role::Prefill { 0.0 } else { w.list.size.max(0.01) };
             }
         }
         let per_reader = |(reads, writes): (f64, f64)| writes / reads.max(0.01);
@@ -504,7 +516,7 @@
             let near = [around[0][&w.list.cell], around[1][&u16::from(w.list.zone)]].map(per_reader);
             (near[0] * near[1]).sqrt()
         };
-        let readers = self.workers.iter().filter(|(_, w)| ready(w) && w.role != Role::Writer);
+        let readers = self.workers.iter().filter(|(_, w)| ready(w) && w.role != Role::Decode);
         let leans: Vec<_> = readers.map(|(&id, w)| (id, w.list.size.max(0.01), lean(w))).collect();
         let sum = |all: bool| leans.iter().filter(|l| all || l.2 > 0.0).map(|l| l.1).sum::<f64>();
         let most = LEAN * sum(false) / sum(true).max(0.01);
@@ -517,7 +529,7 @@
     }
 
     /// Readers and mixed workers, best first, by rendezvous hashing of the prefix or session.
-    fn readers(&mut self, now: Tenths, arrival: &Arrival) -> Vec<WorkerId> {
+    fn readers(&mut self, now: TenthMillis, arrival: &NewRequest) -> Vec<WorkerId> {
         let key = if arrival.prefix != 0 { arrival.prefix } else { arrival.session };
         let mut ranked = Vec::new();
         let shares = std::mem::take(&mut self.shares);
@@ -539,7 +551,7 @@
     }
 
     /// How many readers a prefix takes: its part of what this router has seen, less what chance adds to it.
-    fn homes(&mut self, now: Tenths, prefix: u64, readers: usize) -> usize {
+    fn homes(&mut self, now: TenthMillis, prefix: u64, readers: usize) -> usize {
         let seen = self.seen.get_mut(&prefix).map_or(0.0, |s| s.read(now, KNOWN));
         let all = self.all_seen.read(now, KNOWN).max(1.0);
         let part = (seen - seen.sqrt()).max(0.0) / all;
@@ -547,7 +559,7 @@
     }
 
     /// Whether a writer in the cell, or beyond it through the gate, may grant.
-    fn grants(&mut self, now: Tenths, cell: u16, ticket: Ticket) -> bool {
+    fn grants(&mut self, now: TenthMillis, cell: u16, ticket: Ticket) -> bool {
         let writers = self.writers(|w| !w.tight(now));
         writers.into_iter().any(|id| {
             let near = self.workers[&id].list.cell == cell;
@@ -556,7 +568,7 @@
     }
 
     fn writers(&self, fits: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
-        self.workers.iter().filter(|(_, w)| w.role != Role::Reader && fits(w)).map(|(&id, _)| id).collect()
+        self.workers.iter().filter(|(_, w)| w.role != Role::Prefill && fits(w)).map(|(&id, _)| id).collect()
     }
 
     /// The part of all reads that a cell's readers take.
@@ -569,7 +581,7 @@
     /// for its size; a cold one that the submission drew comes first.
     fn least(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         ticket: Ticket,
         (near, cell, zone): (bool, u16, u8),
         fits: impl Fn(&Worker) -> bool,
@@ -582,27 +594,26 @@
             let w = &self.workers[&id];
             let own = f64::from(w.streams) / w.list.size.max(0.01);
             let warm = !w.cold(now, self.terms.warm_after);
-            let rank = (w.list.zone != zone, warm, own, self.chance.unit());
+            let rank = (w.list.zone != zone, warm, own, self.rng.unit());
             best = Some(best.filter(|b| b.0 <= rank).unwrap_or((rank, id)));
         }
         best.map(|(_, id)| id)
     }
 
     /// The gate to another cell: open while first tokens over cells come soon enough, else now and then.
-    fn gate(&mut self, now: Tenths) -> bool {
+    fn gate(&mut self, now: TenthMillis) -> bool {
         let bound = self.terms.tracks.iter().map(|t| t.contract).min().unwrap_or(0) as f64 / 2.0;
-        self.cross_wait.read(now, MEMORY).is_none_or(|mean| mean < bound)
-            || self.chance.unit() * MEASURE < 1.0
+        self.cross_wait.read(now, MEMORY).is_none_or(|mean| mean < bound) || self.rng.unit() * MEASURE < 1.0
     }
 
     /// The next step of a submission that has no shot out.
-    fn forward(&mut self, now: Tenths, s: &mut Submission) {
+    fn forward(&mut self, now: TenthMillis, s: &mut Submission) {
         // Without a shot left not even a state that waits at its reader can be answered.
         if now + LOOK >= s.cut_off || !self.may_repeat(now, s) || s.shots >= self.terms.max_shots {
             return self.end(s);
         }
         if let Some(reader) = s.state {
-            let overdue = s.since + (self.terms.release as f64 * PINNED) as Tenths <= now;
+            let overdue = s.since + (self.terms.release as f64 * PINNED) as TenthMillis <= now;
             match self.writer_for(now, s, reader) {
                 Some(writer) if self.may_run(now, s, writer) => {
                     let cross = self.workers.get(&reader).map(|w| w.list.cell)
@@ -626,12 +637,12 @@
             let above = self.terms.tracks.iter().filter(|t| t.earnings >= own.earnings);
             let spare = own.contract - above.map(|t| t.contract).min().unwrap_or(own.contract);
             let part = self.recent(now, s.arrival.track) / (s.contract - s.came - spare) as f64;
-            if self.chance.unit() > (READING / part).powi(2) {
+            if self.rng.unit() > (READING / part).powi(2) {
                 return self.end(s);
             }
         }
         if let Some(worker) = self.reader_for(now, s) {
-            let reading = self.workers.get(&worker).is_some_and(|w| w.role == Role::Reader);
+            let reading = self.workers.get(&worker).is_some_and(|w| w.role == Role::Prefill);
             s.asked.clear();
             self.send(now, s, worker, reading, false);
             return self.ask(now, s);
@@ -639,7 +650,7 @@
         self.end_if_hopeless(now, s);
     }
 
-    fn reader_for(&mut self, now: Tenths, s: &Submission) -> Option<WorkerId> {
+    fn reader_for(&mut self, now: TenthMillis, s: &Submission) -> Option<WorkerId> {
         if self.shut {
             return None;
         }
@@ -683,7 +694,7 @@
     }
 
     /// The held writer, else the fewest own streams in the reader's cell, else beyond it through the gate.
-    fn writer_for(&mut self, now: Tenths, s: &Submission, reader: WorkerId) -> Option<WorkerId> {
+    fn writer_for(&mut self, now: TenthMillis, s: &Submission, reader: WorkerId) -> Option<WorkerId> {
         // A short read ends before the answer on its place, but the state may have gone ahead all the same.
         let ticket = (s.arrival.id, s.arrival.track);
         if let Some((writer, held)) = s.place {
@@ -710,12 +721,12 @@
     }
 
     /// Asks for a place at the next writer of the reader's cell while the prompt is read.
-    fn ask(&mut self, now: Tenths, s: &mut Submission) {
+    fn ask(&mut self, now: TenthMillis, s: &mut Submission) {
         let Some(out) = s.out.as_ref().filter(|o| o.reading && !o.withdrawn) else { return };
         if s.place.is_some() || !self.terms.places {
             return;
         }
-        let Some(Listing { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
+        let Some(Endpoint { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
         let asked = s.asked.clone();
         let fits = |w: &Worker| !asked.contains(&w.list.worker) && !w.tight(now);
         let ticket = (s.arrival.id, s.arrival.track);
@@ -730,10 +741,10 @@
             // A place is a send to come: a cold writer's cap must know of it from the start.
             w.streams += 1;
         }
-        self.ready.push_back(Decision::Hold { id: s.arrival.id, worker });
+        self.ready.push_back(Action::ReserveDecode { id: s.arrival.id, worker });
     }
 
-    fn send(&mut self, now: Tenths, s: &mut Submission, worker: WorkerId, reading: bool, cross: bool) {
+    fn send(&mut self, now: TenthMillis, s: &mut Submission, worker: WorkerId, reading: bool, cross: bool) {
         let number = s.shots;
         s.shots += 1;
         s.out = Some(Shot { number, worker, reading, sent: now, cross, ..Shot::default() });
@@ -746,52 +757,56 @@
             }
             self.flows[usize::from(reading)].0.add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Decision::Send { id: s.arrival.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.arrival.id, worker, within: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
-    fn may_repeat(&self, now: Tenths, s: &Submission) -> bool {
+    fn may_repeat(&self, now: TenthMillis, s: &Submission) -> bool {
         s.ran.is_none_or(|(first, _)| match self.terms.tracks[usize::from(s.arrival.track)].repeat {
-            Repeat::Replayable => true,
-            Repeat::SingleUse => false,
-            Repeat::Referenced { window, .. } => now < first + window,
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::IdempotentWithKey { window, .. } => now < first + window,
         })
     }
 
     /// And whether it may at this worker.
-    fn may_run(&self, now: Tenths, s: &Submission, worker: WorkerId) -> bool {
+    fn may_run(&self, now: TenthMillis, s: &Submission, worker: WorkerId) -> bool {
         let Some((_, ran_at)) = s.ran else { return true };
         let (Some(there), Some(here)) = (self.workers.get(&ran_at), self.workers.get(&worker)) else {
             return false;
         };
         let together = match self.terms.tracks[usize::from(s.arrival.track)].repeat {
-            Repeat::Referenced { group: Group::Zone, .. } => there.list.zone == here.list.zone,
-            Repeat::Referenced { group: Group::Cell, .. } => there.list.cell == here.list.cell,
+            Idempotency::IdempotentWithKey { group: DeduplicationScope::Zone, .. } => {
+                there.list.zone == here.list.zone
+            }
+            Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, .. } => {
+                there.list.cell == here.list.cell
+            }
             _ => true,
         };
         together && self.may_repeat(now, s)
     }
 
     /// The usual way to a first token: read and wait at the writer.
-    fn usual(&mut self, now: Tenths, track: u8) -> f64 {
+    fn usual(&mut self, now: TenthMillis, track: u8) -> f64 {
         self.waits.iter_mut().filter_map(|w| w.get_mut(&track)?.read(now, MEMORY)).sum()
     }
 
     /// The same as far as readings are recent: a router whose door is nearly shut has none, and must try again.
-    fn recent(&mut self, now: Tenths, track: u8) -> f64 {
+    fn recent(&mut self, now: TenthMillis, track: u8) -> f64 {
         let waits = self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&track)?.sums(now, MEMORY)));
         waits.map(|(total, count)| total / (count + DOOR)).sum()
     }
 
-    fn end_if_hopeless(&mut self, now: Tenths, s: &mut Submission) {
+    fn end_if_hopeless(&mut self, now: TenthMillis, s: &mut Submission) {
         let usual = self.usual(now, s.arrival.track);
-        if now + (usual * SLACK) as Tenths + LOOK > s.contract.min(s.cut_off) {
+        if now + (usual * SLACK) as TenthMillis + LOOK > s.contract.min(s.cut_off) {
             self.end(s);
         }
     }
 
     fn let_go(&mut self, s: &mut Submission) {
-        self.ready.push_back(Decision::LetGo { id: s.arrival.id });
+        self.ready.push_back(Action::Release { id: s.arrival.id });
         (s.state, s.place, s.let_go) = (None, None, false);
     }
 
@@ -800,56 +815,53 @@
         let id = s.arrival.id;
         let harmless = s.ran.is_none()
             || match self.terms.tracks[usize::from(s.arrival.track)].repeat {
-                Repeat::Replayable => true,
-                Repeat::SingleUse => false,
-                Repeat::Referenced { group, .. } => group == Group::All,
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::IdempotentWithKey { group, .. } => group == DeduplicationScope::All,
             };
         if s.state.is_some() || s.place.is_some() {
             self.let_go(s);
         }
         s.ended = true;
         // Spread out, or a burst would return as one.
-        let spread = 0.5 + self.chance.unit() / 2.0;
-        let after = if self.terms.advice { (self.terms.longest_advice as f64 * spread) as Tenths } else { 0 };
-        self.ready.push_back(if harmless {
-            Decision::TurnBack { id, after }
-        } else {
-            Decision::Abandon { id }
-        });
+        let spread = 0.5 + self.rng.unit() / 2.0;
+        let after =
+            if self.terms.advice { (self.terms.longest_advice as f64 * spread) as TenthMillis } else { 0 };
+        self.ready.push_back(if harmless { Action::Reject { id, after } } else { Action::Fail { id } });
     }
 }
 
 impl Worker {
     /// Back through a trickle: the cap on what is in flight starts anew.
-    fn back(&mut self, now: Tenths) {
+    fn back(&mut self, now: TenthMillis) {
         (self.rests_until, self.answers, self.fresh_from) = (0, 0, now);
     }
 
     fn alive(&self) -> bool {
-        self.list.standing == Standing::Ready && self.rests_until == 0
+        self.list.standing == EndpointStatus::Serving && self.rests_until == 0
     }
 
     /// Its last answer on a place, or to a send, was no, and that is still believed.
-    fn tight(&self, now: Tenths) -> bool {
+    fn tight(&self, now: TenthMillis) -> bool {
         now < self.denied + BELIEF
     }
 
-    fn cold(&self, now: Tenths, warm: Tenths) -> bool {
+    fn cold(&self, now: TenthMillis, warm: TenthMillis) -> bool {
         self.list.started > 0 && now - self.list.started < warm
     }
 
     /// Out of service, twice as long after each failure; the jitter keeps routers apart.
-    fn rest(&mut self, now: Tenths, jitter: f64) {
+    fn rest(&mut self, now: TenthMillis, jitter: f64) {
         if now < self.rests_until {
             return;
         }
-        self.rests_until = now + (REST as f64 * jitter) as Tenths * (1 << self.rests.min(RESTS));
+        self.rests_until = now + (REST as f64 * jitter) as TenthMillis * (1 << self.rests.min(RESTS));
         self.rests += 1;
     }
 }
 
 /// The part of shots that are lost, shrunk by two shots towards what is usual.
-fn usual_loss(losses: &mut FadingMean, now: Tenths) -> f64 {
+fn usual_loss(losses: &mut EwmaMean, now: TenthMillis) -> f64 {
     let (lost, shots) = losses.sums(now, KNOWN);
     (lost + 2.0 * RARE) / (shots + 2.0)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,22 +3,22 @@
 
 use std::collections::BTreeMap;
 
-use tideroute::choice::Router;
-use tideroute::interface::*;
+use tideroute::scheduler::Scheduler;
+use tideroute::types::*;
 
-pub const MS: Tenths = 10;
+pub const MS: TenthMillis = 10;
 
-pub fn track(repeat: Repeat) -> Track {
-    Track { repeat, contract: 1500 * MS, per_thousand: 40 * MS, earnings: 1.0 }
+pub fn track(repeat: Idempotency) -> RequestClass {
+    RequestClass { repeat, contract: 1500 * MS, per_thousand: 40 * MS, earnings: 1.0 }
 }
 
-pub fn terms() -> Terms {
-    let nearby = Repeat::Referenced { group: Group::Cell, window: 300 * MS };
-    let anywhere = Repeat::Referenced { group: Group::All, window: 300 * MS };
-    Terms {
+pub fn terms() -> SchedulerConfig {
+    let nearby = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 300 * MS };
+    let anywhere = Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 300 * MS };
+    SchedulerConfig {
         routers: 3,
-        tracks: [Repeat::Replayable, Repeat::SingleUse, nearby, anywhere].map(track).to_vec(),
-        roles: vec![Role::Reader, Role::Writer],
+        tracks: [Idempotency::Idempotent, Idempotency::NonIdempotent, nearby, anywhere].map(track).to_vec(),
+        roles: vec![Role::Prefill, Role::Decode],
         places: true,
         writers_read: false,
         release: 500 * MS,
@@ -38,40 +38,40 @@
 }
 
 #[derive(Debug)]
-pub struct Shot {
+pub struct Attempt {
     pub number: u16,
     pub worker: WorkerId,
     pub reading: bool,
-    pub sent: Tenths,
+    pub sent: TenthMillis,
     pub started: bool,
 }
 
 #[derive(Debug)]
 pub struct Entry {
     pub track: u8,
-    pub contract: Tenths,
-    pub cut_off: Tenths,
+    pub contract: TenthMillis,
+    pub cut_off: TenthMillis,
     pub shots: u16,
-    pub out: Option<Shot>,
-    pub ran: Option<(Tenths, WorkerId)>,
+    pub out: Option<Attempt>,
+    pub ran: Option<(TenthMillis, WorkerId)>,
     pub place: Option<WorkerId>,
     pub asked: bool,
     pub held: bool,
-    pub since: Tenths,
+    pub since: TenthMillis,
     pub ended: bool,
 }
 
 pub struct World {
-    pub router: Router,
-    pub terms: Terms,
-    pub now: Tenths,
-    pub list: BTreeMap<WorkerId, Listing>,
-    pub open: BTreeMap<SubmissionId, Entry>,
+    pub router: Scheduler,
+    pub terms: SchedulerConfig,
+    pub now: TenthMillis,
+    pub list: BTreeMap<WorkerId, Endpoint>,
+    pub open: BTreeMap<RequestId, Entry>,
     pub probes: Vec<WorkerId>,
-    pub wakes: Vec<Tenths>,
-    pub log: Vec<(Tenths, Decision)>,
+    pub wakes: Vec<TenthMillis>,
+    pub log: Vec<(TenthMillis, Action)>,
     pub finished: BTreeMap<WorkerId, u32>,
-    next: SubmissionId,
+    next: RequestId,
 }
 
 /// Worker `n`: two cells of one reader and two writers each.
@@ -79,25 +79,25 @@
     [10, 0, 0, n, 1, 0]
 }
 
-pub fn listing(n: u8) -> Listing {
+pub fn listing(n: u8) -> Endpoint {
     let kind = u16::from(!n.is_multiple_of(3));
     let (cell, zone) = (u16::from(n / 3), n / 3);
-    Listing { worker: worker(n), kind, size: 4.0, standing: Standing::Ready, cell, zone, started: 0 }
+    Endpoint { worker: worker(n), kind, size: 4.0, standing: EndpointStatus::Serving, cell, zone, started: 0 }
 }
 
 impl World {
-    pub fn new(terms: Terms, workers: u8) -> World {
+    pub fn new(terms: SchedulerConfig, workers: u8) -> World {
         World::seeded(terms, workers, 7)
     }
 
-    pub fn logged(&self, decision: &Decision) -> bool {
+    pub fn logged(&self, decision: &Action) -> bool {
         self.log.iter().any(|(_, d)| d == decision)
     }
 
-    pub fn seeded(terms: Terms, workers: u8, seed: u64) -> World {
+    pub fn seeded(terms: SchedulerConfig, workers: u8, seed: u64) -> World {
         let now = 1_000_000;
         let mut world = World {
-            router: Router::new(terms.clone(), seed, now),
+            router: Scheduler::new(terms.clone(), seed, now),
             terms,
             now,
             list: BTreeMap::new(),
@@ -114,18 +114,18 @@
         world
     }
 
-    pub fn relist(&mut self, listing: Listing) {
+    pub fn relist(&mut self, listing: Endpoint) {
         if self.list.insert(listing.worker, listing).is_none_or(|old| old.started != listing.started) {
             self.finished.insert(listing.worker, 0);
         }
         self.router.listed(self.now, listing);
     }
 
-    pub fn arrive(&mut self, track: u8, prefix: u64, prompt: f64, left: Tenths) -> SubmissionId {
+    pub fn arrive(&mut self, track: u8, prefix: u64, prompt: f64, left: TenthMillis) -> RequestId {
         let session = self.next;
         let id = self.next;
         self.next += 1;
-        let arrival = Arrival { id, track, session, prefix, prompt, left };
+        let arrival = NewRequest { id, track, session, prefix, prompt, left };
         assert!(self.router.arrived(self.now, arrival));
         let cut_off = self.now + left;
         let contract = self.now + self.terms.tracks[usize::from(track)].contract_of(prompt);
@@ -148,21 +148,25 @@
         id
     }
 
-    pub fn settle(&mut self, id: SubmissionId, ending: Ending) {
+    pub fn settle(&mut self, id: RequestId, ending: AttemptOutcome) {
         let entry = self.open.get_mut(&id).expect("known");
         let shot = entry.out.take().expect("a shot is out");
         let proven = matches!(
             ending,
-            Ending::Full | Ending::Stateless | Ending::Unreachable | Ending::NeverSent | Ending::Read
+            AttemptOutcome::Rejected
+                | AttemptOutcome::StateMissing
+                | AttemptOutcome::Unreachable
+                | AttemptOutcome::NotSent
+                | AttemptOutcome::PrefillComplete
         );
         if !shot.reading && !proven && entry.ran.is_none() {
             entry.ran = Some((shot.sent, shot.worker));
         }
-        if matches!(ending, Ending::Honoured | Ending::Read) {
+        if matches!(ending, AttemptOutcome::Completed | AttemptOutcome::PrefillComplete) {
             *self.finished.entry(shot.worker).or_default() += 1;
         }
-        let terminal = ending == Ending::Honoured || shot.started;
-        entry.held |= ending == Ending::Read;
+        let terminal = ending == AttemptOutcome::Completed || shot.started;
+        entry.held |= ending == AttemptOutcome::PrefillComplete;
         entry.held &= !terminal;
         entry.asked = false;
         (entry.since, entry.ended) = (self.now, entry.ended || terminal);
@@ -170,7 +174,7 @@
         self.pull();
     }
 
-    pub fn start(&mut self, id: SubmissionId) {
+    pub fn start(&mut self, id: RequestId) {
         let entry = self.open.get_mut(&id).expect("known");
         let shot = entry.out.as_mut().expect("a shot is out");
         shot.started = true;
@@ -179,7 +183,7 @@
         self.pull();
     }
 
-    pub fn answer(&mut self, id: SubmissionId, held: bool) {
+    pub fn answer(&mut self, id: RequestId, held: bool) {
         let entry = self.open.get_mut(&id).expect("known");
         assert!(std::mem::take(&mut entry.asked), "one answer a place");
         entry.held |= held;
@@ -187,14 +191,14 @@
         self.pull();
     }
 
-    pub fn drop_client(&mut self, id: SubmissionId) {
+    pub fn drop_client(&mut self, id: RequestId) {
         self.open.get_mut(&id).expect("known").ended = true;
         self.router.dropped(self.now, id);
         self.pull();
     }
 
     /// Lets time pass; timers fire when due, and shots end when their client's time is up.
-    pub fn pass(&mut self, time: Tenths) {
+    pub fn pass(&mut self, time: TenthMillis) {
         let until = self.now + time;
         loop {
             let due = self.wakes.iter().copied().min().unwrap_or(until);
@@ -209,7 +213,7 @@
                 })
                 .map(|(&id, _)| id)
                 .collect();
-            late.into_iter().for_each(|id| self.settle(id, Ending::TimedOut));
+            late.into_iter().for_each(|id| self.settle(id, AttemptOutcome::TimedOut));
             if self.wakes.iter().any(|&w| w <= self.now) {
                 let now = self.now;
                 self.wakes.retain(|&w| w > now);
@@ -243,33 +247,33 @@
     fn held_back(&self, e: &Entry) -> bool {
         let spent = e.shots + if e.held { 1 } else { 2 } > self.terms.max_shots;
         let over = e.ran.is_some_and(|(first, _)| match self.terms.tracks[usize::from(e.track)].repeat {
-            Repeat::Replayable => false,
-            Repeat::SingleUse => true,
+            Idempotency::Idempotent => false,
+            Idempotency::NonIdempotent => true,
             // The window closes between two looks.
-            Repeat::Referenced { window, .. } => self.now > first + window + 10 * MS,
+            Idempotency::IdempotentWithKey { window, .. } => self.now > first + window + 10 * MS,
         });
         !e.ended && e.out.is_none() && (spent || over || self.now > e.contract.min(e.cut_off))
     }
 
-    fn check(&mut self, decision: Decision) {
+    fn check(&mut self, decision: Action) {
         let now = self.now;
         match decision {
-            Decision::Send { id, worker, within: _ } => {
+            Action::Dispatch { id, worker, within: _ } => {
                 self.room(worker, Some(id));
                 let listing = self.list[&worker];
                 let entry = self.open.get_mut(&id).expect("known");
                 assert!(!entry.ended && entry.out.is_none() && now < entry.cut_off, "{id} sent: {entry:?}");
-                assert_eq!(listing.standing, Standing::Ready, "sent past a drain");
+                assert_eq!(listing.standing, EndpointStatus::Serving, "sent past a drain");
                 assert!(entry.shots < self.terms.max_shots);
-                let reading = self.terms.roles[usize::from(listing.kind)] == Role::Reader;
+                let reading = self.terms.roles[usize::from(listing.kind)] == Role::Prefill;
                 if let (Some((first, there)), false) = (entry.ran, reading) {
                     match self.terms.tracks[usize::from(entry.track)].repeat {
-                        Repeat::Replayable => {}
-                        Repeat::SingleUse => panic!("{id} could run twice"),
-                        Repeat::Referenced { group, window } => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("{id} could run twice"),
+                        Idempotency::IdempotentWithKey { group, window } => {
                             assert!(now < first + window, "{id} sent past its window");
                             assert!(
-                                group == Group::All || self.list[&there].cell == listing.cell,
+                                group == DeduplicationScope::All || self.list[&there].cell == listing.cell,
                                 "wrong group"
                             );
                         }
@@ -278,44 +282,45 @@
                 let number = entry.shots;
                 entry.shots += 1;
                 (entry.place, entry.asked) = (entry.place.filter(|_| reading), false);
-                entry.out = Some(Shot { number, worker, reading, sent: now, started: false });
+                entry.out = Some(Attempt { number, worker, reading, sent: now, started: false });
             }
-            Decision::Hold { id, worker } => {
+            Action::ReserveDecode { id, worker } => {
                 self.room(worker, None);
-                assert_eq!(self.list[&worker].standing, Standing::Ready, "place past a drain");
+                assert_eq!(self.list[&worker].standing, EndpointStatus::Serving, "place past a drain");
                 let entry = self.open.get_mut(&id).expect("known");
                 assert!(entry.out.as_ref().is_some_and(|o| o.reading));
                 (entry.place, entry.asked) = (Some(worker), true);
             }
-            Decision::LetGo { id } => {
+            Action::Release { id } => {
                 let entry = self.open.get_mut(&id).expect("known");
                 (entry.held, entry.place) = (false, None);
             }
-            Decision::Withdraw { id, shot } => assert!(shot < self.open[&id].shots),
-            Decision::TurnBack { id, after } => {
+            Action::CancelAttempt { id, shot } => assert!(shot < self.open[&id].shots),
+            Action::Reject { id, after } => {
                 let entry = self.open.get_mut(&id).expect("known");
                 let repeat = self.terms.tracks[usize::from(entry.track)].repeat;
-                let all = matches!(repeat, Repeat::Referenced { group: Group::All, .. });
+                let all =
+                    matches!(repeat, Idempotency::IdempotentWithKey { group: DeduplicationScope::All, .. });
                 assert!(
-                    entry.ran.is_none() || repeat == Repeat::Replayable || all,
+                    entry.ran.is_none() || repeat == Idempotency::Idempotent || all,
                     "{id} turned back after it ran"
                 );
                 assert!(!entry.ended && entry.out.is_none() && after <= self.terms.longest_advice);
                 entry.ended = true;
             }
-            Decision::Abandon { id } => {
+            Action::Fail { id } => {
                 let entry = self.open.get_mut(&id).expect("known");
                 assert!(!entry.ended);
                 entry.ended = true;
             }
-            Decision::Probe { worker } => self.probes.push(worker),
-            Decision::Subscribe => assert!(self.terms.subscribes),
-            Decision::Wake { after } => self.wakes.push(now + after),
+            Action::CheckHealth { worker } => self.probes.push(worker),
+            Action::WatchEndpoints => assert!(self.terms.subscribes),
+            Action::SetTimer { after } => self.wakes.push(now + after),
         }
     }
 
     /// Rule 4 as one router can keep it: what a cold worker has in flight stays by what it has answered.
-    fn room(&self, worker: WorkerId, for_place_of: Option<SubmissionId>) {
+    fn room(&self, worker: WorkerId, for_place_of: Option<RequestId>) {
         let started = self.list[&worker].started;
         if started == 0 || self.now - started >= self.terms.warm_after {
             return;
--- a/tests/equal.rs
+++ b/tests/equal.rs
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use quickcheck::{Gen, QuickCheck, TestResult};
-use tideroute::chance::Chance;
-use tideroute::choice::Router;
-use tideroute::interface::*;
+use tideroute::rng::Rng;
+use tideroute::scheduler::Scheduler;
+use tideroute::types::*;
 // The old module names these by the root of its crate.
-use tideroute::{chance, fading, interface};
+use tideroute::{ewma, rng, types};
 
-const MS: Tenths = 10;
+const MS: TenthMillis = 10;
 
 /// What a world is like: sizes, and how often things go wrong, in parts of a hundred.
 #[derive(Clone, Copy, Debug)]
@@ -36,51 +36,55 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum What {
     Arrive,
-    Answered(SubmissionId, bool),
-    Start(SubmissionId, u16),
+    Answered(RequestId, bool),
+    Start(RequestId, u16),
     /// How it ends is drawn when it does.
-    End(SubmissionId, u16),
-    Drop(SubmissionId),
+    End(RequestId, u16),
+    Drop(RequestId),
     Probed(WorkerId, bool),
     Relist,
     Wake,
 }
 
 /// Its number, its worker, and whether it began to answer.
-type Shot = (u16, WorkerId, bool);
+type Attempt = (u16, WorkerId, bool);
 
 struct Pair {
     kind: Kind,
-    chance: Chance,
-    new: Router,
+    rng: Rng,
+    new: Scheduler,
     old: before::choice::Router,
-    now: Tenths,
-    due: BinaryHeap<Reverse<(Tenths, u64, What)>>,
+    now: TenthMillis,
+    due: BinaryHeap<Reverse<(TenthMillis, u64, What)>>,
     order: u64,
-    list: BTreeMap<WorkerId, Listing>,
+    list: BTreeMap<WorkerId, Endpoint>,
     /// When the time of each is up, and its shot.
-    open: BTreeMap<SubmissionId, (Tenths, Option<Shot>)>,
-    shots: BTreeMap<SubmissionId, u16>,
+    open: BTreeMap<RequestId, (TenthMillis, Option<Attempt>)>,
+    shots: BTreeMap<RequestId, u16>,
     seen: BTreeMap<&'static str, u64>,
 }
 
-fn terms(kind: Kind) -> Terms {
-    let track = |repeat, contract: Tenths, earnings| Track {
+fn terms(kind: Kind) -> SchedulerConfig {
+    let track = |repeat, contract: TenthMillis, earnings| RequestClass {
         repeat,
         contract: contract * MS,
         per_thousand: 40 * MS,
         earnings,
     };
-    let cell = Repeat::Referenced { group: Group::Cell, window: 900 * MS };
-    Terms {
+    let cell = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 900 * MS };
+    SchedulerConfig {
         routers: 2,
         tracks: vec![
-            track(Repeat::Replayable, 1_500, 1.0),
-            track(Repeat::SingleUse, 2_500, 3.0),
+            track(Idempotency::Idempotent, 1_500, 1.0),
+            track(Idempotency::NonIdempotent, 2_500, 3.0),
             track(cell, 1_000, 2.0),
-            track(Repeat::Referenced { group: Group::All, window: 400 * MS }, 3_000, 0.5),
+            track(
+                Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 400 * MS },
+                3_000,
+                0.5,
+            ),
         ],
-        roles: vec![Role::Reader, Role::Writer, Role::Mixed],
+        roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
         places: kind.places,
         writers_read: kind.mixed,
         release: 500 * MS,
@@ -104,8 +108,8 @@
         let (now, terms) = (2_000_000, terms(kind));
         let mut pair = Pair {
             kind,
-            chance: Chance::new(seed ^ 0x5eed),
-            new: Router::new(terms.clone(), seed, now),
+            rng: Rng::new(seed ^ 0x5eed),
+            new: Scheduler::new(terms.clone(), seed, now),
             old: before::choice::Router::new(terms, seed, now),
             now,
             due: BinaryHeap::new(),
@@ -120,9 +124,9 @@
             let role = if kind.mixed && n % 5 == 4 { 2 } else { u16::from(n % 3 != 0) };
             let started = if kind.cold && n % 2 == 0 { now - 900 * MS } else { 0 };
             let (cell, zone) = (n / 9, (n / 27) as u8);
-            let standing = Standing::Ready;
+            let standing = EndpointStatus::Serving;
             let size = 1.0 + f64::from(n % 4);
-            pair.list.insert(worker, Listing { worker, kind: role, size, standing, cell, zone, started });
+            pair.list.insert(worker, Endpoint { worker, kind: role, size, standing, cell, zone, started });
         }
         pair.relist();
         pair.push(0, What::Arrive);
@@ -133,10 +137,10 @@
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        (self.chance.unit() * below as f64) as u64
+        (self.rng.unit() * below as f64) as u64
     }
 
-    fn push(&mut self, after: Tenths, what: What) {
+    fn push(&mut self, after: TenthMillis, what: What) {
         self.order += 1;
         self.due.push(Reverse((self.now + after, self.order, what)));
     }
@@ -181,7 +185,7 @@
                 out.2 = true;
                 self.new.started(now, id, shot);
                 self.old.started(now, id, shot);
-                let answer = 200 + self.draw(4_000) as Tenths;
+                let answer = 200 + self.draw(4_000) as TenthMillis;
                 self.push(answer * MS, What::End(id, shot));
             }
             What::End(id, shot) => self.end(id, shot),
@@ -198,7 +202,7 @@
             What::Relist => {
                 self.change();
                 let after = 10_000 / self.kind.changes.max(1);
-                self.push(after as Tenths * MS, What::Relist);
+                self.push(after as TenthMillis * MS, What::Relist);
             }
             What::Wake => {
                 self.new.woken(now);
@@ -212,43 +216,43 @@
         let (track, prefix) = (self.draw(4) as u8, self.draw(self.kind.prefixes + 1));
         let prefix = if self.draw(3) == 0 { prefix.min(1) } else { prefix };
         let (session, prompt) = (self.draw(300), 50.0 + self.draw(3_000) as f64);
-        let left = (400 + self.draw(6_000) as Tenths) * MS;
-        let arrival = Arrival { id, track, session, prefix, prompt, left };
+        let left = (400 + self.draw(6_000) as TenthMillis) * MS;
+        let arrival = NewRequest { id, track, session, prefix, prompt, left };
         assert!(self.new.arrived(self.now, arrival) && self.old.arrived(self.now, arrival));
         self.open.insert(id, (self.now + left, None));
         let busy = self.now / (1_000 * MS) % 4 == 3;
         let rate = self.kind.rate * if busy { self.kind.burst } else { 1 };
         let gap = self.draw(2 * 10_000 / rate.max(1) + 1);
-        self.push(gap as Tenths, What::Arrive);
+        self.push(gap as TenthMillis, What::Arrive);
         if self.draw(100) < self.kind.wrong / 4 {
-            let after = self.draw(2_000) as Tenths;
+            let after = self.draw(2_000) as TenthMillis;
             self.push(after * MS, What::Drop(id));
         }
     }
 
     /// A shot ends, well or otherwise.
-    fn end(&mut self, id: SubmissionId, shot: u16) {
+    fn end(&mut self, id: RequestId, shot: u16) {
         let wrong = self.draw(100) < self.kind.wrong;
         let which = self.draw(7) as usize;
         let Some((_, out)) = self.open.get_mut(&id) else { return };
         let Some((_, worker, started)) = out.take_if(|out| out.0 == shot) else { return };
         let reading = self.list[&worker].kind == 0;
         let bad = [
-            Ending::Fault,
-            Ending::Full,
-            Ending::Stateless,
-            Ending::Unreachable,
-            Ending::Broken,
-            Ending::TimedOut,
-            Ending::NeverSent,
+            AttemptOutcome::ServerError,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::StateMissing,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::ConnectionReset,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::NotSent,
         ];
         let ending = match (wrong, reading) {
-            (true, _) if started => Ending::Broken,
+            (true, _) if started => AttemptOutcome::ConnectionReset,
             (true, _) => bad[which],
-            (false, true) => Ending::Read,
-            (false, false) => Ending::Honoured,
+            (false, true) => AttemptOutcome::PrefillComplete,
+            (false, false) => AttemptOutcome::Completed,
         };
-        let terminal = started || ending == Ending::Honoured;
+        let terminal = started || ending == AttemptOutcome::Completed;
         self.new.settled(self.now, id, shot, ending, terminal);
         self.old.settled(self.now, id, shot, ending, terminal);
         if terminal {
@@ -263,10 +267,10 @@
             let (draw, now) = (self.draw(4), self.now);
             let Some(listing) = self.list.get_mut(&id) else { continue };
             match draw {
-                0 => listing.standing = Standing::Draining,
-                1 => listing.standing = Standing::Gone,
-                2 => (listing.standing, listing.started) = (Standing::Ready, now),
-                _ => listing.standing = Standing::Ready,
+                0 => listing.standing = EndpointStatus::Draining,
+                1 => listing.standing = EndpointStatus::Removed,
+                2 => (listing.standing, listing.started) = (EndpointStatus::Serving, now),
+                _ => listing.standing = EndpointStatus::Serving,
             }
         }
         match self.draw(3) {
@@ -284,10 +288,10 @@
         }
     }
 
-    fn carry_out(&mut self, decision: Decision) {
+    fn carry_out(&mut self, decision: Action) {
         let wrong = self.draw(100) < self.kind.wrong;
         let name = match decision {
-            Decision::Send { id, worker, .. } => {
+            Action::Dispatch { id, worker, .. } => {
                 let number = self.shots.entry(id).or_default();
                 *number += 1;
                 let shot = *number - 1;
@@ -295,7 +299,7 @@
                 *out = Some((shot, worker, false));
                 let up = *up - self.now;
                 let reading = self.list[&worker].kind == 0;
-                let took = (5 + self.draw(if wrong { 2_500 } else { 120 }) as Tenths) * MS;
+                let took = (5 + self.draw(if wrong { 2_500 } else { 120 }) as TenthMillis) * MS;
                 // One that is silent ends when its time is up.
                 let silent = wrong && self.draw(3) == 0;
                 let (took, begins) = if silent { (up, false) } else { (took.min(up), !reading) };
@@ -303,33 +307,33 @@
                 self.push(took.max(0), what);
                 "send"
             }
-            Decision::Hold { id, .. } => {
-                let after = self.draw(30) as Tenths;
+            Action::ReserveDecode { id, .. } => {
+                let after = self.draw(30) as TenthMillis;
                 self.push(after, What::Answered(id, !wrong));
                 "hold"
             }
-            Decision::Withdraw { id, shot } => {
+            Action::CancelAttempt { id, shot } => {
                 self.push(MS, What::End(id, shot));
                 "withdraw"
             }
-            Decision::TurnBack { id, .. } => {
+            Action::Reject { id, .. } => {
                 self.open.remove(&id);
                 "turn back"
             }
-            Decision::Abandon { id } => {
+            Action::Fail { id } => {
                 self.open.remove(&id);
                 "abandon"
             }
-            Decision::Probe { worker } => {
+            Action::CheckHealth { worker } => {
                 self.push(2 * MS, What::Probed(worker, !wrong));
                 "probe"
             }
-            Decision::Wake { after } => {
+            Action::SetTimer { after } => {
                 self.push(after, What::Wake);
                 "wake"
             }
-            Decision::LetGo { .. } => "let go",
-            Decision::Subscribe => "subscribe",
+            Action::Release { .. } => "let go",
+            Action::WatchEndpoints => "subscribe",
         };
         *self.seen.entry(name).or_default() += 1;
     }
--- a/tests/lessons.rs
+++ b/tests/lessons.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{listing, terms, worker, World, MS};
-use tideroute::interface::*;
+use tideroute::types::*;
 
-const LEFT: Tenths = 6000 * MS;
+const LEFT: TenthMillis = 6000 * MS;
 
-fn at(world: &World, id: SubmissionId) -> WorkerId {
+fn at(world: &World, id: RequestId) -> WorkerId {
     world.open[&id].out.as_ref().expect("a shot is out").worker
 }
 
@@ -15,8 +15,8 @@
     world.list[&worker].cell
 }
 
-fn sent_to(decision: &Decision) -> Option<WorkerId> {
-    if let Decision::Send { worker, .. } = decision {
+fn sent_to(decision: &Action) -> Option<WorkerId> {
+    if let Action::Dispatch { worker, .. } = decision {
         Some(*worker)
     } else {
         None
@@ -28,17 +28,17 @@
     for _ in 0..many {
         let id = read(world, true);
         world.start(id);
-        world.settle(id, Ending::Honoured);
+        world.settle(id, AttemptOutcome::Completed);
         world.pass(950 * MS);
     }
 }
 
 /// Reads a submission and has its place answered; it is then out at a writer.
-fn read(world: &mut World, held: bool) -> SubmissionId {
+fn read(world: &mut World, held: bool) -> RequestId {
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.answer(id, held);
     world.pass(50 * MS);
-    world.settle(id, Ending::Read);
+    world.settle(id, AttemptOutcome::PrefillComplete);
     id
 }
 
@@ -49,7 +49,7 @@
     let (reader, place) = (at(&world, id), world.open[&id].place.expect("asked"));
     assert_eq!(cell(&world, reader), cell(&world, place));
     world.answer(id, true);
-    world.settle(id, Ending::Read);
+    world.settle(id, AttemptOutcome::PrefillComplete);
     assert_eq!(at(&world, id), place);
 }
 
@@ -58,7 +58,7 @@
     let mut world = World::new(terms(), 6);
     let id = world.arrive(0, 1, 10.0, LEFT);
     let place = world.open[&id].place.expect("asked");
-    world.settle(id, Ending::Read);
+    world.settle(id, AttemptOutcome::PrefillComplete);
     assert_eq!(at(&world, id), place);
 }
 
@@ -83,7 +83,7 @@
     world.answer(first, false);
     let next = world.arrive(0, 1, 1000.0, LEFT);
     assert!(world.open[&next].out.is_none());
-    world.settle(first, Ending::Read);
+    world.settle(first, AttemptOutcome::PrefillComplete);
     world.pass(60 * MS);
     world.start(first);
     world.pass(1050 * MS);
@@ -103,9 +103,9 @@
 
 #[test]
 fn places_count_at_a_cold_writer() {
-    let mut world = World::new(Terms { probes: false, ..terms() }, 3);
+    let mut world = World::new(SchedulerConfig { probes: false, ..terms() }, 3);
     honour(&mut world, 20);
-    let back = Listing { started: world.now - 100 * MS, ..listing(1) };
+    let back = Endpoint { started: world.now - 100 * MS, ..listing(1) };
     world.relist(back);
     world.pull();
     // The model refuses more than two out at a writer that has answered nothing.
@@ -119,15 +119,15 @@
 fn many_routers_together_do_not_push_over_a_cold_worker() {
     let mut sends = vec![];
     for seed in 0..200 {
-        let mut world = World::seeded(Terms { routers: 200, probes: false, ..terms() }, 3, seed);
-        world.relist(Listing { cell: 0, ..listing(4) });
+        let mut world = World::seeded(SchedulerConfig { routers: 200, probes: false, ..terms() }, 3, seed);
+        world.relist(Endpoint { cell: 0, ..listing(4) });
         honour(&mut world, 15);
-        world.relist(Listing { started: world.now - 10 * MS, ..listing(1) });
+        world.relist(Endpoint { started: world.now - 10 * MS, ..listing(1) });
         world.pull();
-        world.pass(Tenths::from(seed as u32 % 100) * 10 * MS);
+        world.pass(TenthMillis::from(seed as u32 % 100) * 10 * MS);
         let begun = world.now;
         honour(&mut world, 3);
-        let to_cold = |d: &&(Tenths, Decision)| d.0 >= begun && sent_to(&d.1) == Some(worker(1));
+        let to_cold = |d: &&(TenthMillis, Action)| d.0 >= begun && sent_to(&d.1) == Some(worker(1));
         sends.extend(world.log.iter().filter(to_cold).map(|d| d.0));
     }
     sends.sort_unstable();
@@ -141,24 +141,28 @@
 fn what_cannot_make_its_contract_time_is_turned_back_at_once_with_advice() {
     let mut world = World::new(terms(), 3);
     let mut gone = listing(0);
-    gone.standing = Standing::Gone;
+    gone.standing = EndpointStatus::Removed;
     world.relist(gone);
     world.pull();
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.pass(1600 * MS);
     assert!(world.open[&id].ended);
-    assert!(matches!(world.log.last(), Some((_, Decision::TurnBack { after, .. })) if *after > 0));
+    assert!(matches!(world.log.last(), Some((_, Action::Reject { after, .. })) if *after > 0));
 }
 
 #[test]
 fn a_single_use_submission_is_abandoned_once_it_may_have_run() {
-    for (ending, again) in [(Ending::Broken, false), (Ending::Fault, false), (Ending::Unreachable, true)] {
+    for (ending, again) in [
+        (AttemptOutcome::ConnectionReset, false),
+        (AttemptOutcome::ServerError, false),
+        (AttemptOutcome::Unreachable, true),
+    ] {
         let mut world = World::new(terms(), 6);
         let id = world.arrive(1, 1, 1000.0, LEFT);
-        world.settle(id, Ending::Read);
+        world.settle(id, AttemptOutcome::PrefillComplete);
         world.settle(id, ending);
         assert_eq!(world.open[&id].out.is_some(), again, "{ending:?}");
-        let abandoned = world.logged(&Decision::Abandon { id });
+        let abandoned = world.logged(&Action::Fail { id });
         assert_eq!(abandoned, !again, "{ending:?}");
     }
 }
@@ -168,9 +172,9 @@
     let mut world = World::new(terms(), 6);
     let id = read(&mut world, false);
     let first = at(&world, id);
-    world.settle(id, Ending::Full);
+    world.settle(id, AttemptOutcome::Rejected);
     assert!(at(&world, id) != first && world.list[&at(&world, id)].kind == 1);
-    world.settle(id, Ending::Stateless);
+    world.settle(id, AttemptOutcome::StateMissing);
     assert_eq!(world.list[&at(&world, id)].kind, 0);
 }
 
@@ -180,21 +184,21 @@
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.answer(id, true);
     let mut drains = world.list[&world.open[&id].place.expect("asked")];
-    drains.standing = Standing::Draining;
+    drains.standing = EndpointStatus::Draining;
     world.relist(drains);
     world.pull();
-    world.settle(id, Ending::Read);
-    assert!(world.logged(&Decision::LetGo { id }));
+    world.settle(id, AttemptOutcome::PrefillComplete);
+    assert!(world.logged(&Action::Release { id }));
     assert_eq!(world.list[&at(&world, id)].kind, 0);
 }
 
 #[test]
 fn a_state_that_lands_after_the_client_left_is_let_go() {
-    let mut world = World::new(Terms { withdrawals: false, ..terms() }, 6);
+    let mut world = World::new(SchedulerConfig { withdrawals: false, ..terms() }, 6);
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.drop_client(id);
-    world.settle(id, Ending::Read);
-    assert!(matches!(world.log.last(), Some((_, Decision::LetGo { .. }))));
+    world.settle(id, AttemptOutcome::PrefillComplete);
+    assert!(matches!(world.log.last(), Some((_, Action::Release { .. }))));
 }
 
 #[test]
@@ -202,24 +206,24 @@
     // Reads are known to be quick, from another reader.
     let mut world = World::new(terms(), 6);
     let (known, reader) = (worker(0), worker(3));
-    let stand = |world: &mut World, id, standing| world.relist(Listing { standing, ..world.list[&id] });
-    stand(&mut world, reader, Standing::Draining);
+    let stand = |world: &mut World, id, standing| world.relist(Endpoint { standing, ..world.list[&id] });
+    stand(&mut world, reader, EndpointStatus::Draining);
     for _ in 0..60 {
         let id = read(&mut world, true);
         world.start(id);
-        world.settle(id, Ending::Honoured);
+        world.settle(id, AttemptOutcome::Completed);
     }
-    stand(&mut world, known, Standing::Draining);
-    stand(&mut world, reader, Standing::Ready);
+    stand(&mut world, known, EndpointStatus::Draining);
+    stand(&mut world, reader, EndpointStatus::Serving);
     let id = world.arrive(0, 1, 1000.0, 20_000 * MS);
     world.answer(id, true);
     assert_eq!(at(&world, id), reader);
-    stand(&mut world, known, Standing::Ready);
+    stand(&mut world, known, EndpointStatus::Serving);
     world.pass(300 * MS);
-    assert!(!world.logged(&Decision::Withdraw { id, shot: 0 }) && world.probes.is_empty());
+    assert!(!world.logged(&Action::CancelAttempt { id, shot: 0 }) && world.probes.is_empty());
     world.pass(1_100 * MS);
-    assert!(world.logged(&Decision::Withdraw { id, shot: 0 }) && world.probes == [reader]);
-    world.settle(id, Ending::Withdrawn);
+    assert!(world.logged(&Action::CancelAttempt { id, shot: 0 }) && world.probes == [reader]);
+    world.settle(id, AttemptOutcome::Cancelled);
     assert_ne!(at(&world, id), reader);
     // A good probe clears the worker, but not for the track that it lost.
     world.router.probed(world.now, reader, true);
@@ -232,7 +236,7 @@
 
 #[test]
 fn a_worker_whose_connection_broke_is_probed_at_once_and_is_back_with_the_answer() {
-    for ending in [Ending::Broken, Ending::Unreachable] {
+    for ending in [AttemptOutcome::ConnectionReset, AttemptOutcome::Unreachable] {
         for well in [true, false] {
             let mut world = World::new(terms(), 6);
             let id = world.arrive(0, 1, 1000.0, LEFT);
@@ -250,15 +254,17 @@
 fn a_single_use_send_that_is_silent_is_not_called_back() {
     let mut world = World::new(terms(), 6);
     let id = world.arrive(1, 1, 1000.0, 20_000 * MS);
-    world.settle(id, Ending::Read);
+    world.settle(id, AttemptOutcome::PrefillComplete);
     world.pass(10_000 * MS);
-    assert!(!world.log.iter().any(|d| matches!(d.1, Decision::Withdraw { .. })) && world.probes.len() == 1);
+    assert!(
+        !world.log.iter().any(|d| matches!(d.1, Action::CancelAttempt { .. })) && world.probes.len() == 1
+    );
 }
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
-    let mut world = World::new(Terms { subscribes: true, ..terms() }, 3);
-    let asked = |world: &World| world.log.iter().filter(|d| d.1 == Decision::Subscribe).count();
+    let mut world = World::new(SchedulerConfig { subscribes: true, ..terms() }, 3);
+    let asked = |world: &World| world.log.iter().filter(|d| d.1 == Action::WatchEndpoints).count();
     assert_eq!(asked(&world), 1);
     world.router.list_failed(world.now);
     world.pull();
@@ -269,16 +275,16 @@
 
 #[test]
 fn writers_that_read_take_all_that_waits_where_there_is_no_reader() {
-    let mut world = World::new(Terms { writers_read: true, ..terms() }, 0);
+    let mut world = World::new(SchedulerConfig { writers_read: true, ..terms() }, 0);
     world.relist(listing(1));
-    let arrive = |world: &mut World, id: SubmissionId| {
+    let arrive = |world: &mut World, id: RequestId| {
         let (track, session, prefix) = (0, id, 0);
-        let arrival = Arrival { id, track, session, prefix, prompt: 900.0, left: LEFT };
+        let arrival = NewRequest { id, track, session, prefix, prompt: 900.0, left: LEFT };
         assert!(world.router.arrived(world.now, arrival));
     };
     (1..=3).for_each(|id| arrive(&mut world, id));
     let sent = std::iter::from_fn(|| world.router.decide(world.now));
-    assert_eq!(sent.filter(|d| matches!(d, Decision::Send { .. })).count(), 3);
+    assert_eq!(sent.filter(|d| matches!(d, Action::Dispatch { .. })).count(), 3);
 }
 
 #[test]
@@ -295,22 +301,22 @@
 fn where_few_cells_have_writers_their_readers_get_hardly_more_than_others() {
     // Twelve workers in four cells, writers in the first so many of them.
     let parts = |with_writers: u16| {
-        let mut world = World::new(Terms { places: false, ..terms() }, 12);
+        let mut world = World::new(SchedulerConfig { places: false, ..terms() }, 12);
         for n in (0..12).filter(|n| listing(*n).cell >= with_writers) {
-            world.relist(Listing { kind: 0, zone: 0, ..listing(n) });
+            world.relist(Endpoint { kind: 0, zone: 0, ..listing(n) });
         }
         (0..12)
             .filter(|n| listing(*n).cell < with_writers)
-            .for_each(|n| world.relist(Listing { zone: 0, ..listing(n) }));
+            .for_each(|n| world.relist(Endpoint { zone: 0, ..listing(n) }));
         world.pull();
         let mut reads = [0.0, 0.0];
         for prefix in 1..400 {
             let id = world.arrive(0, prefix, 10.0, LEFT);
             let cell = cell(&world, at(&world, id));
             reads[usize::from(cell >= with_writers)] += 1.0;
-            world.settle(id, Ending::Read);
+            world.settle(id, AttemptOutcome::PrefillComplete);
             world.start(id);
-            world.settle(id, Ending::Honoured);
+            world.settle(id, AttemptOutcome::Completed);
             world.pass(10 * MS);
         }
         let readers = [f64::from(with_writers), 3.0 * f64::from(4 - with_writers)];
@@ -325,8 +331,8 @@
     let mut world = World::new(terms(), 3);
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.pass(350 * MS);
-    world.settle(id, Ending::Read);
-    assert!(world.probes.is_empty() && !world.logged(&Decision::Withdraw { id, shot: 0 }));
+    world.settle(id, AttemptOutcome::PrefillComplete);
+    assert!(world.probes.is_empty() && !world.logged(&Action::CancelAttempt { id, shot: 0 }));
     let next = world.arrive(0, 1, 1000.0, LEFT);
     assert_eq!(at(&world, next), worker(0));
 }
@@ -339,15 +345,15 @@
         ids.iter().filter(|id| world.open[id].shots == 0 && world.open[id].ended).count()
     };
     let id = world.arrive(0, 1, 10.0, LEFT);
-    world.settle(id, Ending::Full);
+    world.settle(id, AttemptOutcome::Rejected);
     let shut = turned_away(&mut world);
     world.pass(20_000 * MS);
     for _ in 0..40 {
         let id = world.arrive(0, 1, 10.0, LEFT);
         if world.open[&id].out.is_some() {
-            world.settle(id, Ending::Read);
+            world.settle(id, AttemptOutcome::PrefillComplete);
             world.start(id);
-            world.settle(id, Ending::Honoured);
+            world.settle(id, AttemptOutcome::Completed);
         }
         world.pass(1000 * MS);
     }
@@ -357,11 +363,11 @@
 
 #[test]
 fn without_a_shot_left_a_submission_is_answered_at_once_though_its_state_waits() {
-    let mut world = World::new(Terms { max_shots: 2, ..terms() }, 6);
+    let mut world = World::new(SchedulerConfig { max_shots: 2, ..terms() }, 6);
     let id = read(&mut world, false);
-    world.settle(id, Ending::Full);
-    assert!(world.logged(&Decision::LetGo { id }));
-    assert!(matches!(world.log.last(), Some((at, Decision::TurnBack { .. })) if *at == world.now));
+    world.settle(id, AttemptOutcome::Rejected);
+    assert!(world.logged(&Action::Release { id }));
+    assert!(matches!(world.log.last(), Some((at, Action::Reject { .. })) if *at == world.now));
 }
 
 /// How many of a hundred submissions are let in at this moment; those that are leave again.
@@ -372,7 +378,7 @@
         if world.open[&id].out.is_some() {
             sent += 1;
             world.drop_client(id);
-            world.settle(id, Ending::Withdrawn);
+            world.settle(id, AttemptOutcome::Cancelled);
         }
     }
     sent
@@ -380,13 +386,13 @@
 
 #[test]
 fn a_door_shut_by_a_few_slow_ways_opens_again_though_nothing_new_is_heard() {
-    let mut world = World::new(Terms { places: false, probes: false, ..terms() }, 2);
+    let mut world = World::new(SchedulerConfig { places: false, probes: false, ..terms() }, 2);
     let ids: Vec<_> = (0..5).map(|_| world.arrive(1, 1, 10.0, LEFT)).collect();
     world.pass(1_200 * MS);
-    ids.iter().for_each(|id| world.settle(*id, Ending::Read));
+    ids.iter().for_each(|id| world.settle(*id, AttemptOutcome::PrefillComplete));
     world.pass(200 * MS);
     ids.iter().for_each(|id| world.start(*id));
-    ids.iter().for_each(|id| world.settle(*id, Ending::Honoured));
+    ids.iter().for_each(|id| world.settle(*id, AttemptOutcome::Completed));
     let soon = let_in(&mut world);
     world.pass(15_000 * MS);
     let later = let_in(&mut world);
@@ -404,7 +410,7 @@
     world.pass(1_500 * MS);
     assert!(
         world.open[&id].out.is_some()
-            && !world.log.iter().any(|(_, d)| matches!(d, Decision::Withdraw { .. }))
+            && !world.log.iter().any(|(_, d)| matches!(d, Action::CancelAttempt { .. }))
     );
     // One whose worker does not answer is called back with that news.
     let id = world.arrive(0, 2, 10.0, LEFT);
@@ -413,7 +419,7 @@
     assert!(world.probes.contains(&reader));
     world.router.probed(world.now, reader, false);
     world.pull();
-    assert!(world.logged(&Decision::Withdraw { id, shot: 0 }));
+    assert!(world.logged(&Action::CancelAttempt { id, shot: 0 }));
 }
 
 /// Twelve workers, four of them readers, that are asked, and the first of the key's readers, which is asked alone.
@@ -422,7 +428,7 @@
 }
 
 fn asked_for(prompt: f64, in_tokens: bool) -> (World, WorkerId) {
-    let mut world = World::new(Terms { asks: true, in_tokens, ..terms() }, 12);
+    let mut world = World::new(SchedulerConfig { asks: true, in_tokens, ..terms() }, 12);
     let id = world.arrive(0, 1, prompt, LEFT);
     assert!(world.open[&id].out.is_none(), "it waits for their word");
     assert_eq!(world.probes.len(), 1);
@@ -452,7 +458,7 @@
 #[test]
 fn where_no_places_are_allowed_a_state_goes_past_writers_of_its_cell_that_say_prompts_wait() {
     for (places, waiting, near) in [(false, 5_000.0, false), (false, 3_000.0, true), (true, 5_000.0, true)] {
-        let mut world = World::new(Terms { asks: true, in_tokens: true, places, ..terms() }, 12);
+        let mut world = World::new(SchedulerConfig { asks: true, in_tokens: true, places, ..terms() }, 12);
         let id = world.arrive(0, 1, 1_000.0, LEFT);
         let first = world.probes[0];
         tell(&mut world, first, 0.0);
@@ -465,7 +471,7 @@
             tell(&mut world, writer, waiting);
         }
         world.pass(50 * MS);
-        world.settle(id, Ending::Read);
+        world.settle(id, AttemptOutcome::PrefillComplete);
         assert_eq!(cell(&world, at(&world, id)) == cell(&world, reader), near, "{places} {waiting}");
     }
 }
@@ -510,7 +516,7 @@
     assert_eq!(world.log.iter().find_map(|(_, d)| sent_to(d)), Some(first), "and not out of service");
     world.router.probed(world.now, first, false);
     world.pull();
-    assert!(world.log.iter().any(|(_, d)| matches!(d, Decision::Withdraw { .. })));
+    assert!(world.log.iter().any(|(_, d)| matches!(d, Action::CancelAttempt { .. })));
 }
 
 #[test]
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -5,44 +5,44 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::ops::Range;
 
-use tideroute::chance::Chance;
-use tideroute::choice::Router;
-use tideroute::interface::*;
+use tideroute::rng::Rng;
+use tideroute::scheduler::Scheduler;
+use tideroute::types::*;
 
-const MS: Tenths = 10;
+const MS: TenthMillis = 10;
 /// Fleets that are drawn.
 const FLEETS: u64 = 1_000;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Arrive,
-    Read(usize, SubmissionId, u16),
-    Refuse(usize, SubmissionId, u16),
-    Begin(usize, SubmissionId, u16),
-    End(usize, SubmissionId, u16),
+    Read(usize, RequestId, u16),
+    Refuse(usize, RequestId, u16),
+    Begin(usize, RequestId, u16),
+    End(usize, RequestId, u16),
     Wake(usize),
 }
 
 struct Fleet {
-    draw: Chance,
-    terms: Terms,
-    routers: Vec<Router>,
+    draw: Rng,
+    terms: SchedulerConfig,
+    routers: Vec<Scheduler>,
     /// The part of all submissions that come to those up to this one.
     upto: Vec<f64>,
     /// Each worker's kind, its place among the roles, and its size.
     workers: Vec<(u16, f64)>,
     /// Those that start together, and when they did.
     cold: Range<u16>,
-    began: Tenths,
+    began: TenthMillis,
     /// Submissions in ten seconds, and what one of them of size 1 can do in a second.
     rate: f64,
     able: f64,
-    queue: BinaryHeap<Reverse<(Tenths, u64, What)>>,
+    queue: BinaryHeap<Reverse<(TenthMillis, u64, What)>>,
     events: u64,
     /// The part of calls that cold workers refuse, each of which counts too.
     refusals: f64,
-    sent: BTreeMap<WorkerId, Vec<Tenths>>,
-    shots: BTreeMap<(usize, SubmissionId), u16>,
+    sent: BTreeMap<WorkerId, Vec<TenthMillis>>,
+    shots: BTreeMap<(usize, RequestId), u16>,
 }
 
 fn worker(n: u16) -> WorkerId {
@@ -53,25 +53,29 @@
 impl Fleet {
     /// A fleet in which some readers start, or else some of those that write, of two roles and many sizes.
     fn drawn(seed: u64, Kind { writers_start, routers, refusals }: Kind) -> Fleet {
-        let mut draw = Chance::new(seed);
+        let mut draw = Rng::new(seed);
         let mut from = |least: f64, most: f64| least * (most / least).powf(draw.unit());
         let (many, readers, cold_share) =
             (from(routers.0, routers.1) as usize, from(4.0, 40.0) as u16, from(0.2, 0.5));
         let (span, warm, multiple) = (from(500.0, 2_000.0), from(8_000.0, 14_000.0), from(2.0, 3.0));
         let (able, busy, part) = (from(1.0, 12.0), from(0.4, 0.9), from(0.05, 0.6));
-        let track =
-            Track { repeat: Repeat::Replayable, contract: 1_200 * MS, per_thousand: 0, earnings: 1.0 };
-        let terms = Terms {
+        let track = RequestClass {
+            repeat: Idempotency::Idempotent,
+            contract: 1_200 * MS,
+            per_thousand: 0,
+            earnings: 1.0,
+        };
+        let terms = SchedulerConfig {
             routers: many as u32,
             tracks: vec![track],
-            roles: vec![Role::Reader, Role::Writer, Role::Mixed],
+            roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
             release: 1_000 * MS,
             cold_share,
-            warm_after: warm as Tenths * MS,
+            warm_after: warm as TenthMillis * MS,
             fall_multiple: multiple,
-            fall_span: span as Tenths * MS,
+            fall_span: span as TenthMillis * MS,
             max_shots: 6,
-            ..Terms::default()
+            ..SchedulerConfig::default()
         };
         // Some routers see several times what others do.
         let weights: Vec<f64> = (0..many).map(|_| from(0.2, 5.0)).collect();
@@ -81,7 +85,7 @@
             Some(*sum)
         });
         let upto = upto.collect();
-        let routers = (0..many).map(|n| Router::new(terms.clone(), seed * 1_000 + n as u64, 0)).collect();
+        let routers = (0..many).map(|n| Scheduler::new(terms.clone(), seed * 1_000 + n as u64, 0)).collect();
         let writers = if writers_start { readers } else { readers.div_ceil(2) };
         let mut workers = vec![(0, 1.0); usize::from(readers)];
         for n in 0..writers {
@@ -112,29 +116,29 @@
     }
 
     /// All routers hear of these workers.
-    fn list(&mut self, now: Tenths, which: Range<u16>, started: Tenths) {
+    fn list(&mut self, now: TenthMillis, which: Range<u16>, started: TenthMillis) {
         for n in which {
             let ((kind, size), cell) = (self.workers[usize::from(n)], n % 4);
-            let (worker, standing) = (worker(n), Standing::Ready);
-            let listing = Listing { worker, kind, size, standing, cell, zone: 0, started };
+            let (worker, standing) = (worker(n), EndpointStatus::Serving);
+            let listing = Endpoint { worker, kind, size, standing, cell, zone: 0, started };
             self.routers.iter_mut().for_each(|r| r.listed(now, listing));
         }
     }
 
-    fn after(&mut self, at: Tenths, what: What) {
+    fn after(&mut self, at: TenthMillis, what: What) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, what)));
     }
 
-    fn arrives(&mut self, now: Tenths) {
+    fn arrives(&mut self, now: TenthMillis) {
         let gap = -(1.0 - self.draw.unit()).ln() / self.rate * 10_000.0;
-        self.after(now + gap.ceil() as Tenths, What::Arrive);
+        self.after(now + gap.ceil() as TenthMillis, What::Arrive);
     }
 
-    fn pull(&mut self, now: Tenths, router: usize) {
+    fn pull(&mut self, now: TenthMillis, router: usize) {
         while let Some(decision) = self.routers[router].decide(now) {
             match decision {
-                Decision::Send { id, worker, .. } => {
+                Action::Dispatch { id, worker, .. } => {
                     let number = self.shots.entry((router, id)).or_default();
                     let shot = *number;
                     *number += 1;
@@ -153,10 +157,10 @@
                         _ => What::Begin,
                     };
                     let takes = if reader { 100.0 + 100.0 * self.draw.unit() } else { 5.0 };
-                    self.after(now + takes as Tenths * MS, what(router, id, shot));
+                    self.after(now + takes as TenthMillis * MS, what(router, id, shot));
                 }
-                Decision::Wake { after } => self.after(now + after, What::Wake(router)),
-                Decision::TurnBack { id, .. } | Decision::Abandon { id } => {
+                Action::SetTimer { after } => self.after(now + after, What::Wake(router)),
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.shots.remove(&(router, id));
                 }
                 _ => {}
@@ -164,7 +168,7 @@
         }
     }
 
-    fn play(&mut self, until: Tenths) {
+    fn play(&mut self, until: TenthMillis) {
         while let Some(Reverse((now, ..))) = self.queue.peek() {
             if *now >= until {
                 return;
@@ -177,16 +181,16 @@
                     let router = self.upto.partition_point(|upto| *upto < lot).min(self.routers.len() - 1);
                     let (session, prefix) = (event, 1 + (self.draw.unit() * 50.0) as u64);
                     let arrival =
-                        Arrival { id: event, track: 0, session, prefix, prompt: 900.0, left: 60_000 };
+                        NewRequest { id: event, track: 0, session, prefix, prompt: 900.0, left: 60_000 };
                     self.routers[router].arrived(now, arrival);
                     router
                 }
                 What::Read(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, Ending::Read, false);
+                    self.routers[router].settled(now, id, shot, AttemptOutcome::PrefillComplete, false);
                     router
                 }
                 What::Refuse(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, Ending::Full, false);
+                    self.routers[router].settled(now, id, shot, AttemptOutcome::Rejected, false);
                     router
                 }
                 What::Begin(router, id, shot) => {
@@ -195,7 +199,7 @@
                     router
                 }
                 What::End(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, Ending::Honoured, true);
+                    self.routers[router].settled(now, id, shot, AttemptOutcome::Completed, true);
                     self.shots.remove(&(router, id));
                     router
                 }
@@ -253,7 +257,7 @@
                     fleet.arrives(0);
                     // Some have just begun themselves when the workers start.
                     let known = 1_000.0 + 11_000.0 * fleet.draw.unit();
-                    fleet.began = known as Tenths * MS;
+                    fleet.began = known as TenthMillis * MS;
                     fleet.play(fleet.began);
                     fleet.list(fleet.began, fleet.cold.clone(), fleet.began);
                     fleet.play(fleet.began + fleet.terms.warm_after);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 
 use common::{listing, terms, World, MS};
 use quickcheck::{Gen, QuickCheck};
-use tideroute::interface::*;
+use tideroute::types::*;
 
 /// Plays one generated step: deaths, drains, restarts, silence, refusals, lost states, late outcomes, drops.
 fn step(world: &mut World, (what, which, much): (u8, u8, u16)) {
@@ -12,23 +12,31 @@
     let one = (!out.is_empty()).then(|| out[usize::from(which) % out.len()]);
     match what % 16 {
         0..=4 => {
-            let left = Tenths::from(800 + much % 6000) * MS;
+            let left = TenthMillis::from(800 + much % 6000) * MS;
             world.arrive(which % 4, u64::from(much % 5), f64::from(much % 9000), left);
         }
         5..=9 => {
             let Some(id) = one else { return };
             let (reading, started) = world.open[&id].out.as_ref().map(|o| (o.reading, o.started)).unwrap();
-            let endings: &[Ending] = match (reading, started) {
+            let endings: &[AttemptOutcome] = match (reading, started) {
                 (true, _) => &[
-                    Ending::Read,
-                    Ending::Read,
-                    Ending::Read,
-                    Ending::Full,
-                    Ending::Unreachable,
-                    Ending::Broken,
+                    AttemptOutcome::PrefillComplete,
+                    AttemptOutcome::PrefillComplete,
+                    AttemptOutcome::PrefillComplete,
+                    AttemptOutcome::Rejected,
+                    AttemptOutcome::Unreachable,
+                    AttemptOutcome::ConnectionReset,
+                ],
+                (_, true) => {
+                    &[AttemptOutcome::Completed, AttemptOutcome::Completed, AttemptOutcome::ConnectionReset]
+                }
+                _ => &[
+                    AttemptOutcome::Rejected,
+                    AttemptOutcome::StateMissing,
+                    AttemptOutcome::ServerError,
+                    AttemptOutcome::Unreachable,
+                    AttemptOutcome::ConnectionReset,
                 ],
-                (_, true) => &[Ending::Honoured, Ending::Honoured, Ending::Broken],
-                _ => &[Ending::Full, Ending::Stateless, Ending::Fault, Ending::Unreachable, Ending::Broken],
             };
             if !reading && !started && much % 3 > 0 {
                 world.start(id);
@@ -50,10 +58,11 @@
         }
         12 => {
             let mut entry = listing(which % 6);
-            entry.standing = [Standing::Ready, Standing::Draining, Standing::Gone][usize::from(much % 3)];
+            entry.standing = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed]
+                [usize::from(much % 3)];
             entry.started = world.list[&entry.worker].started;
             if much % 6 == 3 {
-                entry.started = world.now - Tenths::from(much % 500) * MS;
+                entry.started = world.now - TenthMillis::from(much % 500) * MS;
             }
             world.relist(entry);
             world.pull();
@@ -67,7 +76,7 @@
                 world.pull();
             }
         }
-        _ => world.pass(Tenths::from(much % 400) * MS),
+        _ => world.pass(TenthMillis::from(much % 400) * MS),
     }
 }
 
@@ -77,7 +86,7 @@
         let routers = if places { 268 } else { 1 };
         let (probes, max_shots) = (withdrawals, if few { 2 } else { 5 });
         let asks = asks && probes;
-        let terms = Terms { routers, places, withdrawals, probes, asks, max_shots, ..terms() };
+        let terms = SchedulerConfig { routers, places, withdrawals, probes, asks, max_shots, ..terms() };
         let mut world = World::new(terms, 6);
         steps.into_iter().for_each(|s| step(&mut world, s));
         world.pass(30_000 * MS);
