--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -51,10 +51,17 @@
     fn begin(seed: u64) -> Self;
     fn list_anew(&mut self, now: TenthMillis);
     fn listed(&mut self, now: TenthMillis, list: Endpoint);
-    fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool;
+    fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool;
     fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool);
-    fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16);
-    fn settled(&mut self, now: TenthMillis, id: RequestId, shot: u16, ending: AttemptOutcome, terminal: bool);
+    fn started(&mut self, now: TenthMillis, id: RequestId, attempt: u16);
+    fn settled(
+        &mut self,
+        now: TenthMillis,
+        id: RequestId,
+        attempt: u16,
+        outcome: AttemptOutcome,
+        terminal: bool,
+    );
     fn woken(&mut self, now: TenthMillis);
     fn decide(&mut self, now: TenthMillis) -> Option<Action>;
 }
@@ -74,10 +81,10 @@
         module!($router,
             list_anew() -> ();
             listed(list: Endpoint) -> ();
-            arrived(arrival: NewRequest) -> bool;
+            arrived(new_request: NewRequest) -> bool;
             answered_ahead(id: RequestId, held: bool) -> ();
-            started(id: RequestId, shot: u16) -> ();
-            settled(id: RequestId, shot: u16, ending: AttemptOutcome, terminal: bool) -> ();
+            started(id: RequestId, attempt: u16) -> ();
+            settled(id: RequestId, attempt: u16, outcome: AttemptOutcome, terminal: bool) -> ();
             woken() -> ();
             decide() -> Option<Action>;
         );
@@ -88,15 +95,15 @@
 module!(before::choice::Router);
 
 fn terms() -> SchedulerConfig {
-    let track = RequestClass {
+    let class = RequestClass {
         repeat: Idempotency::Idempotent,
-        contract: 1_500 * MS,
-        per_thousand: 40 * MS,
-        earnings: 1.0,
+        ttft_objective: 1_500 * MS,
+        ttft_objective_per_1000_tokens: 40 * MS,
+        priority_weight: 1.0,
     };
     SchedulerConfig {
         routers: 3,
-        tracks: vec![track],
+        classes: vec![class],
         roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 500 * MS,
@@ -104,8 +111,8 @@
         warm_after: 10_000 * MS,
         fall_multiple: 2.5,
         fall_span: 2_000 * MS,
-        max_shots: 5,
-        withdrawals: true,
+        max_attempts: 5,
+        cancellation: true,
         probes: true,
         asks: false,
         advice: true,
@@ -122,13 +129,13 @@
     for n in 0..size.workers {
         let worker = [10, 0, 0, (n >> 8) as u8, n as u8, 1];
         let (kind, cell, zone) = (u16::from(n % 3 != 0), n / 9, (n / 9 % 3) as u8);
-        let standing = EndpointStatus::Serving;
-        module.listed(now, Endpoint { worker, kind, size: 8.0, standing, cell, zone, started: 0 });
+        let status = EndpointStatus::Serving;
+        module.listed(now, Endpoint { worker, kind, size: 8.0, status, cell, zone, started: 0 });
     }
     let gap = 10_000 / size.rate.max(1);
     let warm_up = size.rate * (size.answer as u64 / 10_000 + 1);
     let (mut due, mut order) = (BinaryHeap::<Reverse<(TenthMillis, u64, What)>>::new(), 0u64);
-    let (mut came, mut shots) = (0u64, HashMap::new());
+    let (mut came, mut attempts) = (0u64, HashMap::new());
     let (mut open, mut took) = (0usize, Duration::ZERO);
     due.push(Reverse((now, 0, What::Arrive)));
     while let Some(Reverse((at, _, what))) = due.pop() {
@@ -153,14 +160,16 @@
         match what {
             What::Arrive => {
                 let (session, prefix) = if size.alone { (came, 0) } else { (came % 997, came % 20) };
-                let arrival =
-                    NewRequest { id: came, track: 0, session, prefix, prompt: 800.0, left: 5_000 * MS };
-                assert!(module.arrived(now, arrival));
+                let new_request =
+                    NewRequest { id: came, class: 0, session, prefix, prompt: 800.0, left: 5_000 * MS };
+                assert!(module.arrived(now, new_request));
             }
             What::Held(id) => module.answered_ahead(now, id, true),
-            What::Read(id, shot) => module.settled(now, id, shot, AttemptOutcome::PrefillComplete, false),
-            What::Start(id, shot) => module.started(now, id, shot),
-            What::End(id, shot) => module.settled(now, id, shot, AttemptOutcome::Completed, true),
+            What::Read(id, attempt) => {
+                module.settled(now, id, attempt, AttemptOutcome::PrefillComplete, false)
+            }
+            What::Start(id, attempt) => module.started(now, id, attempt),
+            What::End(id, attempt) => module.settled(now, id, attempt, AttemptOutcome::Completed, true),
             What::Wake => module.woken(now),
         }
         let mut decisions = vec![];
@@ -171,14 +180,14 @@
             let mut push = |after, what| due.push(Reverse((now + after, order, what)));
             match decision {
                 Action::Dispatch { id, .. } => {
-                    let shot = shots.entry(id).or_insert(0u16);
-                    if *shot == 0 {
+                    let attempt = attempts.entry(id).or_insert(0u16);
+                    if *attempt == 0 {
                         push(READ, What::Read(id, 0));
                     } else {
-                        push(10 * MS, What::Start(id, *shot));
-                        push(size.answer, What::End(id, *shot));
+                        push(10 * MS, What::Start(id, *attempt));
+                        push(size.answer, What::End(id, *attempt));
                     }
-                    *shot += 1;
+                    *attempt += 1;
                 }
                 Action::ReserveDecode { id, .. } => push(2 * MS, What::Held(id)),
                 Action::SetTimer { after } => push(after, What::Wake),
@@ -226,11 +235,11 @@
 /// The longest that the module takes for a whole list of 1,200, with 6,000 open and one in ten changed.
 fn reloads() {
     let worker = |n: u16| [10, 0, 0, (n >> 8) as u8, n as u8, 1];
-    let listing = |n: u16, standing| Endpoint {
+    let endpoint = |n: u16, status| Endpoint {
         worker: worker(n),
         kind: u16::from(!n.is_multiple_of(3)),
         size: 8.0,
-        standing,
+        status,
         cell: n / 9,
         zone: (n / 9 % 3) as u8,
         started: 0,
@@ -240,9 +249,9 @@
     for round in 0..50u16 {
         for n in 0..120 {
             let id = u64::from(round) * 120 + n;
-            let arrival =
-                NewRequest { id, track: 0, session: id, prefix: n % 20, prompt: 80.0, left: 60_000 * MS };
-            assert!(router.arrived(now, arrival));
+            let new_request =
+                NewRequest { id, class: 0, session: id, prefix: n % 20, prompt: 80.0, left: 60_000 * MS };
+            assert!(router.arrived(now, new_request));
         }
         while router.decide(now).is_some() {}
         now += 50 * MS;
@@ -252,7 +261,7 @@
             let drains = n % 10 == round % 10;
             router.listed(
                 now,
-                listing(n, if drains { EndpointStatus::Draining } else { EndpointStatus::Serving }),
+                endpoint(n, if drains { EndpointStatus::Draining } else { EndpointStatus::Serving }),
             );
         }
         while black_box(router.decide(now)).is_some() {}
--- a/crates/admission/benches/tenants.rs
+++ b/crates/admission/benches/tenants.rs
@@ -19,7 +19,7 @@
     let rate = Rate { a_second: 1e9, burst: 1e9 };
     for n in 0..tenants {
         let limits = Limits {
-            submissions: Some(rate),
+            requests: Some(rate),
             tokens: Some(rate),
             in_flight: Some(1_000_000),
             weight: 1.0 + f64::from(n % 5),
@@ -32,7 +32,7 @@
         let tokens = 100 + (n % 900) as u32;
         shares.asked(
             now,
-            Asked { ticket: Ticket(n), tenant, tokens, earnings: 1.0, cut_off: now + 600_000_000 },
+            Asked { ticket: Ticket(n), tenant, tokens, priority_weight: 1.0, deadline: now + 600_000_000 },
         );
     };
     (0..WAITING).for_each(|n| ask(&mut shares, n, now));
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -29,9 +29,9 @@
     /// Prompt tokens; they count against the rate, and with one for the submission itself against the share.
     pub tokens: u32,
     /// Of its track: what earns more goes first, within the tenant.
-    pub earnings: f64,
+    pub priority_weight: f64,
     /// When the client's time is up.
-    pub cut_off: Micros,
+    pub deadline: Micros,
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -131,7 +131,7 @@
 
     /// A submission asks to be let through; its verdict comes from `decide`, now or later.
     pub fn asked(&mut self, now: Micros, asked: Asked) {
-        let Asked { ticket, tenant, tokens, earnings, cut_off } = asked;
+        let Asked { ticket, tenant, tokens, priority_weight, deadline } = asked;
         let known = self.tenants.get_mut(&tenant).filter(|state| !state.removed);
         let Some(state) = known else {
             self.verdicts.push_back(Verdict::TurnBack { ticket, after: 0 });
@@ -140,10 +140,10 @@
         state.figures.asked += 1;
         self.asked += 1;
         // Positive floats order as their bits do.
-        let rank = (Reverse(earnings.max(0.0).to_bits()), self.asked);
+        let rank = (Reverse(priority_weight.max(0.0).to_bits()), self.asked);
         state.waiting.insert(rank, Waiting { ticket, tokens: f64::from(tokens), since: now });
         // A quarter of its time may go here: the rest is for reading and writing, and for another shot.
-        let until = now + self.terms.longest_wait.min(cut_off.saturating_sub(now) / 4);
+        let until = now + self.terms.longest_wait.min(deadline.saturating_sub(now) / 4);
         self.queued.insert(ticket, (tenant, rank, until));
         self.expires.insert((until, ticket));
         let last = state.waiting.last_key_value().map(|(rank, _)| *rank);
@@ -246,7 +246,7 @@
     fn refuse(&mut self, now: Micros, tenant: Tenant, rank: Rank) {
         let Some(waiting) = self.take_out(tenant, rank) else { return };
         let Some(state) = self.tenants.get_mut(&tenant) else { return };
-        state.figures.turned_back += 1;
+        state.figures.rejected += 1;
         let free = state.free_at(now, waiting.tokens).map(|at| at - now);
         // Where no rate binds there is too much of all: come back when what waits has had its time.
         let after = free.filter(|after| *after > 0).unwrap_or(self.terms.longest_wait);
--- a/crates/admission/src/tenant.rs
+++ b/crates/admission/src/tenant.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Submissions a second, and prompt tokens a second.
-    pub submissions: Option<Rate>,
+    pub requests: Option<Rate>,
     pub tokens: Option<Rate>,
     pub in_flight: Option<u32>,
     /// Its part of what there is, against the weights of others that have work; 0 for what others leave.
@@ -21,7 +21,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { submissions: None, tokens: None, in_flight: None, weight: 1.0, waiting: 100 }
+        Limits { requests: None, tokens: None, in_flight: None, weight: 1.0, waiting: 100 }
     }
 }
 
@@ -31,7 +31,7 @@
     pub asked: u64,
     pub let_in: u64,
     /// Turned back here, not by the decision module.
-    pub turned_back: u64,
+    pub rejected: u64,
     pub in_time: u64,
     pub late: u64,
     /// Microseconds that those let in waited, all together.
@@ -73,7 +73,7 @@
 
     /// The limits on rates, each with what one of so many prompt tokens takes of it.
     fn rates(&self, tokens: f64) -> [(Option<Rate>, f64); 2] {
-        [(self.limits.submissions, 1.0), (self.limits.tokens, tokens)]
+        [(self.limits.requests, 1.0), (self.limits.tokens, tokens)]
     }
 
     /// From when on its rates let one of so many prompt tokens through; None for never.
@@ -97,7 +97,7 @@
     }
 
     pub fn relimit(&mut self, now: Micros, limits: Limits) {
-        let pairs = [(self.limits.submissions, limits.submissions), (self.limits.tokens, limits.tokens)];
+        let pairs = [(self.limits.requests, limits.requests), (self.limits.tokens, limits.tokens)];
         for (taken, (old, new)) in self.taken.iter_mut().zip(pairs) {
             match (old, new) {
                 (Some(old), Some(new)) => taken.rescale(old, new, now),
--- a/crates/admission/tests/plain.rs
+++ b/crates/admission/tests/plain.rs
@@ -47,7 +47,7 @@
     }
 
     fn free_at(member: &Member, now: Micros, tokens: f64) -> Option<Micros> {
-        let rates = [(member.limits.submissions, 1.0), (member.limits.tokens, tokens)];
+        let rates = [(member.limits.requests, 1.0), (member.limits.tokens, tokens)];
         let mut free = now;
         for ((rate, units), due) in rates.into_iter().zip(member.due) {
             let Some(rate) = rate else { continue };
@@ -63,7 +63,9 @@
     /// Those of a tenant that wait, the one to go first first.
     fn of(&self, tenant: Tenant) -> Vec<Waits> {
         let mut of: Vec<_> = self.waits.iter().filter(|w| w.asked.tenant == tenant).cloned().collect();
-        of.sort_by(|a, b| b.asked.earnings.total_cmp(&a.asked.earnings).then(a.order.cmp(&b.order)));
+        of.sort_by(|a, b| {
+            b.asked.priority_weight.total_cmp(&a.asked.priority_weight).then(a.order.cmp(&b.order))
+        });
         of
     }
 
@@ -81,7 +83,7 @@
             self.members.push(Member { tenant, limits, due: [0.0; 2], paid: 0.0, removed: false });
         }
         let Some(member) = self.member(tenant) else { return };
-        let pairs = [(member.limits.submissions, limits.submissions), (member.limits.tokens, limits.tokens)];
+        let pairs = [(member.limits.requests, limits.requests), (member.limits.tokens, limits.tokens)];
         for (due, pair) in member.due.iter_mut().zip(pairs) {
             let (Some(old), Some(new)) = pair else {
                 *due = 0.0;
@@ -116,7 +118,7 @@
             return self.verdicts.push(Verdict::TurnBack { ticket: asked.ticket, after: 0 });
         }
         self.asked += 1;
-        let until = now + TERMS.longest_wait.min(asked.cut_off.saturating_sub(now) / 4);
+        let until = now + TERMS.longest_wait.min(asked.deadline.saturating_sub(now) / 4);
         self.waits.push(Waits { asked, order: self.asked, until });
         let of = self.of(asked.tenant);
         let most = self.member(asked.tenant).map_or(0, |m| m.limits.waiting as usize);
@@ -166,7 +168,7 @@
         self.flights.push((ticket, tenant, now));
         let m = self.member(tenant)?;
         for ((rate, units), due) in
-            [(m.limits.submissions, 1.0), (m.limits.tokens, f64::from(tokens))].into_iter().zip(&mut m.due)
+            [(m.limits.requests, 1.0), (m.limits.tokens, f64::from(tokens))].into_iter().zip(&mut m.due)
         {
             if let Some(rate) = rate {
                 *due = due.max(now as f64) + units / rate.a_second * 1e6;
@@ -188,9 +190,9 @@
         let none = chance.random_range(0..12) == 0;
         chance.random_bool(0.4).then_some(Rate { a_second: if none { 0.0 } else { a_second }, burst })
     };
-    let (submissions, tokens) = (rate(20.0), rate(4_000.0));
+    let (requests, tokens) = (rate(20.0), rate(4_000.0));
     Limits {
-        submissions,
+        requests,
         tokens,
         in_flight: chance.random_bool(0.3).then(|| chance.random_range(0..6)),
         // One without weight: among several of them the plain model keeps no order.
@@ -228,8 +230,8 @@
                             ticket: Ticket(tickets),
                             tenant,
                             tokens: chance.random_range(0..900),
-                            earnings: [1.0, 3.0, 0.5][chance.random_range(0..3)],
-                            cut_off: now + chance.random_range(0..6_000_000),
+                            priority_weight: [1.0, 3.0, 0.5][chance.random_range(0..3)],
+                            deadline: now + chance.random_range(0..6_000_000),
                         };
                         open += 1;
                         shares.asked(now, asked);
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -9,12 +9,12 @@
 use bytes::Fields;
 use tideroute::scheduler::Scheduler;
 use tideroute::types::{Action, AttemptOutcome, Endpoint, EndpointStatus, NewRequest, TenthMillis};
-use tideroute_settings::{tenths, Report};
+use tideroute_settings::{to_tenth_millis, Report};
 
 /// Each router, and what a probe brings it of a worker's load.
 type Routers = BTreeMap<u16, (Scheduler, Option<Report>)>;
 
-fn standing(code: u8) -> Result<EndpointStatus, String> {
+fn status(code: u8) -> Result<EndpointStatus, String> {
     match code {
         0 => Ok(EndpointStatus::Removed),
         1 => Ok(EndpointStatus::Serving),
@@ -23,7 +23,7 @@
     }
 }
 
-fn ending(code: u8, info: u32) -> Result<AttemptOutcome, String> {
+fn outcome(code: u8, info: u32) -> Result<AttemptOutcome, String> {
     Ok(match code {
         0 => AttemptOutcome::Completed,
         1 => AttemptOutcome::ServerError,
@@ -48,9 +48,9 @@
     Ok(Endpoint {
         kind: f.u16("worker kind")?,
         size: f64::from(f.f32("capacity_hint")?),
-        standing: standing(f.u8("worker state")?)?,
+        status: status(f.u8("worker state")?)?,
         cell: f.u16("cohort")?,
-        started: tenths(f.f64("last_start_ms")?),
+        started: to_tenth_millis(f.f64("last_start_ms")?),
         zone: f.u8("region_part")?,
         worker: f.array("worker")?,
     })
@@ -94,35 +94,35 @@
             }
         }
         30 => {
-            let (id, track) = (f.u64("req")?, f.u8("service")?);
+            let (id, class) = (f.u64("req")?, f.u8("service")?);
             f.u32("user_group")?;
             let session = f.u64("session")?;
-            let left = tenths(f.f64("grace_ms")?);
+            let left = to_tenth_millis(f.f64("grace_ms")?);
             f.f64("predicted_ms")?;
             let prefix = f.u64("prefix_id")?;
             let prompt = f64::from(f.f32("prompt_tokens")?);
             f.f32("prefix_tokens")?;
             f.f32("n_max")?;
             f.u8("marks")?;
-            if !router.arrived(now, NewRequest { id, track, session, prefix, prompt, left }) {
-                return Err(format!("class {track} of request {id} is not in the settings"));
+            if !router.arrived(now, NewRequest { id, class, session, prefix, prompt, left }) {
+                return Err(format!("class {class} of request {id} is not in the settings"));
             }
         }
         40 => {
-            let (id, shot) = (f.u64("req")?, f.u16("try")?);
+            let (id, attempt) = (f.u64("req")?, f.u16("try")?);
             f.f64("spent_ms")?;
             f.array::<6>("worker")?;
-            router.started(now, id, shot);
+            router.started(now, id, attempt);
         }
         50 => {
-            let (id, shot) = (f.u64("req")?, f.u16("try")?);
+            let (id, attempt) = (f.u64("req")?, f.u16("try")?);
             f.array::<6>("worker")?;
             let code = f.u8("code")?;
             f.f64("spent_ms")?;
             let terminal = f.u8("terminal")? != 0;
             let info = f.u32("info")?;
             floats(f)?;
-            router.settled(now, id, shot, ending(code, info)?, terminal);
+            router.settled(now, id, attempt, outcome(code, info)?, terminal);
         }
         60 => router.dropped(now, f.u64("req")?),
         70 => {
@@ -177,9 +177,9 @@
             out.extend(worker);
         }
         Action::Release { id } => head(110, Some(id)),
-        Action::CancelAttempt { id, shot } => {
+        Action::CancelAttempt { id, attempt } => {
             head(100, Some(id));
-            out.extend(shot.to_le_bytes());
+            out.extend(attempt.to_le_bytes());
         }
         Action::Reject { id, after } => {
             head(140, Some(id));
@@ -206,7 +206,7 @@
 fn batch(header: &[u8; 20], body: &[u8], routers: &mut Routers, out: &mut Vec<u8>) -> Result<(), String> {
     let mut head = Fields::new(header);
     let (seq, _, count) = (head.u32("batch")?, head.u32("length")?, head.u32("count")?);
-    let now = tenths(head.f64("clock")?);
+    let now = to_tenth_millis(head.f64("clock")?);
     let mut f = Fields::new(body);
     let mut seen = Vec::new();
     for record in 0..count {
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -91,7 +91,7 @@
 fn terms(entry: &Entry, tenant: &Tenant) -> TenantConfig {
     let rate = |rate: Rate| tideroute_admission::Rate { a_second: rate.a_second, burst: rate.once };
     let limits = tideroute_admission::Limits {
-        submissions: tenant.submissions.map(rate),
+        requests: tenant.submissions.map(rate),
         tokens: tenant.tokens.map(rate),
         in_flight: tenant.in_flight,
         weight: tenant.weight,
--- a/crates/command/src/cores.rs
+++ b/crates/command/src/cores.rs
@@ -162,7 +162,7 @@
     }
     let mut terms = convert::router(record, n, seed, origin()?)?;
     if let Some(admin) = admin {
-        terms.books.tenants = Some(admin.join(n, reactor.mailbox())?);
+        terms.lifecycle.tenants = Some(admin.join(n, reactor.mailbox())?);
         reactor.publish_to(admin.figures());
     }
     let mut host = Host::new(terms, kept.map(bytes::Bytes::from), now);
--- a/crates/command/src/measure_tenants.rs
+++ b/crates/command/src/measure_tenants.rs
@@ -23,8 +23,7 @@
         let mut shares =
             Shares::new(Terms { longest_wait: 60_000_000, most_waiting: 100_000, longest_advice: 1_000_000 });
         let rate = Some(Rate { a_second: 1e9, burst: 1e9 });
-        let limits =
-            Limits { submissions: rate, tokens: rate, in_flight: Some(1 << 20), ..Limits::default() };
+        let limits = Limits { requests: rate, tokens: rate, in_flight: Some(1 << 20), ..Limits::default() };
         (0..tenants).for_each(|n| shares.tenant(1, Tenant(n), limits));
         let memory = resident().saturating_sub(before) as f64 / f64::from(tenants);
         // What the machine counts in pages says nothing of a few.
@@ -49,7 +48,7 @@
         now += 10;
         let tenant = Tenant((n * 7_919 % u64::from(tenants)) as u32);
         let (ticket, cut_off) = (Ticket(n), now + 10_000_000);
-        shares.asked(now, Asked { ticket, tenant, tokens: 300, earnings: 1.0, cut_off });
+        shares.asked(now, Asked { ticket, tenant, tokens: 300, priority_weight: 1.0, deadline: cut_off });
         while let Some(verdict) = shares.decide(now) {
             if let Verdict::Let(ticket) = verdict {
                 flying.push(ticket);
--- a/crates/command/src/platform.rs
+++ b/crates/command/src/platform.rs
@@ -29,7 +29,7 @@
     reactor.patient();
     reactor.catch_signals().map_err(|e| e.to_string())?;
     reactor.reread(path).map_err(|e| e.to_string())?;
-    tracing::info!(name = terms.books.name, listen = %terms.listen, rooms = ?terms.rooms, "the router is there");
+    tracing::info!(name = terms.lifecycle.name, listen = %terms.listen, rooms = ?terms.rooms, "the router is there");
     let mut program = Platform::new(terms, reactor.clock().now());
     Ok(reactor.run(&mut program).map_err(|e| e.to_string())? == Loop::Done)
 }
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Ask {
     pub trace: Arc<str>,
-    pub track: u8,
+    pub class: u8,
     pub session: u64,
     pub prefix: u64,
     pub prompt_tokens: Option<u32>,
@@ -46,12 +46,12 @@
 
 impl Ask {
     /// Understands the head of a submission; the names of tracks come in their order.
-    pub fn read(request: Request, tracks: &[String]) -> Result<Ask, Refusal> {
+    pub fn read(request: Request, classes: &[String]) -> Result<Ask, Refusal> {
         let fields = &request.fields;
         let trace = fields.one(words::TRACE).filter(|t| is_trace(t));
         let trace = trace.ok_or(Refusal(BAD, "x-trace-id must be there once, as letters and digits"))?;
-        let track = fields.one(words::TRACK).and_then(|name| tracks.iter().position(|t| t == name));
-        let track = track.ok_or(Refusal(BAD, "x-qos must name a class of this deployment"))?;
+        let class = fields.one(words::CLASS).and_then(|name| classes.iter().position(|t| t == name));
+        let class = class.ok_or(Refusal(BAD, "x-qos must name a class of this deployment"))?;
         let left = fields.one(words::LEFT).and_then(number);
         let left = left.ok_or(Refusal(BAD, "x-expires-in-ms must be whole milliseconds"))?;
         let session = match (fields.one(words::SESSION), fields.has(words::SESSION)) {
@@ -65,7 +65,7 @@
         let passed = fields.end_to_end().filter(|(name, _)| *name != words::LEFT);
         Ok(Ask {
             trace: trace.into(),
-            track: track as u8,
+            class: class as u8,
             session,
             prefix,
             prompt_tokens,
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -122,11 +122,11 @@
     /// The client has gone, and what is open for it goes with it.
     pub(crate) fn client_gone(&mut self, now: Micros, link: Link, out: &mut Outbox) {
         if let Some(id) = self.clients.lose(link) {
-            if let Some(s) = self.books.submissions.get(id) {
+            if let Some(s) = self.lifecycle.requests.get(id) {
                 story::tell(id, &s.asked.trace, State::ClientLeft);
             }
-            let (books, mut exit) = self.parts(now, out);
-            books.dropped(now, id, &mut exit);
+            let (lifecycle, mut exit) = self.parts(now, out);
+            lifecycle.dropped(now, id, &mut exit);
         }
     }
 
@@ -158,7 +158,7 @@
                 self.parts(now, out).1.say(link, status, 0, what);
                 true
             }
-            ("POST", words::CHAT) => self.submission(link, request, out),
+            ("POST", words::CHAT) => self.request(link, request, out),
             (_, words::UP | words::CHAT) => {
                 self.refuse(link, Refusal(405, "not with this method"), out);
                 false
@@ -171,10 +171,10 @@
     }
 
     /// The head of a submission: its body follows.
-    fn submission(&mut self, link: Link, request: Request, out: &mut Outbox) -> bool {
+    fn request(&mut self, link: Link, request: Request, out: &mut Outbox) -> bool {
         let framing = request.framing;
         let continues = request.fields.one("expect").map(|e| e.eq_ignore_ascii_case("100-continue"));
-        let ask = match Ask::read(request, &self.terms.books.tracks) {
+        let ask = match Ask::read(request, &self.terms.lifecycle.classes) {
             Ok(ask) if continues != Some(false) => ask,
             Ok(_) => {
                 self.refuse(link, Refusal(417, "what is expected is not known here"), out);
@@ -234,21 +234,21 @@
             self.refuse(link, Refusal(409, "a request with this x-trace-id is open"), out);
             return false;
         }
-        if let Some((why, after)) = self.books.untaken(false) {
+        if let Some((why, after)) = self.lifecycle.untaken(false) {
             self.parts(now, out).1.say(link, 503, after, why);
             return true;
         }
-        let left = self.books.left(ask.left).saturating_sub(self.terms.travel);
+        let left = self.lifecycle.left(ask.left).saturating_sub(self.terms.travel);
         let tokens = ask.prompt_tokens(body.len());
         let (trace, target, fields) = (ask.trace.clone(), ask.target, ask.fields);
         let asked = Asked { client: link, trace: ask.trace, target, fields, body };
-        let s = RequestState::new(asked, ask.track, (ask.session, ask.prefix), tokens).waits(now, left);
-        let id = self.books.submissions.coming();
+        let s = RequestState::new(asked, ask.class, (ask.session, ask.prefix), tokens).waits(now, left);
+        let id = self.lifecycle.requests.coming();
         story::tell(id, &trace, State::Taken);
         tracing::debug!(id, link = link.0, "takes a request");
         self.clients.asked(link, trace, id);
-        let (books, mut exit) = self.parts(now, out);
-        books.submitted(now, s, None, &mut exit);
+        let (lifecycle, mut exit) = self.parts(now, out);
+        lifecycle.submitted(now, s, None, &mut exit);
         false
     }
 
@@ -257,7 +257,7 @@
     pub(crate) fn refuse(&mut self, link: Link, Refusal(status, why): Refusal, out: &mut Outbox) {
         counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
         tracing::debug!(link = link.0, status, why, "refuses a request");
-        let after = if status == 503 { self.books.advice() } else { 0 };
+        let after = if status == 503 { self.lifecycle.advice() } else { 0 };
         out.send(link, said(status, after, why, true));
         self.clients.lose(link);
         out.close(link, why);
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -27,7 +27,7 @@
 /// What came of decisions while they were carried out, to be told to the books afterwards.
 #[derive(Default)]
 pub struct Later {
-    pub endings: Vec<(RequestId, u16, AttemptOutcome)>,
+    pub outcomes: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Clients whose answer is complete: their next request may be there already.
     pub answered: Vec<Link>,
 }
@@ -89,7 +89,7 @@
 
     /// An attempt leaves on its connection, which is up: it tells how long its client waits from now.
     pub fn attempt(&mut self, link: Link, s: &RequestState<Asked>, _permit: AttemptPermit) {
-        let left = (s.cut_off.saturating_sub(self.now) / 1_000).to_string();
+        let left = (s.deadline.saturating_sub(self.now) / 1_000).to_string();
         let fields = s.asked.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
         let fields = fields.chain([(words::LEFT, left.as_str())]);
         self.out.send(link, write::request("POST", &s.asked.target, fields, Some(&s.asked.body)));
@@ -126,25 +126,25 @@
         &mut self,
         id: RequestId,
         s: &RequestState<Asked>,
-        shot: &Attempt,
+        attempt: &Attempt,
         _left: Micros,
         permit: AttemptPermit,
     ) {
-        if !shot.reading {
+        if !attempt.reading {
             // A place comes too late now.
             let (held, mut context) = self.held();
             held.unasked(id, &mut context);
         }
-        let track = self.terms.books.module.tracks.get(usize::from(s.track));
-        let once = !shot.reading && track.is_some_and(|t| t.repeat == Idempotency::NonIdempotent);
-        let job = Job::Attempt { id, number: shot.number, reading: shot.reading, once };
-        let Some(link) = self.pools.begin(self.now, shot.worker, job, self.out) else {
-            return self.later.endings.push((id, shot.number, AttemptOutcome::NotSent));
+        let class = self.terms.lifecycle.module.classes.get(usize::from(s.class));
+        let once = !attempt.reading && class.is_some_and(|t| t.repeat == Idempotency::NonIdempotent);
+        let job = Job::Attempt { id, number: attempt.number, reading: attempt.reading, once };
+        let Some(link) = self.pools.begin(self.now, attempt.worker, job, self.out) else {
+            return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
         };
         if let Some(conn) = self.pools.get_mut(link) {
-            story::tell(id, &s.asked.trace, State::AttemptChosen(shot.number, conn.to));
+            story::tell(id, &s.asked.trace, State::AttemptChosen(attempt.number, conn.to));
         }
-        if self.pools.shot_is_up(id) {
+        if self.pools.attempt_is_connected(id) {
             self.attempt(link, s, permit);
             let (held, mut context) = self.held();
             held.pause(id, &mut context);
@@ -159,7 +159,9 @@
         _reader: WorkerId,
         _permit: PlacePermit,
     ) {
-        let Some(conn) = self.pools.shot(id).and_then(|link| self.pools.get_mut(link)) else { return };
+        let Some(conn) = self.pools.attempt_connection(id).and_then(|link| self.pools.get_mut(link)) else {
+            return;
+        };
         if conn.written {
             self.place(id, &s.asked.trace, at);
         } else {
@@ -182,45 +184,51 @@
         held.let_go(id, at, &mut context);
     }
 
-    fn withdraw(&mut self, id: RequestId, _shot: &Attempt) -> bool {
-        let Some(link) = self.pools.shot(id) else { return true };
+    fn withdraw(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
+        let Some(link) = self.pools.attempt_connection(id) else { return true };
         let left = self.has_left(link);
         self.pools.end(link, self.out);
         !left
     }
 
-    fn recall(&mut self, id: RequestId, shot: &Attempt) -> bool {
-        let left = self.pools.shot(id).is_some_and(|link| self.has_left(link));
-        !left && self.withdraw(id, shot)
+    fn recall(&mut self, id: RequestId, attempt: &Attempt) -> bool {
+        let left = self.pools.attempt_connection(id).is_some_and(|link| self.has_left(link));
+        !left && self.withdraw(id, attempt)
     }
 
-    fn settled(&mut self, id: RequestId, s: &RequestState<Asked>, shot: &Attempt, ending: AttemptOutcome) {
+    fn settled(
+        &mut self,
+        id: RequestId,
+        s: &RequestState<Asked>,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
+    ) {
         let sent = self.pools.over(id).unwrap_or(self.now);
         let trace = &s.asked.trace;
-        story::tell(id, trace, State::AttemptEnded(shot.number, ending));
+        story::tell(id, trace, State::AttemptEnded(attempt.number, outcome));
         let (held, mut context) = self.held();
-        let failed = ending != AttemptOutcome::Completed && !shot.started;
+        let failed = outcome != AttemptOutcome::Completed && !attempt.started;
         // One that was sent with no state waiting for it has read the prompt itself.
-        let read = shot.reading || s.state.is_none();
-        if ending == AttemptOutcome::PrefillComplete {
-            held.read(id, trace, shot.worker, &mut context);
-        } else if failed && read && !ending.never_ran() {
-            held.read_badly(id, trace, (shot.worker, sent), &mut context);
+        let read = attempt.reading || s.state.is_none();
+        if outcome == AttemptOutcome::PrefillComplete {
+            held.read(id, trace, attempt.worker, &mut context);
+        } else if failed && read && !outcome.never_ran() {
+            held.read_badly(id, trace, (attempt.worker, sent), &mut context);
         } else if failed {
             let spoke = matches!(
-                ending,
+                outcome,
                 AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
             );
-            let reached = !matches!(ending, AttemptOutcome::Unreachable | AttemptOutcome::NotSent);
+            let reached = !matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent);
             held.stays(id, trace, (s.state, reached, spoke), &mut context);
         }
-        let ended_by = match ending {
+        let ended_by = match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => Some(EndedBy::ThisSide),
-            AttemptOutcome::ConnectionReset if !shot.started => Some(EndedBy::Reset),
+            AttemptOutcome::ConnectionReset if !attempt.started => Some(EndedBy::Reset),
             _ => None,
         };
         if let Some(by) = ended_by {
-            held.gave_up(id, shot.worker, by, context.now);
+            held.gave_up(id, attempt.worker, by, context.now);
         }
     }
 
@@ -244,7 +252,7 @@
                 self.clients.lose(link);
                 self.out.close(link, "its stream broke");
             }
-            Response::Failed if self.now >= s.cut_off => self.say(link, 504, 0, "no answer in time"),
+            Response::Failed if self.now >= s.deadline => self.say(link, 504, 0, "no answer in time"),
             Response::Failed => self.say(link, 502, 0, "no worker answered it"),
             Response::Rejected(after) => self.say(link, 503, after, "turned back: it has not run"),
         }
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub books: LifecycleConfig,
+    pub lifecycle: LifecycleConfig,
     pub listen: SocketAddr,
     pub discovery: Address,
     pub rooms: Rooms,
@@ -64,8 +64,8 @@
                 self.dial / 1_000
             ));
         }
-        for (name, track) in self.books.tracks.iter().zip(&self.books.module.tracks) {
-            if matches!(track.repeat, Idempotency::IdempotentWithKey { window: 0, .. }) {
+        for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.module.classes) {
+            if matches!(class.repeat, Idempotency::IdempotentWithKey { window: 0, .. }) {
                 found.push(format!(
                     "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never repeated",
                     self.dial / 1_000
@@ -111,9 +111,9 @@
     let settings = at("settings").ok_or(field("settings", "the settings"))?;
     let module = tideroute_settings::terms(settings).map_err(Unusable::Settings)?;
     let report = tideroute_settings::report(settings).map_err(Unusable::Settings)?;
-    let classes =
+    let class_settings =
         at("settings.classes").and_then(Value::as_array).ok_or(field("settings.classes", "a list"))?;
-    let tracks = classes.iter().map(|c| c["name"].as_str().unwrap_or_default().to_string()).collect();
+    let classes = class_settings.iter().map(|c| c["name"].as_str().unwrap_or_default().to_string()).collect();
     let names = Names { zones: names("settings.failure_domains")?, kinds: names("settings.kinds")? };
     let dial = micros("settings.caps.dial_timeout_ms")?;
     let release = module.release.max(0) as Micros * 100;
@@ -121,10 +121,10 @@
     if !known.is_null() {
         list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
     }
-    let books = LifecycleConfig {
+    let lifecycle = LifecycleConfig {
         name,
         module,
-        tracks,
+        classes,
         unheard: dial,
         most_open: rooms.open,
         tenants: None,
@@ -135,7 +135,19 @@
     let [a, b, c, d, high, low] = listen;
     let listen = ([a, b, c, d], u16::from_be_bytes([high, low])).into();
     let idle = micros("settings.caps.conn_idle_ms")?;
-    Ok(Terms { books, listen, discovery, rooms, names, idle, dial, release, travel: TRAVEL, report, known })
+    Ok(Terms {
+        lifecycle,
+        listen,
+        discovery,
+        rooms,
+        names,
+        idle,
+        dial,
+        release,
+        travel: TRAVEL,
+        report,
+        known,
+    })
 }
 
 /// Hears a list only to see that it can be read.
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -352,7 +352,7 @@
     fn comes_due(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let next = match entry.clock {
-            Clock::Runs(since) if at.pools.shot_is_up(id) => entry.due(since, self.allowed),
+            Clock::Runs(since) if at.pools.attempt_is_connected(id) => entry.due(since, self.allowed),
             Clock::Runs(_) => at.now,
             Clock::Rests { since, asked } => {
                 let since = since.max(at.pools.reader_heard(id));
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -25,7 +25,7 @@
 pub trait Ear {
     /// False if the page shall not be heard.
     fn page(&mut self, version: u64, whole: bool) -> bool;
-    fn entry(&mut self, listing: Endpoint, at: Address);
+    fn entry(&mut self, endpoint: Endpoint, at: Address);
 }
 
 /// What the module calls a worker: it ranks workers by it, so it comes from the name that every router sees, and
@@ -43,7 +43,7 @@
     let servers = page["servers"].as_array().ok_or(Unreadable::Field("servers"))?;
     let entries = servers.iter().map(|s| entry(s, names)).collect::<Result<Vec<_>, _>>()?;
     if ear.page(version, whole) {
-        entries.into_iter().flatten().for_each(|(listing, at)| ear.entry(listing, at));
+        entries.into_iter().flatten().for_each(|(endpoint, at)| ear.entry(endpoint, at));
     }
     Ok(())
 }
@@ -56,13 +56,13 @@
 fn entry(server: &Value, names: &Names) -> Result<Option<(Endpoint, Address)>, Unreadable> {
     let word = |field| server[field].as_str().ok_or(Unreadable::Field(field));
     let worker = worker_of(word("id")?);
-    let standing = match word("state")? {
+    let status = match word("state")? {
         "SERVING" => EndpointStatus::Serving,
         "DRAINING" => EndpointStatus::Draining,
         "DELETED" => {
             // One that is gone needs nothing but its name.
-            let listing = Endpoint { worker, standing: EndpointStatus::Removed, ..Endpoint::default() };
-            return Ok(Some((listing, [0; 6])));
+            let endpoint = Endpoint { worker, status: EndpointStatus::Removed, ..Endpoint::default() };
+            return Ok(Some((endpoint, [0; 6])));
         }
         _ => return Err(Unreadable::Field("state")),
     };
@@ -78,6 +78,6 @@
         return Ok(None);
     };
     let (kind, zone) = (kind as u16, zone as u8);
-    let started = tideroute_settings::tenths(started.max(0.0));
-    Ok(Some((Endpoint { worker, kind, size, standing, cell, zone, started }, at)))
+    let started = tideroute_settings::to_tenth_millis(started.max(0.0));
+    Ok(Some((Endpoint { worker, kind, size, status, cell, zone, started }, at)))
 }
--- a/crates/gateway/src/pools.rs
+++ b/crates/gateway/src/pools.rs
@@ -28,7 +28,7 @@
     /// Resting connections of all workers, the longest rest first.
     rests: BTreeSet<(Micros, Link)>,
     /// The connection that each request's attempt is out on, and since when.
-    shots: HashMap<RequestId, (Link, Micros)>,
+    attempts: HashMap<RequestId, (Link, Micros)>,
     /// When each worker was last heard.
     heard: HashMap<WorkerId, Micros>,
     places: BTreeMap<WorkerId, Address>,
@@ -57,22 +57,22 @@
     }
 
     /// The connection that a submission's shot is out on.
-    pub fn shot(&self, id: RequestId) -> Option<Link> {
-        self.shots.get(&id).map(|(link, _)| *link)
+    pub fn attempt_connection(&self, id: RequestId) -> Option<Link> {
+        self.attempts.get(&id).map(|(link, _)| *link)
     }
 
     /// How many shots are out on connections to each worker, and how many connections there are and rest.
     pub fn carried(&self) -> (BTreeMap<WorkerId, usize>, usize, usize) {
-        let mut shots = BTreeMap::new();
+        let mut attempts = BTreeMap::new();
         for conn in self.conns.values().filter(|c| matches!(c.job, Some(Job::Attempt { .. }))) {
-            *shots.entry(conn.worker).or_default() += 1;
+            *attempts.entry(conn.worker).or_default() += 1;
         }
-        (shots, self.conns.len(), self.rests.len())
+        (attempts, self.conns.len(), self.rests.len())
     }
 
     /// Whether a submission's shot has a connection that is there.
-    pub fn shot_is_up(&self, id: RequestId) -> bool {
-        self.shot(id).and_then(|link| self.conns.get(&link)).is_some_and(|conn| conn.up)
+    pub fn attempt_is_connected(&self, id: RequestId) -> bool {
+        self.attempt_connection(id).and_then(|link| self.conns.get(&link)).is_some_and(|conn| conn.up)
     }
 
     /// Whether a submission's attempt to be read has left.
@@ -91,7 +91,7 @@
     }
 
     fn attempt(&self, id: RequestId) -> Option<(&Conn, bool)> {
-        let conn = self.conns.get(&self.shot(id)?)?;
+        let conn = self.conns.get(&self.attempt_connection(id)?)?;
         match conn.job {
             Some(Job::Attempt { reading, .. }) => Some((conn, reading)),
             _ => None,
@@ -101,14 +101,16 @@
     /// When the worker of a submission's attempt was last heard, on connections that were there before the attempt, 0 if
     /// it never was: a process that has started since would be heard on later ones only.
     pub fn reader_heard(&self, id: RequestId) -> Micros {
-        let (Some((_, sent)), Some((attempt, _))) = (self.shots.get(&id), self.attempt(id)) else { return 0 };
+        let (Some((_, sent)), Some((attempt, _))) = (self.attempts.get(&id), self.attempt(id)) else {
+            return 0;
+        };
         let before = self.conns.values().filter(|c| c.worker == attempt.worker && c.opened <= *sent);
         before.map(|c| c.heard).max().unwrap_or(0)
     }
 
     /// A submission's attempt is over: when it went out, if it did.
     pub fn over(&mut self, id: RequestId) -> Option<Micros> {
-        self.shots.remove(&id).map(|(_, sent)| sent)
+        self.attempts.remove(&id).map(|(_, sent)| sent)
     }
 
     /// Bytes have come from the worker on that connection.
@@ -289,7 +291,7 @@
         conn.patience.set(Micros::MAX, 0, out);
         if let Job::Attempt { id, .. } = job {
             conn.patience.set(leaves_by, key(Ring::Worker(link)), out);
-            self.shots.insert(id, (link, now));
+            self.attempts.insert(id, (link, now));
         }
         if let Job::Probe { .. } = job {
             self.probes.insert(worker, link);
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -76,7 +76,7 @@
 
 pub struct Platform {
     pub(crate) terms: Terms,
-    pub(crate) books: RequestLifecycle<Asked>,
+    pub(crate) lifecycle: RequestLifecycle<Asked>,
     pub(crate) clients: Clients,
     pools: Pools,
     held: Held,
@@ -98,7 +98,7 @@
             tracing::warn!(problem, "the settings leave no room");
         }
         Platform {
-            books: RequestLifecycle::new(terms.books.clone(), now),
+            lifecycle: RequestLifecycle::new(terms.lifecycle.clone(), now),
             pools: Pools::new(terms.rooms.workers, terms.dial, terms.idle / REST),
             held: Held::new(terms.release),
             terms,
@@ -131,7 +131,7 @@
             now,
             out,
         };
-        (&mut self.books, exit)
+        (&mut self.lifecycle, exit)
     }
 
     /// Whether it can serve: it knows workers, from discovery or, if that is silent, from the list it was handed.
@@ -145,16 +145,16 @@
         (&mut self.held, Context { now, pools: &mut self.pools, out })
     }
 
-    fn settle(&mut self, now: Micros, id: RequestId, number: u16, ending: AttemptOutcome, out: &mut Outbox) {
-        let (books, mut exit) = self.parts(now, out);
-        books.settle(now, id, number, ending, &mut exit);
+    fn settle(&mut self, now: Micros, id: RequestId, number: u16, outcome: AttemptOutcome, out: &mut Outbox) {
+        let (lifecycle, mut exit) = self.parts(now, out);
+        lifecycle.settle(now, id, number, outcome, &mut exit);
     }
 
     /// Takes a page of the list.
     fn hear_list(&mut self, now: Micros, line: &[u8], out: &mut Outbox) -> Result<(), list::Unreadable> {
         let names = self.terms.names.clone();
         list::hear_line(line, &names, &mut Page { platform: self, now, out })?;
-        self.books.page_over(now);
+        self.lifecycle.page_over(now);
         for link in self.pools.under_way_to_none() {
             self.worker_ends(now, link, out);
         }
@@ -169,11 +169,11 @@
             return;
         }
         let mut believed = BTreeMap::<_, usize>::new();
-        for shot in self.books.submissions.iter().filter_map(|(_, s)| s.shot.as_ref()) {
-            *believed.entry(shot.worker).or_default() += 1;
+        for attempt in self.lifecycle.requests.iter().filter_map(|(_, s)| s.attempt.as_ref()) {
+            *believed.entry(attempt.worker).or_default() += 1;
         }
         let (carried, connections, resting) = self.pools.carried();
-        let (open, clients, held) = (self.books.submissions.len(), self.clients.len(), self.clients.held);
+        let (open, clients, held) = (self.lifecycle.requests.len(), self.clients.len(), self.clients.held);
         let workers = self.pools.workers().count();
         tracing::debug!(open, clients, held, connections, resting, workers, ?carried, "believes");
         if believed != carried {
@@ -191,9 +191,9 @@
             let names = self.terms.names.clone();
             // It was read once when the file was.
             let _ = list::hear(&known, &names, &mut Page { platform: self, now, out });
-            self.books.page_over(now);
+            self.lifecycle.page_over(now);
         }
-        self.watch.begin(now, self.terms.discovery, self.books.version(), out);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
         self.tell_belief(now, out);
         self.turn(now, out);
     }
@@ -208,14 +208,14 @@
         conn.up = true;
         let leaves_by = conn.leaves_by;
         let Some(job @ Job::Attempt { id, number, .. }) = conn.job else { return };
-        if now > leaves_by || !self.books.submissions.get(id).is_some_and(|s| s.shot_is(number)) {
+        if now > leaves_by || !self.lifecycle.requests.get(id).is_some_and(|s| s.attempt_is(number)) {
             // Guards against a loop that comes to it late, and an attempt that nobody waits for.
             self.pools.end(link, out);
             return self.came_to_nothing(now, link, job, AttemptOutcome::Unreachable, out);
         }
-        let (books, mut exit) = self.parts(now, out);
-        let permit = books.permit_bytes(now, id, number);
-        let leaves = permit.and_then(|permit| Some((permit, books.submissions.get(id)?)));
+        let (lifecycle, mut exit) = self.parts(now, out);
+        let permit = lifecycle.permit_bytes(now, id, number);
+        let leaves = permit.and_then(|permit| Some((permit, lifecycle.requests.get(id)?)));
         let Some((permit, s)) = leaves else {
             self.pools.end(link, out);
             return self.came_to_nothing(now, link, job, AttemptOutcome::NotSent, out);
@@ -241,7 +241,7 @@
                         return self.watch.end(now, out);
                     }
                 }
-                self.books.list_heard(now);
+                self.lifecycle.list_heard(now);
             }
             Err(problem) => {
                 tracing::warn!(%problem, "discovery's answer cannot be read; the watch is opened anew");
@@ -258,7 +258,7 @@
             conn.patience.set(Micros::MAX, key(Ring::Worker(link)), out);
         }
         let Some(Job::Attempt { id, number, .. }) = job else { return };
-        let Some(trace) = self.books.submissions.get(id).map(|s| s.asked.trace.clone()) else { return };
+        let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.asked.trace.clone()) else { return };
         story::tell(id, &trace, State::AttemptWritten(number, to));
         if let Some(at) = place {
             self.parts(now, out).1.place(id, &trace, at);
@@ -281,7 +281,7 @@
     fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
         let Some(client) = self.clients.get(link) else { return };
         if let At::Response(id, ..) = client.at {
-            if let Some(worker) = self.pools.shot(id) {
+            if let Some(worker) = self.pools.attempt_connection(id) {
                 out.hush(worker, crowded);
                 // Nothing is read from the worker meanwhile: it is the client that is waited for.
                 let until = now + if crowded { STALLED } else { SILENCE };
@@ -297,45 +297,45 @@
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
             0 => Timer::Wake,
-            1 => Timer::CutOff(self.books.submissions.long(what)),
+            1 => Timer::CutOff(self.lifecycle.requests.long(what)),
             2 => Timer::Probe(what),
             3 => Timer::Shares,
             4 => return self.client_rang(now, Link(what), out),
             5 => return self.worker_rang(now, Link::of_dial(what), out),
             6 => {
-                let id = self.books.submissions.long(what);
+                let id = self.lifecycle.requests.long(what);
                 let (held, mut context) = self.held(now, out);
                 return held.rang(id, &mut context);
             }
             7 => {
                 if self.watch.rang(now, out) {
-                    self.watch.begin(now, self.terms.discovery, self.books.version(), out);
+                    self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
                 }
                 return;
             }
             8 => {
                 self.grace_over = true;
-                return self.books.stop();
+                return self.lifecycle.stop();
             }
             9 => return self.tell_belief(now, out),
             // The turn that follows looks after it.
             _ => return,
         };
-        let (books, mut exit) = self.parts(now, out);
-        books.rang(now, timer, &mut exit);
+        let (lifecycle, mut exit) = self.parts(now, out);
+        lifecycle.rang(now, timer, &mut exit);
     }
 
     fn turn(&mut self, now: Micros, out: &mut Outbox) {
         loop {
-            let (books, mut exit) = self.parts(now, out);
-            books.turn(now, &mut exit);
-            let endings = std::mem::take(&mut self.later.endings);
+            let (lifecycle, mut exit) = self.parts(now, out);
+            lifecycle.turn(now, &mut exit);
+            let outcomes = std::mem::take(&mut self.later.outcomes);
             let answered = std::mem::take(&mut self.later.answered);
-            if endings.is_empty() && answered.is_empty() {
+            if outcomes.is_empty() && answered.is_empty() {
                 break;
             }
-            for (id, number, ending) in endings {
-                self.settle(now, id, number, ending, out);
+            for (id, number, outcome) in outcomes {
+                self.settle(now, id, number, outcome, out);
             }
             for link in answered {
                 self.next_request(now, link, out);
@@ -360,16 +360,16 @@
         tracing::info!("the configuration was read again");
         (self.terms.discovery, self.terms.travel) = (fresh.discovery, fresh.travel);
         self.watch.end(now, out);
-        self.watch.begin(now, self.terms.discovery, self.books.version(), out);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
         true
     }
 
     fn late(&mut self, now: Micros, by: Micros) {
-        self.books.late(now, by);
+        self.lifecycle.late(now, by);
     }
 
     fn stop(&mut self, now: Micros, out: &mut Outbox) {
-        tracing::info!(open = self.books.submissions.len(), "ends: what is open is finished");
+        tracing::info!(open = self.lifecycle.requests.len(), "ends: what is open is finished");
         self.stopping = true;
         for (link, asked, since) in self.clients.idle() {
             let first_request_by = since + FIRST_REQUEST;
@@ -390,7 +390,7 @@
         self.grace_over
             && self.clients.is_empty()
             && self.held.is_empty()
-            && self.books.submissions.is_empty()
+            && self.lifecycle.requests.is_empty()
     }
 }
 
@@ -406,7 +406,7 @@
     /// heard again once they are newer too; only if that lasts has its count begun anew.
     fn page(&mut self, version: u64, whole: bool) -> bool {
         let (p, now) = (&mut *self.platform, self.now);
-        if p.told && version < p.books.version() {
+        if p.told && version < p.lifecycle.version() {
             let since = *p.stale.get_or_insert(now);
             if !whole || now < since + STALE {
                 tracing::debug!(version, whole, "an old list is passed over");
@@ -419,19 +419,19 @@
             let gone: Vec<_> = p.pools.workers().collect();
             gone.into_iter().for_each(|w| p.pools.unlist(w));
         }
-        p.books.page(now, version, whole);
+        p.lifecycle.page(now, version, whole);
         true
     }
 
-    fn entry(&mut self, listing: Endpoint, at: Address) {
+    fn entry(&mut self, endpoint: Endpoint, at: Address) {
         let p = &mut *self.platform;
-        if listing.standing == EndpointStatus::Removed {
-            p.pools.gone(listing.worker, self.out);
-            return p.books.gone(self.now, listing.worker);
+        if endpoint.status == EndpointStatus::Removed {
+            p.pools.gone(endpoint.worker, self.out);
+            return p.lifecycle.gone(self.now, endpoint.worker);
         }
-        let process = p.books.entry(self.now, listing);
-        let takes = listing.standing == EndpointStatus::Serving;
-        for link in p.pools.listed(listing.worker, at, process.replaces_until, takes) {
+        let process = p.lifecycle.entry(self.now, endpoint);
+        let takes = endpoint.status == EndpointStatus::Serving;
+        for link in p.pools.listed(endpoint.worker, at, process.replaces_until, takes) {
             p.worker_ends(self.now, link, self.out);
         }
     }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -58,7 +58,7 @@
         let Some(conn) = self.pools.get_mut(link) else { return true };
         let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
         conn.patience.set(now + SILENCE, key(Ring::Worker(link)), out);
-        let Some(s) = self.books.submissions.get(id) else { return true };
+        let Some(s) = self.lifecycle.requests.get(id) else { return true };
         if s.over {
             // Nobody reads it: it ends like a stream whose client goes.
             self.pools.end(link, out);
@@ -85,14 +85,14 @@
         out.send(client, write::chunked_head(200, fields, last));
         out.send(client, write::chunk(&first));
         self.clients.begin(client);
-        let (books, mut exit) = self.parts(now, out);
-        books.started(now, id, &mut exit);
-        if let Some(s) = books.submissions.get(id) {
+        let (lifecycle, mut exit) = self.parts(now, out);
+        lifecycle.started(now, id, &mut exit);
+        if let Some(s) = lifecycle.requests.get(id) {
             story::tell(id, &s.asked.trace, State::Began);
         }
         let mut context = Context { now, pools: exit.pools, out: exit.out };
         exit.held.taken(id, &mut context);
-        if let Some(s) = books.submissions.get_mut(id) {
+        if let Some(s) = lifecycle.requests.get_mut(id) {
             // No other shot will need it.
             s.asked.body = Bytes::new();
             s.asked.fields = vec![];
@@ -107,14 +107,14 @@
         let Some(job) = self.pools.ended(now, link, out) else { return };
         match job {
             Job::Attempt { id, number, reading, .. } => {
-                let ending = match status {
+                let outcome = match status {
                     202 if reading => AttemptOutcome::PrefillComplete,
                     200 if !reading && streamed => AttemptOutcome::Completed,
                     410 if never_ran => AttemptOutcome::StateMissing,
                     503 | 504 if never_ran => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::ServerError,
                 };
-                self.settle(now, id, number, ending, out);
+                self.settle(now, id, number, outcome, out);
             }
             Job::Place { id } => {
                 let place = match status {
@@ -125,13 +125,13 @@
                     // With 204 too, though nobody there knows of a read.
                     _ => Place::Unknown,
                 };
-                let asked = self.books.submissions.get(id).and_then(|s| s.places.last());
+                let asked = self.lifecycle.requests.get(id).and_then(|s| s.places.last());
                 let reading = asked == Some(&worker) && self.pools.reads(id);
                 let (held, mut context) = self.held(now, out);
                 held.answered(id, link, (place, reading), &mut context);
                 if matches!(place, Place::Held | Place::Refused) {
-                    let (books, mut exit) = self.parts(now, out);
-                    books.held(now, id, worker, place == Place::Held, &mut exit);
+                    let (lifecycle, mut exit) = self.parts(now, out);
+                    lifecycle.held(now, id, worker, place == Place::Held, &mut exit);
                 }
             }
             Job::Release { id } => {
@@ -145,9 +145,9 @@
             Job::Probe { nonce } => {
                 let column = self.terms.report.as_ref();
                 let amount = column.and_then(|c| c.amount(words::reported(&report, &c.name)?));
-                let (books, mut exit) = self.parts(now, out);
-                amount.into_iter().for_each(|amount| books.told(now, nonce, amount));
-                books.probed(now, nonce, status == 200, &mut exit);
+                let (lifecycle, mut exit) = self.parts(now, out);
+                amount.into_iter().for_each(|amount| lifecycle.told(now, nonce, amount));
+                lifecycle.probed(now, nonce, status == 200, &mut exit);
             }
         }
     }
@@ -159,8 +159,8 @@
         };
         self.pools.end(link, out);
         // A stream that began well is given up by this side; only an answer that never was one is a fault.
-        let ending = if streams { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
-        self.came_to_nothing(now, link, job, ending, out);
+        let outcome = if streams { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
+        self.came_to_nothing(now, link, job, outcome, out);
     }
 
     pub(super) fn came_to_nothing(
@@ -168,13 +168,13 @@
         now: Micros,
         link: Link,
         job: Job,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         out: &mut Outbox,
     ) {
         match job {
-            Job::Attempt { id, number, .. } => self.settle(now, id, number, ending, out),
+            Job::Attempt { id, number, .. } => self.settle(now, id, number, outcome, out),
             Job::Place { id } => {
-                let place = if ending.never_ran() { Place::None } else { Place::Unknown };
+                let place = if outcome.never_ran() { Place::None } else { Place::Unknown };
                 let (held, mut context) = self.held(now, out);
                 held.answered(id, link, (place, false), &mut context);
             }
@@ -184,8 +184,8 @@
             }
             Job::Liveness { .. } => {}
             Job::Probe { nonce } => {
-                let (books, mut exit) = self.parts(now, out);
-                books.probed(now, nonce, false, &mut exit);
+                let (lifecycle, mut exit) = self.parts(now, out);
+                lifecycle.probed(now, nonce, false, &mut exit);
             }
         }
     }
@@ -216,12 +216,12 @@
             self.pools.broke_after(now, conn.rested);
         }
         // An old connection that was found dead says nothing of the worker, nor does one that could not be dialled here.
-        let ending = match (conn.written, conn.used, loss) {
+        let outcome = match (conn.written, conn.used, loss) {
             (true, ..) => AttemptOutcome::ConnectionReset,
             (false, true, _) | (false, false, Loss::NotDialled) => AttemptOutcome::NotSent,
             (false, false, _) => AttemptOutcome::Unreachable,
         };
-        self.came_to_nothing(now, link, job, ending, out);
+        self.came_to_nothing(now, link, job, outcome, out);
     }
 
     /// By what the list says, what was out on a connection has broken, or must never come to be.
@@ -278,10 +278,10 @@
     /// of the writer, which is asked for the place again.
     pub(super) fn ask_for_signs(&mut self, now: Micros, out: &mut Outbox) {
         for (id, trace) in self.held.unsure() {
-            let place = self.books.submissions.get(id).and_then(|s| s.places.last().copied());
+            let place = self.lifecycle.requests.get(id).and_then(|s| s.places.last().copied());
             let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
             let (_, mut exit) = self.parts(now, out);
-            if exit.terms.books.module.probes {
+            if exit.terms.lifecycle.module.probes {
                 exit.ask_for_sign(id, reader);
             } else {
                 exit.place(id, &trace, place);
@@ -292,8 +292,9 @@
     /// What a read that ended badly may have left is released at once where no attempt follows it.
     pub(super) fn clean_up(&mut self, now: Micros, out: &mut Outbox) {
         for id in self.held.doubtful() {
-            let wanted = |s: &tideroute_lifecycle::RequestState<Asked>| s.shot.is_some() || s.state.is_some();
-            if !self.books.submissions.get(id).is_some_and(wanted) {
+            let wanted =
+                |s: &tideroute_lifecycle::RequestState<Asked>| s.attempt.is_some() || s.state.is_some();
+            if !self.lifecycle.requests.get(id).is_some_and(wanted) {
                 let (held, mut context) = self.held(now, out);
                 held.unwanted(id, &mut context);
             }
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/story.rs
@@ -67,7 +67,7 @@
 
     fn reason(self) -> Option<&'static str> {
         match self {
-            State::AttemptEnded(_, ending) => Some(reason_of(ending)),
+            State::AttemptEnded(_, outcome) => Some(reason_of(outcome)),
             State::Answered(Response::Completed(_)) => Some("served"),
             State::Answered(Response::Rejected(_)) => Some("refused"),
             State::Answered(Response::Failed) => Some("failed"),
@@ -76,8 +76,8 @@
     }
 }
 
-fn reason_of(ending: AttemptOutcome) -> &'static str {
-    match ending {
+fn reason_of(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Completed => "served",
         AttemptOutcome::ServerError => "error",
         AttemptOutcome::Rejected => "turned-away",
--- a/crates/gateway/src/words.rs
+++ b/crates/gateway/src/words.rs
@@ -3,7 +3,7 @@
 use tideroute_wire::Address;
 
 pub const TRACE: &str = "x-trace-id";
-pub const TRACK: &str = "x-qos";
+pub const CLASS: &str = "x-qos";
 pub const SESSION: &str = "x-object";
 pub const LEFT: &str = "x-expires-in-ms";
 pub const SIZES: &str = "x-props";
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -6,7 +6,7 @@
 use tideroute_wire::link::Link;
 
 /// What passes to workers so far.
-fn shots(stage: &mut Stage) -> usize {
+fn attempts(stage: &mut Stage) -> usize {
     stage.calls("POST /v1").len()
 }
 
@@ -53,7 +53,7 @@
             request.as_bytes().chunks(split).for_each(|piece| stage.say(client, piece));
             assert_eq!(stage.statuses(client), [status], "{}", request.get(..300).unwrap_or(&request));
             assert_eq!(stage.ended.get(&client), Some(&false), "told, then closed in two steps");
-            assert_eq!(shots(&mut stage), 0, "{request:?}");
+            assert_eq!(attempts(&mut stage), 0, "{request:?}");
         }
     }
 }
@@ -68,7 +68,7 @@
         ask_for("outer", "safe", 4_000, &body).replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
     stage.say(client, outer);
     assert_eq!(stage.statuses(client), [400]);
-    assert_eq!(shots(&mut stage), 0);
+    assert_eq!(attempts(&mut stage), 0);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     stage.say(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
     assert_eq!(stage.statuses(client), [100]);
     stage.say(client, format!("{}{}0\r\n\r\n", chunk(&body[..5]), chunk(&body[5..])));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     assert!(
         stage.text(reader).ends_with(&format!("content-length: 13\r\n\r\n{body}")),
         "{}",
@@ -94,17 +94,17 @@
     let mut stage = Stage::new();
     let (first, second) = (stage.come(), stage.come());
     stage.say(first, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(second, ask("id", "safe"));
     assert_eq!(stage.statuses(second), [409]);
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     assert_eq!(unchunked(&stage.text(first)), (EVENTS.concat(), true));
     // Once it is over, nothing of it is kept.
     let third = stage.come();
     stage.say(third, ask("id", "safe"));
-    assert_eq!(shots(&mut stage), 1);
+    assert_eq!(attempts(&mut stage), 1);
 }
 
 #[test]
@@ -115,10 +115,10 @@
     let asked = ["a", "b", "c"].map(|id| ask(id, "safe")).concat();
     stage.say(client, format!("{asked}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
     for id in ["a", "b", "c"] {
-        let (reader, _) = stage.shot();
+        let (reader, _) = stage.attempt();
         assert!(stage.text(reader).contains(&format!("x-trace-id: {id}\r\n")));
         stage.say(reader, READ);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         stage.say(writer, stream());
     }
     assert_eq!(stage.statuses(client), [200, 200, 200, 200]);
@@ -131,7 +131,7 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("a", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     (0..60).for_each(|_| stage.say(client, vec![b'x'; 10_000]));
     assert!(stage.hushed.is_empty(), "its end could not be seen behind what is not read");
     assert!(!stage.ended.contains_key(&reader), "its request goes on");
@@ -141,16 +141,16 @@
     // One that does not go is answered, and its connection ends: what was thrown away can't be read.
     let patient = stage.come();
     stage.say(patient, ask("b", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     (0..60).for_each(|_| stage.say(patient, vec![b'x'; 10_000]));
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     assert_eq!((stage.statuses(patient), stage.ended.get(&patient)), (vec![200], Some(&false)));
     // One that sends without end is sent away.
     let endless = stage.come();
     stage.say(endless, ask("c", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     (0..140).for_each(|_| stage.say(endless, vec![b'x'; 10_000]));
     assert!(stage.ended.contains_key(&endless));
     assert_eq!(stage.statuses(endless), [400], "its request was read, and is answered");
@@ -165,11 +165,11 @@
     stage.say(client, ask("a", "safe"));
     let behind = ask_for("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
     behind.as_bytes().chunks(10_000).for_each(|piece| stage.say(client, piece));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
-    assert_eq!(shots(&mut stage), 1, "the second follows");
+    assert_eq!(attempts(&mut stage), 1, "the second follows");
 }
 
 #[test]
@@ -186,7 +186,7 @@
     }
     assert_eq!((stage.statuses(silent), stage.ended.get(&silent)), (vec![], Some(&false)));
     assert_eq!((stage.statuses(half), stage.statuses(body)), (vec![408], vec![408]));
-    assert_eq!(shots(&mut stage), 0);
+    assert_eq!(attempts(&mut stage), 0);
 }
 
 #[test]
@@ -270,9 +270,9 @@
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, format!("{}{part}", ask("first", "safe")));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
     stage.pass(answered_after * MS);
     stage.say(writer, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -240,7 +240,7 @@
     }
 
     /// The one such attempt.
-    pub fn shot(&mut self) -> (Link, usize) {
+    pub fn attempt(&mut self) -> (Link, usize) {
         let attempts = self.attempts();
         assert_eq!(attempts.len(), 1, "attempts: {attempts:?}");
         attempts[0]
--- a/crates/gateway/tests/held.rs
+++ b/crates/gateway/tests/held.rs
@@ -16,7 +16,7 @@
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, ask("id", class));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     stage.say(reader, READ);
     (stage, client, reader, at)
 }
@@ -33,7 +33,7 @@
 fn a_state_is_released_in_time_though_an_attempt_is_out_of_which_nothing_is_heard() {
     for class in ["safe", "keyed", "once"] {
         let (mut stage, client, reader, _) = read(class);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         pass(&mut stage, 790);
         assert!(stage.calls(RELEASE).is_empty(), "{class}: the attempt may take it yet");
         // Guards against a connection that leads nowhere: the time runs on.
@@ -63,10 +63,10 @@
 
     let (mut stage, _, _, _) = read("safe");
     stage.pass(400 * MS);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, NEVER_RAN);
     assert!(stage.calls(RELEASE).is_empty());
-    let (_second, _) = stage.shot();
+    let (_second, _) = stage.attempt();
     stage.pass(790 * MS);
     assert!(stage.calls(RELEASE).is_empty(), "a worker has spoken 790 ms ago");
     stage.pass(20 * MS);
@@ -76,13 +76,13 @@
 #[test]
 fn a_state_that_outlives_a_release_is_released_again() {
     let (mut stage, client, reader, _) = read("safe");
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.pass(810 * MS);
     stage.call(RELEASE);
     stage.say(reader, FREED);
     // The attempt waited over there after all, with the state, which stays when it is turned away.
     stage.say(writer, NEVER_RAN);
-    let (_second, _) = stage.shot();
+    let (_second, _) = stage.attempt();
     stage.lose(client);
     stage.pass(MS);
     stage.call(RELEASE);
@@ -109,7 +109,7 @@
 #[test]
 fn a_release_behind_a_reset_is_sent_again_for_its_worker_may_see_that_later() {
     let (mut stage, client, _, _) = read("once");
-    let (writer, at) = stage.shot();
+    let (writer, at) = stage.attempt();
     stage.pass(100 * MS);
     stage.lose(writer);
     assert_eq!(stage.statuses(client), [502]);
@@ -128,12 +128,12 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (first, _) = stage.shot();
+    let (first, _) = stage.attempt();
     stage.calls("POST /internal");
     stage.pass(100 * MS);
     stage.lose(first);
     // The next one has its connection at once: what it makes takes the turn of what was left.
-    let (_second, _) = stage.shot();
+    let (_second, _) = stage.attempt();
     stage.pass(690 * MS);
     assert!(stage.calls(RELEASE).is_empty());
     stage.pass(20 * MS);
@@ -149,7 +149,7 @@
         let (mut stage, old) = with_an_older_connection_to_the_reader();
         let client = stage.come();
         stage.say(client, ask("id", "safe"));
-        let (_reader, _) = stage.shot();
+        let (_reader, _) = stage.attempt();
         let (place, _) = stage.call("POST /internal/reservations/id ");
         match answer {
             Some("") => stage.say(place, plain(200, "", "")),
@@ -172,7 +172,7 @@
     let mut stage = Stage::with(&one_of_each());
     let client = stage.come();
     stage.say(client, ask("older", "safe"));
-    let (old, _) = stage.shot();
+    let (old, _) = stage.attempt();
     let (place, _) = stage.call("POST /internal/reservations/older ");
     stage.say(place, plain(200, "", ""));
     (stage, old)
@@ -196,7 +196,7 @@
     let mut stage = Stage::with(&file);
     let client = stage.come();
     stage.say(client, ask_for("id", "safe", 5_000, "{}"));
-    let (_reader, _) = stage.shot();
+    let (_reader, _) = stage.attempt();
     let (place, _) = stage.call("POST /internal/reservations/id ");
     stage.say(place, plain(200, "", ""));
     pass(&mut stage, 2_500);
@@ -210,7 +210,7 @@
     let mut stage = Stage::with(&one_of_each());
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (_reader, _) = stage.shot();
+    let (_reader, _) = stage.attempt();
     let (mut place, _) = stage.call("POST /internal/reservations/id ");
     for _ in 0..3 {
         stage.say(place, plain(200, "", ""));
@@ -230,7 +230,7 @@
     stage.eager = written;
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.written(reader);
     let (place, _) = stage.call("POST /internal/reservations/id ");
     stage.eager = true;
@@ -296,11 +296,11 @@
     stage.eager = false;
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.written(reader);
     let (place, _) = stage.call("POST /internal/reservations/id ");
     stage.say(reader, READ);
-    stage.shot();
+    stage.attempt();
     assert!(stage.ended.contains_key(&place), "it would come too late");
 }
 
@@ -309,10 +309,10 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     let (place, _) = stage.call("POST /internal/reservations/id ");
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
     assert!(stage.calls(RELEASE).is_empty());
     stage.say(place, FREED);
@@ -325,7 +325,7 @@
 #[test]
 fn nobody_can_be_told_for_a_while_and_it_goes_on_within_bounds_until_the_time_is_over() {
     let (mut stage, client, reader, _) = read("safe");
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.lose(client);
     stage.pass(MS);
     assert!(stage.ended.contains_key(&writer));
@@ -346,11 +346,11 @@
 #[test]
 fn who_was_heard_last_is_told_first_where_the_holder_is_silent() {
     let (mut stage, client, reader, at) = read("safe");
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     // Another client's request is answered meanwhile, by others.
     let other = stage.come();
     stage.say(other, ask("other", "safe"));
-    let (second, heard) = stage.shot();
+    let (second, heard) = stage.attempt();
     stage.say(second, READ);
     stage.lose(client);
     stage.pass(MS);
@@ -366,11 +366,11 @@
 #[test]
 fn it_does_not_end_while_something_may_be_held() {
     let (mut stage, client, _, _) = read("safe");
-    let (_, first) = stage.shot();
+    let (_, first) = stage.attempt();
     stage.stop();
     stage.pass(700 * MS);
     // The first one is called back, for it has been silent for so long.
-    let (writer, second) = stage.shot();
+    let (writer, second) = stage.attempt();
     stage.lose(client);
     stage.pass(MS);
     assert!(stage.ended.contains_key(&writer));
--- a/crates/gateway/tests/list.rs
+++ b/crates/gateway/tests/list.rs
@@ -16,7 +16,7 @@
 fn reader_of(stage: &mut Stage, trace: &str) -> usize {
     let client = stage.come();
     stage.say(client, ask(trace, "safe"));
-    let (link, at) = stage.shot();
+    let (link, at) = stage.attempt();
     stage.lose(client);
     assert!(stage.ended.contains_key(&link));
     stage.pass(20 * MS);
@@ -220,13 +220,13 @@
     stage.discover(&list(5));
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     stage.pass(1_000 * MS);
     let started = stage.now / MS - 100;
     stage.discover(&json!({"version": 6, "full": false, "servers": [entry(at, "SERVING", started)]}));
     assert!(stage.ended.contains_key(&reader));
     stage.pass(20 * MS);
-    assert_ne!(stage.shot().1, at, "it is read elsewhere: that one is cold");
+    assert_ne!(stage.attempt().1, at, "it is read elsewhere: that one is cold");
 }
 
 /// Milliseconds in an hour, by which wall clocks may be stepped.
@@ -254,9 +254,9 @@
 fn served_by(stage: &mut Stage, trace: &str) -> usize {
     let client = stage.come();
     stage.say(client, ask(trace, "safe"));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     assert_eq!(stage.statuses(client), [200]);
     at
@@ -283,9 +283,9 @@
         stage.discover(&list(5));
         let client = stage.come();
         stage.say(client, ask("id", "safe"));
-        let (reader, _) = stage.shot();
+        let (reader, _) = stage.attempt();
         stage.say(reader, READ);
-        let (writer, at) = stage.shot();
+        let (writer, at) = stage.attempt();
         stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
         // Longer than a list may be late: what was out then was out before the start.
         for version in 6..11 {
@@ -327,7 +327,7 @@
         stage.pass(11_000 * MS);
         let client = stage.come();
         stage.say(client, ask("out", "once"));
-        let (reader, at) = stage.shot();
+        let (reader, at) = stage.attempt();
         assert_eq!(at, home);
         let mut whole = list(30);
         whole["servers"][home] = restarted;
@@ -356,10 +356,10 @@
         let client = stage.come();
         stage.eager = false;
         stage.say(client, ask("id", "once"));
-        let (reader, at) = stage.shot();
+        let (reader, at) = stage.attempt();
         stage.discover(&told(at));
         assert!(stage.ended.contains_key(&reader), "its first byte might leave after the grace");
-        let (second, other) = stage.shot();
+        let (second, other) = stage.attempt();
         assert_ne!(at, other);
         // The same of a place, once the read is at its reader.
         stage.written(second);
@@ -380,9 +380,9 @@
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, ask("a", "safe"));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     let mut moved = entry(at, "SERVING", 0);
     moved["addr"] = "127.0.1.77:80".into();
@@ -396,7 +396,7 @@
     stage.discover(&list(5));
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     let (old, _) = stage.watch();
     let mut fresh = file();
     fresh["discovery"] = json!("127.0.8.8:85");
@@ -409,7 +409,7 @@
         assert_eq!(stage.watch().0, new, "a bad file changes nothing");
     }
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     assert!(unchunked(&stage.text(client)).1);
 }
@@ -422,7 +422,7 @@
     stage.say(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     stage.say(open, ask("open", "safe"));
     read(&mut stage);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
     stage.stop();
     stage.stop();
@@ -433,7 +433,7 @@
     let late = stage.come();
     stage.say(late, ask("late", "safe"));
     read(&mut stage);
-    let (late_writer, _) = stage.shot();
+    let (late_writer, _) = stage.attempt();
     stage.say(late_writer, stream());
     assert!(unchunked(&stage.text(late)).1 && stage.text(late).contains("connection: close"));
     assert!(stage.ended.contains_key(&late), "its connection ends between requests");
@@ -466,7 +466,7 @@
     stage.pass(150 * MS);
     stage.say(asks, ask("asks", "safe"));
     read(&mut stage);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     assert!(unchunked(&stage.text(asks)).1 && stage.text(asks).contains("connection: close"));
     stage.pass(450 * MS);
@@ -478,7 +478,7 @@
 }
 
 fn read(stage: &mut Stage) {
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
 }
 
--- a/crates/gateway/tests/noise.rs
+++ b/crates/gateway/tests/noise.rs
@@ -83,7 +83,7 @@
     }
 
     fn step(&mut self, (what, byte, which): (u8, u8, u16)) {
-        let track = ["safe", "once", "keyed"][usize::from(byte) % 3];
+        let class = ["safe", "once", "keyed"][usize::from(byte) % 3];
         match what % 14 {
             0 => {
                 let client = self.stage.come();
@@ -93,13 +93,13 @@
                 let Some(client) = self.client(which) else { return };
                 self.count += 1;
                 *self.asked.entry(client).or_default() += 1;
-                self.stage.say(client, ask(&format!("id{}", self.count), track));
+                self.stage.say(client, ask(&format!("id{}", self.count), class));
             }
             4 => {
                 let Some(client) = self.client(which) else { return };
                 // Mangled bytes may hold a request, and what follows them more.
                 *self.asked.entry(client).or_default() += 2;
-                self.stage.say(client, Self::mangle(&ask("mangled", track), byte, which));
+                self.stage.say(client, Self::mangle(&ask("mangled", class), byte, which));
             }
             5 => {
                 let Some(client) = self.client(which) else { return };
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -44,7 +44,7 @@
     let mut stage = Stage::with(&writers_read());
     let client = stage.come();
     stage.say(client, ask("id", "keyed"));
-    let (first, _) = stage.shot();
+    let (first, _) = stage.attempt();
     stage.lose(first);
     stage.pass(1_500 * MS);
     assert!(stage.attempts().is_empty(), "no other worker knows a repeat");
@@ -52,7 +52,7 @@
     // What may run anywhere goes on elsewhere.
     let other = stage.come();
     stage.say(other, ask("other", "safe"));
-    let (attempt, _) = stage.shot();
+    let (attempt, _) = stage.attempt();
     stage.lose(attempt);
     assert_eq!(stage.attempts().len(), 1);
 }
@@ -62,7 +62,7 @@
     let mut stage = Stage::with(&mixed());
     let client = stage.come();
     stage.say(client, ask("id", "once"));
-    let (attempt, worker) = stage.shot();
+    let (attempt, worker) = stage.attempt();
     stage.pass(400 * MS);
     stage.lose(attempt);
     let (_, told) = stage.call(RELEASE);
@@ -74,9 +74,9 @@
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, ask("id", "once"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    stage.shot();
+    stage.attempt();
     // Guards against a writer that vanishes after the first release, which freed nothing that was waited with.
     for round in 0..4 {
         stage.pass(810 * MS);
@@ -91,7 +91,7 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    stage.shot();
+    stage.attempt();
     let (place, _) = stage.call(PLACE);
     stage.lose(client);
     let (release, _) = stage.call(RELEASE);
@@ -136,13 +136,13 @@
     let mut stage = Stage::with(&file);
     let client = stage.come();
     stage.say(client, ask("id", "keyed"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (first, _) = stage.shot();
+    let (first, _) = stage.attempt();
     stage.eager = false;
     stage.say(first, plain(500, "", ""));
     // A repeat that waits in a full socket would come after its window.
-    let (second, _) = stage.shot();
+    let (second, _) = stage.attempt();
     stage.opens(second);
     assert!(stage.text(second).contains("x-trace-id: id"));
     stage.pass(99 * MS);
@@ -160,13 +160,13 @@
     stage.eager = false;
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (dialled, _) = stage.shot();
+    let (dialled, _) = stage.attempt();
     stage.lose(client);
     assert!(stage.ended.contains_key(&dialled), "it has not left, so nothing is called back");
     // What has left runs on, until its client would have waited no longer.
     let client = stage.come();
     stage.say(client, ask_for("id", "safe", 2_000, "{}"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.written(reader);
     stage.lose(client);
     stage.pass(1_000 * MS);
@@ -185,9 +185,9 @@
     let mut stage = Stage::with(&file);
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.lose(client);
     assert!(!stage.ended.contains_key(&writer));
     stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
@@ -202,7 +202,7 @@
     stage.eager = false;
     let client = stage.come();
     stage.say(client, ask_for("id", "safe", 2_000, "{}"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.pass(800 * MS);
     stage.opens(reader);
     let told = told(&stage, reader);
@@ -215,7 +215,7 @@
     stage.eager = false;
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     let cell = WORKERS[at].2;
     let writers = (0..WORKERS.len()).filter(|w| WORKERS[*w].1 == "writing" && WORKERS[*w].2 == cell);
     let drains: Vec<_> = writers.map(|w| entry(w, "DRAINING", 0)).collect();
@@ -238,9 +238,9 @@
     let mut stage = Stage::with(&file);
     let client = stage.come();
     stage.say(client, ask("id", "keyed"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.lose(writer);
     stage.pass(300 * MS);
     assert!(stage.attempts().is_empty());
--- a/crates/gateway/tests/shots.rs
+++ b/crates/gateway/tests/shots.rs
@@ -7,17 +7,17 @@
 
 /// Reads a submission at a reader; the writer's call is out afterwards.
 fn read(stage: &mut Stage) {
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
 }
 
 /// A client whose submission has been read and is out at a writer.
-fn writing(track: &str) -> (Stage, Link, Link) {
+fn writing(class: &str) -> (Stage, Link, Link) {
     let mut stage = Stage::new();
     let client = stage.come();
-    stage.say(client, ask("id", track));
+    stage.say(client, ask("id", class));
     read(&mut stage);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     (stage, client, writer)
 }
 
@@ -26,7 +26,7 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id-1", "safe"));
-    let (reader, at) = stage.shot();
+    let (reader, at) = stage.attempt();
     assert_eq!(WORKERS[at].1, "reading");
     let asked = stage.text(reader);
     assert!(asked.starts_with("POST /v1/chat/completions HTTP/1.1\r\n"), "{asked}");
@@ -38,7 +38,7 @@
     stage.say(place, plain(200, "", ""));
     stage.pass(50 * MS);
     stage.say(reader, READ);
-    let (link, to) = stage.shot();
+    let (link, to) = stage.attempt();
     assert_eq!(to, writer, "the writer that held the place");
     assert_eq!(stage.text(client), "", "no head before an event");
     for (n, event) in EVENTS.iter().enumerate() {
@@ -51,7 +51,7 @@
     assert!(stage.calls("DELETE").is_empty(), "a stream frees all else by itself");
     // The connections are used again.
     stage.say(client, ask("id-2", "safe"));
-    assert_eq!(stage.shot().0, reader);
+    assert_eq!(stage.attempt().0, reader);
 }
 
 #[test]
@@ -63,7 +63,7 @@
                 X-Hop: 1\r\nTE: trailers\r\nKeep-Alive: timeout=5\r\nHost:";
     stage.say(client, ask("id", "keyed").replacen("Host:", more, 1));
     for answer in [READ.to_string(), stream()] {
-        let (worker, _) = stage.shot();
+        let (worker, _) = stage.attempt();
         let asked = stage.text(worker);
         let asked = &asked[asked.rfind("POST /v1").expect("an attempt")..];
         for there in ["\r\nidempotency-key: 29-55\r\n", "\r\nx-customer: a\r\nx-customer: b\r\n"] {
@@ -87,11 +87,11 @@
         let client = stage.come();
         stage.say(client, &asked[..client_cut]);
         stage.say(client, &asked[client_cut..]);
-        let (reader, _) = stage.shot();
+        let (reader, _) = stage.attempt();
         let cut = worker_cut.min(READ.len());
         stage.say(reader, &READ[..cut]);
         stage.say(reader, &READ[cut..]);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         stage.say(writer, &answer[..worker_cut]);
         stage.say(writer, &answer[worker_cut..]);
         assert!(!stage.ended.contains_key(&writer), "the connection is kept, cut at {worker_cut}");
@@ -117,16 +117,16 @@
         ("a head without events", |s, l| s.say(l, format!("{HEAD}0\r\n\r\n")), false),
     ];
     for (what, end, again) in ends {
-        for (track, goes_on) in [("safe", true), ("once", again)] {
-            let (mut stage, client, writer) = writing(track);
+        for (class, goes_on) in [("safe", true), ("once", again)] {
+            let (mut stage, client, writer) = writing(class);
             end(&mut stage, writer);
             stage.pass(300 * MS);
-            assert_eq!(stage.calls("POST /v1/chat").len(), usize::from(goes_on), "{track} after {what}");
+            assert_eq!(stage.calls("POST /v1/chat").len(), usize::from(goes_on), "{class} after {what}");
             // What can't go on is told at once, and not as a refusal.
             assert_eq!(
                 stage.statuses(client),
                 if goes_on { vec![] } else { vec![502] },
-                "{track} after {what}"
+                "{class} after {what}"
             );
         }
     }
@@ -141,9 +141,9 @@
         read(&mut stage);
         stage.eager = false;
         // The writer's call went out while all was still written at once: break it and look at the next.
-        let (writer, first) = stage.shot();
+        let (writer, first) = stage.attempt();
         stage.say(writer, NEVER_RAN);
-        let (writer, second) = stage.shot();
+        let (writer, second) = stage.attempt();
         assert_ne!(first, second);
         if opened {
             stage.pass(MS);
@@ -226,7 +226,7 @@
         let client = stage.come();
         stage.say(client, ask("id", "once"));
         read(&mut stage);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         stage.say(writer, NEVER_RAN);
         assert_eq!(stage.statuses(client), [503]);
         assert_eq!(stage.text(client).contains("retry-after: 0."), advice, "{}", stage.text(client));
@@ -244,10 +244,10 @@
     let (late, streams) = (stage.come(), stage.come());
     stage.say(late, ask_for("late", "once", 1_000, "{}"));
     read(&mut stage);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(streams, ask_for("streams", "once", 1_000, "{}"));
     read(&mut stage);
-    let (streaming, _) = stage.shot();
+    let (streaming, _) = stage.attempt();
     stage.say(streaming, format!("{HEAD}{}", chunk(EVENTS[0])));
     stage.pass(1_000 * MS);
     assert!(stage.ended.contains_key(&writer), "nobody waits for it any more");
@@ -262,7 +262,7 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     let (place, _) = stage.call("POST /internal");
     stage.lose(client);
     stage.pass(20 * MS);
@@ -284,7 +284,7 @@
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.lose(reader);
     // The broken read may have left a state, but another read is out: what it makes must not be freed.
     assert!(stage.calls("DELETE").is_empty());
@@ -309,10 +309,10 @@
         let mut stage = Stage::with(&file);
         let client = stage.come();
         stage.say(client, ask("id", "safe"));
-        let (reader, _) = stage.shot();
+        let (reader, _) = stage.attempt();
         stage.eager = false;
         stage.lose(reader);
-        let (second, _) = stage.shot();
+        let (second, _) = stage.attempt();
         let at_once = stage.calls("DELETE /internal/reservations/id ");
         // Where no place was asked for, the next shot takes what is held if it comes up as most do.
         assert_eq!(at_once.len(), usize::from(places));
@@ -321,7 +321,7 @@
             at_once.first().copied().unwrap_or_else(|| stage.call("DELETE /internal/reservations/id "));
         // As in a zone that is cut off: one shot after another comes to nothing, and the letting go goes on.
         stage.lose_as(second, Loss::Unreached);
-        let (third, _) = stage.shot();
+        let (third, _) = stage.attempt();
         assert!(!stage.ended.contains_key(&free.0), "it goes on");
         stage.pass(200 * MS);
         let more = stage.calls("DELETE /internal/reservations/id ");
@@ -355,7 +355,7 @@
     stage.eager = false;
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     assert!(stage.calls("POST /internal").is_empty());
     stage.written(reader);
     stage.call("POST /internal/reservations/id ");
@@ -367,10 +367,10 @@
     let (slow, other) = (stage.come(), stage.come());
     stage.say(slow, ask("a", "safe"));
     read(&mut stage);
-    let (slow_writer, _) = stage.shot();
+    let (slow_writer, _) = stage.attempt();
     stage.say(other, ask("b", "safe"));
     read(&mut stage);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(slow_writer, format!("{HEAD}{}", chunk(EVENTS[0])));
     stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
     stage.crowded(slow, true);
@@ -403,9 +403,9 @@
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
-    let (reader, _) = stage.shot();
+    let (reader, _) = stage.attempt();
     stage.say(reader, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     stage.pass(4_900 * MS);
     assert!(!stage.ended.contains_key(&reader));
@@ -421,9 +421,9 @@
     let asked = |trace: &str| ask(trace, "safe").replace("prefix=5c0f,", "");
     let serve = |stage: &mut Stage, trace: &str| {
         stage.say(client, asked(trace));
-        let reader = stage.shot().0;
+        let reader = stage.attempt().0;
         stage.say(reader, READ);
-        let writer = stage.shot().0;
+        let writer = stage.attempt().0;
         stage.say(writer, stream());
         (reader, writer)
     };
@@ -433,14 +433,14 @@
     assert_eq!(reader, again, "it is used again");
     stage.pass(400 * MS);
     stage.say(client, asked("c"));
-    let broken = stage.shot().0;
+    let broken = stage.attempt().0;
     assert_eq!(broken, reader);
     stage.lose(broken);
     stage.pass(20 * MS);
     // The read goes on elsewhere; what has rested for more than half as long is not used.
-    let (other, _) = stage.shot();
+    let (other, _) = stage.attempt();
     stage.say(other, READ);
-    let (writer, _) = stage.shot();
+    let (writer, _) = stage.attempt();
     stage.say(writer, stream());
     stage.pass(300 * MS);
     let dials = stage.dialled.len();
@@ -452,12 +452,12 @@
 fn the_writing_shot_of_a_single_use_submission_goes_on_a_new_connection() {
     let mut stage = Stage::new();
     let client = stage.come();
-    for (trace, track) in [("a", "safe"), ("b", "once")] {
-        stage.say(client, ask(trace, track));
+    for (trace, class) in [("a", "safe"), ("b", "once")] {
+        stage.say(client, ask(trace, class));
         read(&mut stage);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         let asked = stage.text(writer).matches("POST /v1/chat").count();
-        assert_eq!(asked, 1, "{track}");
+        assert_eq!(asked, 1, "{class}");
         stage.say(writer, stream());
     }
 }
@@ -495,18 +495,18 @@
 /// had not run, and came again.
 #[test]
 fn a_stream_that_stops_before_its_first_event_is_whole_may_have_run() {
-    for (track, statuses) in [("once", vec![502]), ("safe", vec![503])] {
+    for (class, statuses) in [("once", vec![502]), ("safe", vec![503])] {
         let mut stage = Stage::new();
         let client = stage.come();
-        stage.say(client, ask_for("id", track, 6_000, "{}"));
+        stage.say(client, ask_for("id", class, 6_000, "{}"));
         read(&mut stage);
-        let (writer, _) = stage.shot();
+        let (writer, _) = stage.attempt();
         stage.say(writer, format!("{HEAD}{}", chunk("data: {\"a\"")));
         stage.pass(4_700 * MS);
         assert!(stage.ended.contains_key(&writer), "it is not waited for any longer");
-        assert_eq!(stage.statuses(client), statuses, "{track}");
+        assert_eq!(stage.statuses(client), statuses, "{class}");
         stage.pass(2_000 * MS);
-        assert!(track == "safe" || !stage.statuses(client).contains(&503), "nothing shows that it never ran");
+        assert!(class == "safe" || !stage.statuses(client).contains(&503), "nothing shows that it never ran");
     }
 }
 
@@ -544,7 +544,7 @@
             assert_eq!(order[0], first[0], "the first alone at first");
             stage.pass(10 * MS);
         }
-        assert_eq!((stage.shot().1, order.len()), (first[taken], asked), "{says:?}");
+        assert_eq!((stage.attempt().1, order.len()), (first[taken], asked), "{says:?}");
     }
 }
 
@@ -558,7 +558,7 @@
         let client = stage.come();
         stage.say(client, ask("id", "safe"));
         stage.pass(30 * MS);
-        order.push(stage.shot().1);
+        order.push(stage.attempt().1);
     }
     order
 }
@@ -571,14 +571,14 @@
         let mut stage = Stage::without_places();
         let client = stage.come();
         stage.say(client, ask("first", "safe"));
-        let (reader, _) = stage.shot();
+        let (reader, _) = stage.attempt();
         stage.say(reader, READ);
-        let (writer, at) = stage.shot();
+        let (writer, at) = stage.attempt();
         stage.say(writer, stream());
         // The next one comes at once, and is at the same writer when the second answer comes.
         stage.say(client, ask("second", "safe"));
         read(&mut stage);
-        let (second, again) = stage.shot();
+        let (second, again) = stage.attempt();
         stage.pass(late * MS);
         stage.say(writer, stream());
         assert_eq!(
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -180,8 +180,8 @@
     /// A worker takes nothing new once it drains, or is no longer listed.
     fn permit_worker(to: Option<&Endpoint>) -> Result<&Endpoint, Violation> {
         match to {
-            Some(listing) if listing.standing == EndpointStatus::Serving => Ok(listing),
-            Some(listing) if listing.standing == EndpointStatus::Draining => {
+            Some(endpoint) if endpoint.status == EndpointStatus::Serving => Ok(endpoint),
+            Some(endpoint) if endpoint.status == EndpointStatus::Draining => {
                 Err(Violation { reason: Reason::WorkerDrains })
             }
             _ => Err(Violation { reason: Reason::WorkerIsNotListed }),
@@ -242,9 +242,9 @@
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(&mut self, number: u16, ending: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, number: u16, outcome: AttemptOutcome) {
         let Some(out) = self.out.take_if(|out| out.number == number) else { return };
-        if out.writes && !ending.never_ran() {
+        if out.writes && !outcome.never_ran() {
             self.ran.get_or_insert((out.sent, out.to));
         }
     }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -15,10 +15,10 @@
 }
 
 /// One whose attempt 0 to write has ended so, at 1,000 in cell 0.
-fn after(repeat: Idempotency, ending: AttemptOutcome) -> RequestRecord {
+fn after(repeat: Idempotency, outcome: AttemptOutcome) -> RequestRecord {
     let mut record = record(repeat);
     record.permit_attempt(1_000, 0, Some(&at(0)), true).expect("the first");
-    record.attempt_ended(0, ending);
+    record.attempt_ended(0, outcome);
     record
 }
 
@@ -59,20 +59,20 @@
 #[test]
 fn what_may_have_run_is_repeated_only_where_that_is_harmless() {
     use AttemptOutcome::*;
-    for ending in [ServerError, TimedOut, ConnectionReset, Cancelled] {
-        let again = |repeat, now, cell| after(repeat, ending).permit_attempt(now, 1, Some(&at(cell)), true);
+    for outcome in [ServerError, TimedOut, ConnectionReset, Cancelled] {
+        let again = |repeat, now, cell| after(repeat, outcome).permit_attempt(now, 1, Some(&at(cell)), true);
         assert!(again(Idempotency::Idempotent, 9_000, 1).is_ok());
         assert!(again(KEYED, 5_999, 0).is_ok());
         assert_eq!(reason(again(KEYED, 6_000, 0)), Reason::OutsideRepeatWindow);
         assert_eq!(reason(again(KEYED, 5_999, 1)), Reason::OutsideRepeatGroup);
         assert_eq!(reason(again(Idempotency::NonIdempotent, 2_000, 0)), Reason::EarlierAttemptMayHaveRun);
         // A read has no effect.
-        assert!(after(Idempotency::NonIdempotent, ending)
+        assert!(after(Idempotency::NonIdempotent, outcome)
             .permit_attempt(2_000, 1, Some(&at(0)), false)
             .is_ok());
     }
-    for ending in [Rejected, StateMissing, Unreachable, NotSent] {
-        assert!(after(Idempotency::NonIdempotent, ending)
+    for outcome in [Rejected, StateMissing, Unreachable, NotSent] {
+        assert!(after(Idempotency::NonIdempotent, outcome)
             .permit_attempt(9_000, 1, Some(&at(1)), true)
             .is_ok());
     }
@@ -107,8 +107,8 @@
 
 #[test]
 fn a_worker_that_drains_or_is_gone_gets_nothing_new() {
-    let drains = Endpoint { standing: EndpointStatus::Draining, ..at(0) };
-    let gone = Endpoint { standing: EndpointStatus::Removed, ..at(0) };
+    let drains = Endpoint { status: EndpointStatus::Draining, ..at(0) };
+    let gone = Endpoint { status: EndpointStatus::Removed, ..at(0) };
     for (to, expected) in [
         (Some(&drains), Reason::WorkerDrains),
         (Some(&gone), Reason::WorkerIsNotListed),
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
-use tideroute_lifecycle::{Host, LifecycleConfig, Terms};
+use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
 use tideroute_wire::link::{Act, Link, Outbox, Program};
 use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, Party};
@@ -15,12 +15,16 @@
 const OPEN: u64 = 6_000;
 const ROUNDS: u16 = 40;
 
-fn terms() -> Terms {
-    let track =
-        RequestClass { repeat: Idempotency::Idempotent, contract: 600_000, per_thousand: 400, earnings: 1.0 };
+fn config() -> RouterConfig {
+    let class = RequestClass {
+        repeat: Idempotency::Idempotent,
+        ttft_objective: 600_000,
+        ttft_objective_per_1000_tokens: 400,
+        priority_weight: 1.0,
+    };
     let module = Module {
         routers: 3,
-        tracks: vec![track],
+        classes: vec![class],
         roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 5_000,
@@ -28,8 +32,8 @@
         warm_after: 100_000,
         fall_multiple: 2.5,
         fall_span: 20_000,
-        max_shots: 5,
-        withdrawals: true,
+        max_attempts: 5,
+        cancellation: true,
         probes: true,
         asks: false,
         subscribes: true,
@@ -37,10 +41,10 @@
         longest_advice: 10_000,
         ..Module::default()
     };
-    let books = LifecycleConfig {
+    let lifecycle = LifecycleConfig {
         name: "r".into(),
         module,
-        tracks: vec!["query".into()],
+        classes: vec!["query".into()],
         unheard: 250_000,
         most_open: 10_000,
         tenants: None,
@@ -48,22 +52,30 @@
         longest_wait: 1_000_000,
         seed: 5,
     };
-    Terms { books, list: LIST, origin: 7, travel: 10_000, window: 8, most_a_client: 10_000, most_clients: 4 }
+    RouterConfig {
+        lifecycle,
+        list: LIST,
+        origin: 7,
+        travel: 10_000,
+        window: 8,
+        most_a_client: 10_000,
+        most_clients: 4,
+    }
 }
 
 fn page(round: u16) -> Bytes {
     let mut page = Page::new(u64::from(round) + 1, true);
     for n in 0..WORKERS {
-        let standing = if n % 10 == round % 10 { EndpointStatus::Draining } else { EndpointStatus::Serving };
+        let status = if n % 10 == round % 10 { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let worker = [10, 1, (n >> 8) as u8, n as u8, 1, 1];
-        page.add(worker, u16::from(!n.is_multiple_of(3)), 4.0, standing, n / 9, (n / 27 % 3) as u8, 0);
+        page.add(worker, u16::from(!n.is_multiple_of(3)), 4.0, status, n / 9, (n / 27 % 3) as u8, 0);
     }
     page.frame()
 }
 
 fn main() {
     let (mut now, mut out, client) = (1_000_000_000, Outbox::default(), Link(0));
-    let mut host = Host::new(terms(), None, now);
+    let mut host = Host::new(config(), None, now);
     host.begin(now, &mut out);
     let list = out.take().into_iter().find_map(|act| match act {
         Act::Dial { link, to: LIST, .. } => Some(link),
--- a/crates/lifecycle/src/terms.rs
+++ b/crates/lifecycle/src/config.rs
@@ -2,7 +2,7 @@
 
 use tideroute_wire::{Address, Micros, Origin};
 
-use crate::tenancy::TenantConfig;
+use crate::tenant_admission::TenantConfig;
 
 /// What the books work under, whichever protocol they serve.
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
     /// What the decision module works under.
     pub module: tideroute::types::SchedulerConfig,
     /// Names of the tracks, for figures and logs.
-    pub tracks: Vec<String>,
+    pub classes: Vec<String>,
     /// A connection or a probe that takes longer has failed.
     pub unheard: Micros,
     /// Submissions open at once; what comes beyond is turned back before the module hears of it.
@@ -28,8 +28,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub books: LifecycleConfig,
+pub struct RouterConfig {
+    pub lifecycle: LifecycleConfig,
     pub list: Address,
     /// What tells its ids from those of every other router and start.
     pub origin: Origin,
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -5,9 +5,9 @@
 use tideroute_wire::link::{Link, Outbox};
 use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
 
-use crate::books::TENTH;
 use crate::host::Host;
-use crate::submissions::RequestState;
+use crate::lifecycle::MICROS_PER_TENTH_MILLI;
+use crate::request_table::RequestState;
 use crate::wires::Said;
 
 pub(crate) struct ClientLink<'a> {
@@ -21,7 +21,7 @@
     fn submit(
         &mut self,
         number: u64,
-        track: u8,
+        class: u8,
         session: u64,
         prefix: u64,
         prompt_tokens: u32,
@@ -38,11 +38,10 @@
             return Err(Malformed::Range("most_tokens"));
         }
         // A day is longer than any client waits, and keeps sums of times far from their ends.
-        let left = self.host.books.left(left.min(DAY)).saturating_sub(self.host.terms.travel);
+        let left = self.host.lifecycle.left(left.min(DAY)).saturating_sub(self.host.config.travel);
         let said = Said { client: self.link, number, prefix_tokens, most_tokens, mark, prompt };
-        let submission =
-            RequestState::new(said, track, (session, prefix), prompt_tokens).waits(self.now, left);
-        self.host.submitted(self.now, submission, self.out)
+        let request = RequestState::new(said, class, (session, prefix), prompt_tokens).waits(self.now, left);
+        self.host.submitted(self.now, request, self.out)
     }
 
     /// A number that is not open was answered a moment ago.
@@ -70,75 +69,80 @@
         self.host.lines.worker_of(self.link).ok_or(Malformed::Hello)
     }
 
-    fn is_out(&self, id: u64, shot: u16) -> Result<bool, Malformed> {
-        Ok(self.host.books.is_out(id, shot, self.worker()?))
+    fn is_out(&self, id: u64, attempt: u16) -> Result<bool, Malformed> {
+        Ok(self.host.lifecycle.is_out(id, attempt, self.worker()?))
     }
 }
 
 impl worker::Router for WorkerLink<'_> {
     fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
         let worker = self.worker()?;
-        let (books, mut wires) = self.host.parts(self.out);
-        books.held(self.now, id, worker, held, &mut wires);
+        let (lifecycle, mut wires) = self.host.parts(self.out);
+        lifecycle.held(self.now, id, worker, held, &mut wires);
         Ok(())
     }
 
     fn read_done(
         &mut self,
         id: u64,
-        shot: u16,
+        attempt: u16,
         _kept_tokens: u32,
         _state_bytes: u64,
     ) -> Result<(), Malformed> {
-        if self.is_out(id, shot)? {
-            let reading =
-                self.host.books.submissions.get(id).and_then(|s| s.shot.as_ref()).is_some_and(|s| s.reading);
+        if self.is_out(id, attempt)? {
+            let reading = self
+                .host
+                .lifecycle
+                .requests
+                .get(id)
+                .and_then(|s| s.attempt.as_ref())
+                .is_some_and(|s| s.reading);
             if !reading {
                 return Err(Malformed::Order("a state from a shot that writes"));
             }
-            self.host.settle(self.now, id, shot, AttemptOutcome::PrefillComplete, self.out);
+            self.host.settle(self.now, id, attempt, AttemptOutcome::PrefillComplete, self.out);
         }
         Ok(())
     }
 
-    fn token(&mut self, id: u64, shot: u16, index: u32, text: Bytes) -> Result<(), Malformed> {
-        if !self.is_out(id, shot)? {
+    fn token(&mut self, id: u64, attempt: u16, index: u32, text: Bytes) -> Result<(), Malformed> {
+        if !self.is_out(id, attempt)? {
             return Ok(());
         }
-        let Some(s) = self.host.books.submissions.get_mut(id) else { return Ok(()) };
+        let Some(s) = self.host.lifecycle.requests.get_mut(id) else { return Ok(()) };
         let (client, number) = (s.asked.client, s.asked.number);
-        let Some(out) = s.shot.as_mut() else { return Ok(()) };
+        let Some(out) = s.attempt.as_mut() else { return Ok(()) };
         if out.reading || index != out.tokens {
             return Err(Malformed::Order("a token"));
         }
         (out.tokens, out.owed) = (out.tokens + 1, out.owed + 1);
-        let (books, mut wires) = self.host.parts(self.out);
-        books.started(self.now, id, &mut wires);
+        let (lifecycle, mut wires) = self.host.parts(self.out);
+        lifecycle.started(self.now, id, &mut wires);
         self.out.send(client, client::token(number, index, text));
-        let half = self.host.terms.window / 2;
+        let half = self.host.config.window / 2;
         self.host.pay(id, half, self.out);
         Ok(())
     }
 
-    fn finished(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
-        if self.is_out(id, shot)? {
-            let s = self.host.books.submissions.get(id).and_then(|s| s.shot.as_ref());
+    fn finished(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed> {
+        if self.is_out(id, attempt)? {
+            let s = self.host.lifecycle.requests.get(id).and_then(|s| s.attempt.as_ref());
             if s.is_none_or(|s| s.tokens != tokens || tokens == 0) {
                 return Err(Malformed::Order("the end of a stream"));
             }
-            self.host.settle(self.now, id, shot, AttemptOutcome::Completed, self.out);
+            self.host.settle(self.now, id, attempt, AttemptOutcome::Completed, self.out);
         }
         Ok(())
     }
 
-    fn ended(&mut self, id: u64, shot: u16, how: worker::How) -> Result<(), Malformed> {
-        if self.is_out(id, shot)? {
-            let ending = match how {
+    fn ended(&mut self, id: u64, attempt: u16, how: worker::How) -> Result<(), Malformed> {
+        if self.is_out(id, attempt)? {
+            let outcome = match how {
                 worker::How::Full => AttemptOutcome::Rejected,
                 worker::How::Stateless => AttemptOutcome::StateMissing,
                 worker::How::Fault => AttemptOutcome::ServerError,
             };
-            self.host.settle(self.now, id, shot, ending, self.out);
+            self.host.settle(self.now, id, attempt, outcome, self.out);
         }
         Ok(())
     }
@@ -146,10 +150,10 @@
     fn probed(&mut self, nonce: u64, reads: u32, streams: u32, waiting: u32) -> Result<(), Malformed> {
         let worker = self.worker()?;
         if self.host.lines.at(worker).probe == Some(nonce) {
-            let (books, mut wires) = self.host.parts(self.out);
-            let shots = reads.saturating_add(streams).saturating_add(waiting);
-            books.told(self.now, nonce, f64::from(shots));
-            books.probed(self.now, nonce, true, &mut wires);
+            let (lifecycle, mut wires) = self.host.parts(self.out);
+            let attempts = reads.saturating_add(streams).saturating_add(waiting);
+            lifecycle.told(self.now, nonce, f64::from(attempts));
+            lifecycle.probed(self.now, nonce, true, &mut wires);
         }
         Ok(())
     }
@@ -162,10 +166,10 @@
 
 impl list::Router for ListLink<'_> {
     fn page(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
-        if !whole && version <= self.host.books.version() {
+        if !whole && version <= self.host.lifecycle.version() {
             return Err(Malformed::Order("a page"));
         }
-        self.host.books.page(self.now, version, whole);
+        self.host.lifecycle.page(self.now, version, whole);
         self.host.list_changed = true;
         Ok(())
     }
@@ -175,18 +179,18 @@
         worker: Address,
         kind: u16,
         size: f64,
-        standing: list::EndpointStatus,
+        status: list::EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
     ) -> Result<(), Malformed> {
-        let standing = match standing {
+        let status = match status {
             list::EndpointStatus::Removed => EndpointStatus::Removed,
             list::EndpointStatus::Serving => EndpointStatus::Serving,
             list::EndpointStatus::Draining => EndpointStatus::Draining,
         };
-        let started = (started / TENTH) as TenthMillis;
-        self.host.books.entry(self.now, Endpoint { worker, kind, size, standing, cell, zone, started });
+        let started = (started / MICROS_PER_TENTH_MILLI) as TenthMillis;
+        self.host.lifecycle.entry(self.now, Endpoint { worker, kind, size, status, cell, zone, started });
         Ok(())
     }
 }
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -7,13 +7,13 @@
 use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{client, list, worker, Malformed, Micros, Party};
 
-use crate::books::{shown, RequestLifecycle};
 use crate::clients::Clients;
+use crate::config::RouterConfig;
+use crate::lifecycle::{shown, RequestLifecycle};
 use crate::lines::Lines;
-use crate::submissions::{short, RequestState};
-use crate::tenancy::Ear;
-use crate::terms::Terms;
-use crate::ways::Timer;
+use crate::request_table::{short, RequestState};
+use crate::tenant_admission::Ear;
+use crate::transport::Timer;
 use crate::wires::{Said, Wires};
 
 /// Microseconds between two tellings of tenants' figures: what a person who watches takes for now.
@@ -44,8 +44,8 @@
 }
 
 pub struct Host {
-    pub(crate) terms: Terms,
-    pub(crate) books: RequestLifecycle<Said>,
+    pub(crate) config: RouterConfig,
+    pub(crate) lifecycle: RequestLifecycle<Said>,
     pub(crate) clients: Clients,
     pub(crate) lines: Lines,
     pub(crate) list_link: Option<Link>,
@@ -55,10 +55,10 @@
 
 impl Host {
     /// A router that starts now; `kept` is the list as the last run of it kept it.
-    pub fn new(terms: Terms, kept: Option<Bytes>, now: Micros) -> Host {
+    pub fn new(config: RouterConfig, kept: Option<Bytes>, now: Micros) -> Host {
         Host {
-            books: RequestLifecycle::new(terms.books.clone(), now),
-            terms,
+            lifecycle: RequestLifecycle::new(config.lifecycle.clone(), now),
+            config,
             clients: Clients::default(),
             lines: Lines::default(),
             list_link: None,
@@ -69,7 +69,7 @@
 
     /// Submissions that are open.
     pub fn open(&self) -> usize {
-        self.books.submissions.len()
+        self.lifecycle.requests.len()
     }
 
     /// The books, and the ways by which they speak.
@@ -77,8 +77,8 @@
         &'a mut self,
         out: &'a mut Outbox,
     ) -> (&'a mut RequestLifecycle<Said>, Wires<'a>) {
-        let (terms, clients, lines) = (&self.terms, &mut self.clients, &mut self.lines);
-        (&mut self.books, Wires { terms, clients, lines, list_link: &mut self.list_link, out })
+        let (config, clients, lines) = (&self.config, &mut self.clients, &mut self.lines);
+        (&mut self.lifecycle, Wires { config, clients, lines, list_link: &mut self.list_link, out })
     }
 
     pub(crate) fn settle(
@@ -86,16 +86,16 @@
         now: Micros,
         id: RequestId,
         number: u16,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         out: &mut Outbox,
     ) {
-        let (books, mut wires) = self.parts(out);
-        books.settle(now, id, number, ending, &mut wires);
+        let (lifecycle, mut wires) = self.parts(out);
+        lifecycle.settle(now, id, number, outcome, &mut wires);
     }
 
     pub(crate) fn dropped(&mut self, now: Micros, id: RequestId, out: &mut Outbox) {
-        let (books, mut wires) = self.parts(out);
-        books.dropped(now, id, &mut wires);
+        let (lifecycle, mut wires) = self.parts(out);
+        lifecycle.dropped(now, id, &mut wires);
     }
 
     /// Takes a new submission, or turns it back at once where the operator's bounds are reached.
@@ -105,7 +105,7 @@
         s: RequestState<Said>,
         out: &mut Outbox,
     ) -> Result<(), Malformed> {
-        if self.terms.books.module.tracks.get(usize::from(s.track)).is_none() {
+        if self.config.lifecycle.module.classes.get(usize::from(s.class)).is_none() {
             return Err(Malformed::Range("track"));
         }
         let (link, number) = (s.asked.client, s.asked.number);
@@ -114,36 +114,36 @@
             return Err(Malformed::Order("a number that is not above the last"));
         }
         client.last = Some(number);
-        let (key, full) = (client.key, client.open.len() >= self.terms.most_a_client);
-        if let Some((_, after)) = self.books.untaken(full) {
+        let (key, full) = (client.key, client.open.len() >= self.config.most_a_client);
+        if let Some((_, after)) = self.lifecycle.untaken(full) {
             out.send(link, client::turned_back(number, after));
             return Ok(());
         }
         // A key may have been revoked since its Hello.
-        let tenant = self.books.tenancy.as_ref().zip(key).and_then(|(t, key)| t.of(&key));
+        let tenant = self.lifecycle.tenant_admission.as_ref().zip(key).and_then(|(t, key)| t.of(&key));
         // The books number submissions in turn, so that the client hears the id before anything else of it.
-        let id = self.books.submissions.coming();
+        let id = self.lifecycle.requests.coming();
         if let Some(client) = self.clients.get_mut(link) {
             client.open.insert(number, id);
         }
         out.send(link, client::taken(number, id));
-        let (books, mut wires) = self.parts(out);
-        books.submitted(now, s, tenant, &mut wires);
+        let (lifecycle, mut wires) = self.parts(out);
+        lifecycle.submitted(now, s, tenant, &mut wires);
         Ok(())
     }
 
     /// Tells tenants' figures, and again a while later.
     fn tell_figures(&mut self, now: Micros, out: &mut Outbox) {
-        let Some(tenancy) = &mut self.books.tenancy else { return };
-        tenancy.news(&self.terms.books.name).into_iter().for_each(|letter| out.publish(letter));
+        let Some(tenant_admission) = &mut self.lifecycle.tenant_admission else { return };
+        tenant_admission.news(&self.config.lifecycle.name).into_iter().for_each(|letter| out.publish(letter));
         out.ring(now + TELLS, key(Ring::Figures));
     }
 
     /// A client has said Hello; where there are tenants it must speak for one.
     fn greeted(&mut self, link: Link, name: &str, key: &[u8], out: &mut Outbox) {
-        let tenancy = self.books.tenancy.as_ref();
-        let hash = tenancy.map(|_| *blake3::hash(key).as_bytes());
-        if tenancy.zip(hash).is_some_and(|(t, hash)| t.of(&hash).is_none()) {
+        let tenant_admission = self.lifecycle.tenant_admission.as_ref();
+        let hash = tenant_admission.map(|_| *blake3::hash(key).as_bytes());
+        if tenant_admission.zip(hash).is_some_and(|(t, hash)| t.of(&hash).is_none()) {
             counter!("tideroute_denied_total").increment(1);
             tracing::debug!(link = link.0, name, "a client without a tenant's key");
             self.clients.lose(link);
@@ -157,49 +157,51 @@
     /// A connection to a worker has ended, or never came about.
     fn line_lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
         let Some((worker, line)) = self.lines.lose(link) else { return };
-        tracing::info!(worker = %shown(worker), ?loss, shots = line.shots.len(), "lost a worker's line");
+        tracing::info!(worker = %shown(worker), ?loss, attempts = line.attempts.len(), "lost a worker's line");
         for id in line.places {
-            if let Some(s) = self.books.submissions.get_mut(id) {
+            if let Some(s) = self.lifecycle.requests.get_mut(id) {
                 s.places.retain(|&p| p != worker);
             }
         }
-        let ending = match loss {
+        let outcome = match loss {
             Loss::Unreached => AttemptOutcome::Unreachable,
             Loss::NotDialled => AttemptOutcome::NotSent,
             Loss::Broken => AttemptOutcome::ConnectionReset,
         };
-        for id in line.shots {
-            let number = self.books.submissions.get(id).and_then(|s| s.shot.as_ref()).map(|s| s.number);
+        for id in line.attempts {
+            let number = self.lifecycle.requests.get(id).and_then(|s| s.attempt.as_ref()).map(|s| s.number);
             if let Some(number) = number {
-                self.settle(now, id, number, ending, out);
+                self.settle(now, id, number, outcome, out);
             }
         }
         if let Some(nonce) = line.probe {
-            let (books, mut wires) = self.parts(out);
-            books.probed(now, nonce, false, &mut wires);
+            let (lifecycle, mut wires) = self.parts(out);
+            lifecycle.probed(now, nonce, false, &mut wires);
         }
     }
 
     /// Tells the worker of a stream that its client has taken tokens, once `least` of them are owed.
     pub(crate) fn pay(&mut self, id: RequestId, least: u32, out: &mut Outbox) {
-        let Some(s) = self.books.submissions.get_mut(id) else { return };
+        let Some(s) = self.lifecycle.requests.get_mut(id) else { return };
         let crowded = self.clients.get_mut(s.asked.client).is_none_or(|c| c.crowded);
-        let Some(shot) = s.shot.as_mut().filter(|s| s.started && s.owed >= least.max(1)) else { return };
+        let Some(attempt) = s.attempt.as_mut().filter(|s| s.started && s.owed >= least.max(1)) else {
+            return;
+        };
         if !crowded {
-            let tokens = std::mem::take(&mut shot.owed);
-            self.lines.send_if_there(shot.worker, worker::more(id, shot.number, tokens), out);
+            let tokens = std::mem::take(&mut attempt.owed);
+            self.lines.send_if_there(attempt.worker, worker::more(id, attempt.number, tokens), out);
         }
     }
 
     /// The list as it stands, as a page that `new` takes again.
     fn list_to_keep(&self) -> Bytes {
-        let mut page = list::Page::new(self.books.version(), true);
-        for l in self.books.listed().filter(|l| l.standing != EndpointStatus::Removed) {
-            let standing = match l.standing {
+        let mut page = list::Page::new(self.lifecycle.version(), true);
+        for l in self.lifecycle.listed().filter(|l| l.status != EndpointStatus::Removed) {
+            let status = match l.status {
                 EndpointStatus::Serving => list::EndpointStatus::Serving,
                 _ => list::EndpointStatus::Draining,
             };
-            page.add(l.worker, l.kind, l.size, standing, l.cell, l.zone, self.books.start_told(l.worker));
+            page.add(l.worker, l.kind, l.size, status, l.cell, l.zone, self.lifecycle.start_told(l.worker));
         }
         page.frame()
     }
@@ -213,7 +215,7 @@
                 tracing::warn!(%problem, "the list that was kept cannot be read; starts without");
             }
             // The list server may have started anew too: it is asked for all.
-            self.books.forget_version();
+            self.lifecycle.forget_version();
             self.list_changed = false;
         }
         self.tell_figures(now, out);
@@ -221,12 +223,12 @@
     }
 
     fn accepted(&mut self, now: Micros, link: Link, _door: usize, out: &mut Outbox) {
-        if self.clients.len() >= self.terms.most_clients {
+        if self.clients.len() >= self.config.most_clients {
             counter!("tideroute_clients_sent_away_total").increment(1);
             return out.close(link, "too many clients");
         }
         self.clients.accepted(link);
-        out.ring(now + self.terms.books.unheard, key(Ring::Hello(link)));
+        out.ring(now + self.config.lifecycle.unheard, key(Ring::Hello(link)));
     }
 
     fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
@@ -237,7 +239,7 @@
             worker::hear_worker(frame, &mut listener)
         } else if self.list_link == Some(link) {
             let heard = list::hear_list(frame, &mut crate::hear::ListLink { host: self, now });
-            self.books.list_heard(now);
+            self.lifecycle.list_heard(now);
             heard
         } else if self.clients.is_silent(link) {
             tideroute_wire::first(frame).and_then(|(party, name, key)| match party {
@@ -264,7 +266,7 @@
         if self.list_link == Some(link) {
             tracing::warn!(?loss, "lost the list; the old one stays in force");
             self.list_link = None;
-            self.books.list_failed(now);
+            self.lifecycle.list_failed(now);
         } else if let Some(client) = self.clients.lose(link) {
             for id in client.open.into_values() {
                 self.dropped(now, id, out);
@@ -290,7 +292,7 @@
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
             0 => Timer::Wake,
-            1 => Timer::CutOff(self.books.submissions.long(what)),
+            1 => Timer::CutOff(self.lifecycle.requests.long(what)),
             2 => Timer::Probe(what),
             4 => Timer::Shares,
             5 => return self.tell_figures(now, out),
@@ -303,35 +305,35 @@
                 return;
             }
         };
-        let (books, mut wires) = self.parts(out);
-        books.rang(now, timer, &mut wires);
+        let (lifecycle, mut wires) = self.parts(out);
+        lifecycle.rang(now, timer, &mut wires);
     }
 
     fn turn(&mut self, now: Micros, out: &mut Outbox) {
-        let (books, mut wires) = self.parts(out);
-        books.turn(now, &mut wires);
+        let (lifecycle, mut wires) = self.parts(out);
+        lifecycle.turn(now, &mut wires);
         if std::mem::take(&mut self.list_changed) {
             out.keep(self.list_to_keep());
         }
     }
 
     fn told(&mut self, now: Micros, letter: &Bytes, _out: &mut Outbox) {
-        let Some(tenancy) = &mut self.books.tenancy else { return };
-        if let Err(problem) = tideroute_wire::tenant::hear(letter, &mut Ear { tenancy, now }) {
+        let Some(tenant_admission) = &mut self.lifecycle.tenant_admission else { return };
+        if let Err(problem) = tideroute_wire::tenant::hear(letter, &mut Ear { tenant_admission, now }) {
             tracing::error!(%problem, "a letter about tenants cannot be read");
         }
-        self.books.stirred = true;
+        self.lifecycle.stirred = true;
     }
 
     fn late(&mut self, now: Micros, by: Micros) {
-        self.books.late(now, by);
+        self.lifecycle.late(now, by);
     }
 
     fn stop(&mut self, _now: Micros, _out: &mut Outbox) {
-        self.books.stop();
+        self.lifecycle.stop();
     }
 
     fn done(&self) -> bool {
-        self.books.done()
+        self.lifecycle.done()
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -7,26 +7,26 @@
 //! links and `crates/gateway` for HTTP.
 //!
 //! It decides nothing. What it must know beyond the module's terms (how long a dial may take, how many
-//! submissions may be open) stands in its own [`Terms`], which the operator gives.
+//! submissions may be open) stands in its own [`RouterConfig`], which the operator gives.
 
-mod books;
-mod carry;
+mod actions;
 mod clients;
+mod config;
+mod endpoint_incarnations;
 mod hear;
 mod host;
-mod lateness;
+mod lifecycle;
 mod lines;
-mod starts;
-mod submissions;
-mod tenancy;
-mod terms;
-mod ways;
+mod loop_lag;
+mod request_table;
+mod tenant_admission;
+mod transport;
 mod wires;
 
-pub use books::{shown, RequestLifecycle};
+pub use config::{LifecycleConfig, RouterConfig};
+pub use endpoint_incarnations::{EndpointIncarnations, Incarnation};
 pub use host::Host;
-pub use starts::{EndpointIncarnations, Incarnation};
-pub use submissions::{short, Attempt, RequestState, RequestTable};
-pub use tenancy::TenantConfig;
-pub use terms::{LifecycleConfig, Terms};
-pub use ways::{Response, Timer, Transport};
+pub use lifecycle::{shown, RequestLifecycle};
+pub use request_table::{short, Attempt, RequestState, RequestTable};
+pub use tenant_admission::TenantConfig;
+pub use transport::{Response, Timer, Transport};
--- a/crates/lifecycle/src/books.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -12,28 +12,28 @@
 use tideroute_invariants::{AttemptPermit, FinalAnswer, RequestRecord, Violation};
 use tideroute_wire::Micros;
 
-use crate::lateness::LoopLag;
-use crate::starts::{EndpointIncarnations, Incarnation};
-use crate::submissions::{RequestState, RequestTable};
-use crate::tenancy::TenantAdmission;
-use crate::terms::LifecycleConfig;
-use crate::ways::{Response, Timer, Transport};
+use crate::config::LifecycleConfig;
+use crate::endpoint_incarnations::{EndpointIncarnations, Incarnation};
+use crate::loop_lag::LoopLag;
+use crate::request_table::{RequestState, RequestTable};
+use crate::tenant_admission::TenantAdmission;
+use crate::transport::{Response, Timer, Transport};
 
 /// Microseconds in one of the module's tenths of a millisecond.
-pub(crate) const TENTH: Micros = 100;
+pub(crate) const MICROS_PER_TENTH_MILLI: Micros = 100;
 
-pub(crate) fn tenths(at: Micros) -> TenthMillis {
-    (at / TENTH) as TenthMillis
+pub(crate) fn to_tenth_millis(at: Micros) -> TenthMillis {
+    (at / MICROS_PER_TENTH_MILLI) as TenthMillis
 }
 
 pub struct RequestLifecycle<A> {
-    pub(crate) terms: LifecycleConfig,
+    pub(crate) config: LifecycleConfig,
     pub(crate) module: Scheduler,
-    pub submissions: RequestTable<A>,
+    pub requests: RequestTable<A>,
     /// What the list says of each worker, the role by its kind beside it.
     pub(crate) listed: BTreeMap<WorkerId, (Endpoint, Role)>,
     version: u64,
-    starts: EndpointIncarnations,
+    incarnations: EndpointIncarnations,
     /// What came of decisions while they were pulled; the module hears it after the last of them.
     pub(crate) settled: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Submissions that may be over and free of everything.
@@ -42,32 +42,32 @@
     pub(crate) nonce: u64,
     /// The module has heard something since it was last asked.
     pub(crate) stirred: bool,
-    pub(crate) lateness: LoopLag,
-    pub(crate) tenancy: Option<TenantAdmission>,
+    pub(crate) loop_lag: LoopLag,
+    pub(crate) tenant_admission: Option<TenantAdmission>,
     stopping: bool,
     /// How many open submissions the figures show.
     shown: Option<usize>,
 }
 
 impl<A> RequestLifecycle<A> {
-    pub fn new(terms: LifecycleConfig, now: Micros) -> RequestLifecycle<A> {
+    pub fn new(config: LifecycleConfig, now: Micros) -> RequestLifecycle<A> {
         RequestLifecycle {
-            module: Scheduler::new(terms.module.clone(), terms.seed, tenths(now)),
-            submissions: RequestTable::new(terms.seed),
-            tenancy: terms
+            module: Scheduler::new(config.module.clone(), config.seed, to_tenth_millis(now)),
+            requests: RequestTable::new(config.seed),
+            tenant_admission: config
                 .tenants
                 .as_ref()
-                .map(|t| TenantAdmission::new(t, terms.part, shares_terms(&terms), now)),
-            terms,
+                .map(|t| TenantAdmission::new(t, config.part, admission_config(&config), now)),
+            config,
             listed: BTreeMap::new(),
             version: 0,
-            starts: EndpointIncarnations::default(),
+            incarnations: EndpointIncarnations::default(),
             settled: vec![],
             closing: vec![],
             probes: BTreeMap::new(),
             nonce: 0,
             stirred: true,
-            lateness: LoopLag::default(),
+            loop_lag: LoopLag::default(),
             stopping: false,
             shown: None,
         }
@@ -85,22 +85,22 @@
 
     /// Discovery has been heard, and what it told has been taken.
     pub fn list_heard(&mut self, now: Micros) {
-        self.starts.heard(now);
+        self.incarnations.heard(now);
     }
 
     /// The Unix time of a worker's start as it was told.
     pub fn start_told(&self, worker: WorkerId) -> Micros {
-        self.starts.told(worker)
+        self.incarnations.told(worker)
     }
 
     pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
-        self.listed.values().map(|(listing, _)| listing)
+        self.listed.values().map(|(endpoint, _)| endpoint)
     }
 
     /// Whether the shot is the one that is out, at this worker. What comes for another was called back.
     pub fn is_out(&self, id: RequestId, number: u16, worker: WorkerId) -> bool {
-        let shot = self.submissions.get(id).and_then(|s| s.shot.as_ref());
-        shot.is_some_and(|s| s.number == number && s.worker == worker)
+        let attempt = self.requests.get(id).and_then(|s| s.attempt.as_ref());
+        attempt.is_some_and(|s| s.number == number && s.worker == worker)
     }
 
     /// Gives a submission its final answer, once.
@@ -109,38 +109,41 @@
         now: Micros,
         id: RequestId,
         answer: Response,
-        ways: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Asked = A>,
     ) {
-        let Some(s) = self.submissions.get_mut(id).filter(|s| !s.over) else { return };
+        let Some(s) = self.requests.get_mut(id).filter(|s| !s.over) else { return };
         let (answer, permit) = match s.record.permit_answer(kind_of(answer)) {
             Ok(permit) => (answer, permit),
             Err(violation) => {
                 self.refuse_step(id, violation);
                 // What may not be refused has failed: it is owed an answer all the same.
-                let Some(s) = self.submissions.get_mut(id) else { return };
+                let Some(s) = self.requests.get_mut(id) else { return };
                 let Ok(permit) = s.record.permit_answer(FinalAnswer::Failed) else { return };
                 (Response::Failed, permit)
             }
         };
-        let Some(s) = self.submissions.get_mut(id) else { return };
+        let Some(s) = self.requests.get_mut(id) else { return };
         s.over = true;
         self.closing.push(id);
         let first = s.first.or_else(|| matches!(answer, Response::Rejected(_)).then_some(Micros::MAX));
-        let (came, prompt, track_of) = (s.came, s.prompt_tokens, usize::from(s.track));
-        ways.answer(id, s, answer, permit);
+        let (came, prompt, class_index) = (s.came, s.prompt_tokens, usize::from(s.class));
+        transport.answer(id, s, answer, permit);
         let outcome = match answer {
             Response::Completed(_) => "honoured",
             Response::Rejected(_) => "turned back",
             Response::Failed => "abandoned",
         };
-        let track = self.terms.tracks.get(track_of).cloned().unwrap_or_default();
-        counter!("tideroute_answers_total", "outcome" => outcome, "track" => track).increment(1);
+        let class = self.config.classes.get(class_index).cloned().unwrap_or_default();
+        counter!("tideroute_answers_total", "outcome" => outcome, "track" => class).increment(1);
         histogram!("tideroute_answer_seconds").record(now.saturating_sub(came) as f64 / 1e6);
-        tracing::debug!(id, outcome, shots = s.shots, "answered");
-        if let (Some(tenancy), Some(track)) = (&mut self.tenancy, self.terms.module.tracks.get(track_of)) {
-            let contract = came + track.contract_of(f64::from(prompt)) as Micros * TENTH;
-            let known = first.map(|at| if at <= contract { Known::InTime } else { Known::Late });
-            tenancy.shares.answered(now, Ticket(id), known.unwrap_or(Known::Nothing));
+        tracing::debug!(id, outcome, attempts = s.attempts, "answered");
+        if let (Some(tenant_admission), Some(class)) =
+            (&mut self.tenant_admission, self.config.module.classes.get(class_index))
+        {
+            let ttft_objective =
+                came + class.ttft_objective_for(f64::from(prompt)) as Micros * MICROS_PER_TENTH_MILLI;
+            let known = first.map(|at| if at <= ttft_objective { Known::InTime } else { Known::Late });
+            tenant_admission.shares.answered(now, Ticket(id), known.unwrap_or(Known::Nothing));
             self.stirred = true;
         }
     }
@@ -149,13 +152,13 @@
     pub(crate) fn refuse_step(&mut self, id: RequestId, violation: Violation) {
         let (rule, reason) = (violation.rule().name(), violation.reason.name());
         counter!("tideroute_invariant_violations_total", "rule" => rule).increment(1);
-        let record = self.submissions.get(id).map(|s| &s.record);
+        let record = self.requests.get(id).map(|s| &s.record);
         tracing::error!(id, rule, reason, ?record, "an invariant would be broken: the step is refused");
     }
 
     /// Asks whether an attempt may leave on its connection, which has just come up.
     pub fn permit_bytes(&mut self, now: Micros, id: RequestId, number: u16) -> Option<AttemptPermit> {
-        let permit = self.submissions.get(id)?.record.permit_bytes(tenths(now), number);
+        let permit = self.requests.get(id)?.record.permit_bytes(to_tenth_millis(now), number);
         permit.map_err(|violation| self.refuse_step(id, violation)).ok()
     }
 
@@ -165,42 +168,42 @@
         now: Micros,
         id: RequestId,
         number: u16,
-        ending: AttemptOutcome,
-        ways: &mut impl Transport<Asked = A>,
+        outcome: AttemptOutcome,
+        transport: &mut impl Transport<Asked = A>,
     ) {
-        let Some(s) = self.submissions.get_mut(id) else { return };
-        let Some(shot) = s.shot.take_if(|s| s.number == number) else { return };
-        s.record.attempt_ended(number, ending);
-        ways.settled(id, s, &shot, ending);
-        let terminal = s.over || shot.started || ending == AttemptOutcome::Completed;
-        if ending == AttemptOutcome::PrefillComplete {
-            s.state = Some(shot.worker);
+        let Some(s) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = s.attempt.take_if(|s| s.number == number) else { return };
+        s.record.attempt_ended(number, outcome);
+        transport.settled(id, s, &attempt, outcome);
+        let terminal = s.over || attempt.started || outcome == AttemptOutcome::Completed;
+        if outcome == AttemptOutcome::PrefillComplete {
+            s.state = Some(attempt.worker);
         }
-        tracing::debug!(id, shot = number, worker = ?shot.worker, ?ending, "a shot ended");
-        counter!("tideroute_shots_ended_total", "ending" => name_of(ending)).increment(1);
-        self.module.settled(tenths(now), id, number, ending, terminal);
+        tracing::debug!(id, attempt = number, worker = ?attempt.worker, ?outcome, "a shot ended");
+        counter!("tideroute_shots_ended_total", "ending" => name_of(outcome)).increment(1);
+        self.module.settled(to_tenth_millis(now), id, number, outcome, terminal);
         self.stirred = true;
         self.closing.push(id);
-        if ending == AttemptOutcome::Completed {
-            self.answer(now, id, Response::Completed(shot.tokens), ways);
-        } else if shot.started {
-            self.answer(now, id, Response::Failed, ways);
+        if outcome == AttemptOutcome::Completed {
+            self.answer(now, id, Response::Completed(attempt.tokens), transport);
+        } else if attempt.started {
+            self.answer(now, id, Response::Failed, transport);
         }
     }
 
     /// The first of the shot's answer is there: it belongs to the client now, and all else held goes by itself.
-    pub fn started(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
-        let Some(s) = self.submissions.get_mut(id) else { return };
-        let Some(shot) = s.shot.as_mut().filter(|s| !s.started) else { return };
-        shot.started = true;
+    pub fn started(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
+        let Some(s) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = s.attempt.as_mut().filter(|s| !s.started) else { return };
+        attempt.started = true;
         s.record.began();
-        let (worker, number, came) = (shot.worker, shot.number, s.came);
+        let (worker, number, came) = (attempt.worker, attempt.number, s.came);
         (s.state, s.first) = (None, Some(now));
         for place in std::mem::take(&mut s.places) {
-            ways.unplace(id, place, place != worker);
+            transport.unplace(id, place, place != worker);
         }
-        tracing::debug!(id, shot = number, worker = %shown(worker), "an answer begins");
-        self.module.started(tenths(now), id, number);
+        tracing::debug!(id, attempt = number, worker = %shown(worker), "an answer begins");
+        self.module.started(to_tenth_millis(now), id, number);
         self.stirred = true;
         histogram!("tideroute_first_token_seconds").record(now.saturating_sub(came) as f64 / 1e6);
     }
@@ -213,43 +216,43 @@
         id: RequestId,
         at: WorkerId,
         held: bool,
-        ways: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Asked = A>,
     ) {
-        let Some(s) = self.submissions.get_mut(id).filter(|s| s.places.last() == Some(&at)) else { return };
+        let Some(s) = self.requests.get_mut(id).filter(|s| s.places.last() == Some(&at)) else { return };
         if !held {
             s.places.clear();
-            ways.unplace(id, at, false);
+            transport.unplace(id, at, false);
         }
-        if s.shot.as_ref().is_some_and(|s| s.reading) {
-            self.module.answered_ahead(tenths(now), id, held);
+        if s.attempt.as_ref().is_some_and(|s| s.reading) {
+            self.module.answered_ahead(to_tenth_millis(now), id, held);
             self.stirred = true;
         }
     }
 
     /// The client no longer waits. A stream that nobody reads ends; the rest is the module's to call back.
-    pub fn dropped(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
-        let Some(s) = self.submissions.get_mut(id) else { return };
+    pub fn dropped(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
+        let Some(s) = self.requests.get_mut(id) else { return };
         s.over = true;
         s.record.client_left();
         self.closing.push(id);
         counter!("tideroute_left_total").increment(1);
-        self.module.dropped(tenths(now), id);
-        self.tenancy.iter_mut().for_each(|t| t.shares.left(now, Ticket(id)));
+        self.module.dropped(to_tenth_millis(now), id);
+        self.tenant_admission.iter_mut().for_each(|t| t.shares.left(now, Ticket(id)));
         self.stirred = true;
-        let Some(shot) = &s.shot else { return };
-        let number = shot.number;
-        if shot.started {
-            ways.withdraw(id, shot);
-            self.settle(now, id, number, AttemptOutcome::Cancelled, ways);
-        } else if ways.recall(id, shot) {
+        let Some(attempt) = &s.attempt else { return };
+        let number = attempt.number;
+        if attempt.started {
+            transport.withdraw(id, attempt);
+            self.settle(now, id, number, AttemptOutcome::Cancelled, transport);
+        } else if transport.recall(id, attempt) {
             // Guards against a connection that comes up only now, and an attempt that begins for nobody.
-            self.settle(now, id, number, AttemptOutcome::NotSent, ways);
+            self.settle(now, id, number, AttemptOutcome::NotSent, transport);
         }
     }
 
     /// Why one more submission can't be taken: all that may be open is.
     pub fn untaken(&self, full_client: bool) -> Option<(&'static str, Micros)> {
-        let full = full_client || self.submissions.len() >= self.terms.most_open;
+        let full = full_client || self.requests.len() >= self.config.most_open;
         if !full && !self.stopping {
             return None;
         }
@@ -260,9 +263,9 @@
 
     /// How long who is told that there is no room should stay away; 0 where the terms allow no such advice.
     pub fn advice(&self) -> Micros {
-        let terms = &self.terms.module;
-        if terms.advice {
-            terms.longest_advice.max(0) as Micros * TENTH
+        let config = &self.config.module;
+        if config.advice {
+            config.longest_advice.max(0) as Micros * MICROS_PER_TENTH_MILLI
         } else {
             0
         }
@@ -274,93 +277,101 @@
         now: Micros,
         s: RequestState<A>,
         tenant: Option<Tenant>,
-        ways: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Asked = A>,
     ) -> RequestId {
-        let (track, cut_off, tokens) = (s.track, s.cut_off, s.prompt_tokens);
-        let repeat =
-            self.terms.module.tracks.get(usize::from(track)).map_or(Idempotency::NonIdempotent, |t| t.repeat);
-        let record = RequestRecord::new(repeat, tenths(cut_off));
-        let id = self.submissions.insert(RequestState { record, ..s });
+        let (class, deadline, tokens) = (s.class, s.deadline, s.prompt_tokens);
+        let repeat = self
+            .config
+            .module
+            .classes
+            .get(usize::from(class))
+            .map_or(Idempotency::NonIdempotent, |t| t.repeat);
+        let record = RequestRecord::new(repeat, to_tenth_millis(deadline));
+        let id = self.requests.insert(RequestState { record, ..s });
         counter!("tideroute_taken_total").increment(1);
-        ways.ring(cut_off, Timer::CutOff(id));
+        transport.ring(deadline, Timer::CutOff(id));
         self.stirred = true;
-        let earnings = self.terms.module.tracks.get(usize::from(track)).map_or(0.0, |t| t.earnings);
-        let Some(tenancy) = &mut self.tenancy else {
+        let priority_weight =
+            self.config.module.classes.get(usize::from(class)).map_or(0.0, |t| t.priority_weight);
+        let Some(tenant_admission) = &mut self.tenant_admission else {
             self.let_in(now, id);
             return id;
         };
         match tenant {
             Some(tenant) => {
                 let ticket = Ticket(id);
-                tenancy.shares.asked(now, Asked { ticket, tenant, tokens, earnings, cut_off });
+                tenant_admission
+                    .shares
+                    .asked(now, Asked { ticket, tenant, tokens, priority_weight, deadline });
             }
-            None => self.answer(now, id, Response::Rejected(0), ways),
+            None => self.answer(now, id, Response::Rejected(0), transport),
         }
         id
     }
 
     /// The module hears of a submission.
     fn let_in(&mut self, now: Micros, id: RequestId) {
-        let Some(s) = self.submissions.get(id).filter(|s| !s.over) else { return };
-        let arrival = NewRequest {
+        let Some(s) = self.requests.get(id).filter(|s| !s.over) else { return };
+        let new_request = NewRequest {
             id,
-            track: s.track,
+            class: s.class,
             session: s.session,
             prefix: s.prefix,
             prompt: f64::from(s.prompt_tokens),
-            left: tenths(s.cut_off.saturating_sub(now)),
+            left: to_tenth_millis(s.deadline.saturating_sub(now)),
         };
-        self.module.arrived(tenths(now), arrival);
+        self.module.arrived(to_tenth_millis(now), new_request);
         self.stirred = true;
     }
 
     /// Carries out what the shares decide.
-    fn admit(&mut self, now: Micros, ways: &mut impl Transport<Asked = A>) {
-        while let Some(verdict) = self.tenancy.as_mut().and_then(|t| t.shares.decide(now)) {
+    fn admit(&mut self, now: Micros, transport: &mut impl Transport<Asked = A>) {
+        while let Some(verdict) = self.tenant_admission.as_mut().and_then(|t| t.shares.decide(now)) {
             match verdict {
                 Verdict::Let(Ticket(id)) => self.let_in(now, id),
                 Verdict::TurnBack { ticket: Ticket(id), after } => {
                     counter!("tideroute_untaken_total", "why" => "share").increment(1);
-                    let after = if self.terms.module.advice { after } else { 0 };
-                    self.answer(now, id, Response::Rejected(after), ways);
+                    let after = if self.config.module.advice { after } else { 0 };
+                    self.answer(now, id, Response::Rejected(after), transport);
                 }
-                Verdict::Wake { at } => ways.ring(at, Timer::Shares),
+                Verdict::Wake { at } => transport.ring(at, Timer::Shares),
             }
         }
     }
 
     /// The client's time is up: a shot that has not begun to answer has timed out, also where its client has gone and
     /// nothing may be called back.
-    fn cut_off(&mut self, now: Micros, id: RequestId, ways: &mut impl Transport<Asked = A>) {
-        let Some(s) = self.submissions.get(id).filter(|s| !s.streams()) else { return };
-        let Some(shot) = &s.shot else {
+    fn deadline(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
+        let Some(s) = self.requests.get(id).filter(|s| !s.streams()) else { return };
+        let Some(attempt) = &s.attempt else {
             self.stirred = true;
             return;
         };
-        let number = shot.number;
-        let ending = if ways.withdraw(id, shot) { AttemptOutcome::NotSent } else { AttemptOutcome::TimedOut };
-        self.settle(now, id, number, ending, ways);
+        let number = attempt.number;
+        let outcome =
+            if transport.withdraw(id, attempt) { AttemptOutcome::NotSent } else { AttemptOutcome::TimedOut };
+        self.settle(now, id, number, outcome, transport);
     }
 
     /// A worker that was probed says how much it works on or has waiting, in the unit of the terms.
     pub fn told(&mut self, now: Micros, nonce: u64, amount: f64) {
         if let Some(&worker) = self.probes.get(&nonce) {
-            self.module.told(tenths(now), worker, amount);
+            self.module.told(to_tenth_millis(now), worker, amount);
         }
     }
 
-    pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, ways: &mut impl Transport<Asked = A>) {
+    pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, transport: &mut impl Transport<Asked = A>) {
         let Some(worker) = self.probes.remove(&nonce) else { return };
-        ways.probed(worker);
-        self.module.probed(tenths(now), worker, well);
+        transport.probed(worker);
+        self.module.probed(to_tenth_millis(now), worker, well);
         self.stirred = true;
     }
 
     /// Begins a page of the list; entries follow.
     pub fn page(&mut self, now: Micros, version: u64, whole: bool) {
         if whole {
-            self.listed.values_mut().for_each(|(l, _)| l.standing = EndpointStatus::Removed);
-            self.module.list_anew(tenths(now));
+            self.listed.values_mut().for_each(|(l, _)| l.status = EndpointStatus::Removed);
+            self.module.list_anew(to_tenth_millis(now));
         }
         (self.version, self.stirred) = (version, true);
     }
@@ -368,88 +379,88 @@
     /// A worker that is gone may be told by its name alone.
     pub fn gone(&mut self, now: Micros, worker: WorkerId) {
         if let Some((known, _)) = self.listed.get(&worker) {
-            let gone = Endpoint { standing: EndpointStatus::Removed, ..*known };
+            let gone = Endpoint { status: EndpointStatus::Removed, ..*known };
             self.take_entry(now, gone);
         }
     }
 
     /// A worker is listed, its start in Unix time; what that says of its process.
-    pub fn entry(&mut self, now: Micros, listing: Endpoint) -> Incarnation {
-        let told = listing.started.max(0) as Micros * TENTH;
-        let process = self.starts.listed(now, listing.worker, told);
-        self.take_entry(now, Endpoint { started: tenths(process.began), ..listing });
+    pub fn entry(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
+        let told = endpoint.started.max(0) as Micros * MICROS_PER_TENTH_MILLI;
+        let process = self.incarnations.listed(now, endpoint.worker, told);
+        self.take_entry(now, Endpoint { started: to_tenth_millis(process.began), ..endpoint });
         process
     }
 
     /// The module hears of a worker whose start is one on this router's clock.
-    fn take_entry(&mut self, now: Micros, listing: Endpoint) {
-        let Some(&role) = self.terms.module.roles.get(usize::from(listing.kind)) else {
-            tracing::warn!(worker = %shown(listing.worker), kind = listing.kind, "a kind that no term names");
+    fn take_entry(&mut self, now: Micros, endpoint: Endpoint) {
+        let Some(&role) = self.config.module.roles.get(usize::from(endpoint.kind)) else {
+            tracing::warn!(worker = %shown(endpoint.worker), kind = endpoint.kind, "a kind that no term names");
             return;
         };
-        let Endpoint { worker, kind, size, standing, cell, zone, started } = listing;
-        tracing::debug!(worker = %shown(worker), ?standing, kind, size, cell, zone, started, "listed");
-        self.listed.insert(listing.worker, (listing, role));
-        self.module.listed(tenths(now), listing);
+        let Endpoint { worker, kind, size, status, cell, zone, started } = endpoint;
+        tracing::debug!(worker = %shown(worker), ?status, kind, size, cell, zone, started, "listed");
+        self.listed.insert(endpoint.worker, (endpoint, role));
+        self.module.listed(to_tenth_millis(now), endpoint);
     }
 
     /// The page is complete. Workers that are gone need no books.
     pub fn page_over(&mut self, now: Micros) {
-        let gone = |(l, _): &(Endpoint, Role)| l.standing == EndpointStatus::Removed;
+        let gone = |(l, _): &(Endpoint, Role)| l.status == EndpointStatus::Removed;
         let removed = self.listed.iter().filter(|(_, entry)| gone(entry)).map(|(worker, _)| *worker);
-        removed.for_each(|worker| self.starts.removed(now, worker));
+        removed.for_each(|worker| self.incarnations.removed(now, worker));
         self.listed.retain(|_, entry| !gone(entry));
-        self.starts.forget_old(now);
+        self.incarnations.forget_old(now);
     }
 
     /// The list can't be heard; the old one stays in force.
     pub fn list_failed(&mut self, now: Micros) {
-        self.module.list_failed(tenths(now));
+        self.module.list_failed(to_tenth_millis(now));
         self.stirred = true;
     }
 
-    pub fn rang(&mut self, now: Micros, timer: Timer, ways: &mut impl Transport<Asked = A>) {
+    pub fn rang(&mut self, now: Micros, timer: Timer, transport: &mut impl Transport<Asked = A>) {
         match timer {
             Timer::Wake => {
-                self.module.woken(tenths(now));
+                self.module.woken(to_tenth_millis(now));
                 self.stirred = true;
             }
-            Timer::CutOff(id) => self.cut_off(now, id, ways),
-            Timer::Probe(nonce) => self.probed(now, nonce, false, ways),
+            Timer::CutOff(id) => self.deadline(now, id, transport),
+            Timer::Probe(nonce) => self.probed(now, nonce, false, transport),
             Timer::Shares => self.stirred = true,
         }
     }
 
     /// Pulls decisions until none is left.
-    pub fn turn(&mut self, now: Micros, ways: &mut impl Transport<Asked = A>) {
+    pub fn turn(&mut self, now: Micros, transport: &mut impl Transport<Asked = A>) {
         while std::mem::take(&mut self.stirred) {
-            self.admit(now, ways);
-            while let Some(decision) = self.module.decide(tenths(now)) {
-                self.carry_out(now, decision, ways);
+            self.admit(now, transport);
+            while let Some(decision) = self.module.decide(to_tenth_millis(now)) {
+                self.carry_out(now, decision, transport);
             }
-            for (id, shot, ending) in std::mem::take(&mut self.settled) {
-                self.settle(now, id, shot, ending, ways);
+            for (id, attempt, outcome) in std::mem::take(&mut self.settled) {
+                self.settle(now, id, attempt, outcome, transport);
             }
         }
-        self.close_up(ways);
-        if self.shown != Some(self.submissions.len()) {
-            self.shown = Some(self.submissions.len());
-            gauge!("tideroute_open", "core" => self.terms.name.clone()).set(self.submissions.len() as f64);
+        self.close_up(transport);
+        if self.shown != Some(self.requests.len()) {
+            self.shown = Some(self.requests.len());
+            gauge!("tideroute_open", "core" => self.config.name.clone()).set(self.requests.len() as f64);
         }
     }
 
     /// Lets go of what is left of submissions that are over and forgets them.
-    fn close_up(&mut self, ways: &mut impl Transport<Asked = A>) {
+    fn close_up(&mut self, transport: &mut impl Transport<Asked = A>) {
         for id in std::mem::take(&mut self.closing) {
-            let Some(s) = self.submissions.get(id).filter(|s| s.over && s.shot.is_none()) else { continue };
+            let Some(s) = self.requests.get(id).filter(|s| s.over && s.attempt.is_none()) else { continue };
             if !s.holds_nothing() {
-                self.let_go(id, ways);
+                self.let_go(id, transport);
             }
-            let Some(s) = self.submissions.get(id) else { continue };
+            let Some(s) = self.requests.get(id) else { continue };
             match s.record.permit_close(s.holds_nothing()) {
                 Ok(permit) => {
-                    ways.closed(id, permit);
-                    self.submissions.remove(id);
+                    transport.closed(id, permit);
+                    self.requests.remove(id);
                 }
                 Err(violation) => self.refuse_step(id, violation),
             }
@@ -457,37 +468,37 @@
     }
 
     pub fn late(&mut self, now: Micros, by: Micros) {
-        let before = self.lateness.worst();
-        self.lateness.note(now, by);
+        let before = self.loop_lag.worst();
+        self.loop_lag.note(now, by);
         // Each turn of the loop comes here: the figure is only written when it is another.
-        if self.lateness.worst() != before {
-            gauge!("tideroute_late_seconds", "core" => self.terms.name.clone())
-                .set(self.lateness.worst() as f64 / 1e6);
+        if self.loop_lag.worst() != before {
+            gauge!("tideroute_late_seconds", "core" => self.config.name.clone())
+                .set(self.loop_lag.worst() as f64 / 1e6);
         }
     }
 
     /// What is left of a client's time, given how late the loop has been of late.
     pub fn left(&self, left: Micros) -> Micros {
-        self.lateness.left(left)
+        self.loop_lag.left(left)
     }
 
     /// Takes nothing new from now on.
     pub fn stop(&mut self) {
-        tracing::info!(open = self.submissions.len(), "stops: takes nothing new");
+        tracing::info!(open = self.requests.len(), "stops: takes nothing new");
         self.stopping = true;
     }
 
     pub fn done(&self) -> bool {
-        self.stopping && self.submissions.none_waits()
+        self.stopping && self.requests.none_waits()
     }
 }
 
 /// A quarter of what may be open may wait to be let in.
-fn shares_terms(terms: &LifecycleConfig) -> tideroute_admission::Terms {
+fn admission_config(config: &LifecycleConfig) -> tideroute_admission::Terms {
     tideroute_admission::Terms {
-        longest_wait: terms.longest_wait,
-        most_waiting: (terms.most_open / 4).max(1),
-        longest_advice: terms.module.longest_advice.max(0) as Micros * TENTH,
+        longest_wait: config.longest_wait,
+        most_waiting: (config.most_open / 4).max(1),
+        longest_advice: config.module.longest_advice.max(0) as Micros * MICROS_PER_TENTH_MILLI,
     }
 }
 
@@ -499,8 +510,8 @@
     }
 }
 
-fn name_of(ending: AttemptOutcome) -> &'static str {
-    match ending {
+fn name_of(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Completed => "honoured",
         AttemptOutcome::ServerError => "fault",
         AttemptOutcome::Rejected => "full",
--- a/crates/lifecycle/src/lines.rs
+++ b/crates/lifecycle/src/lines.rs
@@ -12,7 +12,7 @@
     pub link: Option<Link>,
     /// The probe that has not been answered.
     pub probe: Option<u64>,
-    pub shots: BTreeSet<RequestId>,
+    pub attempts: BTreeSet<RequestId>,
     pub places: BTreeSet<RequestId>,
 }
 
--- a/crates/lifecycle/src/submissions.rs
+++ b/crates/lifecycle/src/request_table.rs
@@ -13,14 +13,14 @@
 pub struct RequestState<A> {
     /// What the protocol keeps of it.
     pub asked: A,
-    pub track: u8,
+    pub class: u8,
     pub session: u64,
     pub prefix: u64,
     pub prompt_tokens: u32,
     pub came: Micros,
-    pub cut_off: Micros,
-    pub shots: u16,
-    pub shot: Option<Attempt>,
+    pub deadline: Micros,
+    pub attempts: u16,
+    pub attempt: Option<Attempt>,
     /// The reader where its state waits.
     pub state: Option<WorkerId>,
     /// Writers asked for a place that have not said no, the last one last.
@@ -35,17 +35,17 @@
 
 impl<A> RequestState<A> {
     /// One that has just come.
-    pub fn new(asked: A, track: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> RequestState<A> {
+    pub fn new(asked: A, class: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> RequestState<A> {
         RequestState {
             asked,
-            track,
+            class,
             session,
             prefix,
             prompt_tokens,
             came: 0,
-            cut_off: 0,
-            shots: 0,
-            shot: None,
+            deadline: 0,
+            attempts: 0,
+            attempt: None,
             state: None,
             places: vec![],
             first: None,
@@ -57,19 +57,19 @@
 
     /// It came then and its client waits so long.
     pub fn waits(self, came: Micros, left: Micros) -> RequestState<A> {
-        RequestState { came, cut_off: came + left, ..self }
+        RequestState { came, deadline: came + left, ..self }
     }
 
-    pub fn shot_is(&self, number: u16) -> bool {
-        self.shot.as_ref().is_some_and(|s| s.number == number)
+    pub fn attempt_is(&self, number: u16) -> bool {
+        self.attempt.as_ref().is_some_and(|s| s.number == number)
     }
 
     pub fn streams(&self) -> bool {
-        self.shot.as_ref().is_some_and(|s| s.started)
+        self.attempt.as_ref().is_some_and(|s| s.started)
     }
 
     pub fn holds_nothing(&self) -> bool {
-        self.shot.is_none() && self.state.is_none() && self.places.is_empty()
+        self.attempt.is_none() && self.state.is_none() && self.places.is_empty()
     }
 }
 
@@ -114,10 +114,10 @@
         self.base | (self.count + 1)
     }
 
-    pub fn insert(&mut self, submission: RequestState<A>) -> RequestId {
+    pub fn insert(&mut self, request: RequestState<A>) -> RequestId {
         let id = self.coming();
         self.count += 1;
-        self.open.insert(id, submission);
+        self.open.insert(id, request);
         id
     }
 
--- a/crates/lifecycle/src/tenancy.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -43,42 +43,42 @@
     pub fn new(
         tenants: &[TenantConfig],
         part: f64,
-        terms: tideroute_admission::Terms,
+        config: tideroute_admission::Terms,
         now: Micros,
     ) -> TenantAdmission {
-        let shares = Shares::new(terms);
+        let shares = Shares::new(config);
         let (by_key, by_name) = (HashMap::new(), HashMap::new());
-        let mut tenancy = TenantAdmission { shares, part, by_key, by_name, numbers: 0 };
-        tenants.iter().for_each(|t| tenancy.set(now, t.clone()));
-        tenancy
+        let mut tenant_admission = TenantAdmission { shares, part, by_key, by_name, numbers: 0 };
+        tenants.iter().for_each(|t| tenant_admission.set(now, t.clone()));
+        tenant_admission
     }
 
     /// A tenant is there, or is another than it was.
-    pub fn set(&mut self, now: Micros, terms: TenantConfig) {
-        if self.by_name.get(&terms.name).is_some_and(|known| known.version > terms.version) {
+    pub fn set(&mut self, now: Micros, config: TenantConfig) {
+        if self.by_name.get(&config.name).is_some_and(|known| known.version > config.version) {
             return;
         }
-        let (tenant, told) = match self.by_name.get(&terms.name) {
+        let (tenant, told) = match self.by_name.get(&config.name) {
             Some(known) => (known.tenant, known.told),
             None => {
                 self.numbers += 1;
                 (Tenant(self.numbers), Figures::default())
             }
         };
-        self.revoke(&terms.name);
-        self.by_key.extend(terms.keys.iter().map(|key| (*key, tenant)));
+        self.revoke(&config.name);
+        self.by_key.extend(config.keys.iter().map(|key| (*key, tenant)));
         let part = |rate: Rate| Rate {
             a_second: rate.a_second * self.part,
             burst: (rate.burst * self.part).max(1.0),
         };
         let limits = Limits {
-            submissions: terms.limits.submissions.map(part),
-            tokens: terms.limits.tokens.map(part),
-            in_flight: terms.limits.in_flight.map(|most| (f64::from(most) * self.part).ceil() as u32),
-            ..terms.limits
+            requests: config.limits.requests.map(part),
+            tokens: config.limits.tokens.map(part),
+            in_flight: config.limits.in_flight.map(|most| (f64::from(most) * self.part).ceil() as u32),
+            ..config.limits
         };
         self.shares.tenant(now, tenant, limits);
-        self.by_name.insert(terms.name, Known { tenant, told, version: terms.version, keys: terms.keys });
+        self.by_name.insert(config.name, Known { tenant, told, version: config.version, keys: config.keys });
     }
 
     /// A tenant is removed: its keys are dead, what waits is turned back, what is in flight runs to its end.
@@ -98,7 +98,7 @@
         for (name, known) in &mut self.by_name {
             let now = self.shares.figures(known.tenant).unwrap_or_default();
             if now != std::mem::replace(&mut known.told, now) {
-                let sums = [now.asked, now.let_in, now.turned_back, now.in_time, now.late, now.waited];
+                let sums = [now.asked, now.let_in, now.rejected, now.in_time, now.late, now.waited];
                 changed.push((name.as_str(), (sums, [now.waiting, now.in_flight])));
             }
         }
@@ -122,7 +122,7 @@
 
 /// Takes a letter apart for the tenancy.
 pub(crate) struct Ear<'a> {
-    pub tenancy: &'a mut TenantAdmission,
+    pub tenant_admission: &'a mut TenantAdmission,
     pub now: Micros,
 }
 
@@ -133,20 +133,20 @@
         version: u64,
         keys: Vec<[u8; 32]>,
         weight: f64,
-        submissions: Option<tenant::Rate>,
+        requests: Option<tenant::Rate>,
         tokens: Option<tenant::Rate>,
         in_flight: Option<u32>,
         waiting: u32,
     ) -> Result<(), Malformed> {
         let rate = |(a_second, burst)| Rate { a_second, burst };
-        let (submissions, tokens) = (submissions.map(rate), tokens.map(rate));
-        let limits = Limits { submissions, tokens, in_flight, weight, waiting };
-        self.tenancy.set(self.now, TenantConfig { name: name.to_string(), version, keys, limits });
+        let (requests, tokens) = (requests.map(rate), tokens.map(rate));
+        let limits = Limits { requests, tokens, in_flight, weight, waiting };
+        self.tenant_admission.set(self.now, TenantConfig { name: name.to_string(), version, keys, limits });
         Ok(())
     }
 
     fn gone(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
-        self.tenancy.gone(self.now, name, version);
+        self.tenant_admission.gone(self.now, name, version);
         Ok(())
     }
 }
--- a/crates/lifecycle/src/ways.rs
+++ b/crates/lifecycle/src/transport.rs
@@ -4,7 +4,7 @@
 use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
 use tideroute_wire::Micros;
 
-use crate::submissions::{Attempt, RequestState};
+use crate::request_table::{Attempt, RequestState};
 
 /// A final answer to a client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -39,7 +39,7 @@
         &mut self,
         id: RequestId,
         s: &RequestState<Self::Asked>,
-        shot: &Attempt,
+        attempt: &Attempt,
         left: Micros,
         permit: AttemptPermit,
     );
@@ -63,9 +63,9 @@
         state: Option<WorkerId>,
     );
     /// Nobody waits for the shot any more. Whether it never left comes back: then it has not run.
-    fn withdraw(&mut self, id: RequestId, shot: &Attempt) -> bool;
+    fn withdraw(&mut self, id: RequestId, attempt: &Attempt) -> bool;
     /// Takes a shot back that has not left yet; whether it had not. One that has left goes on.
-    fn recall(&mut self, _id: RequestId, _shot: &Attempt) -> bool {
+    fn recall(&mut self, _id: RequestId, _attempt: &Attempt) -> bool {
         false
     }
     /// The shot has ended, whoever ended it.
@@ -73,8 +73,8 @@
         &mut self,
         id: RequestId,
         s: &RequestState<Self::Asked>,
-        shot: &Attempt,
-        ending: AttemptOutcome,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
     );
     fn answer(
         &mut self,
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -6,11 +6,11 @@
 use tideroute_wire::{client, list, say_router, worker, Micros};
 
 use crate::clients::Clients;
+use crate::config::RouterConfig;
 use crate::host::key;
 use crate::lines::Lines;
-use crate::submissions::{Attempt, RequestState};
-use crate::terms::Terms;
-use crate::ways::{Response, Timer, Transport};
+use crate::request_table::{Attempt, RequestState};
+use crate::transport::{Response, Timer, Transport};
 
 /// What the protocol keeps of a submission, as the client handed it over.
 pub struct Said {
@@ -24,7 +24,7 @@
 }
 
 pub(crate) struct Wires<'a> {
-    pub terms: &'a Terms,
+    pub config: &'a RouterConfig,
     pub clients: &'a mut Clients,
     pub lines: &'a mut Lines,
     pub list_link: &'a mut Option<Link>,
@@ -33,9 +33,9 @@
 
 impl Wires<'_> {
     fn send(&mut self, to: WorkerId, frame: bytes::Bytes) {
-        let terms = self.terms;
-        let hello = || say_router(&terms.books.name, terms.origin);
-        self.lines.send(to, hello, terms.books.unheard, frame, self.out);
+        let config = self.config;
+        let hello = || say_router(&config.lifecycle.name, config.origin);
+        self.lines.send(to, hello, config.lifecycle.unheard, frame, self.out);
     }
 }
 
@@ -46,16 +46,16 @@
         &mut self,
         id: RequestId,
         s: &RequestState<Said>,
-        shot: &Attempt,
+        attempt: &Attempt,
         left: Micros,
         _permit: AttemptPermit,
     ) {
-        let (said, number) = (&s.asked, shot.number);
-        let frame = if shot.reading {
+        let (said, number) = (&s.asked, attempt.number);
+        let frame = if attempt.reading {
             worker::read(
                 id,
                 number,
-                s.track,
+                s.class,
                 s.session,
                 s.prefix,
                 s.prompt_tokens,
@@ -67,21 +67,21 @@
             worker::write(
                 id,
                 number,
-                s.track,
+                s.class,
                 s.prompt_tokens,
                 said.most_tokens,
                 left,
                 said.mark,
                 s.state,
-                self.terms.window,
+                self.config.window,
                 s.session,
                 s.prefix,
                 said.prefix_tokens,
                 said.prompt.clone(),
             )
         };
-        self.lines.at(shot.worker).shots.insert(id);
-        self.send(shot.worker, frame);
+        self.lines.at(attempt.worker).attempts.insert(id);
+        self.send(attempt.worker, frame);
     }
 
     fn hold(
@@ -118,13 +118,19 @@
     }
 
     /// A frame that was handed to a link may have left at once.
-    fn withdraw(&mut self, id: RequestId, shot: &Attempt) -> bool {
-        self.lines.send_if_there(shot.worker, worker::withdraw(id, shot.number), self.out);
+    fn withdraw(&mut self, id: RequestId, attempt: &Attempt) -> bool {
+        self.lines.send_if_there(attempt.worker, worker::withdraw(id, attempt.number), self.out);
         false
     }
 
-    fn settled(&mut self, id: RequestId, _s: &RequestState<Said>, shot: &Attempt, _ending: AttemptOutcome) {
-        self.lines.at(shot.worker).shots.remove(&id);
+    fn settled(
+        &mut self,
+        id: RequestId,
+        _s: &RequestState<Said>,
+        attempt: &Attempt,
+        _outcome: AttemptOutcome,
+    ) {
+        self.lines.at(attempt.worker).attempts.remove(&id);
     }
 
     fn answer(&mut self, _id: RequestId, s: &RequestState<Said>, answer: Response, _permit: AnswerPermit) {
@@ -151,8 +157,8 @@
 
     fn subscribe(&mut self, version: u64) {
         let link = *self.list_link.get_or_insert_with(|| {
-            let link = self.out.dial(self.terms.list, self.terms.books.unheard);
-            self.out.send(link, say_router(&self.terms.books.name, self.terms.origin));
+            let link = self.out.dial(self.config.list, self.config.lifecycle.unheard);
+            self.out.send(link, say_router(&self.config.lifecycle.name, self.config.origin));
             link
         });
         self.out.send(link, list::watch(version));
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -6,18 +6,23 @@
 use bytes::Bytes;
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
-use tideroute_lifecycle::{Host, LifecycleConfig, Terms};
+use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
 use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
 use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, worker, Address, Malformed, Micros, Party};
 
 const LIST: Address = [10, 0, 0, 1, 1, 1];
 
-fn terms() -> Terms {
-    let track = |repeat| RequestClass { repeat, contract: 10_000, per_thousand: 400, earnings: 1.0 };
+fn config() -> RouterConfig {
+    let class = |repeat| RequestClass {
+        repeat,
+        ttft_objective: 10_000,
+        ttft_objective_per_1000_tokens: 400,
+        priority_weight: 1.0,
+    };
     let module = Module {
         routers: 2,
-        tracks: vec![track(Idempotency::Idempotent), track(Idempotency::NonIdempotent)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
         roles: vec![Role::Prefill, Role::Decode],
         places: true,
         release: 5_000,
@@ -25,8 +30,8 @@
         warm_after: 100_000,
         fall_multiple: 2.5,
         fall_span: 20_000,
-        max_shots: 5,
-        withdrawals: true,
+        max_attempts: 5,
+        cancellation: true,
         probes: true,
         asks: false,
         in_tokens: false,
@@ -35,10 +40,10 @@
         longest_advice: 10_000,
         ..Module::default()
     };
-    let books = LifecycleConfig {
+    let lifecycle = LifecycleConfig {
         name: "r".into(),
         module,
-        tracks: vec!["a".into(), "b".into()],
+        classes: vec!["a".into(), "b".into()],
         unheard: 250_000,
         most_open: 40,
         tenants: None,
@@ -46,7 +51,15 @@
         longest_wait: 1_000_000,
         seed: 5,
     };
-    Terms { books, list: LIST, origin: 7, travel: 10_000, window: 8, most_a_client: 30, most_clients: 4 }
+    RouterConfig {
+        lifecycle,
+        list: LIST,
+        origin: 7,
+        travel: 10_000,
+        window: 8,
+        most_a_client: 30,
+        most_clients: 4,
+    }
 }
 
 /// What a client hears, by its own numbers.
@@ -98,7 +111,7 @@
     rings: BTreeSet<(Micros, u64)>,
     heard: Heard,
     /// Ids of submissions that shots went out for, by the worker's link.
-    shots: Vec<(Link, u64, u16)>,
+    attempts: Vec<(Link, u64, u16)>,
     number: u64,
     client: u64,
 }
@@ -108,13 +121,13 @@
         let now = 1_000_000_000;
         let (links, rings) = (BTreeMap::new(), BTreeSet::new());
         let mut world = World {
-            host: Host::new(terms(), None, now),
+            host: Host::new(config(), None, now),
             out: Outbox::default(),
             now,
             links,
             rings,
             heard: Heard::default(),
-            shots: vec![],
+            attempts: vec![],
             number: 0,
             client: 0,
         };
@@ -158,20 +171,20 @@
                 Act::Send { link, frame } if link == Link(self.client) => {
                     client::hear_router(&frame, &mut self.heard).expect("a client's word");
                 }
-                Act::Send { link, frame } => self.note_shot(link, &frame),
+                Act::Send { link, frame } => self.note_attempt(link, &frame),
                 _ => {}
             }
         }
     }
 
     /// The id and number of a shot are the first two fields of Read and Write alike.
-    fn note_shot(&mut self, link: Link, frame: &Bytes) {
+    fn note_attempt(&mut self, link: Link, frame: &Bytes) {
         struct Ear(Option<(u64, u16)>);
         impl worker::Worker for Ear {
             fn read(
                 &mut self,
                 id: u64,
-                shot: u16,
+                attempt: u16,
                 _: u8,
                 _: u64,
                 _: u64,
@@ -180,7 +193,7 @@
                 _: Micros,
                 _: Bytes,
             ) -> Result<(), Malformed> {
-                self.0 = Some((id, shot));
+                self.0 = Some((id, attempt));
                 Ok(())
             }
             fn hold(&mut self, _: u64, _: u32, _: u32, _: Address) -> Result<(), Malformed> {
@@ -189,7 +202,7 @@
             fn write(
                 &mut self,
                 id: u64,
-                shot: u16,
+                attempt: u16,
                 _: u8,
                 _: u32,
                 _: u32,
@@ -202,7 +215,7 @@
                 _: u32,
                 _: Bytes,
             ) -> Result<(), Malformed> {
-                self.0 = Some((id, shot));
+                self.0 = Some((id, attempt));
                 Ok(())
             }
             fn let_go(&mut self, _: u64) -> Result<(), Malformed> {
@@ -220,32 +233,33 @@
         }
         let mut ear = Ear(None);
         if worker::hear_router(frame, &mut ear).is_ok() {
-            self.shots.extend(ear.0.map(|(id, shot)| (link, id, shot)));
+            self.attempts.extend(ear.0.map(|(id, attempt)| (link, id, attempt)));
         }
     }
 
     fn step(&mut self, (what, which, much): (u8, u8, u16)) {
-        let one = (!self.shots.is_empty()).then(|| self.shots[usize::from(which) % self.shots.len()]);
+        let one =
+            (!self.attempts.is_empty()).then(|| self.attempts[usize::from(which) % self.attempts.len()]);
         let text = Bytes::from_static(b"word");
         match what % 14 {
             0..=2 => {
                 self.number += 1;
                 let prompt = Bytes::from_static(b"prompt");
                 let (tokens, left) = (u32::from(much), Micros::from(much) * 100);
-                let track = which % 2;
-                let submit = client::submit(self.number, track, 1, 0, tokens, 0, 9, left, 0, prompt);
+                let class = which % 2;
+                let submit = client::submit(self.number, class, 1, 0, tokens, 0, 9, left, 0, prompt);
                 self.hear(Link(self.client), &submit);
             }
             3 => self.hear(Link(self.client), &client::leave(u64::from(which))),
             4..=9 => {
-                let Some((link, id, shot)) = one else { return };
+                let Some((link, id, attempt)) = one else { return };
                 let word = match much % 7 {
-                    0 | 1 => worker::read_done(id, shot, 0, 9),
-                    2 | 3 => worker::token(id, shot, u32::from(much / 7 % 3), text),
-                    4 => worker::finished(id, shot, u32::from(much / 7 % 4)),
+                    0 | 1 => worker::read_done(id, attempt, 0, 9),
+                    2 | 3 => worker::token(id, attempt, u32::from(much / 7 % 3), text),
+                    4 => worker::finished(id, attempt, u32::from(much / 7 % 4)),
                     5 => worker::ended(
                         id,
-                        shot,
+                        attempt,
                         [worker::How::Full, worker::How::Fault][usize::from(much) % 2],
                     ),
                     _ => worker::hold_answer(id, much % 2 == 0),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,13 +7,13 @@
 /// How the meaning of a column of load reports begins if it counts prompt tokens that wait.
 const TOKENS: &str = "thousands of prompt tokens waiting";
 /// The column of load reports that counts the shots out at a worker.
-const SHOTS: &str = "outstanding";
+const ATTEMPTS: &str = "outstanding";
 
 /// Milliseconds in which a request that has left arrives whole, also in pieces: a round trip between zones and some more.
 const ARRIVES_MS: f64 = 100.0;
 
 /// Milliseconds to tenths, rounded down; what no clock can hold is brought to its ends.
-pub fn tenths(ms: f64) -> TenthMillis {
+pub fn to_tenth_millis(ms: f64) -> TenthMillis {
     (ms * 10.0).floor().clamp(-1e15, 1e15) as TenthMillis
 }
 
@@ -47,8 +47,8 @@
 }
 
 /// A class that is named twice would have two meanings.
-fn no_name_twice(classes: &[Value]) -> Result<(), String> {
-    let names: Vec<_> = classes.iter().filter_map(|class| class["name"].as_str()).collect();
+fn no_name_twice(class_settings: &[Value]) -> Result<(), String> {
+    let names: Vec<_> = class_settings.iter().filter_map(|class| class["name"].as_str()).collect();
     let twice = names.iter().enumerate().find(|(place, name)| names[..*place].contains(name));
     twice.map_or(Ok(()), |(place, name)| {
         Err(format!(
@@ -72,13 +72,13 @@
 }
 
 /// For each class, the microseconds of contract time for every 1,000 prompt tokens; none where nothing is said.
-fn stretches(root: &Value, classes: usize) -> Result<Vec<f64>, String> {
+fn stretches(root: &Value, class_settings: usize) -> Result<Vec<f64>, String> {
     let path = "family_info.aim_us_per_1000_prompt_tokens";
     if at(root, path).is_err() {
-        return Ok(vec![0.0; classes]);
+        return Ok(vec![0.0; class_settings]);
     }
     let stretches: Option<Vec<f64>> = list(root, path)?.iter().map(Value::as_f64).collect();
-    let stretches = stretches.filter(|s| s.len() >= classes && s.iter().all(|us| *us >= 0.0));
+    let stretches = stretches.filter(|s| s.len() >= class_settings && s.iter().all(|us| *us >= 0.0));
     stretches
         .ok_or_else(|| format!("{path} in the settings is not a number of 0 or more for each of classes"))
 }
@@ -108,7 +108,7 @@
 
 /// What holds for a class. Its repeats have to arrive whole while the first is remembered, so that the time which a
 /// connection may take to come up, and a request to arrive, is none in which to send one.
-fn track(
+fn class(
     place: usize,
     class: &Value,
     per_thousand_us: f64,
@@ -126,16 +126,18 @@
                 "cell" => DeduplicationScope::Cell,
                 other => return Err(format!("dedup_scope {other:?} in the settings is unknown")),
             },
-            window: tenths((over_zero(class, place, "key_ttl_ms")? - comes_up_ms - ARRIVES_MS).max(0.0)),
+            window: to_tenth_millis(
+                (over_zero(class, place, "key_ttl_ms")? - comes_up_ms - ARRIVES_MS).max(0.0),
+            ),
         },
         "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("idempotency {other:?} in the settings is unknown")),
     };
     Ok(RequestClass {
         repeat,
-        contract: tenths(over_zero(class, place, "on_time_ms")?),
-        per_thousand: tenths(per_thousand_us / 1000.0),
-        earnings: number(class, "worth")?,
+        ttft_objective: to_tenth_millis(over_zero(class, place, "on_time_ms")?),
+        ttft_objective_per_1000_tokens: to_tenth_millis(per_thousand_us / 1000.0),
+        priority_weight: number(class, "worth")?,
     })
 }
 
@@ -176,7 +178,7 @@
         meaning.is_some_and(|m| m.starts_with(TOKENS))
     };
     let find = |tokens: bool| {
-        let fits = |name: &str| if tokens { counts_tokens(name) } else { name == SHOTS };
+        let fits = |name: &str| if tokens { counts_tokens(name) } else { name == ATTEMPTS };
         let (column, name) =
             columns.iter().enumerate().find_map(|(n, c)| Some((n, c.as_str().filter(|name| fits(name))?)))?;
         Some(Report { name: name.to_string(), column, tokens })
@@ -186,9 +188,9 @@
 
 /// The terms of settings that are parsed already.
 pub fn terms(root: &Value) -> Result<SchedulerConfig, String> {
-    let classes = list(root, "classes")?;
-    no_name_twice(classes)?;
-    let stretches = stretches(root, classes.len())?;
+    let class_settings = list(root, "classes")?;
+    no_name_twice(class_settings)?;
+    let stretches = stretches(root, class_settings.len())?;
     let writers_read = flag(root, "family_info.writers_read")?;
     let advice = flag(root, "caps.retry_after")?;
     let probes = flag(root, "caps.probing")?;
@@ -196,29 +198,29 @@
         Ok(found) if !found.is_null() => time_over_zero(root, "caps.dial_timeout_ms")?,
         _ => 0.0,
     };
-    let max_shots = number(root, "caps.max_attempts")? as u16;
-    if max_shots == 0 {
+    let max_attempts = number(root, "caps.max_attempts")? as u16;
+    if max_attempts == 0 {
         return Err("caps.max_attempts in the settings allows no attempt".to_string());
     }
     let report = report(root)?;
     Ok(SchedulerConfig {
         routers: number(root, "balancers")?.max(1.0) as u32,
-        tracks: classes
+        classes: class_settings
             .iter()
             .zip(stretches)
             .enumerate()
-            .map(|(n, (c, us))| track(n, c, us, comes_up))
+            .map(|(n, (c, us))| class(n, c, us, comes_up))
             .collect::<Result<_, _>>()?,
         roles: roles(root, writers_read)?,
         places: flag(root, "family_info.ahead")?,
         writers_read,
-        release: tenths(time_over_zero(root, "family_info.pin_limit_ms")?),
+        release: to_tenth_millis(time_over_zero(root, "family_info.pin_limit_ms")?),
         cold_share: number(root, "invariants.cold_share")?,
-        warm_after: tenths(number(root, "invariants.ramp_time_ms")?),
+        warm_after: to_tenth_millis(number(root, "invariants.ramp_time_ms")?),
         fall_multiple: number(root, "invariants.fall_multiple")?,
-        fall_span: tenths(number(root, "invariants.fall_ms")?),
-        max_shots,
-        withdrawals: flag(root, "caps.cancel")?,
+        fall_span: to_tenth_millis(number(root, "invariants.fall_ms")?),
+        max_attempts,
+        cancellation: flag(root, "caps.cancel")?,
         probes,
         asks: probes && report.is_some(),
         in_tokens: report.is_some_and(|r| r.tokens),
@@ -228,6 +230,6 @@
             other => return Err(format!("discovery {other:?} in the settings is unknown")),
         },
         advice,
-        longest_advice: if advice { tenths(number(root, "caps.max_retry_after_ms")?) } else { 0 },
+        longest_advice: if advice { to_tenth_millis(number(root, "caps.max_retry_after_ms")?) } else { 0 },
     })
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -31,12 +31,12 @@
 #[test]
 fn what_is_told_becomes_terms_and_what_is_not_known_is_passed_over() {
     let terms = tideroute_settings::terms(&settings()).expect("sound");
-    assert_eq!((terms.routers, terms.max_shots, terms.release), (3, 6, 10_000));
+    assert_eq!((terms.routers, terms.max_attempts, terms.release), (3, 6, 10_000));
     assert_eq!(terms.roles, [Role::Prefill, Role::Decode]);
-    assert!(terms.places && terms.subscribes && terms.probes && terms.withdrawals && !terms.writers_read);
+    assert!(terms.places && terms.subscribes && terms.probes && terms.cancellation && !terms.writers_read);
     assert_eq!((terms.advice, terms.longest_advice), (true, 5_000));
-    assert_eq!(terms.tracks[1].repeat, Idempotency::NonIdempotent);
-    assert_eq!(terms.tracks[1].contract_of(2_000.0), 25_000 + 2_400);
+    assert_eq!(terms.classes[1].repeat, Idempotency::NonIdempotent);
+    assert_eq!(terms.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
     let bare = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
     assert!(!bare.places, "a switch that is not there is off");
     // Without advice nobody needs the longest.
@@ -53,7 +53,7 @@
         root["classes"][0]["dedup_scope"] = "zone".into();
         root["classes"][0]["key_ttl_ms"] = ttl.into();
         dial.into_iter().for_each(|ms| root["caps"]["dial_timeout_ms"] = ms.into());
-        match tideroute_settings::terms(&root).expect("sound").tracks[0].repeat {
+        match tideroute_settings::terms(&root).expect("sound").classes[0].repeat {
             Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
@@ -89,8 +89,8 @@
     assert_eq!(tideroute_settings::report(&with("/report", Some(json!({"how": "probe"})))), Ok(None));
     let report = tideroute_settings::report(&with("/report", Some(json!({"how": "probe", "columns": "x1"}))));
     assert!(report.expect_err("no list of columns").contains("report.columns"));
-    let shots = tideroute_settings::Report { name: "outstanding".into(), column: 0, tokens: false };
-    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|v| shots.amount(v)), [None; 3]);
+    let attempts = tideroute_settings::Report { name: "outstanding".into(), column: 0, tokens: false };
+    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|v| attempts.amount(v)), [None; 3]);
 }
 
 #[test]
