--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -46,7 +46,12 @@
         _ => Idempotency::NonIdempotent,
     };
     let (contract, per_thousand) = (tenths(t.contract), tenths(t.per_thousand));
-    types::RequestClass { repeat, contract, per_thousand, earnings: t.earnings }
+    types::RequestClass {
+        repeat,
+        ttft_objective: contract,
+        ttft_objective_per_1000_tokens: per_thousand,
+        priority_weight: t.earnings,
+    }
 }
 
 fn module(terms: &Terms, r: &Router) -> types::SchedulerConfig {
@@ -57,7 +62,7 @@
     };
     types::SchedulerConfig {
         routers: terms.routers,
-        tracks: r.tracks.iter().map(track).collect(),
+        classes: r.tracks.iter().map(track).collect(),
         roles: r.kinds.iter().map(|k| role(&k.role)).collect(),
         places: terms.places,
         writers_read: terms.writers_read,
@@ -66,8 +71,8 @@
         warm_after: tenths(terms.warm_after),
         fall_multiple: terms.fall_multiple,
         fall_span: tenths(terms.fall_span),
-        max_shots: terms.most_shots,
-        withdrawals: terms.withdrawals,
+        max_attempts: terms.most_shots,
+        cancellation: terms.withdrawals,
         probes: terms.probes,
         asks: terms.asks,
         in_tokens: false,
@@ -85,14 +90,14 @@
     core: u32,
     seed: u64,
     origin: Origin,
-) -> Result<tideroute_lifecycle::Terms, String> {
+) -> Result<tideroute_lifecycle::RouterConfig, String> {
     let cores = r.cores as usize;
     let mut module = module(&r.terms, r);
     module.routers = module.routers.saturating_mul(r.cores);
     let books = tideroute_lifecycle::LifecycleConfig {
         name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
         module,
-        tracks: r.tracks.iter().map(|t| t.name.clone()).collect(),
+        classes: r.tracks.iter().map(|t| t.name.clone()).collect(),
         unheard: r.terms.unheard,
         most_open: r.terms.most_open.div_ceil(cores),
         tenants: tenants(r)?,
@@ -100,8 +105,8 @@
         longest_wait: r.terms.longest_wait,
         seed,
     };
-    Ok(tideroute_lifecycle::Terms {
-        books,
+    Ok(tideroute_lifecycle::RouterConfig {
+        lifecycle: books,
         list: address(&r.list)?,
         origin,
         travel: r.terms.travel,
@@ -129,7 +134,7 @@
     let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
     let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
     let limits = Limits {
-        submissions: rate(t.submissions, t.submissions_once),
+        requests: rate(t.submissions, t.submissions_once),
         tokens: rate(t.tokens, t.tokens_once),
         in_flight: t.in_flight,
         weight: t.weight,
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Default)]
 pub struct Booked {
     /// The shot's worker, the prompt while it is read, and when it was sent while it is awaited.
-    pub shot: Option<(WorkerId, Option<f64>, Option<TenthMillis>)>,
+    pub attempt: Option<(WorkerId, Option<f64>, Option<TenthMillis>)>,
     pub place: Option<WorkerId>,
 }
 
@@ -83,7 +83,7 @@
 
     /// Books a submission on, or off again.
     pub fn book(&mut self, id: RequestId, booked: Booked, on: bool) {
-        if let Some((worker, prompt, sent)) = booked.shot {
+        if let Some((worker, prompt, sent)) = booked.attempt {
             let load = self.at(worker);
             load.carry(prompt, on);
             if on {
--- a/src/needs.rs
+++ b/src/needs.rs
@@ -37,14 +37,14 @@
 
 impl Needs {
     /// Files a submission of a track anew, `filed` being where it stands so far.
-    pub fn file(&mut self, id: RequestId, track: u8, filed: &mut Filed, to: Filed) {
+    pub fn file(&mut self, id: RequestId, class: u8, filed: &mut Filed, to: Filed) {
         let old = std::mem::replace(filed, to);
         if let Some(need) = old.need {
             self.all.remove(&need);
             self.eager.remove(&need);
         }
         if let (Some((at, prompt)), Some(need)) = (old.parked, old.need) {
-            self.parked.get_mut(&track).into_iter().for_each(|parked| _ = parked.remove(&(at, id)));
+            self.parked.get_mut(&class).into_iter().for_each(|parked| _ = parked.remove(&(at, id)));
             self.prompts.remove(&(prompt, need));
             self.longest_wait = if self.prompts.is_empty() { 0.0 } else { self.longest_wait };
         }
@@ -53,7 +53,7 @@
         }
         self.all.extend(to.need);
         if let (Some((at, prompt)), Some(need)) = (to.parked, to.need) {
-            self.parked.entry(track).or_default().insert((at, id));
+            self.parked.entry(class).or_default().insert((at, id));
             self.prompts.insert((prompt, need));
         } else {
             self.eager.extend(to.need);
@@ -73,13 +73,13 @@
     }
 
     /// The tracks of which any was ever parked.
-    pub fn tracks(&self) -> Vec<u8> {
+    pub fn classes(&self) -> Vec<u8> {
         self.parked.keys().copied().collect()
     }
 
     /// Those of a track that are parked no longer than until then.
-    pub fn parked(&self, track: u8, until: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
-        let parked = self.parked.get(&track).into_iter();
+    pub fn parked(&self, class: u8, until: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
+        let parked = self.parked.get(&class).into_iter();
         parked.flat_map(move |p| p.range(..=(until, RequestId::MAX)).map(|(_, id)| *id))
     }
 
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -39,7 +39,7 @@
                 roster.writers.push(list.worker);
                 roster.near.entry(list.cell).or_default().push(list.worker);
             }
-            if list.standing == EndpointStatus::Serving {
+            if list.status == EndpointStatus::Serving {
                 let (ready, sizes, starts) = &mut roster.kin[usize::from(role == Role::Prefill)];
                 (*ready, *sizes) = (*ready + 1, *sizes + list.size);
                 starts.extend((list.started > 0).then_some(list.started));
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -102,11 +102,11 @@
 
 #[derive(Default)]
 struct RequestState {
-    arrival: NewRequest,
+    new_request: NewRequest,
     came: TenthMillis,
-    contract: TenthMillis,
-    cut_off: TenthMillis,
-    shots: u16,
+    ttft_objective: TenthMillis,
+    deadline: TenthMillis,
+    attempts: u16,
     out: Option<Attempt>,
     /// The writer asked for a place, and whether it is known to be held.
     place: Option<(WorkerId, bool)>,
@@ -164,7 +164,7 @@
     /// A whole list begins: workers that it does not name are gone.
     pub fn list_anew(&mut self, _now: TenthMillis) {
         self.relisted = true;
-        self.workers.values_mut().for_each(|w| w.list.standing = EndpointStatus::Removed);
+        self.workers.values_mut().for_each(|w| w.list.status = EndpointStatus::Removed);
     }
 
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
@@ -190,41 +190,47 @@
     }
 
     /// False if the submission names a track that the terms do not have.
-    pub fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool {
-        let Some(track) = self.terms.tracks.get(usize::from(arrival.track)) else { return false };
-        self.seen.add(now, KNOWN, arrival.prefix, FADED);
-        let contract = now + track.contract_of(arrival.prompt);
-        let (came, cut_off) = (now, now + arrival.left);
-        let submission =
-            RequestState { arrival, came, contract, cut_off, since: now, ..RequestState::default() };
-        if let Some(mut old) = self.open.insert(arrival.id, submission) {
-            self.needs.file(arrival.id, old.arrival.track, &mut old.filed, Filed::default());
-            self.ledger.leave(arrival.id, old.booked);
-        }
-        self.touched.insert(arrival.id);
+    pub fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
+        let Some(class) = self.terms.classes.get(usize::from(new_request.class)) else { return false };
+        self.seen.add(now, KNOWN, new_request.prefix, FADED);
+        let ttft_objective = now + class.ttft_objective_for(new_request.prompt);
+        let (came, deadline) = (now, now + new_request.left);
+        let request = RequestState {
+            new_request,
+            came,
+            ttft_objective,
+            deadline,
+            since: now,
+            ..RequestState::default()
+        };
+        if let Some(mut old) = self.open.insert(new_request.id, request) {
+            self.needs.file(new_request.id, old.new_request.class, &mut old.filed, Filed::default());
+            self.ledger.leave(new_request.id, old.booked);
+        }
+        self.touched.insert(new_request.id);
         true
     }
 
-    pub fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16) {
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some(out) = submission.out.as_mut().filter(|out| out.number == shot && !out.started) else {
+    pub fn started(&mut self, now: TenthMillis, id: RequestId, attempt: u16) {
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some(out) = request.out.as_mut().filter(|out| out.number == attempt && !out.started) else {
             return;
         };
         out.started = true;
         if out.cross {
             self.cross_wait.add(now, MEMORY, (now - out.sent) as f64);
         }
-        (submission.state, submission.place, submission.let_go) = (None, None, false);
-        let (worker, sent, track) = (out.worker, out.sent, submission.arrival.track);
+        (request.state, request.place, request.let_go) = (None, None, false);
+        let (worker, sent, class) = (out.worker, out.sent, request.new_request.class);
         self.touched.insert(id);
-        self.answered(now, worker, track, 0, now - sent);
+        self.answered(now, worker, class, 0, now - sent);
     }
 
     /// A writer, 0, began to answer, or a reader, 1, read.
-    fn answered(&mut self, now: TenthMillis, worker: WorkerId, track: u8, stage: usize, took: TenthMillis) {
-        self.waits[stage].entry(track).or_default().add(now, MEMORY, took as f64);
+    fn answered(&mut self, now: TenthMillis, worker: WorkerId, class: u8, stage: usize, took: TenthMillis) {
+        self.waits[stage].entry(class).or_default().add(now, MEMORY, took as f64);
         self.flows[stage][1].add(now, KNOWN, 1.0);
-        self.judge(now, worker, track, 0.0);
+        self.judge(now, worker, class, 0.0);
         let Some(w) = self.workers.get_mut(&worker) else { return };
         w.read_wait.add(now, MEMORY, took as f64);
         (w.rests, w.rests_until) = (0, 0);
@@ -233,9 +239,9 @@
 
     /// The answer names the reader, so the writer is the one asked last.
     pub fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool) {
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some((writer, _)) = submission.place else { return };
-        submission.place = held.then_some((writer, true));
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some((writer, _)) = request.place else { return };
+        request.place = held.then_some((writer, true));
         self.touched.insert(id);
         if let Some(w) = self.workers.get_mut(&writer) {
             w.denied = if held { now - BELIEF } else { now };
@@ -246,38 +252,38 @@
         &mut self,
         now: TenthMillis,
         id: RequestId,
-        shot: u16,
-        ending: AttemptOutcome,
+        attempt: u16,
+        outcome: AttemptOutcome,
         terminal: bool,
     ) {
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some(out) = submission.out.take_if(|out| out.number == shot) else { return };
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some(out) = request.out.take_if(|out| out.number == attempt) else { return };
         self.touched.insert(id);
-        submission.since = now;
-        submission.ended |= terminal;
-        if !out.reading && !ending.never_ran() && submission.ran.is_none() {
-            submission.ran = Some((out.sent, out.list));
-        }
-        let held_there = submission.place.is_some_and(|(w, held)| held && w == out.worker);
-        if ending == AttemptOutcome::PrefillComplete {
-            submission.state = Some(out.worker);
-        } else if out.reading || ending == AttemptOutcome::StateMissing || held_there {
+        request.since = now;
+        request.ended |= terminal;
+        if !out.reading && !outcome.never_ran() && request.ran.is_none() {
+            request.ran = Some((out.sent, out.list));
+        }
+        let held_there = request.place.is_some_and(|(w, held)| held && w == out.worker);
+        if outcome == AttemptOutcome::PrefillComplete {
+            request.state = Some(out.worker);
+        } else if out.reading || outcome == AttemptOutcome::StateMissing || held_there {
             // The state is gone, or went ahead to a writer that failed: only a new read helps.
-            submission.let_go |= submission.state.is_some() || submission.place.is_some();
-            (submission.state, submission.place) = (None, None);
+            request.let_go |= request.state.is_some() || request.place.is_some();
+            (request.state, request.place) = (None, None);
         } else {
-            submission.place = None;
+            request.place = None;
         }
-        let track = submission.arrival.track;
+        let class = request.new_request.class;
         let Some(worker) = self.workers.get_mut(&out.worker) else { return };
-        match ending {
-            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, track, 1, now - out.sent),
+        match outcome {
+            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, class, 1, now - out.sent),
             AttemptOutcome::Completed | AttemptOutcome::StateMissing => worker.answers += 1,
             AttemptOutcome::Rejected => {
                 worker.denied = now;
                 if out.reading {
-                    let all = (submission.contract - submission.came) as f64;
-                    self.waits[1].entry(track).or_default().add(now, MEMORY, all);
+                    let all = (request.ttft_objective - request.came) as f64;
+                    self.waits[1].entry(class).or_default().add(now, MEMORY, all);
                 }
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
@@ -286,16 +292,16 @@
                 worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
                 self.watched.insert(out.worker);
             }
-            AttemptOutcome::ServerError => self.judge(now, out.worker, track, 1.0),
+            AttemptOutcome::ServerError => self.judge(now, out.worker, class, 1.0),
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
     /// Books an answer, or with 1 a loss, to a worker; after a loss a probe tells whether all of it is dead.
-    fn judge(&mut self, now: TenthMillis, worker: WorkerId, track: u8, lost: f64) {
-        self.losses.entry(track).or_default().add(now, KNOWN, lost);
+    fn judge(&mut self, now: TenthMillis, worker: WorkerId, class: u8, lost: f64) {
+        self.losses.entry(class).or_default().add(now, KNOWN, lost);
         let Some(w) = self.workers.get_mut(&worker) else { return };
-        w.losses.entry(track).or_default().add(now, KNOWN, lost);
+        w.losses.entry(class).or_default().add(now, KNOWN, lost);
         if lost > 0.0 {
             self.suspect(worker);
         }
@@ -416,7 +422,7 @@
     /// The longest prompt that a reader may still take, if a look for a longer one is sure to change nothing:
     /// no chance is drawn, and some reader, of which nothing is doubted, will take shorter ones.
     fn room(&mut self, now: TenthMillis) -> Option<f64> {
-        let (tracks, warm) = (self.terms.tracks.len() as u8, self.terms.warm_after);
+        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_after);
         let readers = self.roster.readers.all();
         let (mut room, mut takes): (f64, Option<WorkerId>) = (0.0, None);
         for id in readers {
@@ -430,7 +436,7 @@
                 room = room.max(left);
             }
             let sure = takes.is_none() && left >= 0.0 && !w.cold(now, warm);
-            if sure && (0..tracks).all(|track| self.usable(now, id, (0, track), None)) {
+            if sure && (0..classes).all(|class| self.usable(now, id, (0, class), None)) {
                 takes = Some(id);
             }
         }
@@ -439,19 +445,19 @@
 
     /// Whether a writer grants wherever the read is, and whatever is read.
     fn grants_any(&mut self, now: TenthMillis) -> bool {
-        let (tracks, warm) = (self.terms.tracks.len() as u8, self.terms.warm_after);
+        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_after);
         let sure = |w: &Worker| !w.tight(now) && !w.cold(now, warm);
         let first = self.roster.writers.iter().copied().find(|id| sure(&self.workers[id]));
-        first.is_some_and(|id| (0..tracks).all(|track| self.usable(now, id, (0, track), None)))
+        first.is_some_and(|id| (0..classes).all(|class| self.usable(now, id, (0, class), None)))
             && self.is_open(now)
     }
 
     /// Those parked that may be hopeless, may have to end by now, or have a prompt for which there is room.
     fn due(&mut self, now: TenthMillis, room: Option<f64>, open: &Open) -> BTreeSet<Need> {
         let mut due = BTreeSet::new();
-        for track in self.needs.tracks() {
-            let until = now + (self.usual(now, track) * SLACK) as TenthMillis + LOOK;
-            due.extend(self.needs.parked(track, until).filter_map(|id| open.get(&id)?.filed.need));
+        for class in self.needs.classes() {
+            let until = now + (self.usual(now, class) * SLACK) as TenthMillis + LOOK;
+            due.extend(self.needs.parked(class, until).filter_map(|id| open.get(&id)?.filed.need));
         }
         due.extend(room.iter().flat_map(|room| self.needs.short(*room)));
         due
@@ -471,23 +477,23 @@
     /// Files a submission as it now stands, or takes it off all books if it is over.
     fn file(&mut self, id: &RequestId, looked: bool, open: &mut Open) {
         let Some(s) = open.get_mut(id) else { return };
-        let (track, mut to) = (s.arrival.track, Filed::default());
+        let (class, mut to) = (s.new_request.class, Filed::default());
         if let Some(out) = s.out.as_ref().filter(|out| !out.started) {
-            to.doubt = Some(out.sent + ((s.contract - s.came) as f64 * DOUBTFUL) as TenthMillis);
+            to.doubt = Some(out.sent + ((s.ttft_objective - s.came) as f64 * DOUBTFUL) as TenthMillis);
         }
         let asks = |out: &Attempt| out.reading && !out.withdrawn && s.place.is_none() && self.terms.places;
         if !s.ended && s.out.as_ref().is_none_or(asks) {
-            to.need = Some((s.state.is_none(), s.contract, *id));
+            to.need = Some((s.state.is_none(), s.ttft_objective, *id));
             if looked && s.out.is_none() && s.state.is_none() {
-                let window = match self.terms.tracks[usize::from(track)].repeat {
+                let window = match self.terms.classes[usize::from(class)].repeat {
                     Idempotency::IdempotentWithKey { window, .. } => s.ran.map(|(first, _)| first + window),
                     _ => None,
                 };
-                let latest = s.contract.min(s.cut_off).min(window.unwrap_or(s.cut_off));
-                to.parked = Some((latest, Prompt(s.arrival.prompt)));
+                let latest = s.ttft_objective.min(s.deadline).min(window.unwrap_or(s.deadline));
+                to.parked = Some((latest, Prompt(s.new_request.prompt)));
             }
         }
-        self.needs.file(*id, track, &mut s.filed, to);
+        self.needs.file(*id, class, &mut s.filed, to);
         to.parked.into_iter().for_each(|_| self.needs.may_wait(s.usable_wait()));
         if s.ended && s.out.is_none() {
             self.ledger.leave(*id, s.booked);
@@ -507,32 +513,32 @@
         }
         for id in suspects {
             let Some(s) = open.get_mut(&id) else { continue };
-            let repeat = self.terms.tracks[usize::from(s.arrival.track)].repeat;
+            let repeat = self.terms.classes[usize::from(s.new_request.class)].repeat;
             let Some(out) = s.out.as_mut().filter(|o| !o.started && !o.withdrawn) else { continue };
             let resting = self.workers.get(&out.worker).is_some_and(|w| w.rests_until > now);
-            let waits = self.waits[usize::from(out.reading)].entry(s.arrival.track).or_default();
-            let contract = (s.contract - s.came) as f64;
-            let usual = waits.shrunk(now, MEMORY, contract * READING, 1.0);
-            let mean = usual_loss(self.losses.entry(s.arrival.track).or_default(), now);
+            let waits = self.waits[usize::from(out.reading)].entry(s.new_request.class).or_default();
+            let ttft_objective = (s.ttft_objective - s.came) as f64;
+            let usual = waits.shrunk(now, MEMORY, ttft_objective * READING, 1.0);
+            let mean = usual_loss(self.losses.entry(s.new_request.class).or_default(), now);
             let odds = mean / (1.0 - mean);
-            let (age, least) = ((now - out.sent) as f64, contract * DOUBTFUL);
+            let (age, least) = ((now - out.sent) as f64, ttft_objective * DOUBTFUL);
             let patience = (usual * PATIENCE * -odds.ln().min(-1.0)).max(least);
             let lost = age > patience;
             if lost && !std::mem::replace(&mut out.lost, true) {
                 waits.add(now, MEMORY, patience);
-                self.judge(now, out.worker, s.arrival.track, 1.0);
+                self.judge(now, out.worker, s.new_request.class, 1.0);
             } else if age > least && !std::mem::replace(&mut out.suspected, true) {
                 self.suspect(out.worker);
             }
             let free = out.reading || repeat == Idempotency::Idempotent;
-            let again = free && (lost || resting) && s.shots + 1 < self.terms.max_shots;
-            if self.terms.withdrawals && (s.ended || again) {
+            let again = free && (lost || resting) && s.attempts + 1 < self.terms.max_attempts;
+            if self.terms.cancellation && (s.ended || again) {
                 out.withdrawn = true;
-                self.ready.push_back(Action::CancelAttempt { id, shot: out.number });
+                self.ready.push_back(Action::CancelAttempt { id, attempt: out.number });
             }
         }
         for &id in &self.watched {
-            let Some(w) = self.workers.get_mut(&id).filter(|w| w.list.standing != EndpointStatus::Removed)
+            let Some(w) = self.workers.get_mut(&id).filter(|w| w.list.status != EndpointStatus::Removed)
             else {
                 continue;
             };
@@ -548,21 +554,21 @@
     }
 
     /// Whether a shot or place may go to the worker, a choice for all or for those read in one cell.
-    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
+    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, class): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
         let load = self.ledger.at(id);
         let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
         let cold = w.cold(now, self.terms.warm_after);
         w.alive()
             && !(fresh && load.reads + load.streams >= FRESH + w.answers)
-            && !self.doubted(now, id, track)
+            && !self.doubted(now, id, class)
             && (!cold || self.lot(now, id, ticket, cell))
     }
 
     /// Whether the worker loses clearly more of a track than all do; what is known is shrunk by one shot.
-    fn doubted(&mut self, now: TenthMillis, id: WorkerId, track: u8) -> bool {
-        let mean = usual_loss(self.losses.entry(track).or_default(), now);
-        let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&track));
+    fn doubted(&mut self, now: TenthMillis, id: WorkerId, class: u8) -> bool {
+        let mean = usual_loss(self.losses.entry(class).or_default(), now);
+        let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&class));
         known.map_or(mean, |k| k.shrunk(now, KNOWN, mean, 1.0)) - mean > DOUBT * (1.0 - mean)
     }
 
@@ -591,7 +597,7 @@
     /// lone readers among writers would drown, and readers with no writers near choke their link.
     fn share_out(&mut self) {
         let mut around: [BTreeMap<u16, (f64, f64)>; 2] = Default::default();
-        let ready = |w: &&&Worker| w.list.standing == EndpointStatus::Serving;
+        let ready = |w: &&&Worker| w.list.status == EndpointStatus::Serving;
         let mut workers: Vec<&Worker> = self.workers.values().collect();
         workers.sort_unstable_by_key(|w| w.list.worker);
         for w in workers.iter().filter(ready) {
@@ -621,14 +627,14 @@
 
     /// The readers to try first, by rendezvous hashing of the prefix or session, and how many of its order
     /// these take up.
-    fn readers(&mut self, now: TenthMillis, arrival: &NewRequest) -> (Vec<WorkerId>, usize) {
-        let key = arrival.key();
+    fn readers(&mut self, now: TenthMillis, new_request: &NewRequest) -> (Vec<WorkerId>, usize) {
+        let key = new_request.key();
         // A cold reader that the submission drew comes first, or its part would fall to the hash again.
         let mut first = self.roster.cold_readers(now, self.terms.warm_after);
-        first.retain(|id| self.lot(now, *id, arrival.id, None));
+        first.retain(|id| self.lot(now, *id, new_request.id, None));
         // Exception to one home: a prefix has as many as its part of all needs, shared out by session.
         let (drawn, readers) = (first.len(), self.roster.readers.len());
-        let homes = self.homes(now, arrival.prefix, readers).min(readers - drawn);
+        let homes = self.homes(now, new_request.prefix, readers).min(readers - drawn);
         let mut place = 0;
         for id in self.roster.readers.first(key, drawn + homes) {
             if first.len() < drawn + homes {
@@ -638,7 +644,7 @@
                 }
             }
         }
-        first[drawn..].sort_by_cached_key(|id| std::cmp::Reverse(draw(arrival.session, *id).to_bits()));
+        first[drawn..].sort_by_cached_key(|id| std::cmp::Reverse(draw(new_request.session, *id).to_bits()));
         (first, place)
     }
 
@@ -692,14 +698,14 @@
     }
 
     fn is_open(&mut self, now: TenthMillis) -> bool {
-        let bound = self.terms.tracks.iter().map(|t| t.contract).min().unwrap_or(0) as f64 / 2.0;
+        let bound = self.terms.classes.iter().map(|t| t.ttft_objective).min().unwrap_or(0) as f64 / 2.0;
         self.cross_wait.read(now, MEMORY).is_none_or(|mean| mean < bound)
     }
 
     /// The next step of a submission that has no shot out.
     fn forward(&mut self, now: TenthMillis, s: &mut RequestState) {
         // Without a shot left not even a state that waits at its reader can be answered.
-        if now + LOOK >= s.cut_off || !self.may_repeat(now, s) || s.shots >= self.terms.max_shots {
+        if now + LOOK >= s.deadline || !self.may_repeat(now, s) || s.attempts >= self.terms.max_attempts {
             return self.end(s);
         }
         if let Some(reader) = s.state {
@@ -717,16 +723,17 @@
                 _ => return self.end_if_hopeless(now, s),
             }
         }
-        if s.shots + 2 > self.terms.max_shots {
+        if s.attempts + 2 > self.terms.max_attempts {
             return self.end(s);
         }
         // Guards against a jam that feeds itself, reads that all end too late: the more of the contract time,
         // its own or of tracks that earn more, the usual way takes, a full reader all, the fewer are let in.
-        if s.shots == 0 && !std::mem::replace(&mut s.let_in, true) {
-            let own = &self.terms.tracks[usize::from(s.arrival.track)];
-            let above = self.terms.tracks.iter().filter(|t| t.earnings >= own.earnings);
-            let spare = own.contract - above.map(|t| t.contract).min().unwrap_or(own.contract);
-            let part = self.recent(now, s.arrival.track) / (s.contract - s.came - spare) as f64;
+        if s.attempts == 0 && !std::mem::replace(&mut s.let_in, true) {
+            let own = &self.terms.classes[usize::from(s.new_request.class)];
+            let above = self.terms.classes.iter().filter(|t| t.priority_weight >= own.priority_weight);
+            let spare =
+                own.ttft_objective - above.map(|t| t.ttft_objective).min().unwrap_or(own.ttft_objective);
+            let part = self.recent(now, s.new_request.class) / (s.ttft_objective - s.came - spare) as f64;
             if self.rng.unit() > (READING / part).powi(2) {
                 return self.end(s);
             }
@@ -748,7 +755,7 @@
     /// idle, where a router sees little. Harms where a worker that fails at once looks empty.
     fn emptiest(&mut self, now: TenthMillis, s: &RequestState, found: &[WorkerId]) -> Option<WorkerId> {
         let (mut best, mut awaited): (Option<(f64, WorkerId)>, bool) = (None, false);
-        let margin = EMPTIER * self.terms.amount(s.arrival.prompt);
+        let margin = EMPTIER * self.terms.amount(s.new_request.prompt);
         for id in found.iter().filter(|_| found.len() > 1) {
             if best.map_or(awaited && now < s.since + LOOK, |(least, _)| least < margin) {
                 break;
@@ -757,7 +764,7 @@
             let has = w.told.1 / w.list.size.max(0.01);
             if now < w.told.0 + HEARSAY {
                 best = best.filter(|(least, _)| has + margin > *least).or(Some((has, *id)));
-            } else if now + LOOK < s.contract.min(s.since + 3 * LOOK) {
+            } else if now + LOOK < s.ttft_objective.min(s.since + 3 * LOOK) {
                 awaited = true;
                 self.inquire(*id);
             }
@@ -771,7 +778,7 @@
         if self.shut {
             return found;
         }
-        let ticket = (s.arrival.id, s.arrival.track);
+        let ticket = (s.new_request.id, s.new_request.class);
         if self.roster.readers.is_empty() && self.terms.writers_read {
             let (repeat, ran) = (self.repeat(s), s.ran);
             let fits = |w: &Worker| now >= w.denied + DENIAL && repeat.is_known(ran, &w.list);
@@ -781,8 +788,8 @@
         self.shut = true;
         let usable_wait = s.usable_wait();
         let mut past: Option<(f64, WorkerId)> = None;
-        let (first, mut place) = self.readers(now, &s.arrival);
-        let (key, mut tried) = (s.arrival.key(), 0);
+        let (first, mut place) = self.readers(now, &s.new_request);
+        let (key, mut tried) = (s.new_request.key(), 0);
         while found.len() < most {
             let id = if let Some(id) = first.get(tried) {
                 *id
@@ -802,7 +809,7 @@
             let load = self.ledger.at(id);
             let slow = w.wait(now, load) > usable_wait;
             let (cell, mixed) = (w.list.cell, w.role == Role::Mixed);
-            let tokens = if load.reads > 0 { load.tokens + s.arrival.prompt } else { 0.0 };
+            let tokens = if load.reads > 0 { load.tokens + s.new_request.prompt } else { 0.0 };
             if now < w.denied + DENIAL || load.reads > 0 && load.tokens > SPILL * FILLED {
                 continue;
             }
@@ -828,7 +835,7 @@
     /// The held writer, else the fewest own streams in the reader's cell, else beyond it through the gate.
     fn writer_for(&mut self, now: TenthMillis, s: &RequestState, reader: WorkerId) -> Option<WorkerId> {
         // A short read ends before the answer on its place, but the state may have gone ahead all the same.
-        let ticket = (s.arrival.id, s.arrival.track);
+        let ticket = (s.new_request.id, s.new_request.class);
         if let Some((writer, held)) = s.place {
             // One asked before its restart was told is a send to a cold worker like any other.
             let cell = self.workers.get(&reader).map(|r| r.list.cell);
@@ -870,7 +877,7 @@
         }
         let asked = s.asked.clone();
         let fits = |w: &Worker| !asked.contains(&w.list.worker) && !w.tight(now);
-        let ticket = (s.arrival.id, s.arrival.track);
+        let ticket = (s.new_request.id, s.new_request.class);
         let mut writer = self.least(now, ticket, (true, cell, zone), fits);
         if writer.is_none() && s.asked.len() < ASKS && self.gate(now) {
             writer = self.least(now, ticket, (false, cell, zone), fits);
@@ -880,24 +887,31 @@
         s.place = Some((worker, false));
         // A place is a send to come: a cold writer's cap must know of it from the start.
         self.ledger.add_ahead(worker, None);
-        self.ready.push_back(Action::ReserveDecode { id: s.arrival.id, worker });
+        self.ready.push_back(Action::ReserveDecode { id: s.new_request.id, worker });
     }
 
     fn send(&mut self, now: TenthMillis, s: &mut RequestState, worker: WorkerId, reading: bool, cross: bool) {
         let list = self.workers.get(&worker).map(|w| w.list).unwrap_or_default();
-        s.out =
-            Some(Attempt { number: s.shots, worker, list, reading, sent: now, cross, ..Attempt::default() });
-        s.shots += 1;
+        s.out = Some(Attempt {
+            number: s.attempts,
+            worker,
+            list,
+            reading,
+            sent: now,
+            cross,
+            ..Attempt::default()
+        });
+        s.attempts += 1;
         if let Some(w) = self.workers.get_mut(&worker) {
-            w.told.1 += self.terms.amount(s.arrival.prompt);
+            w.told.1 += self.terms.amount(s.new_request.prompt);
             if reading {
-                self.ledger.add_ahead(worker, Some(s.arrival.prompt));
+                self.ledger.add_ahead(worker, Some(s.new_request.prompt));
             } else if s.place.is_none_or(|(p, _)| p != worker) {
                 self.ledger.add_ahead(worker, None);
             }
             self.flows[usize::from(reading)][0].add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Action::Dispatch { id: s.arrival.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, within: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
@@ -912,35 +926,35 @@
     }
 
     fn repeat(&self, s: &RequestState) -> Idempotency {
-        self.terms.tracks[usize::from(s.arrival.track)].repeat
+        self.terms.classes[usize::from(s.new_request.class)].repeat
     }
 
     /// The usual way to a first token: read and wait at the writer.
-    fn usual(&mut self, now: TenthMillis, track: u8) -> f64 {
-        self.waits.iter_mut().filter_map(|w| w.get_mut(&track)?.read(now, MEMORY)).sum()
+    fn usual(&mut self, now: TenthMillis, class: u8) -> f64 {
+        self.waits.iter_mut().filter_map(|w| w.get_mut(&class)?.read(now, MEMORY)).sum()
     }
 
     /// The same, as far as it was seen of late: guards against a door that stays shut for want of readings,
     /// as hardly any comes while it is. Harms where one slow way in a lull tells of a jam that goes on.
-    fn recent(&mut self, now: TenthMillis, track: u8) -> f64 {
-        self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&track)?.shrunk(now, MEMORY, 0.0, DOOR))).sum()
+    fn recent(&mut self, now: TenthMillis, class: u8) -> f64 {
+        self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&class)?.shrunk(now, MEMORY, 0.0, DOOR))).sum()
     }
 
     fn end_if_hopeless(&mut self, now: TenthMillis, s: &mut RequestState) {
-        let usual = self.usual(now, s.arrival.track);
-        if now + (usual * SLACK) as TenthMillis + LOOK > s.contract.min(s.cut_off) {
+        let usual = self.usual(now, s.new_request.class);
+        if now + (usual * SLACK) as TenthMillis + LOOK > s.ttft_objective.min(s.deadline) {
             self.end(s);
         }
     }
 
     fn let_go(&mut self, s: &mut RequestState) {
-        self.ready.push_back(Action::Release { id: s.arrival.id });
+        self.ready.push_back(Action::Release { id: s.new_request.id });
         (s.state, s.place, s.let_go) = (None, None, false);
     }
 
     /// The final answer: a turn-back where its promise is true, else an abandonment.
     fn end(&mut self, s: &mut RequestState) {
-        let id = s.arrival.id;
+        let id = s.new_request.id;
         let harmless = s.ran.is_none() || self.repeat(s).anywhere();
         if s.state.is_some() || s.place.is_some() {
             self.let_go(s);
@@ -957,16 +971,16 @@
 impl RequestState {
     /// How long a reader may take to begin a read.
     fn usable_wait(&self) -> f64 {
-        (self.contract - self.came) as f64 * READING
+        (self.ttft_objective - self.came) as f64 * READING
     }
 
     fn occupies(&self) -> Booked {
-        let shot = self.out.as_ref().map(|out| {
-            let prompt = (out.reading && !out.started).then_some(self.arrival.prompt);
+        let attempt = self.out.as_ref().map(|out| {
+            let prompt = (out.reading && !out.started).then_some(self.new_request.prompt);
             (out.worker, prompt, (!out.started).then_some(out.sent))
         });
         let place = self.place.map(|(place, _)| place);
-        Booked { shot, place: place.filter(|p| shot.is_none_or(|(worker, ..)| worker != *p)) }
+        Booked { attempt, place: place.filter(|p| attempt.is_none_or(|(worker, ..)| worker != *p)) }
     }
 }
 
@@ -982,7 +996,7 @@
     }
 
     fn alive(&self) -> bool {
-        self.list.standing == EndpointStatus::Serving && self.rests_until == 0
+        self.list.status == EndpointStatus::Serving && self.rests_until == 0
     }
 
     /// Its last answer on a place, or to a send, was no, and that is still believed.
--- a/src/types.rs
+++ b/src/types.rs
@@ -97,17 +97,17 @@
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     pub repeat: Idempotency,
-    pub contract: TenthMillis,
+    pub ttft_objective: TenthMillis,
     /// Contract time added for every 1,000 prompt tokens.
-    pub per_thousand: TenthMillis,
-    pub earnings: f64,
+    pub ttft_objective_per_1000_tokens: TenthMillis,
+    pub priority_weight: f64,
 }
 
 impl RequestClass {
     /// How long after it came the first token of a submission is wanted.
-    pub fn contract_of(&self, prompt: f64) -> TenthMillis {
-        let stretch = self.per_thousand as f64 * prompt.max(0.0) / 1000.0;
-        self.contract + stretch as TenthMillis
+    pub fn ttft_objective_for(&self, prompt: f64) -> TenthMillis {
+        let stretch = self.ttft_objective_per_1000_tokens as f64 * prompt.max(0.0) / 1000.0;
+        self.ttft_objective + stretch as TenthMillis
     }
 }
 
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
     pub routers: u32,
-    pub tracks: Vec<RequestClass>,
+    pub classes: Vec<RequestClass>,
     pub roles: Vec<Role>,
     pub places: bool,
     pub writers_read: bool,
@@ -124,8 +124,8 @@
     pub warm_after: TenthMillis,
     pub fall_multiple: f64,
     pub fall_span: TenthMillis,
-    pub max_shots: u16,
-    pub withdrawals: bool,
+    pub max_attempts: u16,
+    pub cancellation: bool,
     pub probes: bool,
     /// A worker that is probed says how much it has, and readers are asked before a read goes out.
     pub asks: bool,
@@ -154,7 +154,7 @@
     pub worker: WorkerId,
     pub kind: u16,
     pub size: f64,
-    pub standing: EndpointStatus,
+    pub status: EndpointStatus,
     pub cell: u16,
     pub zone: u8,
     /// When its process last started; 0 for long ago.
@@ -165,7 +165,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NewRequest {
     pub id: RequestId,
-    pub track: u8,
+    pub class: u8,
     pub session: u64,
     pub prefix: u64,
     pub prompt: f64,
@@ -199,7 +199,7 @@
     },
     CancelAttempt {
         id: RequestId,
-        shot: u16,
+        attempt: u16,
     },
     Reject {
         id: RequestId,
--- a/tests/before/choice.rs
+++ b/tests/before/choice.rs
@@ -102,11 +102,11 @@
 
 #[derive(Default)]
 struct Submission {
-    arrival: NewRequest,
+    new_request: NewRequest,
     came: TenthMillis,
-    contract: TenthMillis,
-    cut_off: TenthMillis,
-    shots: u16,
+    ttft_objective: TenthMillis,
+    deadline: TenthMillis,
+    attempts: u16,
     out: Option<Shot>,
     /// The writer asked for a place, and whether it is known to be held.
     place: Option<(WorkerId, bool)>,
@@ -166,7 +166,7 @@
     /// A whole list begins: workers that it does not name are gone.
     pub fn list_anew(&mut self, _now: TenthMillis) {
         self.relisted = true;
-        self.workers.values_mut().for_each(|w| w.list.standing = EndpointStatus::Removed);
+        self.workers.values_mut().for_each(|w| w.list.status = EndpointStatus::Removed);
     }
 
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
@@ -192,42 +192,43 @@
     }
 
     /// False if the submission names a track that the terms do not have.
-    pub fn arrived(&mut self, now: TenthMillis, arrival: NewRequest) -> bool {
-        let Some(track) = self.terms.tracks.get(usize::from(arrival.track)) else { return false };
-        let stretch = track.per_thousand as f64 * arrival.prompt.max(0.0) / 1000.0;
+    pub fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
+        let Some(class) = self.terms.classes.get(usize::from(new_request.class)) else { return false };
+        let stretch = class.ttft_objective_per_1000_tokens as f64 * new_request.prompt.max(0.0) / 1000.0;
         self.all_seen.add(now, KNOWN, 1.0);
-        if arrival.prefix != 0 {
-            self.seen.entry(arrival.prefix).or_default().add(now, KNOWN, 1.0);
+        if new_request.prefix != 0 {
+            self.seen.entry(new_request.prefix).or_default().add(now, KNOWN, 1.0);
             self.seen.retain(|_, s| s.read(now, KNOWN) > 0.01);
         }
-        let contract = now + track.contract + stretch as TenthMillis;
-        let (came, cut_off) = (now, now + arrival.left);
-        let submission = Submission { arrival, came, contract, cut_off, since: now, ..Submission::default() };
-        self.open.insert(arrival.id, submission);
+        let ttft_objective = now + class.ttft_objective + stretch as TenthMillis;
+        let (came, deadline) = (now, now + new_request.left);
+        let request =
+            Submission { new_request, came, ttft_objective, deadline, since: now, ..Submission::default() };
+        self.open.insert(new_request.id, request);
         true
     }
 
-    pub fn started(&mut self, now: TenthMillis, id: RequestId, shot: u16) {
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some(out) = submission.out.as_mut().filter(|out| out.number == shot) else { return };
+    pub fn started(&mut self, now: TenthMillis, id: RequestId, attempt: u16) {
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some(out) = request.out.as_mut().filter(|out| out.number == attempt) else { return };
         out.started = true;
         if out.cross {
             self.cross_wait.add(now, MEMORY, (now - out.sent) as f64);
         }
-        (submission.state, submission.place, submission.let_go) = (None, None, false);
-        let (worker, sent, track) = (out.worker, out.sent, submission.arrival.track);
+        (request.state, request.place, request.let_go) = (None, None, false);
+        let (worker, sent, class) = (out.worker, out.sent, request.new_request.class);
         if let Some(w) = self.workers.get_mut(&worker) {
             w.begun += 1;
             self.streaming.extend(self.open.remove_entry(&id));
         }
-        self.answered(now, worker, track, 0, now - sent);
+        self.answered(now, worker, class, 0, now - sent);
     }
 
     /// A writer, 0, began to answer, or a reader, 1, read.
-    fn answered(&mut self, now: TenthMillis, worker: WorkerId, track: u8, stage: usize, took: TenthMillis) {
-        self.waits[stage].entry(track).or_default().add(now, MEMORY, took as f64);
+    fn answered(&mut self, now: TenthMillis, worker: WorkerId, class: u8, stage: usize, took: TenthMillis) {
+        self.waits[stage].entry(class).or_default().add(now, MEMORY, took as f64);
         self.flows[stage].1.add(now, KNOWN, 1.0);
-        self.judge(now, worker, track, 0.0);
+        self.judge(now, worker, class, 0.0);
         let Some(w) = self.workers.get_mut(&worker) else { return };
         w.read_wait.add(now, MEMORY, took as f64);
         (w.rests, w.rests_until) = (0, 0);
@@ -236,9 +237,9 @@
 
     /// The answer names the reader, so the writer is the one asked last.
     pub fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool) {
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some((writer, _)) = submission.place else { return };
-        submission.place = held.then_some((writer, true));
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some((writer, _)) = request.place else { return };
+        request.place = held.then_some((writer, true));
         if let Some(w) = self.workers.get_mut(&writer) {
             w.denied = if held { now - BELIEF } else { now };
         }
@@ -248,66 +249,66 @@
         &mut self,
         now: TenthMillis,
         id: RequestId,
-        shot: u16,
-        ending: AttemptOutcome,
+        attempt: u16,
+        outcome: AttemptOutcome,
         terminal: bool,
     ) {
-        if let Some((id, submission)) = self.streaming.remove_entry(&id) {
-            let worker = submission.out.as_ref().and_then(|out| self.workers.get_mut(&out.worker));
+        if let Some((id, request)) = self.streaming.remove_entry(&id) {
+            let worker = request.out.as_ref().and_then(|out| self.workers.get_mut(&out.worker));
             worker.into_iter().for_each(|w| w.begun -= 1);
-            self.open.insert(id, submission);
+            self.open.insert(id, request);
         }
-        let Some(submission) = self.open.get_mut(&id) else { return };
-        let Some(out) = submission.out.take_if(|out| out.number == shot) else { return };
-        submission.since = now;
-        submission.ended |= terminal;
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let Some(out) = request.out.take_if(|out| out.number == attempt) else { return };
+        request.since = now;
+        request.ended |= terminal;
         let proven = matches!(
-            ending,
+            outcome,
             AttemptOutcome::PrefillComplete
                 | AttemptOutcome::Rejected
                 | AttemptOutcome::StateMissing
                 | AttemptOutcome::Unreachable
                 | AttemptOutcome::NotSent
         );
-        if !out.reading && !proven && submission.ran.is_none() {
-            submission.ran = Some((out.sent, out.worker));
+        if !out.reading && !proven && request.ran.is_none() {
+            request.ran = Some((out.sent, out.worker));
         }
-        let held_there = submission.place.is_some_and(|(w, held)| held && w == out.worker);
-        if ending == AttemptOutcome::PrefillComplete {
-            submission.state = Some(out.worker);
-        } else if out.reading || ending == AttemptOutcome::StateMissing || held_there {
+        let held_there = request.place.is_some_and(|(w, held)| held && w == out.worker);
+        if outcome == AttemptOutcome::PrefillComplete {
+            request.state = Some(out.worker);
+        } else if out.reading || outcome == AttemptOutcome::StateMissing || held_there {
             // The state is gone, or went ahead to a writer that failed: only a new read helps.
-            submission.let_go |= submission.state.is_some() || submission.place.is_some();
-            (submission.state, submission.place) = (None, None);
+            request.let_go |= request.state.is_some() || request.place.is_some();
+            (request.state, request.place) = (None, None);
         } else {
-            submission.place = None;
+            request.place = None;
         }
-        let track = submission.arrival.track;
+        let class = request.new_request.class;
         let Some(worker) = self.workers.get_mut(&out.worker) else { return };
-        match ending {
-            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, track, 1, now - out.sent),
+        match outcome {
+            AttemptOutcome::PrefillComplete => self.answered(now, out.worker, class, 1, now - out.sent),
             AttemptOutcome::Completed | AttemptOutcome::StateMissing => worker.answers += 1,
             AttemptOutcome::Rejected => {
                 worker.denied = now;
                 if out.reading {
-                    let all = (submission.contract - submission.came) as f64;
-                    self.waits[1].entry(track).or_default().add(now, MEMORY, all);
+                    let all = (request.ttft_objective - request.came) as f64;
+                    self.waits[1].entry(class).or_default().add(now, MEMORY, all);
                 }
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
                 let first = worker.rests == 0 && self.terms.probes;
                 worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
             }
-            AttemptOutcome::ServerError => self.judge(now, out.worker, track, 1.0),
+            AttemptOutcome::ServerError => self.judge(now, out.worker, class, 1.0),
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
     /// Books an answer, or with 1 a loss, to a worker; after a loss a probe tells whether all of it is dead.
-    fn judge(&mut self, now: TenthMillis, worker: WorkerId, track: u8, lost: f64) {
-        self.losses.entry(track).or_default().add(now, KNOWN, lost);
+    fn judge(&mut self, now: TenthMillis, worker: WorkerId, class: u8, lost: f64) {
+        self.losses.entry(class).or_default().add(now, KNOWN, lost);
         let Some(w) = self.workers.get_mut(&worker) else { return };
-        w.losses.entry(track).or_default().add(now, KNOWN, lost);
+        w.losses.entry(class).or_default().add(now, KNOWN, lost);
         w.suspect |= lost > 0.0;
     }
 
@@ -360,7 +361,7 @@
         let mut order: Vec<_> = open
             .iter()
             .filter(|(_, s)| !s.ended)
-            .map(|(&id, s)| (s.state.is_none(), s.contract, id))
+            .map(|(&id, s)| (s.state.is_none(), s.ttft_objective, id))
             .collect();
         order.sort_unstable();
         let mut waits = false;
@@ -394,7 +395,7 @@
                 if let Some(w) = self.workers.get_mut(&out.worker) {
                     if out.reading {
                         w.reads += 1;
-                        w.tokens += s.arrival.prompt;
+                        w.tokens += s.new_request.prompt;
                     } else {
                         w.streams += 1;
                     }
@@ -414,33 +415,33 @@
     /// a wait too, so that patience grows when all is slow. Harms when a slow read is taken for lost.
     fn watch(&mut self, now: TenthMillis, open: &mut BTreeMap<RequestId, Submission>) {
         for (&id, s) in open {
-            let repeat = self.terms.tracks[usize::from(s.arrival.track)].repeat;
+            let repeat = self.terms.classes[usize::from(s.new_request.class)].repeat;
             let Some(out) = s.out.as_mut().filter(|o| !o.started && !o.withdrawn) else { continue };
             let resting = self.workers.get(&out.worker).is_some_and(|w| w.rests_until > now);
-            let waits = self.waits[usize::from(out.reading)].entry(s.arrival.track).or_default();
-            let contract = (s.contract - s.came) as f64;
-            let usual = waits.shrunk(now, MEMORY, contract * READING, 1.0);
-            let mean = usual_loss(self.losses.entry(s.arrival.track).or_default(), now);
+            let waits = self.waits[usize::from(out.reading)].entry(s.new_request.class).or_default();
+            let ttft_objective = (s.ttft_objective - s.came) as f64;
+            let usual = waits.shrunk(now, MEMORY, ttft_objective * READING, 1.0);
+            let mean = usual_loss(self.losses.entry(s.new_request.class).or_default(), now);
             let odds = mean / (1.0 - mean);
-            let (age, least) = ((now - out.sent) as f64, contract * PATIENCE_LEAST);
+            let (age, least) = ((now - out.sent) as f64, ttft_objective * PATIENCE_LEAST);
             let patience = (usual * PATIENCE * -odds.ln().min(-1.0)).max(least);
             let lost = age > patience;
             if lost && !out.doubted {
                 out.doubted = true;
                 waits.add(now, MEMORY, patience);
-                self.judge(now, out.worker, s.arrival.track, 1.0);
+                self.judge(now, out.worker, s.new_request.class, 1.0);
             } else if age > least && !out.suspected {
                 out.suspected = true;
                 self.workers.entry(out.worker).and_modify(|w| w.suspect = true);
             }
             let free = out.reading || repeat == Idempotency::Idempotent;
-            let again = free && (lost || resting) && s.shots + 1 < self.terms.max_shots;
-            if self.terms.withdrawals && (s.ended || again) {
+            let again = free && (lost || resting) && s.attempts + 1 < self.terms.max_attempts;
+            if self.terms.cancellation && (s.ended || again) {
                 out.withdrawn = true;
-                self.ready.push_back(Action::CancelAttempt { id, shot: out.number });
+                self.ready.push_back(Action::CancelAttempt { id, attempt: out.number });
             }
         }
-        for (&id, w) in self.workers.iter_mut().filter(|(_, w)| w.list.standing != EndpointStatus::Removed) {
+        for (&id, w) in self.workers.iter_mut().filter(|(_, w)| w.list.status != EndpointStatus::Removed) {
             let rested = w.rests_until > 0 && now >= w.rests_until;
             if self.terms.probes && !w.probing && (rested || w.suspect && w.rests_until == 0) {
                 (w.probing, w.suspect) = (true, false);
@@ -452,22 +453,22 @@
     }
 
     /// Whether a shot or place may go to the worker, a choice for all or for those read in one cell.
-    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, track): Ticket, cell: Option<u16>) -> bool {
+    fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, class): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
         let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
         let cold = w.cold(now, self.terms.warm_after);
         w.alive()
             && !(fresh && w.reads + w.streams >= FRESH + w.answers)
-            && !self.doubted(now, id, track)
+            && !self.doubted(now, id, class)
             && (!cold || self.lot(now, id, ticket, cell))
     }
 
     /// Whether the worker loses clearly more of a track than all do; what is known is shrunk by one shot.
-    fn doubted(&mut self, now: TenthMillis, id: WorkerId, track: u8) -> bool {
-        let mean = usual_loss(self.losses.entry(track).or_default(), now);
-        let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&track));
-        let (lost, shots) = known.map_or((0.0, 0.0), |k| k.sums(now, KNOWN));
-        (lost + mean) / (shots + 1.0) - mean > DOUBT * (1.0 - mean)
+    fn doubted(&mut self, now: TenthMillis, id: WorkerId, class: u8) -> bool {
+        let mean = usual_loss(self.losses.entry(class).or_default(), now);
+        let known = self.workers.get_mut(&id).and_then(|w| w.losses.get_mut(&class));
+        let (lost, attempts) = known.map_or((0.0, 0.0), |k| k.sums(now, KNOWN));
+        (lost + mean) / (attempts + 1.0) - mean > DOUBT * (1.0 - mean)
     }
 
     /// Guards against pushing over a cold worker, by any number of routers: only submissions that draw it go
@@ -477,8 +478,7 @@
         let flow = cell.map_or(1.0, |cell| self.flow(cell));
         let (t, w) = (&self.terms, &self.workers[&id]);
         let kin = self.workers.values().filter(|k| {
-            (k.role == Role::Prefill) == (w.role == Role::Prefill)
-                && k.list.standing == EndpointStatus::Serving
+            (k.role == Role::Prefill) == (w.role == Role::Prefill) && k.list.status == EndpointStatus::Serving
         });
         let (all, warm, sizes) = kin.fold((0.0, 0.0, 0.0), |(all, warm, sizes), k| {
             (all + 1.0, warm + f64::from(u8::from(!k.cold(now, t.warm_after))), sizes + k.list.size)
@@ -503,7 +503,7 @@
     /// lone readers among writers would drown, and readers with no writers near choke their link.
     fn share_out(&mut self) {
         let mut around: [BTreeMap<u16, (f64, f64)>; 2] = Default::default();
-        let ready = |w: &&Worker| w.list.standing == EndpointStatus::Serving;
+        let ready = |w: &&Worker| w.list.status == EndpointStatus::Serving;
         for w in self.workers.values().filter(ready) {
             for (map, place) in around.iter_mut().zip([w.list.cell, u16::from(w.list.zone)]) {
                 let (reads, writes) = map.entry(place).or_default();
@@ -529,14 +529,14 @@
     }
 
     /// Readers and mixed workers, best first, by rendezvous hashing of the prefix or session.
-    fn readers(&mut self, now: TenthMillis, arrival: &NewRequest) -> Vec<WorkerId> {
-        let key = if arrival.prefix != 0 { arrival.prefix } else { arrival.session };
+    fn readers(&mut self, now: TenthMillis, new_request: &NewRequest) -> Vec<WorkerId> {
+        let key = if new_request.prefix != 0 { new_request.prefix } else { new_request.session };
         let mut ranked = Vec::new();
         let shares = std::mem::take(&mut self.shares);
         for (&id, share) in &shares {
             // A cold reader that the submission drew comes first, or its part would fall to the hash again.
             let cold = self.workers[&id].cold(now, self.terms.warm_after);
-            let drawn = cold && self.lot(now, id, arrival.id, None);
+            let drawn = cold && self.lot(now, id, new_request.id, None);
             let rank = if drawn { f64::MAX } else { share / -draw(key, id).ln() };
             ranked.push((rank, id));
         }
@@ -544,9 +544,9 @@
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0));
         // Exception to one home: a prefix has as many as its part of all needs, shared out by session.
         let drawn = ranked.iter().take_while(|(rank, _)| *rank == f64::MAX).count();
-        let homes = self.homes(now, arrival.prefix, ranked.len()).min(ranked.len() - drawn);
+        let homes = self.homes(now, new_request.prefix, ranked.len()).min(ranked.len() - drawn);
         ranked[drawn..drawn + homes]
-            .sort_by(|a, b| draw(arrival.session, b.1).total_cmp(&draw(arrival.session, a.1)));
+            .sort_by(|a, b| draw(new_request.session, b.1).total_cmp(&draw(new_request.session, a.1)));
         ranked.into_iter().map(|(_, id)| id).collect()
     }
 
@@ -602,14 +602,14 @@
 
     /// The gate to another cell: open while first tokens over cells come soon enough, else now and then.
     fn gate(&mut self, now: TenthMillis) -> bool {
-        let bound = self.terms.tracks.iter().map(|t| t.contract).min().unwrap_or(0) as f64 / 2.0;
+        let bound = self.terms.classes.iter().map(|t| t.ttft_objective).min().unwrap_or(0) as f64 / 2.0;
         self.cross_wait.read(now, MEMORY).is_none_or(|mean| mean < bound) || self.rng.unit() * MEASURE < 1.0
     }
 
     /// The next step of a submission that has no shot out.
     fn forward(&mut self, now: TenthMillis, s: &mut Submission) {
         // Without a shot left not even a state that waits at its reader can be answered.
-        if now + LOOK >= s.cut_off || !self.may_repeat(now, s) || s.shots >= self.terms.max_shots {
+        if now + LOOK >= s.deadline || !self.may_repeat(now, s) || s.attempts >= self.terms.max_attempts {
             return self.end(s);
         }
         if let Some(reader) = s.state {
@@ -627,16 +627,17 @@
                 _ => return self.end_if_hopeless(now, s),
             }
         }
-        if s.shots + 2 > self.terms.max_shots {
+        if s.attempts + 2 > self.terms.max_attempts {
             return self.end(s);
         }
         // Guards against a jam that feeds itself, reads that all end too late: the more of the contract time,
         // its own or of tracks that earn more, the usual way takes, a full reader all, the fewer are let in.
-        if s.shots == 0 && !std::mem::replace(&mut s.let_in, true) {
-            let own = &self.terms.tracks[usize::from(s.arrival.track)];
-            let above = self.terms.tracks.iter().filter(|t| t.earnings >= own.earnings);
-            let spare = own.contract - above.map(|t| t.contract).min().unwrap_or(own.contract);
-            let part = self.recent(now, s.arrival.track) / (s.contract - s.came - spare) as f64;
+        if s.attempts == 0 && !std::mem::replace(&mut s.let_in, true) {
+            let own = &self.terms.classes[usize::from(s.new_request.class)];
+            let above = self.terms.classes.iter().filter(|t| t.priority_weight >= own.priority_weight);
+            let spare =
+                own.ttft_objective - above.map(|t| t.ttft_objective).min().unwrap_or(own.ttft_objective);
+            let part = self.recent(now, s.new_request.class) / (s.ttft_objective - s.came - spare) as f64;
             if self.rng.unit() > (READING / part).powi(2) {
                 return self.end(s);
             }
@@ -654,13 +655,13 @@
         if self.shut {
             return None;
         }
-        let ticket = (s.arrival.id, s.arrival.track);
-        let readers = self.readers(now, &s.arrival);
+        let ticket = (s.new_request.id, s.new_request.class);
+        let readers = self.readers(now, &s.new_request);
         if readers.is_empty() && self.terms.writers_read {
             return self.least(now, ticket, (false, u16::MAX, 0), |w| now >= w.denied + DENIAL);
         }
         self.shut = true;
-        let usable_wait = (s.contract - s.came) as f64 * READING;
+        let usable_wait = (s.ttft_objective - s.came) as f64 * READING;
         let mut past: Option<(f64, WorkerId)> = None;
         for id in readers {
             if !self.usable(now, id, ticket, None) {
@@ -670,7 +671,7 @@
             let slow =
                 w.read_wait.read(now, MEMORY).unwrap_or(0.0).max((now - w.oldest) as f64) > usable_wait;
             let (cell, mixed) = (w.list.cell, w.role == Role::Mixed);
-            let tokens = if w.reads > 0 { w.tokens + s.arrival.prompt } else { 0.0 };
+            let tokens = if w.reads > 0 { w.tokens + s.new_request.prompt } else { 0.0 };
             if now < w.denied + DENIAL || w.reads > 0 && w.tokens > SPILL * FILLED {
                 continue;
             }
@@ -696,7 +697,7 @@
     /// The held writer, else the fewest own streams in the reader's cell, else beyond it through the gate.
     fn writer_for(&mut self, now: TenthMillis, s: &Submission, reader: WorkerId) -> Option<WorkerId> {
         // A short read ends before the answer on its place, but the state may have gone ahead all the same.
-        let ticket = (s.arrival.id, s.arrival.track);
+        let ticket = (s.new_request.id, s.new_request.class);
         if let Some((writer, held)) = s.place {
             // One asked before its restart was told is a send to a cold worker like any other.
             let cell = self.workers.get(&reader).map(|r| r.list.cell);
@@ -729,7 +730,7 @@
         let Some(Endpoint { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
         let asked = s.asked.clone();
         let fits = |w: &Worker| !asked.contains(&w.list.worker) && !w.tight(now);
-        let ticket = (s.arrival.id, s.arrival.track);
+        let ticket = (s.new_request.id, s.new_request.class);
         let mut writer = self.least(now, ticket, (true, cell, zone), fits);
         if writer.is_none() && s.asked.len() < ASKS && self.gate(now) {
             writer = self.least(now, ticket, (false, cell, zone), fits);
@@ -741,28 +742,28 @@
             // A place is a send to come: a cold writer's cap must know of it from the start.
             w.streams += 1;
         }
-        self.ready.push_back(Action::ReserveDecode { id: s.arrival.id, worker });
+        self.ready.push_back(Action::ReserveDecode { id: s.new_request.id, worker });
     }
 
     fn send(&mut self, now: TenthMillis, s: &mut Submission, worker: WorkerId, reading: bool, cross: bool) {
-        let number = s.shots;
-        s.shots += 1;
+        let number = s.attempts;
+        s.attempts += 1;
         s.out = Some(Shot { number, worker, reading, sent: now, cross, ..Shot::default() });
         if let Some(w) = self.workers.get_mut(&worker) {
             if reading {
                 w.reads += 1;
-                w.tokens += s.arrival.prompt;
+                w.tokens += s.new_request.prompt;
             } else if s.place.is_none_or(|(p, _)| p != worker) {
                 w.streams += 1;
             }
             self.flows[usize::from(reading)].0.add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Action::Dispatch { id: s.arrival.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, within: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
     fn may_repeat(&self, now: TenthMillis, s: &Submission) -> bool {
-        s.ran.is_none_or(|(first, _)| match self.terms.tracks[usize::from(s.arrival.track)].repeat {
+        s.ran.is_none_or(|(first, _)| match self.terms.classes[usize::from(s.new_request.class)].repeat {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
             Idempotency::IdempotentWithKey { window, .. } => now < first + window,
@@ -775,7 +776,7 @@
         let (Some(there), Some(here)) = (self.workers.get(&ran_at), self.workers.get(&worker)) else {
             return false;
         };
-        let together = match self.terms.tracks[usize::from(s.arrival.track)].repeat {
+        let together = match self.terms.classes[usize::from(s.new_request.class)].repeat {
             Idempotency::IdempotentWithKey { group: DeduplicationScope::Zone, .. } => {
                 there.list.zone == here.list.zone
             }
@@ -788,33 +789,33 @@
     }
 
     /// The usual way to a first token: read and wait at the writer.
-    fn usual(&mut self, now: TenthMillis, track: u8) -> f64 {
-        self.waits.iter_mut().filter_map(|w| w.get_mut(&track)?.read(now, MEMORY)).sum()
+    fn usual(&mut self, now: TenthMillis, class: u8) -> f64 {
+        self.waits.iter_mut().filter_map(|w| w.get_mut(&class)?.read(now, MEMORY)).sum()
     }
 
     /// The same as far as readings are recent: a router whose door is nearly shut has none, and must try again.
-    fn recent(&mut self, now: TenthMillis, track: u8) -> f64 {
-        let waits = self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&track)?.sums(now, MEMORY)));
+    fn recent(&mut self, now: TenthMillis, class: u8) -> f64 {
+        let waits = self.waits.iter_mut().filter_map(|w| Some(w.get_mut(&class)?.sums(now, MEMORY)));
         waits.map(|(total, count)| total / (count + DOOR)).sum()
     }
 
     fn end_if_hopeless(&mut self, now: TenthMillis, s: &mut Submission) {
-        let usual = self.usual(now, s.arrival.track);
-        if now + (usual * SLACK) as TenthMillis + LOOK > s.contract.min(s.cut_off) {
+        let usual = self.usual(now, s.new_request.class);
+        if now + (usual * SLACK) as TenthMillis + LOOK > s.ttft_objective.min(s.deadline) {
             self.end(s);
         }
     }
 
     fn let_go(&mut self, s: &mut Submission) {
-        self.ready.push_back(Action::Release { id: s.arrival.id });
+        self.ready.push_back(Action::Release { id: s.new_request.id });
         (s.state, s.place, s.let_go) = (None, None, false);
     }
 
     /// The final answer: a turn-back where its promise is true, else an abandonment.
     fn end(&mut self, s: &mut Submission) {
-        let id = s.arrival.id;
+        let id = s.new_request.id;
         let harmless = s.ran.is_none()
-            || match self.terms.tracks[usize::from(s.arrival.track)].repeat {
+            || match self.terms.classes[usize::from(s.new_request.class)].repeat {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
                 Idempotency::IdempotentWithKey { group, .. } => group == DeduplicationScope::All,
@@ -838,7 +839,7 @@
     }
 
     fn alive(&self) -> bool {
-        self.list.standing == EndpointStatus::Serving && self.rests_until == 0
+        self.list.status == EndpointStatus::Serving && self.rests_until == 0
     }
 
     /// Its last answer on a place, or to a send, was no, and that is still believed.
@@ -862,8 +863,8 @@
 
 /// The part of shots that are lost, shrunk by two shots towards what is usual.
 fn usual_loss(losses: &mut EwmaMean, now: TenthMillis) -> f64 {
-    let (lost, shots) = losses.sums(now, KNOWN);
-    (lost + 2.0 * RARE) / (shots + 2.0)
+    let (lost, attempts) = losses.sums(now, KNOWN);
+    (lost + 2.0 * RARE) / (attempts + 2.0)
 }
 
 /// A number between 0 and 1 that depends only on the key and the worker.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,8 +8,13 @@
 
 pub const MS: TenthMillis = 10;
 
-pub fn track(repeat: Idempotency) -> RequestClass {
-    RequestClass { repeat, contract: 1500 * MS, per_thousand: 40 * MS, earnings: 1.0 }
+pub fn class(repeat: Idempotency) -> RequestClass {
+    RequestClass {
+        repeat,
+        ttft_objective: 1500 * MS,
+        ttft_objective_per_1000_tokens: 40 * MS,
+        priority_weight: 1.0,
+    }
 }
 
 pub fn terms() -> SchedulerConfig {
@@ -17,7 +22,7 @@
     let anywhere = Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 300 * MS };
     SchedulerConfig {
         routers: 3,
-        tracks: [Idempotency::Idempotent, Idempotency::NonIdempotent, nearby, anywhere].map(track).to_vec(),
+        classes: [Idempotency::Idempotent, Idempotency::NonIdempotent, nearby, anywhere].map(class).to_vec(),
         roles: vec![Role::Prefill, Role::Decode],
         places: true,
         writers_read: false,
@@ -26,8 +31,8 @@
         warm_after: 10_000 * MS,
         fall_multiple: 2.5,
         fall_span: 2000 * MS,
-        max_shots: 5,
-        withdrawals: true,
+        max_attempts: 5,
+        cancellation: true,
         probes: true,
         asks: false,
         in_tokens: false,
@@ -48,10 +53,10 @@
 
 #[derive(Debug)]
 pub struct Entry {
-    pub track: u8,
-    pub contract: TenthMillis,
-    pub cut_off: TenthMillis,
-    pub shots: u16,
+    pub class: u8,
+    pub ttft_objective: TenthMillis,
+    pub deadline: TenthMillis,
+    pub attempts: u16,
     pub out: Option<Attempt>,
     pub ran: Option<(TenthMillis, WorkerId)>,
     pub place: Option<WorkerId>,
@@ -79,10 +84,10 @@
     [10, 0, 0, n, 1, 0]
 }
 
-pub fn listing(n: u8) -> Endpoint {
+pub fn endpoint(n: u8) -> Endpoint {
     let kind = u16::from(!n.is_multiple_of(3));
     let (cell, zone) = (u16::from(n / 3), n / 3);
-    Endpoint { worker: worker(n), kind, size: 4.0, standing: EndpointStatus::Serving, cell, zone, started: 0 }
+    Endpoint { worker: worker(n), kind, size: 4.0, status: EndpointStatus::Serving, cell, zone, started: 0 }
 }
 
 impl World {
@@ -109,32 +114,32 @@
             next: 1 + seed * 1000,
         };
         world.router.list_anew(now);
-        (0..workers).for_each(|n| world.relist(listing(n)));
+        (0..workers).for_each(|n| world.relist(endpoint(n)));
         world.pull();
         world
     }
 
-    pub fn relist(&mut self, listing: Endpoint) {
-        if self.list.insert(listing.worker, listing).is_none_or(|old| old.started != listing.started) {
-            self.finished.insert(listing.worker, 0);
+    pub fn relist(&mut self, endpoint: Endpoint) {
+        if self.list.insert(endpoint.worker, endpoint).is_none_or(|old| old.started != endpoint.started) {
+            self.finished.insert(endpoint.worker, 0);
         }
-        self.router.listed(self.now, listing);
+        self.router.listed(self.now, endpoint);
     }
 
-    pub fn arrive(&mut self, track: u8, prefix: u64, prompt: f64, left: TenthMillis) -> RequestId {
+    pub fn arrive(&mut self, class: u8, prefix: u64, prompt: f64, left: TenthMillis) -> RequestId {
         let session = self.next;
         let id = self.next;
         self.next += 1;
-        let arrival = NewRequest { id, track, session, prefix, prompt, left };
-        assert!(self.router.arrived(self.now, arrival));
-        let cut_off = self.now + left;
-        let contract = self.now + self.terms.tracks[usize::from(track)].contract_of(prompt);
+        let new_request = NewRequest { id, class, session, prefix, prompt, left };
+        assert!(self.router.arrived(self.now, new_request));
+        let deadline = self.now + left;
+        let ttft_objective = self.now + self.terms.classes[usize::from(class)].ttft_objective_for(prompt);
         let (since, out, ran, place) = (self.now, None, None, None);
         let entry = Entry {
-            track,
-            contract,
-            cut_off,
-            shots: 0,
+            class,
+            ttft_objective,
+            deadline,
+            attempts: 0,
             out,
             ran,
             place,
@@ -148,38 +153,38 @@
         id
     }
 
-    pub fn settle(&mut self, id: RequestId, ending: AttemptOutcome) {
+    pub fn settle(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let entry = self.open.get_mut(&id).expect("known");
-        let shot = entry.out.take().expect("a shot is out");
+        let attempt = entry.out.take().expect("a shot is out");
         let proven = matches!(
-            ending,
+            outcome,
             AttemptOutcome::Rejected
                 | AttemptOutcome::StateMissing
                 | AttemptOutcome::Unreachable
                 | AttemptOutcome::NotSent
                 | AttemptOutcome::PrefillComplete
         );
-        if !shot.reading && !proven && entry.ran.is_none() {
-            entry.ran = Some((shot.sent, shot.worker));
+        if !attempt.reading && !proven && entry.ran.is_none() {
+            entry.ran = Some((attempt.sent, attempt.worker));
         }
-        if matches!(ending, AttemptOutcome::Completed | AttemptOutcome::PrefillComplete) {
-            *self.finished.entry(shot.worker).or_default() += 1;
+        if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::PrefillComplete) {
+            *self.finished.entry(attempt.worker).or_default() += 1;
         }
-        let terminal = ending == AttemptOutcome::Completed || shot.started;
-        entry.held |= ending == AttemptOutcome::PrefillComplete;
+        let terminal = outcome == AttemptOutcome::Completed || attempt.started;
+        entry.held |= outcome == AttemptOutcome::PrefillComplete;
         entry.held &= !terminal;
         entry.asked = false;
         (entry.since, entry.ended) = (self.now, entry.ended || terminal);
-        self.router.settled(self.now, id, shot.number, ending, entry.ended);
+        self.router.settled(self.now, id, attempt.number, outcome, entry.ended);
         self.pull();
     }
 
     pub fn start(&mut self, id: RequestId) {
         let entry = self.open.get_mut(&id).expect("known");
-        let shot = entry.out.as_mut().expect("a shot is out");
-        shot.started = true;
+        let attempt = entry.out.as_mut().expect("a shot is out");
+        attempt.started = true;
         (entry.held, entry.place) = (false, None);
-        self.router.started(self.now, id, shot.number);
+        self.router.started(self.now, id, attempt.number);
         self.pull();
     }
 
@@ -203,13 +208,13 @@
         loop {
             let due = self.wakes.iter().copied().min().unwrap_or(until);
             let timed = self.open.values().filter(|e| !e.ended && e.out.as_ref().is_some_and(|o| !o.started));
-            let next = timed.map(|e| e.cut_off).min().unwrap_or(until).min(due).min(until);
+            let next = timed.map(|e| e.deadline).min().unwrap_or(until).min(due).min(until);
             self.now = next.max(self.now);
             let late: Vec<_> = self
                 .open
                 .iter()
                 .filter(|(_, e)| {
-                    !e.ended && e.cut_off <= self.now && e.out.as_ref().is_some_and(|o| !o.started)
+                    !e.ended && e.deadline <= self.now && e.out.as_ref().is_some_and(|o| !o.started)
                 })
                 .map(|(&id, _)| id)
                 .collect();
@@ -233,7 +238,7 @@
         }
         for (id, e) in &self.open {
             assert!(
-                e.ended || e.out.as_ref().is_some_and(|o| o.started) || self.now <= e.cut_off,
+                e.ended || e.out.as_ref().is_some_and(|o| o.started) || self.now <= e.deadline,
                 "{id} lost: {e:?}"
             );
             let pinned = e.held && e.out.is_none() && self.now > e.since + self.terms.release;
@@ -245,14 +250,14 @@
     /// Nothing more can come of it and it has no final answer: no shot is left, it may not run again, or its
     /// contract time is over while none is out.
     fn held_back(&self, e: &Entry) -> bool {
-        let spent = e.shots + if e.held { 1 } else { 2 } > self.terms.max_shots;
-        let over = e.ran.is_some_and(|(first, _)| match self.terms.tracks[usize::from(e.track)].repeat {
+        let spent = e.attempts + if e.held { 1 } else { 2 } > self.terms.max_attempts;
+        let over = e.ran.is_some_and(|(first, _)| match self.terms.classes[usize::from(e.class)].repeat {
             Idempotency::Idempotent => false,
             Idempotency::NonIdempotent => true,
             // The window closes between two looks.
             Idempotency::IdempotentWithKey { window, .. } => self.now > first + window + 10 * MS,
         });
-        !e.ended && e.out.is_none() && (spent || over || self.now > e.contract.min(e.cut_off))
+        !e.ended && e.out.is_none() && (spent || over || self.now > e.ttft_objective.min(e.deadline))
     }
 
     fn check(&mut self, decision: Action) {
@@ -260,33 +265,33 @@
         match decision {
             Action::Dispatch { id, worker, within: _ } => {
                 self.room(worker, Some(id));
-                let listing = self.list[&worker];
+                let endpoint = self.list[&worker];
                 let entry = self.open.get_mut(&id).expect("known");
-                assert!(!entry.ended && entry.out.is_none() && now < entry.cut_off, "{id} sent: {entry:?}");
-                assert_eq!(listing.standing, EndpointStatus::Serving, "sent past a drain");
-                assert!(entry.shots < self.terms.max_shots);
-                let reading = self.terms.roles[usize::from(listing.kind)] == Role::Prefill;
+                assert!(!entry.ended && entry.out.is_none() && now < entry.deadline, "{id} sent: {entry:?}");
+                assert_eq!(endpoint.status, EndpointStatus::Serving, "sent past a drain");
+                assert!(entry.attempts < self.terms.max_attempts);
+                let reading = self.terms.roles[usize::from(endpoint.kind)] == Role::Prefill;
                 if let (Some((first, there)), false) = (entry.ran, reading) {
-                    match self.terms.tracks[usize::from(entry.track)].repeat {
+                    match self.terms.classes[usize::from(entry.class)].repeat {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => panic!("{id} could run twice"),
                         Idempotency::IdempotentWithKey { group, window } => {
                             assert!(now < first + window, "{id} sent past its window");
                             assert!(
-                                group == DeduplicationScope::All || self.list[&there].cell == listing.cell,
+                                group == DeduplicationScope::All || self.list[&there].cell == endpoint.cell,
                                 "wrong group"
                             );
                         }
                     }
                 }
-                let number = entry.shots;
-                entry.shots += 1;
+                let number = entry.attempts;
+                entry.attempts += 1;
                 (entry.place, entry.asked) = (entry.place.filter(|_| reading), false);
                 entry.out = Some(Attempt { number, worker, reading, sent: now, started: false });
             }
             Action::ReserveDecode { id, worker } => {
                 self.room(worker, None);
-                assert_eq!(self.list[&worker].standing, EndpointStatus::Serving, "place past a drain");
+                assert_eq!(self.list[&worker].status, EndpointStatus::Serving, "place past a drain");
                 let entry = self.open.get_mut(&id).expect("known");
                 assert!(entry.out.as_ref().is_some_and(|o| o.reading));
                 (entry.place, entry.asked) = (Some(worker), true);
@@ -295,10 +300,10 @@
                 let entry = self.open.get_mut(&id).expect("known");
                 (entry.held, entry.place) = (false, None);
             }
-            Action::CancelAttempt { id, shot } => assert!(shot < self.open[&id].shots),
+            Action::CancelAttempt { id, attempt } => assert!(attempt < self.open[&id].attempts),
             Action::Reject { id, after } => {
                 let entry = self.open.get_mut(&id).expect("known");
-                let repeat = self.terms.tracks[usize::from(entry.track)].repeat;
+                let repeat = self.terms.classes[usize::from(entry.class)].repeat;
                 let all =
                     matches!(repeat, Idempotency::IdempotentWithKey { group: DeduplicationScope::All, .. });
                 assert!(
--- a/tests/equal.rs
+++ b/tests/equal.rs
@@ -60,25 +60,25 @@
     list: BTreeMap<WorkerId, Endpoint>,
     /// When the time of each is up, and its shot.
     open: BTreeMap<RequestId, (TenthMillis, Option<Attempt>)>,
-    shots: BTreeMap<RequestId, u16>,
+    attempts: BTreeMap<RequestId, u16>,
     seen: BTreeMap<&'static str, u64>,
 }
 
 fn terms(kind: Kind) -> SchedulerConfig {
-    let track = |repeat, contract: TenthMillis, earnings| RequestClass {
+    let class = |repeat, ttft_objective: TenthMillis, priority_weight| RequestClass {
         repeat,
-        contract: contract * MS,
-        per_thousand: 40 * MS,
-        earnings,
+        ttft_objective: ttft_objective * MS,
+        ttft_objective_per_1000_tokens: 40 * MS,
+        priority_weight,
     };
     let cell = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 900 * MS };
     SchedulerConfig {
         routers: 2,
-        tracks: vec![
-            track(Idempotency::Idempotent, 1_500, 1.0),
-            track(Idempotency::NonIdempotent, 2_500, 3.0),
-            track(cell, 1_000, 2.0),
-            track(
+        classes: vec![
+            class(Idempotency::Idempotent, 1_500, 1.0),
+            class(Idempotency::NonIdempotent, 2_500, 3.0),
+            class(cell, 1_000, 2.0),
+            class(
                 Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 400 * MS },
                 3_000,
                 0.5,
@@ -92,8 +92,8 @@
         warm_after: 10_000 * MS,
         fall_multiple: 2.5,
         fall_span: 2_000 * MS,
-        max_shots: 5,
-        withdrawals: kind.wrong.is_multiple_of(2),
+        max_attempts: 5,
+        cancellation: kind.wrong.is_multiple_of(2),
         probes: kind.probes,
         asks: false,
         in_tokens: false,
@@ -116,7 +116,7 @@
             order: 0,
             list: BTreeMap::new(),
             open: BTreeMap::new(),
-            shots: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             seen: BTreeMap::new(),
         };
         for n in 0..kind.workers {
@@ -124,9 +124,9 @@
             let role = if kind.mixed && n % 5 == 4 { 2 } else { u16::from(n % 3 != 0) };
             let started = if kind.cold && n % 2 == 0 { now - 900 * MS } else { 0 };
             let (cell, zone) = (n / 9, (n / 27) as u8);
-            let standing = EndpointStatus::Serving;
+            let status = EndpointStatus::Serving;
             let size = 1.0 + f64::from(n % 4);
-            pair.list.insert(worker, Endpoint { worker, kind: role, size, standing, cell, zone, started });
+            pair.list.insert(worker, Endpoint { worker, kind: role, size, status, cell, zone, started });
         }
         pair.relist();
         pair.push(0, What::Arrive);
@@ -148,9 +148,9 @@
     fn relist(&mut self) {
         self.new.list_anew(self.now);
         self.old.list_anew(self.now);
-        for listing in self.list.values() {
-            self.new.listed(self.now, *listing);
-            self.old.listed(self.now, *listing);
+        for endpoint in self.list.values() {
+            self.new.listed(self.now, *endpoint);
+            self.old.listed(self.now, *endpoint);
         }
     }
 
@@ -177,18 +177,18 @@
                 self.new.answered_ahead(now, id, held);
                 self.old.answered_ahead(now, id, held);
             }
-            What::Start(id, shot) => {
+            What::Start(id, attempt) => {
                 let Some((_, Some(out))) = self.open.get_mut(&id) else { return };
-                if out.0 != shot {
+                if out.0 != attempt {
                     return;
                 }
                 out.2 = true;
-                self.new.started(now, id, shot);
-                self.old.started(now, id, shot);
+                self.new.started(now, id, attempt);
+                self.old.started(now, id, attempt);
                 let answer = 200 + self.draw(4_000) as TenthMillis;
-                self.push(answer * MS, What::End(id, shot));
+                self.push(answer * MS, What::End(id, attempt));
             }
-            What::End(id, shot) => self.end(id, shot),
+            What::End(id, attempt) => self.end(id, attempt),
             What::Drop(id) => {
                 if self.open.contains_key(&id) {
                     self.new.dropped(now, id);
@@ -213,12 +213,12 @@
 
     fn arrive(&mut self) {
         let id = self.order + 1;
-        let (track, prefix) = (self.draw(4) as u8, self.draw(self.kind.prefixes + 1));
+        let (class, prefix) = (self.draw(4) as u8, self.draw(self.kind.prefixes + 1));
         let prefix = if self.draw(3) == 0 { prefix.min(1) } else { prefix };
         let (session, prompt) = (self.draw(300), 50.0 + self.draw(3_000) as f64);
         let left = (400 + self.draw(6_000) as TenthMillis) * MS;
-        let arrival = NewRequest { id, track, session, prefix, prompt, left };
-        assert!(self.new.arrived(self.now, arrival) && self.old.arrived(self.now, arrival));
+        let new_request = NewRequest { id, class, session, prefix, prompt, left };
+        assert!(self.new.arrived(self.now, new_request) && self.old.arrived(self.now, new_request));
         self.open.insert(id, (self.now + left, None));
         let busy = self.now / (1_000 * MS) % 4 == 3;
         let rate = self.kind.rate * if busy { self.kind.burst } else { 1 };
@@ -231,11 +231,11 @@
     }
 
     /// A shot ends, well or otherwise.
-    fn end(&mut self, id: RequestId, shot: u16) {
+    fn end(&mut self, id: RequestId, attempt: u16) {
         let wrong = self.draw(100) < self.kind.wrong;
         let which = self.draw(7) as usize;
         let Some((_, out)) = self.open.get_mut(&id) else { return };
-        let Some((_, worker, started)) = out.take_if(|out| out.0 == shot) else { return };
+        let Some((_, worker, started)) = out.take_if(|out| out.0 == attempt) else { return };
         let reading = self.list[&worker].kind == 0;
         let bad = [
             AttemptOutcome::ServerError,
@@ -246,15 +246,15 @@
             AttemptOutcome::TimedOut,
             AttemptOutcome::NotSent,
         ];
-        let ending = match (wrong, reading) {
+        let outcome = match (wrong, reading) {
             (true, _) if started => AttemptOutcome::ConnectionReset,
             (true, _) => bad[which],
             (false, true) => AttemptOutcome::PrefillComplete,
             (false, false) => AttemptOutcome::Completed,
         };
-        let terminal = started || ending == AttemptOutcome::Completed;
-        self.new.settled(self.now, id, shot, ending, terminal);
-        self.old.settled(self.now, id, shot, ending, terminal);
+        let terminal = started || outcome == AttemptOutcome::Completed;
+        self.new.settled(self.now, id, attempt, outcome, terminal);
+        self.old.settled(self.now, id, attempt, outcome, terminal);
         if terminal {
             self.open.remove(&id);
         }
@@ -265,12 +265,12 @@
         for _ in 0..1 + self.draw(1 + ids.len() as u64 / 8) {
             let id = ids[self.draw(ids.len() as u64) as usize];
             let (draw, now) = (self.draw(4), self.now);
-            let Some(listing) = self.list.get_mut(&id) else { continue };
+            let Some(endpoint) = self.list.get_mut(&id) else { continue };
             match draw {
-                0 => listing.standing = EndpointStatus::Draining,
-                1 => listing.standing = EndpointStatus::Removed,
-                2 => (listing.standing, listing.started) = (EndpointStatus::Serving, now),
-                _ => listing.standing = EndpointStatus::Serving,
+                0 => endpoint.status = EndpointStatus::Draining,
+                1 => endpoint.status = EndpointStatus::Removed,
+                2 => (endpoint.status, endpoint.started) = (EndpointStatus::Serving, now),
+                _ => endpoint.status = EndpointStatus::Serving,
             }
         }
         match self.draw(3) {
@@ -280,9 +280,9 @@
                 self.old.list_failed(self.now);
             }
             _ => {
-                for listing in self.list.values() {
-                    self.new.listed(self.now, *listing);
-                    self.old.listed(self.now, *listing);
+                for endpoint in self.list.values() {
+                    self.new.listed(self.now, *endpoint);
+                    self.old.listed(self.now, *endpoint);
                 }
             }
         }
@@ -292,18 +292,18 @@
         let wrong = self.draw(100) < self.kind.wrong;
         let name = match decision {
             Action::Dispatch { id, worker, .. } => {
-                let number = self.shots.entry(id).or_default();
+                let number = self.attempts.entry(id).or_default();
                 *number += 1;
-                let shot = *number - 1;
+                let attempt = *number - 1;
                 let (up, out) = self.open.get_mut(&id).expect("a send is for one that is open");
-                *out = Some((shot, worker, false));
+                *out = Some((attempt, worker, false));
                 let up = *up - self.now;
                 let reading = self.list[&worker].kind == 0;
                 let took = (5 + self.draw(if wrong { 2_500 } else { 120 }) as TenthMillis) * MS;
                 // One that is silent ends when its time is up.
                 let silent = wrong && self.draw(3) == 0;
                 let (took, begins) = if silent { (up, false) } else { (took.min(up), !reading) };
-                let what = if begins { What::Start(id, shot) } else { What::End(id, shot) };
+                let what = if begins { What::Start(id, attempt) } else { What::End(id, attempt) };
                 self.push(took.max(0), what);
                 "send"
             }
@@ -312,8 +312,8 @@
                 self.push(after, What::Answered(id, !wrong));
                 "hold"
             }
-            Action::CancelAttempt { id, shot } => {
-                self.push(MS, What::End(id, shot));
+            Action::CancelAttempt { id, attempt } => {
+                self.push(MS, What::End(id, attempt));
                 "withdraw"
             }
             Action::Reject { id, .. } => {
--- a/tests/lessons.rs
+++ b/tests/lessons.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{listing, terms, worker, World, MS};
+use common::{endpoint, terms, worker, World, MS};
 use tideroute::types::*;
 
 const LEFT: TenthMillis = 6000 * MS;
@@ -105,7 +105,7 @@
 fn places_count_at_a_cold_writer() {
     let mut world = World::new(SchedulerConfig { probes: false, ..terms() }, 3);
     honour(&mut world, 20);
-    let back = Endpoint { started: world.now - 100 * MS, ..listing(1) };
+    let back = Endpoint { started: world.now - 100 * MS, ..endpoint(1) };
     world.relist(back);
     world.pull();
     // The model refuses more than two out at a writer that has answered nothing.
@@ -120,9 +120,9 @@
     let mut sends = vec![];
     for seed in 0..200 {
         let mut world = World::seeded(SchedulerConfig { routers: 200, probes: false, ..terms() }, 3, seed);
-        world.relist(Endpoint { cell: 0, ..listing(4) });
+        world.relist(Endpoint { cell: 0, ..endpoint(4) });
         honour(&mut world, 15);
-        world.relist(Endpoint { started: world.now - 10 * MS, ..listing(1) });
+        world.relist(Endpoint { started: world.now - 10 * MS, ..endpoint(1) });
         world.pull();
         world.pass(TenthMillis::from(seed as u32 % 100) * 10 * MS);
         let begun = world.now;
@@ -140,8 +140,8 @@
 #[test]
 fn what_cannot_make_its_contract_time_is_turned_back_at_once_with_advice() {
     let mut world = World::new(terms(), 3);
-    let mut gone = listing(0);
-    gone.standing = EndpointStatus::Removed;
+    let mut gone = endpoint(0);
+    gone.status = EndpointStatus::Removed;
     world.relist(gone);
     world.pull();
     let id = world.arrive(0, 1, 1000.0, LEFT);
@@ -152,7 +152,7 @@
 
 #[test]
 fn a_single_use_submission_is_abandoned_once_it_may_have_run() {
-    for (ending, again) in [
+    for (outcome, again) in [
         (AttemptOutcome::ConnectionReset, false),
         (AttemptOutcome::ServerError, false),
         (AttemptOutcome::Unreachable, true),
@@ -160,10 +160,10 @@
         let mut world = World::new(terms(), 6);
         let id = world.arrive(1, 1, 1000.0, LEFT);
         world.settle(id, AttemptOutcome::PrefillComplete);
-        world.settle(id, ending);
-        assert_eq!(world.open[&id].out.is_some(), again, "{ending:?}");
-        let abandoned = world.logged(&Action::Fail { id });
-        assert_eq!(abandoned, !again, "{ending:?}");
+        world.settle(id, outcome);
+        assert_eq!(world.open[&id].out.is_some(), again, "{outcome:?}");
+        let failed = world.logged(&Action::Fail { id });
+        assert_eq!(failed, !again, "{outcome:?}");
     }
 }
 
@@ -184,7 +184,7 @@
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.answer(id, true);
     let mut drains = world.list[&world.open[&id].place.expect("asked")];
-    drains.standing = EndpointStatus::Draining;
+    drains.status = EndpointStatus::Draining;
     world.relist(drains);
     world.pull();
     world.settle(id, AttemptOutcome::PrefillComplete);
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_state_that_lands_after_the_client_left_is_let_go() {
-    let mut world = World::new(SchedulerConfig { withdrawals: false, ..terms() }, 6);
+    let mut world = World::new(SchedulerConfig { cancellation: false, ..terms() }, 6);
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.drop_client(id);
     world.settle(id, AttemptOutcome::PrefillComplete);
@@ -206,7 +206,7 @@
     // Reads are known to be quick, from another reader.
     let mut world = World::new(terms(), 6);
     let (known, reader) = (worker(0), worker(3));
-    let stand = |world: &mut World, id, standing| world.relist(Endpoint { standing, ..world.list[&id] });
+    let stand = |world: &mut World, id, status| world.relist(Endpoint { status, ..world.list[&id] });
     stand(&mut world, reader, EndpointStatus::Draining);
     for _ in 0..60 {
         let id = read(&mut world, true);
@@ -220,15 +220,15 @@
     assert_eq!(at(&world, id), reader);
     stand(&mut world, known, EndpointStatus::Serving);
     world.pass(300 * MS);
-    assert!(!world.logged(&Action::CancelAttempt { id, shot: 0 }) && world.probes.is_empty());
+    assert!(!world.logged(&Action::CancelAttempt { id, attempt: 0 }) && world.probes.is_empty());
     world.pass(1_100 * MS);
-    assert!(world.logged(&Action::CancelAttempt { id, shot: 0 }) && world.probes == [reader]);
+    assert!(world.logged(&Action::CancelAttempt { id, attempt: 0 }) && world.probes == [reader]);
     world.settle(id, AttemptOutcome::Cancelled);
     assert_ne!(at(&world, id), reader);
     // A good probe clears the worker, but not for the track that it lost.
     world.router.probed(world.now, reader, true);
-    let mut to = |track| {
-        let id = world.arrive(track, 1, 10.0, LEFT);
+    let mut to = |class| {
+        let id = world.arrive(class, 1, 10.0, LEFT);
         at(&world, id)
     };
     assert!((0..10).all(|_| to(0) == known) && (0..10).any(|_| to(3) == reader));
@@ -236,12 +236,12 @@
 
 #[test]
 fn a_worker_whose_connection_broke_is_probed_at_once_and_is_back_with_the_answer() {
-    for ending in [AttemptOutcome::ConnectionReset, AttemptOutcome::Unreachable] {
+    for outcome in [AttemptOutcome::ConnectionReset, AttemptOutcome::Unreachable] {
         for well in [true, false] {
             let mut world = World::new(terms(), 6);
             let id = world.arrive(0, 1, 1000.0, LEFT);
             let reader = at(&world, id);
-            world.settle(id, ending);
+            world.settle(id, outcome);
             assert!(world.probes == [reader] && at(&world, id) != reader, "out of service until it answers");
             world.router.probed(world.now, reader, well);
             let next = world.arrive(0, 1, 10.0, LEFT);
@@ -276,11 +276,11 @@
 #[test]
 fn writers_that_read_take_all_that_waits_where_there_is_no_reader() {
     let mut world = World::new(SchedulerConfig { writers_read: true, ..terms() }, 0);
-    world.relist(listing(1));
+    world.relist(endpoint(1));
     let arrive = |world: &mut World, id: RequestId| {
-        let (track, session, prefix) = (0, id, 0);
-        let arrival = NewRequest { id, track, session, prefix, prompt: 900.0, left: LEFT };
-        assert!(world.router.arrived(world.now, arrival));
+        let (class, session, prefix) = (0, id, 0);
+        let new_request = NewRequest { id, class, session, prefix, prompt: 900.0, left: LEFT };
+        assert!(world.router.arrived(world.now, new_request));
     };
     (1..=3).for_each(|id| arrive(&mut world, id));
     let sent = std::iter::from_fn(|| world.router.decide(world.now));
@@ -302,12 +302,12 @@
     // Twelve workers in four cells, writers in the first so many of them.
     let parts = |with_writers: u16| {
         let mut world = World::new(SchedulerConfig { places: false, ..terms() }, 12);
-        for n in (0..12).filter(|n| listing(*n).cell >= with_writers) {
-            world.relist(Endpoint { kind: 0, zone: 0, ..listing(n) });
+        for n in (0..12).filter(|n| endpoint(*n).cell >= with_writers) {
+            world.relist(Endpoint { kind: 0, zone: 0, ..endpoint(n) });
         }
         (0..12)
-            .filter(|n| listing(*n).cell < with_writers)
-            .for_each(|n| world.relist(Endpoint { zone: 0, ..listing(n) }));
+            .filter(|n| endpoint(*n).cell < with_writers)
+            .for_each(|n| world.relist(Endpoint { zone: 0, ..endpoint(n) }));
         world.pull();
         let mut reads = [0.0, 0.0];
         for prefix in 1..400 {
@@ -332,7 +332,7 @@
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.pass(350 * MS);
     world.settle(id, AttemptOutcome::PrefillComplete);
-    assert!(world.probes.is_empty() && !world.logged(&Action::CancelAttempt { id, shot: 0 }));
+    assert!(world.probes.is_empty() && !world.logged(&Action::CancelAttempt { id, attempt: 0 }));
     let next = world.arrive(0, 1, 1000.0, LEFT);
     assert_eq!(at(&world, next), worker(0));
 }
@@ -342,7 +342,7 @@
     let mut world = World::new(terms(), 3);
     let turned_away = |world: &mut World| {
         let ids: Vec<_> = (0..40).map(|_| world.arrive(0, 1, 10.0, LEFT)).collect();
-        ids.iter().filter(|id| world.open[id].shots == 0 && world.open[id].ended).count()
+        ids.iter().filter(|id| world.open[id].attempts == 0 && world.open[id].ended).count()
     };
     let id = world.arrive(0, 1, 10.0, LEFT);
     world.settle(id, AttemptOutcome::Rejected);
@@ -363,7 +363,7 @@
 
 #[test]
 fn without_a_shot_left_a_submission_is_answered_at_once_though_its_state_waits() {
-    let mut world = World::new(SchedulerConfig { max_shots: 2, ..terms() }, 6);
+    let mut world = World::new(SchedulerConfig { max_attempts: 2, ..terms() }, 6);
     let id = read(&mut world, false);
     world.settle(id, AttemptOutcome::Rejected);
     assert!(world.logged(&Action::Release { id }));
@@ -419,7 +419,7 @@
     assert!(world.probes.contains(&reader));
     world.router.probed(world.now, reader, false);
     world.pull();
-    assert!(world.logged(&Action::CancelAttempt { id, shot: 0 }));
+    assert!(world.logged(&Action::CancelAttempt { id, attempt: 0 }));
 }
 
 /// Twelve workers, four of them readers, that are asked, and the first of the key's readers, which is asked alone.
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -42,7 +42,7 @@
     /// The part of calls that cold workers refuse, each of which counts too.
     refusals: f64,
     sent: BTreeMap<WorkerId, Vec<TenthMillis>>,
-    shots: BTreeMap<(usize, RequestId), u16>,
+    attempts: BTreeMap<(usize, RequestId), u16>,
 }
 
 fn worker(n: u16) -> WorkerId {
@@ -59,22 +59,22 @@
             (from(routers.0, routers.1) as usize, from(4.0, 40.0) as u16, from(0.2, 0.5));
         let (span, warm, multiple) = (from(500.0, 2_000.0), from(8_000.0, 14_000.0), from(2.0, 3.0));
         let (able, busy, part) = (from(1.0, 12.0), from(0.4, 0.9), from(0.05, 0.6));
-        let track = RequestClass {
+        let class = RequestClass {
             repeat: Idempotency::Idempotent,
-            contract: 1_200 * MS,
-            per_thousand: 0,
-            earnings: 1.0,
+            ttft_objective: 1_200 * MS,
+            ttft_objective_per_1000_tokens: 0,
+            priority_weight: 1.0,
         };
         let terms = SchedulerConfig {
             routers: many as u32,
-            tracks: vec![track],
+            classes: vec![class],
             roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
             release: 1_000 * MS,
             cold_share,
             warm_after: warm as TenthMillis * MS,
             fall_multiple: multiple,
             fall_span: span as TenthMillis * MS,
-            max_shots: 6,
+            max_attempts: 6,
             ..SchedulerConfig::default()
         };
         // Some routers see several times what others do.
@@ -109,7 +109,7 @@
             events: 0,
             refusals,
             sent: BTreeMap::new(),
-            shots: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         };
         fleet.list(0, 0..readers + writers, 0);
         fleet
@@ -119,9 +119,9 @@
     fn list(&mut self, now: TenthMillis, which: Range<u16>, started: TenthMillis) {
         for n in which {
             let ((kind, size), cell) = (self.workers[usize::from(n)], n % 4);
-            let (worker, standing) = (worker(n), EndpointStatus::Serving);
-            let listing = Endpoint { worker, kind, size, standing, cell, zone: 0, started };
-            self.routers.iter_mut().for_each(|r| r.listed(now, listing));
+            let (worker, status) = (worker(n), EndpointStatus::Serving);
+            let endpoint = Endpoint { worker, kind, size, status, cell, zone: 0, started };
+            self.routers.iter_mut().for_each(|r| r.listed(now, endpoint));
         }
     }
 
@@ -139,8 +139,8 @@
         while let Some(decision) = self.routers[router].decide(now) {
             match decision {
                 Action::Dispatch { id, worker, .. } => {
-                    let number = self.shots.entry((router, id)).or_default();
-                    let shot = *number;
+                    let number = self.attempts.entry((router, id)).or_default();
+                    let attempt = *number;
                     *number += 1;
                     let n = u16::from_be_bytes([worker[2], worker[3]]);
                     let reader = self.workers[usize::from(n)].0 == 0;
@@ -157,11 +157,11 @@
                         _ => What::Begin,
                     };
                     let takes = if reader { 100.0 + 100.0 * self.draw.unit() } else { 5.0 };
-                    self.after(now + takes as TenthMillis * MS, what(router, id, shot));
+                    self.after(now + takes as TenthMillis * MS, what(router, id, attempt));
                 }
                 Action::SetTimer { after } => self.after(now + after, What::Wake(router)),
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    self.shots.remove(&(router, id));
+                    self.attempts.remove(&(router, id));
                 }
                 _ => {}
             }
@@ -180,27 +180,27 @@
                     let lot = self.draw.unit();
                     let router = self.upto.partition_point(|upto| *upto < lot).min(self.routers.len() - 1);
                     let (session, prefix) = (event, 1 + (self.draw.unit() * 50.0) as u64);
-                    let arrival =
-                        NewRequest { id: event, track: 0, session, prefix, prompt: 900.0, left: 60_000 };
-                    self.routers[router].arrived(now, arrival);
+                    let new_request =
+                        NewRequest { id: event, class: 0, session, prefix, prompt: 900.0, left: 60_000 };
+                    self.routers[router].arrived(now, new_request);
                     router
                 }
-                What::Read(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, AttemptOutcome::PrefillComplete, false);
+                What::Read(router, id, attempt) => {
+                    self.routers[router].settled(now, id, attempt, AttemptOutcome::PrefillComplete, false);
                     router
                 }
-                What::Refuse(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, AttemptOutcome::Rejected, false);
+                What::Refuse(router, id, attempt) => {
+                    self.routers[router].settled(now, id, attempt, AttemptOutcome::Rejected, false);
                     router
                 }
-                What::Begin(router, id, shot) => {
-                    self.routers[router].started(now, id, shot);
-                    self.after(now + 100 * MS, What::End(router, id, shot));
+                What::Begin(router, id, attempt) => {
+                    self.routers[router].started(now, id, attempt);
+                    self.after(now + 100 * MS, What::End(router, id, attempt));
                     router
                 }
-                What::End(router, id, shot) => {
-                    self.routers[router].settled(now, id, shot, AttemptOutcome::Completed, true);
-                    self.shots.remove(&(router, id));
+                What::End(router, id, attempt) => {
+                    self.routers[router].settled(now, id, attempt, AttemptOutcome::Completed, true);
+                    self.attempts.remove(&(router, id));
                     router
                 }
                 What::Wake(router) => {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{listing, terms, World, MS};
+use common::{endpoint, terms, World, MS};
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::*;
 
@@ -18,7 +18,7 @@
         5..=9 => {
             let Some(id) = one else { return };
             let (reading, started) = world.open[&id].out.as_ref().map(|o| (o.reading, o.started)).unwrap();
-            let endings: &[AttemptOutcome] = match (reading, started) {
+            let outcomes: &[AttemptOutcome] = match (reading, started) {
                 (true, _) => &[
                     AttemptOutcome::PrefillComplete,
                     AttemptOutcome::PrefillComplete,
@@ -41,7 +41,7 @@
             if !reading && !started && much % 3 > 0 {
                 world.start(id);
             } else {
-                world.settle(id, endings[usize::from(much) % endings.len()]);
+                world.settle(id, outcomes[usize::from(much) % outcomes.len()]);
             }
         }
         10 => {
@@ -57,8 +57,8 @@
             }
         }
         12 => {
-            let mut entry = listing(which % 6);
-            entry.standing = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed]
+            let mut entry = endpoint(which % 6);
+            entry.status = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed]
                 [usize::from(much % 3)];
             entry.started = world.list[&entry.worker].started;
             if much % 6 == 3 {
@@ -82,11 +82,11 @@
 
 #[test]
 fn the_rules_hold_in_generated_worlds() {
-    fn holds(places: bool, withdrawals: bool, few: bool, asks: bool, steps: Vec<(u8, u8, u16)>) -> bool {
+    fn holds(places: bool, cancellation: bool, few: bool, asks: bool, steps: Vec<(u8, u8, u16)>) -> bool {
         let routers = if places { 268 } else { 1 };
-        let (probes, max_shots) = (withdrawals, if few { 2 } else { 5 });
+        let (probes, max_attempts) = (cancellation, if few { 2 } else { 5 });
         let asks = asks && probes;
-        let terms = SchedulerConfig { routers, places, withdrawals, probes, asks, max_shots, ..terms() };
+        let terms = SchedulerConfig { routers, places, cancellation, probes, asks, max_attempts, ..terms() };
         let mut world = World::new(terms, 6);
         steps.into_iter().for_each(|s| step(&mut world, s));
         world.pass(30_000 * MS);
