--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -49,12 +49,12 @@
 /// The calls that both modules have.
 trait Module {
     fn begin(seed: u64) -> Self;
-    fn list_anew(&mut self, now: TenthMillis);
-    fn listed(&mut self, now: TenthMillis, list: Endpoint);
-    fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool;
-    fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool);
-    fn started(&mut self, now: TenthMillis, id: RequestId, attempt: u16);
-    fn settled(
+    fn begin_endpoint_snapshot(&mut self, now: TenthMillis);
+    fn endpoint_updated(&mut self, now: TenthMillis, list: Endpoint);
+    fn request_arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool;
+    fn reservation_answered(&mut self, now: TenthMillis, id: RequestId, held: bool);
+    fn response_started(&mut self, now: TenthMillis, id: RequestId, attempt: u16);
+    fn attempt_finished(
         &mut self,
         now: TenthMillis,
         id: RequestId,
@@ -62,61 +62,80 @@
         outcome: AttemptOutcome,
         terminal: bool,
     );
-    fn woken(&mut self, now: TenthMillis);
-    fn decide(&mut self, now: TenthMillis) -> Option<Action>;
+    fn timer_fired(&mut self, now: TenthMillis);
+    fn next_action(&mut self, now: TenthMillis) -> Option<Action>;
 }
 
+/// Implements [`Module`] for a router by its own names for the trait's calls, in the trait's order.
 macro_rules! module {
-    ($router:ty, $($call:ident($($name:ident: $kind:ty),*) -> $gives:ty;)*) => {
+    ($router:ty: $snapshot:ident, $updated:ident, $arrived:ident, $reserved:ident, $started:ident, $finished:ident,
+     $fired:ident, $next:ident) => {
         impl Module for $router {
             fn begin(seed: u64) -> Self {
                 <$router>::new(terms(), seed, START)
             }
-            $(fn $call(&mut self, now: TenthMillis $(, $name: $kind)*) -> $gives {
-                <$router>::$call(self, now $(, $name)*)
-            })*
+            fn begin_endpoint_snapshot(&mut self, now: TenthMillis) {
+                <$router>::$snapshot(self, now)
+            }
+            fn endpoint_updated(&mut self, now: TenthMillis, endpoint: Endpoint) {
+                <$router>::$updated(self, now, endpoint)
+            }
+            fn request_arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
+                <$router>::$arrived(self, now, new_request)
+            }
+            fn reservation_answered(&mut self, now: TenthMillis, id: RequestId, held: bool) {
+                <$router>::$reserved(self, now, id, held)
+            }
+            fn response_started(&mut self, now: TenthMillis, id: RequestId, attempt: u16) {
+                <$router>::$started(self, now, id, attempt)
+            }
+            fn attempt_finished(
+                &mut self,
+                now: TenthMillis,
+                id: RequestId,
+                attempt: u16,
+                outcome: AttemptOutcome,
+                terminal: bool,
+            ) {
+                <$router>::$finished(self, now, id, attempt, outcome, terminal)
+            }
+            fn timer_fired(&mut self, now: TenthMillis) {
+                <$router>::$fired(self, now)
+            }
+            fn next_action(&mut self, now: TenthMillis) -> Option<Action> {
+                <$router>::$next(self, now)
+            }
         }
     };
-    ($router:ty) => {
-        module!($router,
-            list_anew() -> ();
-            listed(list: Endpoint) -> ();
-            arrived(new_request: NewRequest) -> bool;
-            answered_ahead(id: RequestId, held: bool) -> ();
-            started(id: RequestId, attempt: u16) -> ();
-            settled(id: RequestId, attempt: u16, outcome: AttemptOutcome, terminal: bool) -> ();
-            woken() -> ();
-            decide() -> Option<Action>;
-        );
-    };
 }
 
-module!(tideroute::scheduler::Scheduler);
-module!(before::choice::Router);
+module!(tideroute::scheduler::Scheduler: begin_endpoint_snapshot, endpoint_updated, request_arrived,
+    reservation_answered, response_started, attempt_finished, timer_fired, next_action);
+module!(before::choice::Router: list_anew, listed, arrived, answered_ahead, started, settled, woken, decide);
 
 fn terms() -> SchedulerConfig {
     let class = RequestClass {
-        repeat: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         ttft_objective: 1_500 * MS,
         ttft_objective_per_1000_tokens: 40 * MS,
         priority_weight: 1.0,
     };
     SchedulerConfig {
-        routers: 3,
+        router_count: 3,
         classes: vec![class],
-        roles: vec![Role::Prefill, Role::Decode],
-        places: true,
-        release: 500 * MS,
-        cold_share: 0.3,
-        warm_after: 10_000 * MS,
-        fall_multiple: 2.5,
-        fall_span: 2_000 * MS,
+        role_by_kind: vec![Role::Prefill, Role::Decode],
+        reservations_enabled: true,
+        state_release_timeout: 500 * MS,
+        cold_capacity_share: 0.3,
+        warm_up_time: 10_000 * MS,
+        overload_multiple: 2.5,
+        overload_window: 2_000 * MS,
         max_attempts: 5,
-        cancellation: true,
-        probes: true,
-        asks: false,
-        advice: true,
-        longest_advice: 1_000 * MS,
+        cancellation_enabled: true,
+        health_checks_enabled: true,
+        load_reports_enabled: false,
+        retry_after_enabled: true,
+        max_retry_after: 1_000 * MS,
         ..SchedulerConfig::default()
     }
 }
@@ -125,12 +144,12 @@
 fn cost<M: Module>(size: Size) -> (f64, usize) {
     let mut now = START;
     let mut module = M::begin(7);
-    module.list_anew(now);
+    module.begin_endpoint_snapshot(now);
     for n in 0..size.workers {
         let worker = [10, 0, 0, (n >> 8) as u8, n as u8, 1];
         let (kind, cell, zone) = (u16::from(n % 3 != 0), n / 9, (n / 9 % 3) as u8);
         let status = EndpointStatus::Serving;
-        module.listed(now, Endpoint { worker, kind, size: 8.0, status, cell, zone, started: 0 });
+        module.endpoint_updated(now, Endpoint { worker, kind, size: 8.0, status, cell, zone, start_time: 0 });
     }
     let gap = 10_000 / size.rate.max(1);
     let warm_up = size.rate * (size.answer as u64 / 10_000 + 1);
@@ -160,20 +179,28 @@
         match what {
             What::Arrive => {
                 let (session, prefix) = if size.alone { (came, 0) } else { (came % 997, came % 20) };
-                let new_request =
-                    NewRequest { id: came, class: 0, session, prefix, prompt: 800.0, left: 5_000 * MS };
-                assert!(module.arrived(now, new_request));
+                let new_request = NewRequest {
+                    id: came,
+                    class: 0,
+                    session,
+                    prefix,
+                    prompt_tokens: 800.0,
+                    remaining_time: 5_000 * MS,
+                };
+                assert!(module.request_arrived(now, new_request));
             }
-            What::Held(id) => module.answered_ahead(now, id, true),
+            What::Held(id) => module.reservation_answered(now, id, true),
             What::Read(id, attempt) => {
-                module.settled(now, id, attempt, AttemptOutcome::PrefillComplete, false)
+                module.attempt_finished(now, id, attempt, AttemptOutcome::PrefillComplete, false)
+            }
+            What::Start(id, attempt) => module.response_started(now, id, attempt),
+            What::End(id, attempt) => {
+                module.attempt_finished(now, id, attempt, AttemptOutcome::Completed, true)
             }
-            What::Start(id, attempt) => module.started(now, id, attempt),
-            What::End(id, attempt) => module.settled(now, id, attempt, AttemptOutcome::Completed, true),
-            What::Wake => module.woken(now),
+            What::Wake => module.timer_fired(now),
         }
         let mut decisions = vec![];
-        decisions.extend(std::iter::from_fn(|| module.decide(now)));
+        decisions.extend(std::iter::from_fn(|| module.next_action(now)));
         took += began.elapsed();
         for decision in decisions {
             order += 1;
@@ -190,7 +217,7 @@
                     *attempt += 1;
                 }
                 Action::ReserveDecode { id, .. } => push(2 * MS, What::Held(id)),
-                Action::SetTimer { after } => push(after, What::Wake),
+                Action::SetTimer { delay: after } => push(after, What::Wake),
                 Action::Reject { .. } | Action::Fail { .. } => open -= 1,
                 _ => {}
             }
@@ -242,29 +269,35 @@
         status,
         cell: n / 9,
         zone: (n / 9 % 3) as u8,
-        started: 0,
+        start_time: 0,
     };
     let (mut router, mut now) = (tideroute::scheduler::Scheduler::new(terms(), 7, START), START);
     let (mut longest, mut sum) = (Duration::ZERO, Duration::ZERO);
     for round in 0..50u16 {
         for n in 0..120 {
             let id = u64::from(round) * 120 + n;
-            let new_request =
-                NewRequest { id, class: 0, session: id, prefix: n % 20, prompt: 80.0, left: 60_000 * MS };
-            assert!(router.arrived(now, new_request));
+            let new_request = NewRequest {
+                id,
+                class: 0,
+                session: id,
+                prefix: n % 20,
+                prompt_tokens: 80.0,
+                remaining_time: 60_000 * MS,
+            };
+            assert!(router.request_arrived(now, new_request));
         }
-        while router.decide(now).is_some() {}
+        while router.next_action(now).is_some() {}
         now += 50 * MS;
         let began = Instant::now();
-        router.list_anew(now);
+        router.begin_endpoint_snapshot(now);
         for n in 0..1_200 {
             let drains = n % 10 == round % 10;
-            router.listed(
+            router.endpoint_updated(
                 now,
                 endpoint(n, if drains { EndpointStatus::Draining } else { EndpointStatus::Serving }),
             );
         }
-        while black_box(router.decide(now)).is_some() {}
+        while black_box(router.next_action(now)).is_some() {}
         (longest, sum) = (longest.max(began.elapsed()), sum + began.elapsed());
     }
     println!(
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -50,7 +50,7 @@
         size: f64::from(f.f32("capacity_hint")?),
         status: status(f.u8("worker state")?)?,
         cell: f.u16("cohort")?,
-        started: to_tenth_millis(f.f64("last_start_ms")?),
+        start_time: to_tenth_millis(f.f64("last_start_ms")?),
         zone: f.u8("region_part")?,
         worker: f.array("worker")?,
     })
@@ -85,12 +85,12 @@
             }
             let count = f.u32("members_list length")?;
             match kind {
-                1 | 2 => router.list_anew(now),
-                3 => router.list_failed(now),
+                1 | 2 => router.begin_endpoint_snapshot(now),
+                3 => router.discovery_failed(now),
                 _ => {}
             }
             for _ in 0..count {
-                router.listed(now, member(f)?);
+                router.endpoint_updated(now, member(f)?);
             }
         }
         30 => {
@@ -104,7 +104,10 @@
             f.f32("prefix_tokens")?;
             f.f32("n_max")?;
             f.u8("marks")?;
-            if !router.arrived(now, NewRequest { id, class, session, prefix, prompt, left }) {
+            if !router.request_arrived(
+                now,
+                NewRequest { id, class, session, prefix, prompt_tokens: prompt, remaining_time: left },
+            ) {
                 return Err(format!("class {class} of request {id} is not in the settings"));
             }
         }
@@ -112,7 +115,7 @@
             let (id, attempt) = (f.u64("req")?, f.u16("try")?);
             f.f64("spent_ms")?;
             f.array::<6>("worker")?;
-            router.started(now, id, attempt);
+            router.response_started(now, id, attempt);
         }
         50 => {
             let (id, attempt) = (f.u64("req")?, f.u16("try")?);
@@ -122,12 +125,12 @@
             let terminal = f.u8("terminal")? != 0;
             let info = f.u32("info")?;
             floats(f)?;
-            router.settled(now, id, attempt, outcome(code, info)?, terminal);
+            router.attempt_finished(now, id, attempt, outcome(code, info)?, terminal);
         }
-        60 => router.dropped(now, f.u64("req")?),
+        60 => router.client_disconnected(now, f.u64("req")?),
         70 => {
             f.u32("cookie")?;
-            router.woken(now);
+            router.timer_fired(now);
         }
         80 => {
             let well = f.u8("code")? == 0;
@@ -135,8 +138,8 @@
             f.f64("spent_ms")?;
             let load = floats(f)?;
             let amount = report.as_ref().and_then(|r| r.amount(f64::from(*load.get(r.column)?)));
-            amount.into_iter().for_each(|amount| router.told(now, worker, amount));
-            router.probed(now, worker, well);
+            amount.into_iter().for_each(|amount| router.load_reported(now, worker, amount));
+            router.health_check_finished(now, worker, well);
         }
         90 => {
             f.u16("origin_peer")?;
@@ -153,7 +156,7 @@
                 other => return Err(format!("answer {other} on a place is unknown")),
             };
             f.f32("amount")?;
-            router.answered_ahead(now, id, held);
+            router.reservation_answered(now, id, held);
         }
     }
     Ok(who)
@@ -167,7 +170,7 @@
     };
     let ms = |time: TenthMillis| (time as f64 / 10.0).to_le_bytes();
     match decision {
-        Action::Dispatch { id, worker, within } => {
+        Action::Dispatch { id, worker, timeout: within } => {
             head(20, Some(id));
             out.extend(worker);
             out.extend(ms(within));
@@ -181,7 +184,7 @@
             head(100, Some(id));
             out.extend(attempt.to_le_bytes());
         }
-        Action::Reject { id, after } => {
+        Action::Reject { id, retry_after: after } => {
             head(140, Some(id));
             out.extend(ms(after));
         }
@@ -194,7 +197,7 @@
             head(40, None);
             out.push(1);
         }
-        Action::SetTimer { after } => {
+        Action::SetTimer { delay: after } => {
             head(30, None);
             out.extend(ms(after));
             out.extend(0u32.to_le_bytes());
@@ -223,7 +226,7 @@
     let (mut written, mut actions) = (0u32, Vec::new());
     for who in seen {
         let Some((router, _)) = routers.get_mut(&who) else { continue };
-        while let Some(decision) = router.decide(now) {
+        while let Some(decision) = router.next_action(now) {
             write(&mut actions, who, decision);
             written += 1;
         }
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -136,7 +136,7 @@
             held.unasked(id, &mut context);
         }
         let class = self.terms.lifecycle.module.classes.get(usize::from(s.class));
-        let once = !attempt.reading && class.is_some_and(|t| t.repeat == Idempotency::NonIdempotent);
+        let once = !attempt.reading && class.is_some_and(|t| t.idempotency == Idempotency::NonIdempotent);
         let job = Job::Attempt { id, number: attempt.number, reading: attempt.reading, once };
         let Some(link) = self.pools.begin(self.now, attempt.worker, job, self.out) else {
             return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -65,7 +65,7 @@
             ));
         }
         for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.module.classes) {
-            if matches!(class.repeat, Idempotency::IdempotentWithKey { window: 0, .. }) {
+            if matches!(class.idempotency, Idempotency::IdempotentWithKey { window: 0, .. }) {
                 found.push(format!(
                     "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never repeated",
                     self.dial / 1_000
@@ -116,7 +116,7 @@
     let classes = class_settings.iter().map(|c| c["name"].as_str().unwrap_or_default().to_string()).collect();
     let names = Names { zones: names("settings.failure_domains")?, kinds: names("settings.kinds")? };
     let dial = micros("settings.caps.dial_timeout_ms")?;
-    let release = module.release.max(0) as Micros * 100;
+    let release = module.state_release_timeout.max(0) as Micros * 100;
     let known = at("known").cloned().unwrap_or_default();
     if !known.is_null() {
         list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -79,5 +79,5 @@
     };
     let (kind, zone) = (kind as u16, zone as u8);
     let started = tideroute_settings::to_tenth_millis(started.max(0.0));
-    Ok(Some((Endpoint { worker, kind, size, status, cell, zone, started }, at)))
+    Ok(Some((Endpoint { worker, kind, size, status, cell, zone, start_time: started }, at)))
 }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -281,7 +281,7 @@
             let place = self.lifecycle.requests.get(id).and_then(|s| s.places.last().copied());
             let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
             let (_, mut exit) = self.parts(now, out);
-            if exit.terms.lifecycle.module.probes {
+            if exit.terms.lifecycle.module.health_checks_enabled {
                 exit.ask_for_sign(id, reader);
             } else {
                 exit.place(id, &trace, place);
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -214,10 +214,10 @@
         let reason = match self.repeat {
             Idempotency::Idempotent => return Ok(()),
             Idempotency::NonIdempotent => Reason::EarlierAttemptMayHaveRun,
-            Idempotency::IdempotentWithKey { .. } if !self.repeat.allows(now - first) => {
+            Idempotency::IdempotentWithKey { .. } if !self.repeat.allows_retry_after(now - first) => {
                 Reason::OutsideRepeatWindow
             }
-            Idempotency::IdempotentWithKey { .. } if !self.repeat.is_known(self.ran, to) => {
+            Idempotency::IdempotentWithKey { .. } if !self.repeat.deduplicates_at(self.ran, to) => {
                 Reason::OutsideRepeatGroup
             }
             Idempotency::IdempotentWithKey { .. } => return Ok(()),
@@ -274,7 +274,7 @@
     /// A refusal promises that another try is harmless.
     fn may_not_be_refused(&self) -> bool {
         let writes = self.out.is_some_and(|out| out.writes);
-        (writes || self.ran.is_some()) && !self.repeat.anywhere()
+        (writes || self.ran.is_some()) && !self.repeat.is_safe_anywhere()
     }
 
     /// The client has gone.
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -4,7 +4,7 @@
 use tideroute_invariants::{FinalAnswer, Reason, RequestRecord, Rule, Violation};
 
 const DEADLINE: i64 = 10_000;
-const KEYED: Idempotency = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 5_000 };
+const KEYED: Idempotency = Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 5_000 };
 
 fn at(cell: u16) -> Endpoint {
     Endpoint { cell, ..Endpoint::default() }
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_refusal_is_given_only_where_another_try_is_harmless() {
-    let anywhere = Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 5_000 };
+    let anywhere = Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window: 5_000 };
     for (repeat, harmless) in [
         (Idempotency::Idempotent, true),
         (anywhere, true),
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -17,28 +17,28 @@
 
 fn config() -> RouterConfig {
     let class = RequestClass {
-        repeat: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         ttft_objective: 600_000,
         ttft_objective_per_1000_tokens: 400,
         priority_weight: 1.0,
     };
     let module = Module {
-        routers: 3,
+        router_count: 3,
         classes: vec![class],
-        roles: vec![Role::Prefill, Role::Decode],
-        places: true,
-        release: 5_000,
-        cold_share: 0.3,
-        warm_after: 100_000,
-        fall_multiple: 2.5,
-        fall_span: 20_000,
+        role_by_kind: vec![Role::Prefill, Role::Decode],
+        reservations_enabled: true,
+        state_release_timeout: 5_000,
+        cold_capacity_share: 0.3,
+        warm_up_time: 100_000,
+        overload_multiple: 2.5,
+        overload_window: 20_000,
         max_attempts: 5,
-        cancellation: true,
-        probes: true,
-        asks: false,
-        subscribes: true,
-        advice: true,
-        longest_advice: 10_000,
+        cancellation_enabled: true,
+        health_checks_enabled: true,
+        load_reports_enabled: false,
+        endpoint_watch_enabled: true,
+        retry_after_enabled: true,
+        max_retry_after: 10_000,
         ..Module::default()
     };
     let lifecycle = LifecycleConfig {
--- a/crates/lifecycle/src/actions.rs
+++ b/crates/lifecycle/src/actions.rs
@@ -34,7 +34,7 @@
                 self.settled.push((id, attempt, outcome));
                 self.stirred = true;
             }
-            Action::Reject { id, after } => {
+            Action::Reject { id, retry_after: after } => {
                 self.answer(
                     now,
                     id,
@@ -51,7 +51,7 @@
                 transport.ring(now + self.config.unheard, Timer::Probe(self.nonce));
             }
             Action::WatchEndpoints => transport.subscribe(self.version()),
-            Action::SetTimer { after } => {
+            Action::SetTimer { delay: after } => {
                 // The module counts in tenths: a fraction of one more, or it would be woken before its time.
                 let at = (now / MICROS_PER_TENTH_MILLI + after.max(0) as Micros) * MICROS_PER_TENTH_MILLI;
                 transport.ring(at, Timer::Wake);
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -190,7 +190,9 @@
             list::EndpointStatus::Draining => EndpointStatus::Draining,
         };
         let started = (started / MICROS_PER_TENTH_MILLI) as TenthMillis;
-        self.host.lifecycle.entry(self.now, Endpoint { worker, kind, size, status, cell, zone, started });
+        self.host
+            .lifecycle
+            .entry(self.now, Endpoint { worker, kind, size, status, cell, zone, start_time: started });
         Ok(())
     }
 }
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -181,7 +181,7 @@
         }
         tracing::debug!(id, attempt = number, worker = ?attempt.worker, ?outcome, "a shot ended");
         counter!("tideroute_shots_ended_total", "ending" => name_of(outcome)).increment(1);
-        self.module.settled(to_tenth_millis(now), id, number, outcome, terminal);
+        self.module.attempt_finished(to_tenth_millis(now), id, number, outcome, terminal);
         self.stirred = true;
         self.closing.push(id);
         if outcome == AttemptOutcome::Completed {
@@ -203,7 +203,7 @@
             transport.unplace(id, place, place != worker);
         }
         tracing::debug!(id, attempt = number, worker = %shown(worker), "an answer begins");
-        self.module.started(to_tenth_millis(now), id, number);
+        self.module.response_started(to_tenth_millis(now), id, number);
         self.stirred = true;
         histogram!("tideroute_first_token_seconds").record(now.saturating_sub(came) as f64 / 1e6);
     }
@@ -224,7 +224,7 @@
             transport.unplace(id, at, false);
         }
         if s.attempt.as_ref().is_some_and(|s| s.reading) {
-            self.module.answered_ahead(to_tenth_millis(now), id, held);
+            self.module.reservation_answered(to_tenth_millis(now), id, held);
             self.stirred = true;
         }
     }
@@ -236,7 +236,7 @@
         s.record.client_left();
         self.closing.push(id);
         counter!("tideroute_left_total").increment(1);
-        self.module.dropped(to_tenth_millis(now), id);
+        self.module.client_disconnected(to_tenth_millis(now), id);
         self.tenant_admission.iter_mut().for_each(|t| t.shares.left(now, Ticket(id)));
         self.stirred = true;
         let Some(attempt) = &s.attempt else { return };
@@ -264,8 +264,8 @@
     /// How long who is told that there is no room should stay away; 0 where the terms allow no such advice.
     pub fn advice(&self) -> Micros {
         let config = &self.config.module;
-        if config.advice {
-            config.longest_advice.max(0) as Micros * MICROS_PER_TENTH_MILLI
+        if config.retry_after_enabled {
+            config.max_retry_after.max(0) as Micros * MICROS_PER_TENTH_MILLI
         } else {
             0
         }
@@ -285,7 +285,7 @@
             .module
             .classes
             .get(usize::from(class))
-            .map_or(Idempotency::NonIdempotent, |t| t.repeat);
+            .map_or(Idempotency::NonIdempotent, |t| t.idempotency);
         let record = RequestRecord::new(repeat, to_tenth_millis(deadline));
         let id = self.requests.insert(RequestState { record, ..s });
         counter!("tideroute_taken_total").increment(1);
@@ -317,10 +317,10 @@
             class: s.class,
             session: s.session,
             prefix: s.prefix,
-            prompt: f64::from(s.prompt_tokens),
-            left: to_tenth_millis(s.deadline.saturating_sub(now)),
+            prompt_tokens: f64::from(s.prompt_tokens),
+            remaining_time: to_tenth_millis(s.deadline.saturating_sub(now)),
         };
-        self.module.arrived(to_tenth_millis(now), new_request);
+        self.module.request_arrived(to_tenth_millis(now), new_request);
         self.stirred = true;
     }
 
@@ -331,7 +331,7 @@
                 Verdict::Let(Ticket(id)) => self.let_in(now, id),
                 Verdict::TurnBack { ticket: Ticket(id), after } => {
                     counter!("tideroute_untaken_total", "why" => "share").increment(1);
-                    let after = if self.config.module.advice { after } else { 0 };
+                    let after = if self.config.module.retry_after_enabled { after } else { 0 };
                     self.answer(now, id, Response::Rejected(after), transport);
                 }
                 Verdict::Wake { at } => transport.ring(at, Timer::Shares),
@@ -356,14 +356,14 @@
     /// A worker that was probed says how much it works on or has waiting, in the unit of the terms.
     pub fn told(&mut self, now: Micros, nonce: u64, amount: f64) {
         if let Some(&worker) = self.probes.get(&nonce) {
-            self.module.told(to_tenth_millis(now), worker, amount);
+            self.module.load_reported(to_tenth_millis(now), worker, amount);
         }
     }
 
     pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, transport: &mut impl Transport<Asked = A>) {
         let Some(worker) = self.probes.remove(&nonce) else { return };
         transport.probed(worker);
-        self.module.probed(to_tenth_millis(now), worker, well);
+        self.module.health_check_finished(to_tenth_millis(now), worker, well);
         self.stirred = true;
     }
 
@@ -371,7 +371,7 @@
     pub fn page(&mut self, now: Micros, version: u64, whole: bool) {
         if whole {
             self.listed.values_mut().for_each(|(l, _)| l.status = EndpointStatus::Removed);
-            self.module.list_anew(to_tenth_millis(now));
+            self.module.begin_endpoint_snapshot(to_tenth_millis(now));
         }
         (self.version, self.stirred) = (version, true);
     }
@@ -386,22 +386,22 @@
 
     /// A worker is listed, its start in Unix time; what that says of its process.
     pub fn entry(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
-        let told = endpoint.started.max(0) as Micros * MICROS_PER_TENTH_MILLI;
+        let told = endpoint.start_time.max(0) as Micros * MICROS_PER_TENTH_MILLI;
         let process = self.incarnations.listed(now, endpoint.worker, told);
-        self.take_entry(now, Endpoint { started: to_tenth_millis(process.began), ..endpoint });
+        self.take_entry(now, Endpoint { start_time: to_tenth_millis(process.began), ..endpoint });
         process
     }
 
     /// The module hears of a worker whose start is one on this router's clock.
     fn take_entry(&mut self, now: Micros, endpoint: Endpoint) {
-        let Some(&role) = self.config.module.roles.get(usize::from(endpoint.kind)) else {
+        let Some(&role) = self.config.module.role_by_kind.get(usize::from(endpoint.kind)) else {
             tracing::warn!(worker = %shown(endpoint.worker), kind = endpoint.kind, "a kind that no term names");
             return;
         };
-        let Endpoint { worker, kind, size, status, cell, zone, started } = endpoint;
+        let Endpoint { worker, kind, size, status, cell, zone, start_time: started } = endpoint;
         tracing::debug!(worker = %shown(worker), ?status, kind, size, cell, zone, started, "listed");
         self.listed.insert(endpoint.worker, (endpoint, role));
-        self.module.listed(to_tenth_millis(now), endpoint);
+        self.module.endpoint_updated(to_tenth_millis(now), endpoint);
     }
 
     /// The page is complete. Workers that are gone need no books.
@@ -415,14 +415,14 @@
 
     /// The list can't be heard; the old one stays in force.
     pub fn list_failed(&mut self, now: Micros) {
-        self.module.list_failed(to_tenth_millis(now));
+        self.module.discovery_failed(to_tenth_millis(now));
         self.stirred = true;
     }
 
     pub fn rang(&mut self, now: Micros, timer: Timer, transport: &mut impl Transport<Asked = A>) {
         match timer {
             Timer::Wake => {
-                self.module.woken(to_tenth_millis(now));
+                self.module.timer_fired(to_tenth_millis(now));
                 self.stirred = true;
             }
             Timer::CutOff(id) => self.deadline(now, id, transport),
@@ -435,7 +435,7 @@
     pub fn turn(&mut self, now: Micros, transport: &mut impl Transport<Asked = A>) {
         while std::mem::take(&mut self.stirred) {
             self.admit(now, transport);
-            while let Some(decision) = self.module.decide(to_tenth_millis(now)) {
+            while let Some(decision) = self.module.next_action(to_tenth_millis(now)) {
                 self.carry_out(now, decision, transport);
             }
             for (id, attempt, outcome) in std::mem::take(&mut self.settled) {
@@ -498,7 +498,7 @@
     tideroute_admission::Terms {
         longest_wait: config.longest_wait,
         most_waiting: (config.most_open / 4).max(1),
-        longest_advice: config.module.longest_advice.max(0) as Micros * MICROS_PER_TENTH_MILLI,
+        longest_advice: config.module.max_retry_after.max(0) as Micros * MICROS_PER_TENTH_MILLI,
     }
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -120,7 +120,7 @@
     let repeat = match word(class, "idempotency")? {
         "pure" => Idempotency::Idempotent,
         "token" => Idempotency::IdempotentWithKey {
-            group: match word(class, "dedup_scope")? {
+            scope: match word(class, "dedup_scope")? {
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
@@ -134,7 +134,7 @@
         other => return Err(format!("idempotency {other:?} in the settings is unknown")),
     };
     Ok(RequestClass {
-        repeat,
+        idempotency: repeat,
         ttft_objective: to_tenth_millis(over_zero(class, place, "on_time_ms")?),
         ttft_objective_per_1000_tokens: to_tenth_millis(per_thousand_us / 1000.0),
         priority_weight: number(class, "worth")?,
@@ -204,32 +204,32 @@
     }
     let report = report(root)?;
     Ok(SchedulerConfig {
-        routers: number(root, "balancers")?.max(1.0) as u32,
+        router_count: number(root, "balancers")?.max(1.0) as u32,
         classes: class_settings
             .iter()
             .zip(stretches)
             .enumerate()
             .map(|(n, (c, us))| class(n, c, us, comes_up))
             .collect::<Result<_, _>>()?,
-        roles: roles(root, writers_read)?,
-        places: flag(root, "family_info.ahead")?,
-        writers_read,
-        release: to_tenth_millis(time_over_zero(root, "family_info.pin_limit_ms")?),
-        cold_share: number(root, "invariants.cold_share")?,
-        warm_after: to_tenth_millis(number(root, "invariants.ramp_time_ms")?),
-        fall_multiple: number(root, "invariants.fall_multiple")?,
-        fall_span: to_tenth_millis(number(root, "invariants.fall_ms")?),
+        role_by_kind: roles(root, writers_read)?,
+        reservations_enabled: flag(root, "family_info.ahead")?,
+        decode_workers_prefill: writers_read,
+        state_release_timeout: to_tenth_millis(time_over_zero(root, "family_info.pin_limit_ms")?),
+        cold_capacity_share: number(root, "invariants.cold_share")?,
+        warm_up_time: to_tenth_millis(number(root, "invariants.ramp_time_ms")?),
+        overload_multiple: number(root, "invariants.fall_multiple")?,
+        overload_window: to_tenth_millis(number(root, "invariants.fall_ms")?),
         max_attempts,
-        cancellation: flag(root, "caps.cancel")?,
-        probes,
-        asks: probes && report.is_some(),
-        in_tokens: report.is_some_and(|r| r.tokens),
-        subscribes: match word(root, "discovery")? {
+        cancellation_enabled: flag(root, "caps.cancel")?,
+        health_checks_enabled: probes,
+        load_reports_enabled: probes && report.is_some(),
+        load_in_tokens: report.is_some_and(|r| r.tokens),
+        endpoint_watch_enabled: match word(root, "discovery")? {
             "automatic" => false,
             "subscribe" => true,
             other => return Err(format!("discovery {other:?} in the settings is unknown")),
         },
-        advice,
-        longest_advice: if advice { to_tenth_millis(number(root, "caps.max_retry_after_ms")?) } else { 0 },
+        retry_after_enabled: advice,
+        max_retry_after: if advice { to_tenth_millis(number(root, "caps.max_retry_after_ms")?) } else { 0 },
     })
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -31,18 +31,24 @@
 #[test]
 fn what_is_told_becomes_terms_and_what_is_not_known_is_passed_over() {
     let terms = tideroute_settings::terms(&settings()).expect("sound");
-    assert_eq!((terms.routers, terms.max_attempts, terms.release), (3, 6, 10_000));
-    assert_eq!(terms.roles, [Role::Prefill, Role::Decode]);
-    assert!(terms.places && terms.subscribes && terms.probes && terms.cancellation && !terms.writers_read);
-    assert_eq!((terms.advice, terms.longest_advice), (true, 5_000));
-    assert_eq!(terms.classes[1].repeat, Idempotency::NonIdempotent);
+    assert_eq!((terms.router_count, terms.max_attempts, terms.state_release_timeout), (3, 6, 10_000));
+    assert_eq!(terms.role_by_kind, [Role::Prefill, Role::Decode]);
+    assert!(
+        terms.reservations_enabled
+            && terms.endpoint_watch_enabled
+            && terms.health_checks_enabled
+            && terms.cancellation_enabled
+            && !terms.decode_workers_prefill
+    );
+    assert_eq!((terms.retry_after_enabled, terms.max_retry_after), (true, 5_000));
+    assert_eq!(terms.classes[1].idempotency, Idempotency::NonIdempotent);
     assert_eq!(terms.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
     let bare = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
-    assert!(!bare.places, "a switch that is not there is off");
+    assert!(!bare.reservations_enabled, "a switch that is not there is off");
     // Without advice nobody needs the longest.
     let mut quiet = with("/caps/max_retry_after_ms", None);
     quiet["caps"]["retry_after"] = false.into();
-    assert_eq!(tideroute_settings::terms(&quiet).expect("sound").longest_advice, 0);
+    assert_eq!(tideroute_settings::terms(&quiet).expect("sound").max_retry_after, 0);
 }
 
 #[test]
@@ -53,7 +59,7 @@
         root["classes"][0]["dedup_scope"] = "zone".into();
         root["classes"][0]["key_ttl_ms"] = ttl.into();
         dial.into_iter().for_each(|ms| root["caps"]["dial_timeout_ms"] = ms.into());
-        match tideroute_settings::terms(&root).expect("sound").classes[0].repeat {
+        match tideroute_settings::terms(&root).expect("sound").classes[0].idempotency {
             Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
@@ -71,7 +77,7 @@
         root["family_info"]["report_x1"] = meaning.into();
         let report = tideroute_settings::report(&root).expect("sound");
         let terms = tideroute_settings::terms(&root).expect("sound");
-        (terms.asks, terms.in_tokens, report.map(|r| (r.column, r.amount(1.5))))
+        (terms.load_reports_enabled, terms.load_in_tokens, report.map(|r| (r.column, r.amount(1.5))))
     };
     let tokens = "thousands of prompt tokens waiting to be read or fetched";
     assert_eq!(
@@ -85,7 +91,7 @@
     assert_eq!(load("answers", json!(["x1"]), tokens), (false, false, None));
     let mut unprobed = with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
     unprobed["caps"]["probing"] = false.into();
-    assert!(!tideroute_settings::terms(&unprobed).expect("sound").asks);
+    assert!(!tideroute_settings::terms(&unprobed).expect("sound").load_reports_enabled);
     assert_eq!(tideroute_settings::report(&with("/report", Some(json!({"how": "probe"})))), Ok(None));
     let report = tideroute_settings::report(&with("/report", Some(json!({"how": "probe", "columns": "x1"}))));
     assert!(report.expect_err("no list of columns").contains("report.columns"));
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -42,12 +42,12 @@
     };
     let repeat = match t.repeat.as_str() {
         "replayable" => Idempotency::Idempotent,
-        "referenced" => Idempotency::IdempotentWithKey { group, window: tenths(t.window) },
+        "referenced" => Idempotency::IdempotentWithKey { scope: group, window: tenths(t.window) },
         _ => Idempotency::NonIdempotent,
     };
     let (contract, per_thousand) = (tenths(t.contract), tenths(t.per_thousand));
     types::RequestClass {
-        repeat,
+        idempotency: repeat,
         ttft_objective: contract,
         ttft_objective_per_1000_tokens: per_thousand,
         priority_weight: t.earnings,
@@ -61,25 +61,25 @@
         Role::Mixed => types::Role::Mixed,
     };
     types::SchedulerConfig {
-        routers: terms.routers,
+        router_count: terms.routers,
         classes: r.tracks.iter().map(track).collect(),
-        roles: r.kinds.iter().map(|k| role(&k.role)).collect(),
-        places: terms.places,
-        writers_read: terms.writers_read,
-        release: tenths(terms.release),
-        cold_share: terms.cold_share,
-        warm_after: tenths(terms.warm_after),
-        fall_multiple: terms.fall_multiple,
-        fall_span: tenths(terms.fall_span),
+        role_by_kind: r.kinds.iter().map(|k| role(&k.role)).collect(),
+        reservations_enabled: terms.places,
+        decode_workers_prefill: terms.writers_read,
+        state_release_timeout: tenths(terms.release),
+        cold_capacity_share: terms.cold_share,
+        warm_up_time: tenths(terms.warm_after),
+        overload_multiple: terms.fall_multiple,
+        overload_window: tenths(terms.fall_span),
         max_attempts: terms.most_shots,
-        cancellation: terms.withdrawals,
-        probes: terms.probes,
-        asks: terms.asks,
-        in_tokens: false,
+        cancellation_enabled: terms.withdrawals,
+        health_checks_enabled: terms.probes,
+        load_reports_enabled: terms.asks,
+        load_in_tokens: false,
         // The list is asked for once, and again whenever it was lost.
-        subscribes: true,
-        advice: terms.advice,
-        longest_advice: tenths(terms.longest_advice),
+        endpoint_watch_enabled: true,
+        retry_after_enabled: terms.advice,
+        max_retry_after: tenths(terms.longest_advice),
     }
 }
 
@@ -93,7 +93,7 @@
 ) -> Result<tideroute_lifecycle::RouterConfig, String> {
     let cores = r.cores as usize;
     let mut module = module(&r.terms, r);
-    module.routers = module.routers.saturating_mul(r.cores);
+    module.router_count = module.router_count.saturating_mul(r.cores);
     let books = tideroute_lifecycle::LifecycleConfig {
         name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
         module,
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -33,7 +33,7 @@
         for (list, role) in workers {
             if let Some((id, part)) = share.next_if(|(id, _)| *id == list.worker) {
                 *roster.parts.entry(list.cell).or_default() += part;
-                roster.started.extend((list.started > 0).then_some((list.started, *id)));
+                roster.started.extend((list.start_time > 0).then_some((list.start_time, *id)));
             }
             if role != Role::Prefill {
                 roster.writers.push(list.worker);
@@ -42,7 +42,7 @@
             if list.status == EndpointStatus::Serving {
                 let (ready, sizes, starts) = &mut roster.kin[usize::from(role == Role::Prefill)];
                 (*ready, *sizes) = (*ready + 1, *sizes + list.size);
-                starts.extend((list.started > 0).then_some(list.started));
+                starts.extend((list.start_time > 0).then_some(list.start_time));
             }
         }
         roster.parts.values_mut().for_each(|part| *part /= all);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -157,44 +157,45 @@
 
 impl Scheduler {
     pub fn new(terms: SchedulerConfig, seed: u64, now: TenthMillis) -> Self {
-        let (subscribe, rng) = (terms.subscribes.then_some(now), Rng::new(seed));
+        let (subscribe, rng) = (terms.endpoint_watch_enabled.then_some(now), Rng::new(seed));
         Scheduler { rng, wake: TenthMillis::MAX, subscribe, began: now, terms, ..Scheduler::default() }
     }
 
     /// A whole list begins: workers that it does not name are gone.
-    pub fn list_anew(&mut self, _now: TenthMillis) {
+    pub fn begin_endpoint_snapshot(&mut self, _now: TenthMillis) {
         self.relisted = true;
         self.workers.values_mut().for_each(|w| w.list.status = EndpointStatus::Removed);
     }
 
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
-    pub fn list_failed(&mut self, now: TenthMillis) {
+    pub fn discovery_failed(&mut self, now: TenthMillis) {
         let pause = REST as f64 * (1.0 + self.rng.unit());
-        self.subscribe = self.terms.subscribes.then_some(now + pause as TenthMillis);
+        self.subscribe = self.terms.endpoint_watch_enabled.then_some(now + pause as TenthMillis);
     }
 
-    pub fn listed(&mut self, now: TenthMillis, list: Endpoint) {
+    pub fn endpoint_updated(&mut self, now: TenthMillis, list: Endpoint) {
         self.relisted = true;
-        let Some(&role) = self.terms.roles.get(usize::from(list.kind)) else { return };
+        let Some(&role) = self.terms.role_by_kind.get(usize::from(list.kind)) else { return };
         let worker = self.workers.entry(list.worker).or_insert_with(|| Worker {
             list,
-            fresh_from: list.started,
+            fresh_from: list.start_time,
             denied: now - BELIEF,
             told: (now - BELIEF, f64::INFINITY),
             ..Worker::default()
         });
-        if worker.list.started != list.started {
-            (worker.answers, worker.fresh_from, worker.rests, worker.rests_until) = (0, list.started, 0, 0);
+        if worker.list.start_time != list.start_time {
+            (worker.answers, worker.fresh_from, worker.rests, worker.rests_until) =
+                (0, list.start_time, 0, 0);
         }
         (worker.list, worker.role) = (list, role);
     }
 
     /// False if the submission names a track that the terms do not have.
-    pub fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
+    pub fn request_arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
         let Some(class) = self.terms.classes.get(usize::from(new_request.class)) else { return false };
         self.seen.add(now, KNOWN, new_request.prefix, FADED);
-        let ttft_objective = now + class.ttft_objective_for(new_request.prompt);
-        let (came, deadline) = (now, now + new_request.left);
+        let ttft_objective = now + class.ttft_objective_for(new_request.prompt_tokens);
+        let (came, deadline) = (now, now + new_request.remaining_time);
         let request = RequestState {
             new_request,
             came,
@@ -211,7 +212,7 @@
         true
     }
 
-    pub fn started(&mut self, now: TenthMillis, id: RequestId, attempt: u16) {
+    pub fn response_started(&mut self, now: TenthMillis, id: RequestId, attempt: u16) {
         let Some(request) = self.open.get_mut(&id) else { return };
         let Some(out) = request.out.as_mut().filter(|out| out.number == attempt && !out.started) else {
             return;
@@ -238,7 +239,7 @@
     }
 
     /// The answer names the reader, so the writer is the one asked last.
-    pub fn answered_ahead(&mut self, now: TenthMillis, id: RequestId, held: bool) {
+    pub fn reservation_answered(&mut self, now: TenthMillis, id: RequestId, held: bool) {
         let Some(request) = self.open.get_mut(&id) else { return };
         let Some((writer, _)) = request.place else { return };
         request.place = held.then_some((writer, true));
@@ -248,7 +249,7 @@
         }
     }
 
-    pub fn settled(
+    pub fn attempt_finished(
         &mut self,
         now: TenthMillis,
         id: RequestId,
@@ -288,7 +289,7 @@
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
                 // A connection may break by itself: the first time a probe tells at once.
-                let first = worker.rests == 0 && self.terms.probes;
+                let first = worker.rests == 0 && self.terms.health_checks_enabled;
                 worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
                 self.watched.insert(out.worker);
             }
@@ -314,17 +315,17 @@
         self.watched.insert(worker);
     }
 
-    pub fn dropped(&mut self, _now: TenthMillis, id: RequestId) {
+    pub fn client_disconnected(&mut self, _now: TenthMillis, id: RequestId) {
         let Some(s) = self.open.get_mut(&id) else { return };
         s.ended = true;
         self.touched.insert(id);
     }
 
-    pub fn woken(&mut self, now: TenthMillis) {
+    pub fn timer_fired(&mut self, now: TenthMillis) {
         self.wake = if now >= self.wake { TenthMillis::MAX } else { self.wake };
     }
 
-    pub fn probed(&mut self, now: TenthMillis, worker: WorkerId, well: bool) {
+    pub fn health_check_finished(&mut self, now: TenthMillis, worker: WorkerId, well: bool) {
         let Some(w) = self.workers.get_mut(&worker) else { return };
         // Where it says nothing that can be read, what was believed stands, and it is not asked again and again.
         (w.probing, w.told.0) = (false, if well { now } else { w.told.0 });
@@ -339,14 +340,14 @@
     }
 
     /// A probed worker says how much it works on or has waiting, in the unit of the terms.
-    pub fn told(&mut self, now: TenthMillis, worker: WorkerId, amount: f64) {
+    pub fn load_reported(&mut self, now: TenthMillis, worker: WorkerId, amount: f64) {
         // Exception to places: where none may be asked for, prompts that wait at a writer are its 'no'.
-        let no = !self.terms.places && self.terms.in_tokens && amount > SPILL;
+        let no = !self.terms.reservations_enabled && self.terms.load_in_tokens && amount > SPILL;
         let Some(w) = self.workers.get_mut(&worker) else { return };
         (w.told, w.denied) = ((now, amount), if no && w.role != Role::Prefill { now } else { w.denied });
     }
 
-    pub fn decide(&mut self, now: TenthMillis) -> Option<Action> {
+    pub fn next_action(&mut self, now: TenthMillis) -> Option<Action> {
         // One survey a round of pulls, which ends with None.
         if self.ready.is_empty() && !std::mem::replace(&mut self.surveyed, true) {
             self.survey(now);
@@ -389,7 +390,7 @@
         let pause = if waits { LOOK } else { WATCH };
         if (waits || busy || resting || self.subscribe.is_some()) && self.wake > now + pause {
             self.wake = now + pause;
-            self.ready.push_back(Action::SetTimer { after: pause });
+            self.ready.push_back(Action::SetTimer { delay: pause });
         }
     }
 
@@ -422,7 +423,7 @@
     /// The longest prompt that a reader may still take, if a look for a longer one is sure to change nothing:
     /// no chance is drawn, and some reader, of which nothing is doubted, will take shorter ones.
     fn room(&mut self, now: TenthMillis) -> Option<f64> {
-        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_after);
+        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_up_time);
         let readers = self.roster.readers.all();
         let (mut room, mut takes): (f64, Option<WorkerId>) = (0.0, None);
         for id in readers {
@@ -445,7 +446,7 @@
 
     /// Whether a writer grants wherever the read is, and whatever is read.
     fn grants_any(&mut self, now: TenthMillis) -> bool {
-        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_after);
+        let (classes, warm) = (self.terms.classes.len() as u8, self.terms.warm_up_time);
         let sure = |w: &Worker| !w.tight(now) && !w.cold(now, warm);
         let first = self.roster.writers.iter().copied().find(|id| sure(&self.workers[id]));
         first.is_some_and(|id| (0..classes).all(|class| self.usable(now, id, (0, class), None)))
@@ -481,16 +482,18 @@
         if let Some(out) = s.out.as_ref().filter(|out| !out.started) {
             to.doubt = Some(out.sent + ((s.ttft_objective - s.came) as f64 * DOUBTFUL) as TenthMillis);
         }
-        let asks = |out: &Attempt| out.reading && !out.withdrawn && s.place.is_none() && self.terms.places;
+        let asks = |out: &Attempt| {
+            out.reading && !out.withdrawn && s.place.is_none() && self.terms.reservations_enabled
+        };
         if !s.ended && s.out.as_ref().is_none_or(asks) {
             to.need = Some((s.state.is_none(), s.ttft_objective, *id));
             if looked && s.out.is_none() && s.state.is_none() {
-                let window = match self.terms.classes[usize::from(class)].repeat {
+                let window = match self.terms.classes[usize::from(class)].idempotency {
                     Idempotency::IdempotentWithKey { window, .. } => s.ran.map(|(first, _)| first + window),
                     _ => None,
                 };
                 let latest = s.ttft_objective.min(s.deadline).min(window.unwrap_or(s.deadline));
-                to.parked = Some((latest, Prompt(s.new_request.prompt)));
+                to.parked = Some((latest, Prompt(s.new_request.prompt_tokens)));
             }
         }
         self.needs.file(*id, class, &mut s.filed, to);
@@ -513,7 +516,7 @@
         }
         for id in suspects {
             let Some(s) = open.get_mut(&id) else { continue };
-            let repeat = self.terms.classes[usize::from(s.new_request.class)].repeat;
+            let repeat = self.terms.classes[usize::from(s.new_request.class)].idempotency;
             let Some(out) = s.out.as_mut().filter(|o| !o.started && !o.withdrawn) else { continue };
             let resting = self.workers.get(&out.worker).is_some_and(|w| w.rests_until > now);
             let waits = self.waits[usize::from(out.reading)].entry(s.new_request.class).or_default();
@@ -532,7 +535,7 @@
             }
             let free = out.reading || repeat == Idempotency::Idempotent;
             let again = free && (lost || resting) && s.attempts + 1 < self.terms.max_attempts;
-            if self.terms.cancellation && (s.ended || again) {
+            if self.terms.cancellation_enabled && (s.ended || again) {
                 out.withdrawn = true;
                 self.ready.push_back(Action::CancelAttempt { id, attempt: out.number });
             }
@@ -543,10 +546,10 @@
                 continue;
             };
             let rested = w.rests_until > 0 && now >= w.rests_until;
-            if self.terms.probes && !w.probing && (rested || w.suspect && w.rests_until == 0) {
+            if self.terms.health_checks_enabled && !w.probing && (rested || w.suspect && w.rests_until == 0) {
                 (w.probing, w.suspect) = (true, false);
                 self.ready.push_back(Action::CheckHealth { worker: id });
-            } else if !self.terms.probes && rested {
+            } else if !self.terms.health_checks_enabled && rested {
                 w.back(now);
             }
         }
@@ -557,8 +560,8 @@
     fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, class): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
         let load = self.ledger.at(id);
-        let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
-        let cold = w.cold(now, self.terms.warm_after);
+        let fresh = now - w.fresh_from < self.terms.warm_up_time && w.fresh_from > 0;
+        let cold = w.cold(now, self.terms.warm_up_time);
         w.alive()
             && !(fresh && load.reads + load.streams >= FRESH + w.answers)
             && !self.doubted(now, id, class)
@@ -578,15 +581,15 @@
     fn lot(&mut self, now: TenthMillis, id: WorkerId, ticket: RequestId, cell: Option<u16>) -> bool {
         let flow = cell.map_or(1.0, |cell| self.roster.part(cell));
         let (t, w) = (&self.terms, &self.workers[&id]);
-        let (all, warm, part) = self.roster.peers(&w.list, w.role, now, t.warm_after);
+        let (all, warm, part) = self.roster.peers(&w.list, w.role, now, t.warm_up_time);
         let flows = self.flows[usize::from(w.role == Role::Prefill)].each_mut();
         let [sent, done] = flows.map(|flow| flow.read(now, KNOWN));
-        let warmed = (now - w.list.started) as f64 / t.warm_after as f64;
-        let present = t.cold_share + (1.0 - t.cold_share) * warmed;
+        let warmed = (now - w.list.start_time) as f64 / t.warm_up_time as f64;
+        let present = t.cold_capacity_share + (1.0 - t.cold_capacity_share) * warmed;
         let able = (warm + (all - warm) * present).max(1.0) / part;
         let known = KNOWN as f64 * (1.0 - (-((now - self.began + REST) as f64 / KNOWN as f64)).exp());
-        let peer = done * t.fall_span as f64 / known * f64::from(t.routers) / able;
-        let budget = t.fall_multiple * present * peer;
+        let peer = done * t.overload_window as f64 / known * f64::from(t.router_count) / able;
+        let budget = t.overload_multiple * present * peer;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
         let mean = most / std::f64::consts::E * RISK.powf(1.0 / most);
         let share = (mean / peer.max(0.001)).min(present * WARMS);
@@ -628,9 +631,9 @@
     /// The readers to try first, by rendezvous hashing of the prefix or session, and how many of its order
     /// these take up.
     fn readers(&mut self, now: TenthMillis, new_request: &NewRequest) -> (Vec<WorkerId>, usize) {
-        let key = new_request.key();
+        let key = new_request.placement_key();
         // A cold reader that the submission drew comes first, or its part would fall to the hash again.
-        let mut first = self.roster.cold_readers(now, self.terms.warm_after);
+        let mut first = self.roster.cold_readers(now, self.terms.warm_up_time);
         first.retain(|id| self.lot(now, *id, new_request.id, None));
         // Exception to one home: a prefix has as many as its part of all needs, shared out by session.
         let (drawn, readers) = (first.len(), self.roster.readers.len());
@@ -685,7 +688,7 @@
         for id in fitting {
             let w = &self.workers[&id];
             let own = f64::from(self.ledger.at(id).streams) / w.list.size.max(0.01);
-            let warm = !w.cold(now, self.terms.warm_after);
+            let warm = !w.cold(now, self.terms.warm_up_time);
             let rank = (w.list.zone != zone, warm, own, self.rng.unit());
             best = Some(best.filter(|b| b.0 <= rank).unwrap_or((rank, id)));
         }
@@ -709,7 +712,7 @@
             return self.end(s);
         }
         if let Some(reader) = s.state {
-            let overdue = s.since + (self.terms.release as f64 * PINNED) as TenthMillis <= now;
+            let overdue = s.since + (self.terms.state_release_timeout as f64 * PINNED) as TenthMillis <= now;
             match self.writer_for(now, s, reader) {
                 Some(writer) if self.may_run(now, s, writer) => {
                     let cross = self.workers.get(&reader).map(|w| w.list.cell)
@@ -755,7 +758,7 @@
     /// idle, where a router sees little. Harms where a worker that fails at once looks empty.
     fn emptiest(&mut self, now: TenthMillis, s: &RequestState, found: &[WorkerId]) -> Option<WorkerId> {
         let (mut best, mut awaited): (Option<(f64, WorkerId)>, bool) = (None, false);
-        let margin = EMPTIER * self.terms.amount(s.new_request.prompt);
+        let margin = EMPTIER * self.terms.load_of(s.new_request.prompt_tokens);
         for id in found.iter().filter(|_| found.len() > 1) {
             if best.map_or(awaited && now < s.since + LOOK, |(least, _)| least < margin) {
                 break;
@@ -774,14 +777,14 @@
 
     /// The reader to send to; where readers are asked, the first few.
     fn reader_for(&mut self, now: TenthMillis, s: &RequestState) -> Vec<WorkerId> {
-        let (mut found, most) = (vec![], if self.terms.asks { ASKED } else { 1 });
+        let (mut found, most) = (vec![], if self.terms.load_reports_enabled { ASKED } else { 1 });
         if self.shut {
             return found;
         }
         let ticket = (s.new_request.id, s.new_request.class);
-        if self.roster.readers.is_empty() && self.terms.writers_read {
+        if self.roster.readers.is_empty() && self.terms.decode_workers_prefill {
             let (repeat, ran) = (self.repeat(s), s.ran);
-            let fits = |w: &Worker| now >= w.denied + DENIAL && repeat.is_known(ran, &w.list);
+            let fits = |w: &Worker| now >= w.denied + DENIAL && repeat.deduplicates_at(ran, &w.list);
             let any = self.least(now, ticket, (false, u16::MAX, 0), fits);
             return any.into_iter().collect();
         }
@@ -789,7 +792,7 @@
         let usable_wait = s.usable_wait();
         let mut past: Option<(f64, WorkerId)> = None;
         let (first, mut place) = self.readers(now, &s.new_request);
-        let (key, mut tried) = (s.new_request.key(), 0);
+        let (key, mut tried) = (s.new_request.placement_key(), 0);
         while found.len() < most {
             let id = if let Some(id) = first.get(tried) {
                 *id
@@ -809,7 +812,7 @@
             let load = self.ledger.at(id);
             let slow = w.wait(now, load) > usable_wait;
             let (cell, mixed) = (w.list.cell, w.role == Role::Mixed);
-            let tokens = if load.reads > 0 { load.tokens + s.new_request.prompt } else { 0.0 };
+            let tokens = if load.reads > 0 { load.tokens + s.new_request.prompt_tokens } else { 0.0 };
             if now < w.denied + DENIAL || load.reads > 0 && load.tokens > SPILL * FILLED {
                 continue;
             }
@@ -840,7 +843,7 @@
             // One asked before its restart was told is a send to a cold worker like any other.
             let cell = self.workers.get(&reader).map(|r| r.list.cell);
             let w = self.workers.get(&writer).filter(|w| w.alive());
-            let cold = w.map(|w| w.cold(now, self.terms.warm_after));
+            let cold = w.map(|w| w.cold(now, self.terms.warm_up_time));
             let fit = cold.is_some_and(|cold| !cold || self.lot(now, writer, ticket.0, cell));
             if held || fit {
                 return fit.then_some(writer);
@@ -869,10 +872,12 @@
     /// Asks for a place at the next writer of the reader's cell while the prompt is read; where none may be asked
     /// for, all of them how much they have.
     fn ask(&mut self, now: TenthMillis, s: &mut RequestState) {
-        let may = s.place.is_none() && (self.terms.places || self.terms.asks && self.terms.in_tokens);
+        let may = s.place.is_none()
+            && (self.terms.reservations_enabled
+                || self.terms.load_reports_enabled && self.terms.load_in_tokens);
         let Some(out) = s.out.as_ref().filter(|o| may && o.reading && !o.withdrawn) else { return };
         let Some(Endpoint { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
-        if !self.terms.places {
+        if !self.terms.reservations_enabled {
             return self.roster.near(cell).to_vec().into_iter().take(ASKS).for_each(|id| self.inquire(id));
         }
         let asked = s.asked.clone();
@@ -903,30 +908,30 @@
         });
         s.attempts += 1;
         if let Some(w) = self.workers.get_mut(&worker) {
-            w.told.1 += self.terms.amount(s.new_request.prompt);
+            w.told.1 += self.terms.load_of(s.new_request.prompt_tokens);
             if reading {
-                self.ledger.add_ahead(worker, Some(s.new_request.prompt));
+                self.ledger.add_ahead(worker, Some(s.new_request.prompt_tokens));
             } else if s.place.is_none_or(|(p, _)| p != worker) {
                 self.ledger.add_ahead(worker, None);
             }
             self.flows[usize::from(reading)][0].add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, timeout: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
     fn may_repeat(&self, now: TenthMillis, s: &RequestState) -> bool {
-        s.ran.is_none_or(|(first, _)| self.repeat(s).allows(now - first))
+        s.ran.is_none_or(|(first, _)| self.repeat(s).allows_retry_after(now - first))
     }
 
     /// And whether it may at this worker: one that knows a repeat of what may have run.
     fn may_run(&self, now: TenthMillis, s: &RequestState, worker: WorkerId) -> bool {
-        let knows = self.workers.get(&worker).is_some_and(|w| self.repeat(s).is_known(s.ran, &w.list));
+        let knows = self.workers.get(&worker).is_some_and(|w| self.repeat(s).deduplicates_at(s.ran, &w.list));
         s.ran.is_none() || knows && self.may_repeat(now, s)
     }
 
     fn repeat(&self, s: &RequestState) -> Idempotency {
-        self.terms.classes[usize::from(s.new_request.class)].repeat
+        self.terms.classes[usize::from(s.new_request.class)].idempotency
     }
 
     /// The usual way to a first token: read and wait at the writer.
@@ -955,16 +960,19 @@
     /// The final answer: a turn-back where its promise is true, else an abandonment.
     fn end(&mut self, s: &mut RequestState) {
         let id = s.new_request.id;
-        let harmless = s.ran.is_none() || self.repeat(s).anywhere();
+        let harmless = s.ran.is_none() || self.repeat(s).is_safe_anywhere();
         if s.state.is_some() || s.place.is_some() {
             self.let_go(s);
         }
         s.ended = true;
         // Spread out, or a burst would return as one.
         let spread = 0.5 + self.rng.unit() / 2.0;
-        let after =
-            if self.terms.advice { (self.terms.longest_advice as f64 * spread) as TenthMillis } else { 0 };
-        self.ready.push_back(if harmless { Action::Reject { id, after } } else { Action::Fail { id } });
+        let retry_after = if self.terms.retry_after_enabled {
+            (self.terms.max_retry_after as f64 * spread) as TenthMillis
+        } else {
+            0
+        };
+        self.ready.push_back(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
     }
 }
 
@@ -976,7 +984,7 @@
 
     fn occupies(&self) -> Booked {
         let attempt = self.out.as_ref().map(|out| {
-            let prompt = (out.reading && !out.started).then_some(self.new_request.prompt);
+            let prompt = (out.reading && !out.started).then_some(self.new_request.prompt_tokens);
             (out.worker, prompt, (!out.started).then_some(out.sent))
         });
         let place = self.place.map(|(place, _)| place);
@@ -1005,7 +1013,7 @@
     }
 
     fn cold(&self, now: TenthMillis, warm: TenthMillis) -> bool {
-        self.list.started > 0 && now - self.list.started < warm
+        self.list.start_time > 0 && now - self.list.start_time < warm
     }
 
     /// Out of service, twice as long after each failure; the jitter keeps routers apart.
--- a/src/types.rs
+++ b/src/types.rs
@@ -36,13 +36,13 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Idempotency {
     Idempotent,
-    IdempotentWithKey { group: DeduplicationScope, window: TenthMillis },
+    IdempotentWithKey { scope: DeduplicationScope, window: TenthMillis },
     NonIdempotent,
 }
 
 impl Idempotency {
     /// Whether an attempt may follow so long after the first one that may have run.
-    pub fn allows(self, after: TenthMillis) -> bool {
+    pub fn allows_retry_after(self, after: TenthMillis) -> bool {
         match self {
             Idempotency::Idempotent => true,
             Idempotency::NonIdempotent => false,
@@ -51,20 +51,20 @@
     }
 
     /// Whether a worker knows a repeat of what may have run first, at a worker that was listed so when it was sent.
-    pub fn is_known(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
+    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
         let Some((_, there)) = first else { return true };
         match self {
-            Idempotency::IdempotentWithKey { group: DeduplicationScope::Zone, .. } => there.zone == here.zone,
-            Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, .. } => there.cell == here.cell,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => there.zone == here.zone,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => there.cell == here.cell,
             _ => true,
         }
     }
 
     /// Whether a further attempt is harmless wherever it runs, so that a client may be told to come again.
-    pub fn anywhere(self) -> bool {
+    pub fn is_safe_anywhere(self) -> bool {
         matches!(
             self,
-            Idempotency::Idempotent | Idempotency::IdempotentWithKey { group: DeduplicationScope::All, .. }
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. }
         )
     }
 }
@@ -96,7 +96,7 @@
 /// What holds for one track of submissions.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    pub repeat: Idempotency,
+    pub idempotency: Idempotency,
     pub ttft_objective: TenthMillis,
     /// Contract time added for every 1,000 prompt tokens.
     pub ttft_objective_per_1000_tokens: TenthMillis,
@@ -114,33 +114,33 @@
 /// What a router is told when it starts and works under from then on.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
-    pub routers: u32,
+    pub router_count: u32,
     pub classes: Vec<RequestClass>,
-    pub roles: Vec<Role>,
-    pub places: bool,
-    pub writers_read: bool,
-    pub release: TenthMillis,
-    pub cold_share: f64,
-    pub warm_after: TenthMillis,
-    pub fall_multiple: f64,
-    pub fall_span: TenthMillis,
+    pub role_by_kind: Vec<Role>,
+    pub reservations_enabled: bool,
+    pub decode_workers_prefill: bool,
+    pub state_release_timeout: TenthMillis,
+    pub cold_capacity_share: f64,
+    pub warm_up_time: TenthMillis,
+    pub overload_multiple: f64,
+    pub overload_window: TenthMillis,
     pub max_attempts: u16,
-    pub cancellation: bool,
-    pub probes: bool,
+    pub cancellation_enabled: bool,
+    pub health_checks_enabled: bool,
     /// A worker that is probed says how much it has, and readers are asked before a read goes out.
-    pub asks: bool,
+    pub load_reports_enabled: bool,
     /// What it has is told in prompt tokens, else in shots.
-    pub in_tokens: bool,
+    pub load_in_tokens: bool,
     /// Changes of the list come only once they are asked for.
-    pub subscribes: bool,
-    pub advice: bool,
-    pub longest_advice: TenthMillis,
+    pub endpoint_watch_enabled: bool,
+    pub retry_after_enabled: bool,
+    pub max_retry_after: TenthMillis,
 }
 
 impl SchedulerConfig {
     /// What one shot adds to what a worker has, as that is told.
-    pub fn amount(&self, prompt: f64) -> f64 {
-        if self.in_tokens {
+    pub fn load_of(&self, prompt: f64) -> f64 {
+        if self.load_in_tokens {
             prompt
         } else {
             1.0
@@ -158,7 +158,7 @@
     pub cell: u16,
     pub zone: u8,
     /// When its process last started; 0 for long ago.
-    pub started: TenthMillis,
+    pub start_time: TenthMillis,
 }
 
 /// One submission as a client hands it over.
@@ -168,13 +168,13 @@
     pub class: u8,
     pub session: u64,
     pub prefix: u64,
-    pub prompt: f64,
-    pub left: TenthMillis,
+    pub prompt_tokens: f64,
+    pub remaining_time: TenthMillis,
 }
 
 impl NewRequest {
     /// What its reads are placed by: the prefix that it shares, or its session.
-    pub fn key(&self) -> u64 {
+    pub fn placement_key(&self) -> u64 {
         if self.prefix != 0 {
             self.prefix
         } else {
@@ -188,7 +188,7 @@
     Dispatch {
         id: RequestId,
         worker: WorkerId,
-        within: TenthMillis,
+        timeout: TenthMillis,
     },
     ReserveDecode {
         id: RequestId,
@@ -203,7 +203,7 @@
     },
     Reject {
         id: RequestId,
-        after: TenthMillis,
+        retry_after: TenthMillis,
     },
     Fail {
         id: RequestId,
@@ -214,6 +214,6 @@
     /// Ask for the list's changes from now on.
     WatchEndpoints,
     SetTimer {
-        after: TenthMillis,
+        delay: TenthMillis,
     },
 }
--- a/tests/before/choice.rs
+++ b/tests/before/choice.rs
@@ -152,7 +152,7 @@
 
 impl Router {
     pub fn new(terms: SchedulerConfig, seed: u64, now: TenthMillis) -> Self {
-        let subscribe = terms.subscribes.then_some(now);
+        let subscribe = terms.endpoint_watch_enabled.then_some(now);
         Router {
             rng: Rng::new(seed),
             wake: TenthMillis::MAX,
@@ -172,21 +172,22 @@
     /// The call for the list failed; the old list stays in force, and the next call keeps apart from others'.
     pub fn list_failed(&mut self, now: TenthMillis) {
         let pause = REST as f64 * (1.0 + self.rng.unit());
-        self.subscribe = self.terms.subscribes.then_some(now + pause as TenthMillis);
+        self.subscribe = self.terms.endpoint_watch_enabled.then_some(now + pause as TenthMillis);
     }
 
     pub fn listed(&mut self, now: TenthMillis, list: Endpoint) {
         self.relisted = true;
-        let role = self.terms.roles.get(usize::from(list.kind)).copied();
+        let role = self.terms.role_by_kind.get(usize::from(list.kind)).copied();
         let Some(role) = role else { return };
         let worker = self.workers.entry(list.worker).or_insert_with(|| Worker {
             list,
-            fresh_from: list.started,
+            fresh_from: list.start_time,
             denied: now - BELIEF,
             ..Worker::default()
         });
-        if worker.list.started != list.started {
-            (worker.answers, worker.fresh_from, worker.rests, worker.rests_until) = (0, list.started, 0, 0);
+        if worker.list.start_time != list.start_time {
+            (worker.answers, worker.fresh_from, worker.rests, worker.rests_until) =
+                (0, list.start_time, 0, 0);
         }
         (worker.list, worker.role) = (list, role);
     }
@@ -194,14 +195,15 @@
     /// False if the submission names a track that the terms do not have.
     pub fn arrived(&mut self, now: TenthMillis, new_request: NewRequest) -> bool {
         let Some(class) = self.terms.classes.get(usize::from(new_request.class)) else { return false };
-        let stretch = class.ttft_objective_per_1000_tokens as f64 * new_request.prompt.max(0.0) / 1000.0;
+        let stretch =
+            class.ttft_objective_per_1000_tokens as f64 * new_request.prompt_tokens.max(0.0) / 1000.0;
         self.all_seen.add(now, KNOWN, 1.0);
         if new_request.prefix != 0 {
             self.seen.entry(new_request.prefix).or_default().add(now, KNOWN, 1.0);
             self.seen.retain(|_, s| s.read(now, KNOWN) > 0.01);
         }
         let ttft_objective = now + class.ttft_objective + stretch as TenthMillis;
-        let (came, deadline) = (now, now + new_request.left);
+        let (came, deadline) = (now, now + new_request.remaining_time);
         let request =
             Submission { new_request, came, ttft_objective, deadline, since: now, ..Submission::default() };
         self.open.insert(new_request.id, request);
@@ -296,7 +298,7 @@
                 }
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
-                let first = worker.rests == 0 && self.terms.probes;
+                let first = worker.rests == 0 && self.terms.health_checks_enabled;
                 worker.rest(now, if first { 0.0 } else { 1.0 + self.rng.unit() });
             }
             AttemptOutcome::ServerError => self.judge(now, out.worker, class, 1.0),
@@ -381,7 +383,7 @@
         let pause = if waits { LOOK } else { WATCH };
         if (waits || busy || resting || self.subscribe.is_some()) && self.wake > now + pause {
             self.wake = now + pause;
-            self.ready.push_back(Action::SetTimer { after: pause });
+            self.ready.push_back(Action::SetTimer { delay: pause });
         }
     }
 
@@ -395,7 +397,7 @@
                 if let Some(w) = self.workers.get_mut(&out.worker) {
                     if out.reading {
                         w.reads += 1;
-                        w.tokens += s.new_request.prompt;
+                        w.tokens += s.new_request.prompt_tokens;
                     } else {
                         w.streams += 1;
                     }
@@ -415,7 +417,7 @@
     /// a wait too, so that patience grows when all is slow. Harms when a slow read is taken for lost.
     fn watch(&mut self, now: TenthMillis, open: &mut BTreeMap<RequestId, Submission>) {
         for (&id, s) in open {
-            let repeat = self.terms.classes[usize::from(s.new_request.class)].repeat;
+            let repeat = self.terms.classes[usize::from(s.new_request.class)].idempotency;
             let Some(out) = s.out.as_mut().filter(|o| !o.started && !o.withdrawn) else { continue };
             let resting = self.workers.get(&out.worker).is_some_and(|w| w.rests_until > now);
             let waits = self.waits[usize::from(out.reading)].entry(s.new_request.class).or_default();
@@ -436,17 +438,17 @@
             }
             let free = out.reading || repeat == Idempotency::Idempotent;
             let again = free && (lost || resting) && s.attempts + 1 < self.terms.max_attempts;
-            if self.terms.cancellation && (s.ended || again) {
+            if self.terms.cancellation_enabled && (s.ended || again) {
                 out.withdrawn = true;
                 self.ready.push_back(Action::CancelAttempt { id, attempt: out.number });
             }
         }
         for (&id, w) in self.workers.iter_mut().filter(|(_, w)| w.list.status != EndpointStatus::Removed) {
             let rested = w.rests_until > 0 && now >= w.rests_until;
-            if self.terms.probes && !w.probing && (rested || w.suspect && w.rests_until == 0) {
+            if self.terms.health_checks_enabled && !w.probing && (rested || w.suspect && w.rests_until == 0) {
                 (w.probing, w.suspect) = (true, false);
                 self.ready.push_back(Action::CheckHealth { worker: id });
-            } else if !self.terms.probes && rested {
+            } else if !self.terms.health_checks_enabled && rested {
                 w.back(now);
             }
         }
@@ -455,8 +457,8 @@
     /// Whether a shot or place may go to the worker, a choice for all or for those read in one cell.
     fn usable(&mut self, now: TenthMillis, id: WorkerId, (ticket, class): Ticket, cell: Option<u16>) -> bool {
         let Some(w) = self.workers.get(&id) else { return false };
-        let fresh = now - w.fresh_from < self.terms.warm_after && w.fresh_from > 0;
-        let cold = w.cold(now, self.terms.warm_after);
+        let fresh = now - w.fresh_from < self.terms.warm_up_time && w.fresh_from > 0;
+        let cold = w.cold(now, self.terms.warm_up_time);
         w.alive()
             && !(fresh && w.reads + w.streams >= FRESH + w.answers)
             && !self.doubted(now, id, class)
@@ -481,18 +483,18 @@
             (k.role == Role::Prefill) == (w.role == Role::Prefill) && k.list.status == EndpointStatus::Serving
         });
         let (all, warm, sizes) = kin.fold((0.0, 0.0, 0.0), |(all, warm, sizes), k| {
-            (all + 1.0, warm + f64::from(u8::from(!k.cold(now, t.warm_after))), sizes + k.list.size)
+            (all + 1.0, warm + f64::from(u8::from(!k.cold(now, t.warm_up_time))), sizes + k.list.size)
         });
         let size: f64 = w.list.size * all / f64::max(sizes, 0.01);
         let (sent, done) = &mut self.flows[usize::from(w.role == Role::Prefill)];
         let (sent, done) = (sent.read(now, KNOWN), done.read(now, KNOWN));
-        let part = (now - w.list.started) as f64 / t.warm_after as f64;
-        let present = t.cold_share + (1.0 - t.cold_share) * part;
+        let part = (now - w.list.start_time) as f64 / t.warm_up_time as f64;
+        let present = t.cold_capacity_share + (1.0 - t.cold_capacity_share) * part;
         // Fleet-wide, a warm peer answers so many within the stated span; a router that has just begun knows less.
         let able = (warm + (all - warm) * present).max(1.0) / size.clamp(0.01, 1.0);
         let known = KNOWN as f64 * (1.0 - (-((now - self.began + REST) as f64 / KNOWN as f64)).exp());
-        let peer = done * t.fall_span as f64 / known * f64::from(t.routers) / able;
-        let budget = t.fall_multiple * present * peer;
+        let peer = done * t.overload_window as f64 / known * f64::from(t.router_count) / able;
+        let budget = t.overload_multiple * present * peer;
         let most = budget + 2.0 * budget.sqrt() + 2.0;
         let mean = most / std::f64::consts::E * RISK.powf(1.0 / most);
         let share = (mean / peer.max(0.001)).min(present * WARMS);
@@ -535,7 +537,7 @@
         let shares = std::mem::take(&mut self.shares);
         for (&id, share) in &shares {
             // A cold reader that the submission drew comes first, or its part would fall to the hash again.
-            let cold = self.workers[&id].cold(now, self.terms.warm_after);
+            let cold = self.workers[&id].cold(now, self.terms.warm_up_time);
             let drawn = cold && self.lot(now, id, new_request.id, None);
             let rank = if drawn { f64::MAX } else { share / -draw(key, id).ln() };
             ranked.push((rank, id));
@@ -593,7 +595,7 @@
         for id in fitting {
             let w = &self.workers[&id];
             let own = f64::from(w.streams) / w.list.size.max(0.01);
-            let warm = !w.cold(now, self.terms.warm_after);
+            let warm = !w.cold(now, self.terms.warm_up_time);
             let rank = (w.list.zone != zone, warm, own, self.rng.unit());
             best = Some(best.filter(|b| b.0 <= rank).unwrap_or((rank, id)));
         }
@@ -613,7 +615,7 @@
             return self.end(s);
         }
         if let Some(reader) = s.state {
-            let overdue = s.since + (self.terms.release as f64 * PINNED) as TenthMillis <= now;
+            let overdue = s.since + (self.terms.state_release_timeout as f64 * PINNED) as TenthMillis <= now;
             match self.writer_for(now, s, reader) {
                 Some(writer) if self.may_run(now, s, writer) => {
                     let cross = self.workers.get(&reader).map(|w| w.list.cell)
@@ -657,7 +659,7 @@
         }
         let ticket = (s.new_request.id, s.new_request.class);
         let readers = self.readers(now, &s.new_request);
-        if readers.is_empty() && self.terms.writers_read {
+        if readers.is_empty() && self.terms.decode_workers_prefill {
             return self.least(now, ticket, (false, u16::MAX, 0), |w| now >= w.denied + DENIAL);
         }
         self.shut = true;
@@ -671,7 +673,7 @@
             let slow =
                 w.read_wait.read(now, MEMORY).unwrap_or(0.0).max((now - w.oldest) as f64) > usable_wait;
             let (cell, mixed) = (w.list.cell, w.role == Role::Mixed);
-            let tokens = if w.reads > 0 { w.tokens + s.new_request.prompt } else { 0.0 };
+            let tokens = if w.reads > 0 { w.tokens + s.new_request.prompt_tokens } else { 0.0 };
             if now < w.denied + DENIAL || w.reads > 0 && w.tokens > SPILL * FILLED {
                 continue;
             }
@@ -702,7 +704,7 @@
             // One asked before its restart was told is a send to a cold worker like any other.
             let cell = self.workers.get(&reader).map(|r| r.list.cell);
             let w = self.workers.get(&writer).filter(|w| w.alive());
-            let cold = w.map(|w| w.cold(now, self.terms.warm_after));
+            let cold = w.map(|w| w.cold(now, self.terms.warm_up_time));
             let fit = cold.is_some_and(|cold| !cold || self.lot(now, writer, ticket.0, cell));
             if held || fit {
                 return fit.then_some(writer);
@@ -724,7 +726,7 @@
     /// Asks for a place at the next writer of the reader's cell while the prompt is read.
     fn ask(&mut self, now: TenthMillis, s: &mut Submission) {
         let Some(out) = s.out.as_ref().filter(|o| o.reading && !o.withdrawn) else { return };
-        if s.place.is_some() || !self.terms.places {
+        if s.place.is_some() || !self.terms.reservations_enabled {
             return;
         }
         let Some(Endpoint { cell, zone, .. }) = self.workers.get(&out.worker).map(|w| w.list) else { return };
@@ -752,21 +754,23 @@
         if let Some(w) = self.workers.get_mut(&worker) {
             if reading {
                 w.reads += 1;
-                w.tokens += s.new_request.prompt;
+                w.tokens += s.new_request.prompt_tokens;
             } else if s.place.is_none_or(|(p, _)| p != worker) {
                 w.streams += 1;
             }
             self.flows[usize::from(reading)].0.add(now, KNOWN, 1.0);
         }
-        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, within: 0 });
+        self.ready.push_back(Action::Dispatch { id: s.new_request.id, worker, timeout: 0 });
     }
 
     /// Rule 2: whether the track lets the submission run again now, somewhere.
     fn may_repeat(&self, now: TenthMillis, s: &Submission) -> bool {
-        s.ran.is_none_or(|(first, _)| match self.terms.classes[usize::from(s.new_request.class)].repeat {
-            Idempotency::Idempotent => true,
-            Idempotency::NonIdempotent => false,
-            Idempotency::IdempotentWithKey { window, .. } => now < first + window,
+        s.ran.is_none_or(|(first, _)| {
+            match self.terms.classes[usize::from(s.new_request.class)].idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::IdempotentWithKey { window, .. } => now < first + window,
+            }
         })
     }
 
@@ -776,11 +780,11 @@
         let (Some(there), Some(here)) = (self.workers.get(&ran_at), self.workers.get(&worker)) else {
             return false;
         };
-        let together = match self.terms.classes[usize::from(s.new_request.class)].repeat {
-            Idempotency::IdempotentWithKey { group: DeduplicationScope::Zone, .. } => {
+        let together = match self.terms.classes[usize::from(s.new_request.class)].idempotency {
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => {
                 there.list.zone == here.list.zone
             }
-            Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, .. } => {
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => {
                 there.list.cell == here.list.cell
             }
             _ => true,
@@ -815,10 +819,10 @@
     fn end(&mut self, s: &mut Submission) {
         let id = s.new_request.id;
         let harmless = s.ran.is_none()
-            || match self.terms.classes[usize::from(s.new_request.class)].repeat {
+            || match self.terms.classes[usize::from(s.new_request.class)].idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NonIdempotent => false,
-                Idempotency::IdempotentWithKey { group, .. } => group == DeduplicationScope::All,
+                Idempotency::IdempotentWithKey { scope: group, .. } => group == DeduplicationScope::All,
             };
         if s.state.is_some() || s.place.is_some() {
             self.let_go(s);
@@ -826,9 +830,12 @@
         s.ended = true;
         // Spread out, or a burst would return as one.
         let spread = 0.5 + self.rng.unit() / 2.0;
-        let after =
-            if self.terms.advice { (self.terms.longest_advice as f64 * spread) as TenthMillis } else { 0 };
-        self.ready.push_back(if harmless { Action::Reject { id, after } } else { Action::Fail { id } });
+        let retry_after = if self.terms.retry_after_enabled {
+            (self.terms.max_retry_after as f64 * spread) as TenthMillis
+        } else {
+            0
+        };
+        self.ready.push_back(if harmless { Action::Reject { id, retry_after } } else { Action::Fail { id } });
     }
 }
 
@@ -848,7 +855,7 @@
     }
 
     fn cold(&self, now: TenthMillis, warm: TenthMillis) -> bool {
-        self.list.started > 0 && now - self.list.started < warm
+        self.list.start_time > 0 && now - self.list.start_time < warm
     }
 
     /// Out of service, twice as long after each failure; the jitter keeps routers apart.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 pub fn class(repeat: Idempotency) -> RequestClass {
     RequestClass {
-        repeat,
+        idempotency: repeat,
         ttft_objective: 1500 * MS,
         ttft_objective_per_1000_tokens: 40 * MS,
         priority_weight: 1.0,
@@ -18,27 +18,27 @@
 }
 
 pub fn terms() -> SchedulerConfig {
-    let nearby = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 300 * MS };
-    let anywhere = Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 300 * MS };
+    let nearby = Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 300 * MS };
+    let anywhere = Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window: 300 * MS };
     SchedulerConfig {
-        routers: 3,
+        router_count: 3,
         classes: [Idempotency::Idempotent, Idempotency::NonIdempotent, nearby, anywhere].map(class).to_vec(),
-        roles: vec![Role::Prefill, Role::Decode],
-        places: true,
-        writers_read: false,
-        release: 500 * MS,
-        cold_share: 0.3,
-        warm_after: 10_000 * MS,
-        fall_multiple: 2.5,
-        fall_span: 2000 * MS,
+        role_by_kind: vec![Role::Prefill, Role::Decode],
+        reservations_enabled: true,
+        decode_workers_prefill: false,
+        state_release_timeout: 500 * MS,
+        cold_capacity_share: 0.3,
+        warm_up_time: 10_000 * MS,
+        overload_multiple: 2.5,
+        overload_window: 2000 * MS,
         max_attempts: 5,
-        cancellation: true,
-        probes: true,
-        asks: false,
-        in_tokens: false,
-        subscribes: false,
-        advice: true,
-        longest_advice: 1000 * MS,
+        cancellation_enabled: true,
+        health_checks_enabled: true,
+        load_reports_enabled: false,
+        load_in_tokens: false,
+        endpoint_watch_enabled: false,
+        retry_after_enabled: true,
+        max_retry_after: 1000 * MS,
     }
 }
 
@@ -87,7 +87,15 @@
 pub fn endpoint(n: u8) -> Endpoint {
     let kind = u16::from(!n.is_multiple_of(3));
     let (cell, zone) = (u16::from(n / 3), n / 3);
-    Endpoint { worker: worker(n), kind, size: 4.0, status: EndpointStatus::Serving, cell, zone, started: 0 }
+    Endpoint {
+        worker: worker(n),
+        kind,
+        size: 4.0,
+        status: EndpointStatus::Serving,
+        cell,
+        zone,
+        start_time: 0,
+    }
 }
 
 impl World {
@@ -113,25 +121,27 @@
             finished: BTreeMap::new(),
             next: 1 + seed * 1000,
         };
-        world.router.list_anew(now);
+        world.router.begin_endpoint_snapshot(now);
         (0..workers).for_each(|n| world.relist(endpoint(n)));
         world.pull();
         world
     }
 
     pub fn relist(&mut self, endpoint: Endpoint) {
-        if self.list.insert(endpoint.worker, endpoint).is_none_or(|old| old.started != endpoint.started) {
+        if self.list.insert(endpoint.worker, endpoint).is_none_or(|old| old.start_time != endpoint.start_time)
+        {
             self.finished.insert(endpoint.worker, 0);
         }
-        self.router.listed(self.now, endpoint);
+        self.router.endpoint_updated(self.now, endpoint);
     }
 
     pub fn arrive(&mut self, class: u8, prefix: u64, prompt: f64, left: TenthMillis) -> RequestId {
         let session = self.next;
         let id = self.next;
         self.next += 1;
-        let new_request = NewRequest { id, class, session, prefix, prompt, left };
-        assert!(self.router.arrived(self.now, new_request));
+        let new_request =
+            NewRequest { id, class, session, prefix, prompt_tokens: prompt, remaining_time: left };
+        assert!(self.router.request_arrived(self.now, new_request));
         let deadline = self.now + left;
         let ttft_objective = self.now + self.terms.classes[usize::from(class)].ttft_objective_for(prompt);
         let (since, out, ran, place) = (self.now, None, None, None);
@@ -175,7 +185,7 @@
         entry.held &= !terminal;
         entry.asked = false;
         (entry.since, entry.ended) = (self.now, entry.ended || terminal);
-        self.router.settled(self.now, id, attempt.number, outcome, entry.ended);
+        self.router.attempt_finished(self.now, id, attempt.number, outcome, entry.ended);
         self.pull();
     }
 
@@ -184,7 +194,7 @@
         let attempt = entry.out.as_mut().expect("a shot is out");
         attempt.started = true;
         (entry.held, entry.place) = (false, None);
-        self.router.started(self.now, id, attempt.number);
+        self.router.response_started(self.now, id, attempt.number);
         self.pull();
     }
 
@@ -192,13 +202,13 @@
         let entry = self.open.get_mut(&id).expect("known");
         assert!(std::mem::take(&mut entry.asked), "one answer a place");
         entry.held |= held;
-        self.router.answered_ahead(self.now, id, held);
+        self.router.reservation_answered(self.now, id, held);
         self.pull();
     }
 
     pub fn drop_client(&mut self, id: RequestId) {
         self.open.get_mut(&id).expect("known").ended = true;
-        self.router.dropped(self.now, id);
+        self.router.client_disconnected(self.now, id);
         self.pull();
     }
 
@@ -222,7 +232,7 @@
             if self.wakes.iter().any(|&w| w <= self.now) {
                 let now = self.now;
                 self.wakes.retain(|&w| w > now);
-                self.router.woken(now);
+                self.router.timer_fired(now);
                 self.pull();
             }
             if next >= until {
@@ -232,7 +242,7 @@
     }
 
     pub fn pull(&mut self) {
-        while let Some(decision) = self.router.decide(self.now) {
+        while let Some(decision) = self.router.next_action(self.now) {
             self.check(decision);
             self.log.push((self.now, decision));
         }
@@ -241,7 +251,7 @@
                 e.ended || e.out.as_ref().is_some_and(|o| o.started) || self.now <= e.deadline,
                 "{id} lost: {e:?}"
             );
-            let pinned = e.held && e.out.is_none() && self.now > e.since + self.terms.release;
+            let pinned = e.held && e.out.is_none() && self.now > e.since + self.terms.state_release_timeout;
             assert!(!pinned, "{id} pinned at {}: {e:?}", self.now);
             assert!(!self.held_back(e), "{id} held back at {}: {e:?}", self.now);
         }
@@ -251,31 +261,32 @@
     /// contract time is over while none is out.
     fn held_back(&self, e: &Entry) -> bool {
         let spent = e.attempts + if e.held { 1 } else { 2 } > self.terms.max_attempts;
-        let over = e.ran.is_some_and(|(first, _)| match self.terms.classes[usize::from(e.class)].repeat {
-            Idempotency::Idempotent => false,
-            Idempotency::NonIdempotent => true,
-            // The window closes between two looks.
-            Idempotency::IdempotentWithKey { window, .. } => self.now > first + window + 10 * MS,
-        });
+        let over =
+            e.ran.is_some_and(|(first, _)| match self.terms.classes[usize::from(e.class)].idempotency {
+                Idempotency::Idempotent => false,
+                Idempotency::NonIdempotent => true,
+                // The window closes between two looks.
+                Idempotency::IdempotentWithKey { window, .. } => self.now > first + window + 10 * MS,
+            });
         !e.ended && e.out.is_none() && (spent || over || self.now > e.ttft_objective.min(e.deadline))
     }
 
     fn check(&mut self, decision: Action) {
         let now = self.now;
         match decision {
-            Action::Dispatch { id, worker, within: _ } => {
+            Action::Dispatch { id, worker, timeout: _ } => {
                 self.room(worker, Some(id));
                 let endpoint = self.list[&worker];
                 let entry = self.open.get_mut(&id).expect("known");
                 assert!(!entry.ended && entry.out.is_none() && now < entry.deadline, "{id} sent: {entry:?}");
                 assert_eq!(endpoint.status, EndpointStatus::Serving, "sent past a drain");
                 assert!(entry.attempts < self.terms.max_attempts);
-                let reading = self.terms.roles[usize::from(endpoint.kind)] == Role::Prefill;
+                let reading = self.terms.role_by_kind[usize::from(endpoint.kind)] == Role::Prefill;
                 if let (Some((first, there)), false) = (entry.ran, reading) {
-                    match self.terms.classes[usize::from(entry.class)].repeat {
+                    match self.terms.classes[usize::from(entry.class)].idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NonIdempotent => panic!("{id} could run twice"),
-                        Idempotency::IdempotentWithKey { group, window } => {
+                        Idempotency::IdempotentWithKey { scope: group, window } => {
                             assert!(now < first + window, "{id} sent past its window");
                             assert!(
                                 group == DeduplicationScope::All || self.list[&there].cell == endpoint.cell,
@@ -301,16 +312,16 @@
                 (entry.held, entry.place) = (false, None);
             }
             Action::CancelAttempt { id, attempt } => assert!(attempt < self.open[&id].attempts),
-            Action::Reject { id, after } => {
+            Action::Reject { id, retry_after: after } => {
                 let entry = self.open.get_mut(&id).expect("known");
-                let repeat = self.terms.classes[usize::from(entry.class)].repeat;
+                let repeat = self.terms.classes[usize::from(entry.class)].idempotency;
                 let all =
-                    matches!(repeat, Idempotency::IdempotentWithKey { group: DeduplicationScope::All, .. });
+                    matches!(repeat, Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. });
                 assert!(
                     entry.ran.is_none() || repeat == Idempotency::Idempotent || all,
                     "{id} turned back after it ran"
                 );
-                assert!(!entry.ended && entry.out.is_none() && after <= self.terms.longest_advice);
+                assert!(!entry.ended && entry.out.is_none() && after <= self.terms.max_retry_after);
                 entry.ended = true;
             }
             Action::Fail { id } => {
@@ -319,15 +330,15 @@
                 entry.ended = true;
             }
             Action::CheckHealth { worker } => self.probes.push(worker),
-            Action::WatchEndpoints => assert!(self.terms.subscribes),
-            Action::SetTimer { after } => self.wakes.push(now + after),
+            Action::WatchEndpoints => assert!(self.terms.endpoint_watch_enabled),
+            Action::SetTimer { delay: after } => self.wakes.push(now + after),
         }
     }
 
     /// Rule 4 as one router can keep it: what a cold worker has in flight stays by what it has answered.
     fn room(&self, worker: WorkerId, for_place_of: Option<RequestId>) {
-        let started = self.list[&worker].started;
-        if started == 0 || self.now - started >= self.terms.warm_after {
+        let started = self.list[&worker].start_time;
+        if started == 0 || self.now - started >= self.terms.warm_up_time {
             return;
         }
         if for_place_of.is_some_and(|id| self.open[&id].place == Some(worker)) {
--- a/tests/equal.rs
+++ b/tests/equal.rs
@@ -66,40 +66,40 @@
 
 fn terms(kind: Kind) -> SchedulerConfig {
     let class = |repeat, ttft_objective: TenthMillis, priority_weight| RequestClass {
-        repeat,
+        idempotency: repeat,
         ttft_objective: ttft_objective * MS,
         ttft_objective_per_1000_tokens: 40 * MS,
         priority_weight,
     };
-    let cell = Idempotency::IdempotentWithKey { group: DeduplicationScope::Cell, window: 900 * MS };
+    let cell = Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 900 * MS };
     SchedulerConfig {
-        routers: 2,
+        router_count: 2,
         classes: vec![
             class(Idempotency::Idempotent, 1_500, 1.0),
             class(Idempotency::NonIdempotent, 2_500, 3.0),
             class(cell, 1_000, 2.0),
             class(
-                Idempotency::IdempotentWithKey { group: DeduplicationScope::All, window: 400 * MS },
+                Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window: 400 * MS },
                 3_000,
                 0.5,
             ),
         ],
-        roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
-        places: kind.places,
-        writers_read: kind.mixed,
-        release: 500 * MS,
-        cold_share: 0.3,
-        warm_after: 10_000 * MS,
-        fall_multiple: 2.5,
-        fall_span: 2_000 * MS,
+        role_by_kind: vec![Role::Prefill, Role::Decode, Role::Mixed],
+        reservations_enabled: kind.places,
+        decode_workers_prefill: kind.mixed,
+        state_release_timeout: 500 * MS,
+        cold_capacity_share: 0.3,
+        warm_up_time: 10_000 * MS,
+        overload_multiple: 2.5,
+        overload_window: 2_000 * MS,
         max_attempts: 5,
-        cancellation: kind.wrong.is_multiple_of(2),
-        probes: kind.probes,
-        asks: false,
-        in_tokens: false,
-        subscribes: kind.changes > 0,
-        advice: true,
-        longest_advice: 1_000 * MS,
+        cancellation_enabled: kind.wrong.is_multiple_of(2),
+        health_checks_enabled: kind.probes,
+        load_reports_enabled: false,
+        load_in_tokens: false,
+        endpoint_watch_enabled: kind.changes > 0,
+        retry_after_enabled: true,
+        max_retry_after: 1_000 * MS,
     }
 }
 
@@ -126,7 +126,10 @@
             let (cell, zone) = (n / 9, (n / 27) as u8);
             let status = EndpointStatus::Serving;
             let size = 1.0 + f64::from(n % 4);
-            pair.list.insert(worker, Endpoint { worker, kind: role, size, status, cell, zone, started });
+            pair.list.insert(
+                worker,
+                Endpoint { worker, kind: role, size, status, cell, zone, start_time: started },
+            );
         }
         pair.relist();
         pair.push(0, What::Arrive);
@@ -146,10 +149,10 @@
     }
 
     fn relist(&mut self) {
-        self.new.list_anew(self.now);
+        self.new.begin_endpoint_snapshot(self.now);
         self.old.list_anew(self.now);
         for endpoint in self.list.values() {
-            self.new.listed(self.now, *endpoint);
+            self.new.endpoint_updated(self.now, *endpoint);
             self.old.listed(self.now, *endpoint);
         }
     }
@@ -160,7 +163,7 @@
             self.now = at;
             self.happens(what);
             loop {
-                let (new, old) = (self.new.decide(self.now), self.old.decide(self.now));
+                let (new, old) = (self.new.next_action(self.now), self.old.decide(self.now));
                 assert_eq!(new, old, "at {} of {:?}", self.now, self.kind);
                 let Some(decision) = new else { break };
                 self.carry_out(decision);
@@ -174,7 +177,7 @@
         match what {
             What::Arrive => self.arrive(),
             What::Answered(id, held) => {
-                self.new.answered_ahead(now, id, held);
+                self.new.reservation_answered(now, id, held);
                 self.old.answered_ahead(now, id, held);
             }
             What::Start(id, attempt) => {
@@ -183,7 +186,7 @@
                     return;
                 }
                 out.2 = true;
-                self.new.started(now, id, attempt);
+                self.new.response_started(now, id, attempt);
                 self.old.started(now, id, attempt);
                 let answer = 200 + self.draw(4_000) as TenthMillis;
                 self.push(answer * MS, What::End(id, attempt));
@@ -191,12 +194,12 @@
             What::End(id, attempt) => self.end(id, attempt),
             What::Drop(id) => {
                 if self.open.contains_key(&id) {
-                    self.new.dropped(now, id);
+                    self.new.client_disconnected(now, id);
                     self.old.dropped(now, id);
                 }
             }
             What::Probed(worker, well) => {
-                self.new.probed(now, worker, well);
+                self.new.health_check_finished(now, worker, well);
                 self.old.probed(now, worker, well);
             }
             What::Relist => {
@@ -205,7 +208,7 @@
                 self.push(after as TenthMillis * MS, What::Relist);
             }
             What::Wake => {
-                self.new.woken(now);
+                self.new.timer_fired(now);
                 self.old.woken(now);
             }
         }
@@ -217,8 +220,9 @@
         let prefix = if self.draw(3) == 0 { prefix.min(1) } else { prefix };
         let (session, prompt) = (self.draw(300), 50.0 + self.draw(3_000) as f64);
         let left = (400 + self.draw(6_000) as TenthMillis) * MS;
-        let new_request = NewRequest { id, class, session, prefix, prompt, left };
-        assert!(self.new.arrived(self.now, new_request) && self.old.arrived(self.now, new_request));
+        let new_request =
+            NewRequest { id, class, session, prefix, prompt_tokens: prompt, remaining_time: left };
+        assert!(self.new.request_arrived(self.now, new_request) && self.old.arrived(self.now, new_request));
         self.open.insert(id, (self.now + left, None));
         let busy = self.now / (1_000 * MS) % 4 == 3;
         let rate = self.kind.rate * if busy { self.kind.burst } else { 1 };
@@ -253,7 +257,7 @@
             (false, false) => AttemptOutcome::Completed,
         };
         let terminal = started || outcome == AttemptOutcome::Completed;
-        self.new.settled(self.now, id, attempt, outcome, terminal);
+        self.new.attempt_finished(self.now, id, attempt, outcome, terminal);
         self.old.settled(self.now, id, attempt, outcome, terminal);
         if terminal {
             self.open.remove(&id);
@@ -269,19 +273,19 @@
             match draw {
                 0 => endpoint.status = EndpointStatus::Draining,
                 1 => endpoint.status = EndpointStatus::Removed,
-                2 => (endpoint.status, endpoint.started) = (EndpointStatus::Serving, now),
+                2 => (endpoint.status, endpoint.start_time) = (EndpointStatus::Serving, now),
                 _ => endpoint.status = EndpointStatus::Serving,
             }
         }
         match self.draw(3) {
             0 => self.relist(),
             1 => {
-                self.new.list_failed(self.now);
+                self.new.discovery_failed(self.now);
                 self.old.list_failed(self.now);
             }
             _ => {
                 for endpoint in self.list.values() {
-                    self.new.listed(self.now, *endpoint);
+                    self.new.endpoint_updated(self.now, *endpoint);
                     self.old.listed(self.now, *endpoint);
                 }
             }
@@ -328,7 +332,7 @@
                 self.push(2 * MS, What::Probed(worker, !wrong));
                 "probe"
             }
-            Action::SetTimer { after } => {
+            Action::SetTimer { delay: after } => {
                 self.push(after, What::Wake);
                 "wake"
             }
--- a/tests/lessons.rs
+++ b/tests/lessons.rs
@@ -103,9 +103,9 @@
 
 #[test]
 fn places_count_at_a_cold_writer() {
-    let mut world = World::new(SchedulerConfig { probes: false, ..terms() }, 3);
+    let mut world = World::new(SchedulerConfig { health_checks_enabled: false, ..terms() }, 3);
     honour(&mut world, 20);
-    let back = Endpoint { started: world.now - 100 * MS, ..endpoint(1) };
+    let back = Endpoint { start_time: world.now - 100 * MS, ..endpoint(1) };
     world.relist(back);
     world.pull();
     // The model refuses more than two out at a writer that has answered nothing.
@@ -119,10 +119,14 @@
 fn many_routers_together_do_not_push_over_a_cold_worker() {
     let mut sends = vec![];
     for seed in 0..200 {
-        let mut world = World::seeded(SchedulerConfig { routers: 200, probes: false, ..terms() }, 3, seed);
+        let mut world = World::seeded(
+            SchedulerConfig { router_count: 200, health_checks_enabled: false, ..terms() },
+            3,
+            seed,
+        );
         world.relist(Endpoint { cell: 0, ..endpoint(4) });
         honour(&mut world, 15);
-        world.relist(Endpoint { started: world.now - 10 * MS, ..endpoint(1) });
+        world.relist(Endpoint { start_time: world.now - 10 * MS, ..endpoint(1) });
         world.pull();
         world.pass(TenthMillis::from(seed as u32 % 100) * 10 * MS);
         let begun = world.now;
@@ -132,7 +136,7 @@
     }
     sends.sort_unstable();
     // 200 a second over three writers: a warm one takes 133 in the window, the cold one 2.5 * 0.3 of that.
-    let span = terms().fall_span;
+    let span = terms().overload_window;
     let most = sends.iter().map(|&at| sends.iter().filter(|&&s| at <= s && s < at + span).count()).max();
     assert!(most.is_some_and(|n| (5..=100).contains(&n)), "{most:?}");
 }
@@ -147,7 +151,7 @@
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.pass(1600 * MS);
     assert!(world.open[&id].ended);
-    assert!(matches!(world.log.last(), Some((_, Action::Reject { after, .. })) if *after > 0));
+    assert!(matches!(world.log.last(), Some((_, Action::Reject { retry_after: after, .. })) if *after > 0));
 }
 
 #[test]
@@ -194,7 +198,7 @@
 
 #[test]
 fn a_state_that_lands_after_the_client_left_is_let_go() {
-    let mut world = World::new(SchedulerConfig { cancellation: false, ..terms() }, 6);
+    let mut world = World::new(SchedulerConfig { cancellation_enabled: false, ..terms() }, 6);
     let id = world.arrive(0, 1, 1000.0, LEFT);
     world.drop_client(id);
     world.settle(id, AttemptOutcome::PrefillComplete);
@@ -226,7 +230,7 @@
     world.settle(id, AttemptOutcome::Cancelled);
     assert_ne!(at(&world, id), reader);
     // A good probe clears the worker, but not for the track that it lost.
-    world.router.probed(world.now, reader, true);
+    world.router.health_check_finished(world.now, reader, true);
     let mut to = |class| {
         let id = world.arrive(class, 1, 10.0, LEFT);
         at(&world, id)
@@ -243,7 +247,7 @@
             let reader = at(&world, id);
             world.settle(id, outcome);
             assert!(world.probes == [reader] && at(&world, id) != reader, "out of service until it answers");
-            world.router.probed(world.now, reader, well);
+            world.router.health_check_finished(world.now, reader, well);
             let next = world.arrive(0, 1, 10.0, LEFT);
             assert_eq!(at(&world, next) == reader, well);
         }
@@ -263,10 +267,10 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
-    let mut world = World::new(SchedulerConfig { subscribes: true, ..terms() }, 3);
+    let mut world = World::new(SchedulerConfig { endpoint_watch_enabled: true, ..terms() }, 3);
     let asked = |world: &World| world.log.iter().filter(|d| d.1 == Action::WatchEndpoints).count();
     assert_eq!(asked(&world), 1);
-    world.router.list_failed(world.now);
+    world.router.discovery_failed(world.now);
     world.pull();
     assert_eq!(asked(&world), 1);
     world.pass(1500 * MS);
@@ -275,15 +279,16 @@
 
 #[test]
 fn writers_that_read_take_all_that_waits_where_there_is_no_reader() {
-    let mut world = World::new(SchedulerConfig { writers_read: true, ..terms() }, 0);
+    let mut world = World::new(SchedulerConfig { decode_workers_prefill: true, ..terms() }, 0);
     world.relist(endpoint(1));
     let arrive = |world: &mut World, id: RequestId| {
         let (class, session, prefix) = (0, id, 0);
-        let new_request = NewRequest { id, class, session, prefix, prompt: 900.0, left: LEFT };
-        assert!(world.router.arrived(world.now, new_request));
+        let new_request =
+            NewRequest { id, class, session, prefix, prompt_tokens: 900.0, remaining_time: LEFT };
+        assert!(world.router.request_arrived(world.now, new_request));
     };
     (1..=3).for_each(|id| arrive(&mut world, id));
-    let sent = std::iter::from_fn(|| world.router.decide(world.now));
+    let sent = std::iter::from_fn(|| world.router.next_action(world.now));
     assert_eq!(sent.filter(|d| matches!(d, Action::Dispatch { .. })).count(), 3);
 }
 
@@ -301,7 +306,7 @@
 fn where_few_cells_have_writers_their_readers_get_hardly_more_than_others() {
     // Twelve workers in four cells, writers in the first so many of them.
     let parts = |with_writers: u16| {
-        let mut world = World::new(SchedulerConfig { places: false, ..terms() }, 12);
+        let mut world = World::new(SchedulerConfig { reservations_enabled: false, ..terms() }, 12);
         for n in (0..12).filter(|n| endpoint(*n).cell >= with_writers) {
             world.relist(Endpoint { kind: 0, zone: 0, ..endpoint(n) });
         }
@@ -386,7 +391,10 @@
 
 #[test]
 fn a_door_shut_by_a_few_slow_ways_opens_again_though_nothing_new_is_heard() {
-    let mut world = World::new(SchedulerConfig { places: false, probes: false, ..terms() }, 2);
+    let mut world = World::new(
+        SchedulerConfig { reservations_enabled: false, health_checks_enabled: false, ..terms() },
+        2,
+    );
     let ids: Vec<_> = (0..5).map(|_| world.arrive(1, 1, 10.0, LEFT)).collect();
     world.pass(1_200 * MS);
     ids.iter().for_each(|id| world.settle(*id, AttemptOutcome::PrefillComplete));
@@ -406,7 +414,7 @@
     let reader = at(&world, id);
     world.pass(500 * MS);
     assert_eq!(std::mem::take(&mut world.probes), [reader], "a probe asks about it once");
-    world.router.probed(world.now, reader, true);
+    world.router.health_check_finished(world.now, reader, true);
     world.pass(1_500 * MS);
     assert!(
         world.open[&id].out.is_some()
@@ -417,7 +425,7 @@
     let reader = at(&world, id);
     world.pass(500 * MS);
     assert!(world.probes.contains(&reader));
-    world.router.probed(world.now, reader, false);
+    world.router.health_check_finished(world.now, reader, false);
     world.pull();
     assert!(world.logged(&Action::CancelAttempt { id, attempt: 0 }));
 }
@@ -428,7 +436,8 @@
 }
 
 fn asked_for(prompt: f64, in_tokens: bool) -> (World, WorkerId) {
-    let mut world = World::new(SchedulerConfig { asks: true, in_tokens, ..terms() }, 12);
+    let mut world =
+        World::new(SchedulerConfig { load_reports_enabled: true, load_in_tokens: in_tokens, ..terms() }, 12);
     let id = world.arrive(0, 1, prompt, LEFT);
     assert!(world.open[&id].out.is_none(), "it waits for their word");
     assert_eq!(world.probes.len(), 1);
@@ -438,8 +447,8 @@
 
 fn tell(world: &mut World, worker: WorkerId, amount: f64) {
     world.probes.retain(|w| *w != worker);
-    world.router.told(world.now, worker, amount);
-    world.router.probed(world.now, worker, true);
+    world.router.load_reported(world.now, worker, amount);
+    world.router.health_check_finished(world.now, worker, true);
     world.pull();
 }
 
@@ -458,7 +467,15 @@
 #[test]
 fn where_no_places_are_allowed_a_state_goes_past_writers_of_its_cell_that_say_prompts_wait() {
     for (places, waiting, near) in [(false, 5_000.0, false), (false, 3_000.0, true), (true, 5_000.0, true)] {
-        let mut world = World::new(SchedulerConfig { asks: true, in_tokens: true, places, ..terms() }, 12);
+        let mut world = World::new(
+            SchedulerConfig {
+                load_reports_enabled: true,
+                load_in_tokens: true,
+                reservations_enabled: places,
+                ..terms()
+            },
+            12,
+        );
         let id = world.arrive(0, 1, 1_000.0, LEFT);
         let first = world.probes[0];
         tell(&mut world, first, 0.0);
@@ -509,12 +526,12 @@
 fn a_reader_that_does_not_say_how_much_it_has_is_probed_again_before_it_rests() {
     let (mut world, first) = asked();
     world.probes.clear();
-    world.router.probed(world.now, first, false);
+    world.router.health_check_finished(world.now, first, false);
     world.pull();
     assert_eq!(world.probes, [first], "one that was only asked is probed");
     world.pass(30 * MS);
     assert_eq!(world.log.iter().find_map(|(_, d)| sent_to(d)), Some(first), "and not out of service");
-    world.router.probed(world.now, first, false);
+    world.router.health_check_finished(world.now, first, false);
     world.pull();
     assert!(world.log.iter().any(|(_, d)| matches!(d, Action::CancelAttempt { .. })));
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -60,20 +60,20 @@
         let (span, warm, multiple) = (from(500.0, 2_000.0), from(8_000.0, 14_000.0), from(2.0, 3.0));
         let (able, busy, part) = (from(1.0, 12.0), from(0.4, 0.9), from(0.05, 0.6));
         let class = RequestClass {
-            repeat: Idempotency::Idempotent,
+            idempotency: Idempotency::Idempotent,
             ttft_objective: 1_200 * MS,
             ttft_objective_per_1000_tokens: 0,
             priority_weight: 1.0,
         };
         let terms = SchedulerConfig {
-            routers: many as u32,
+            router_count: many as u32,
             classes: vec![class],
-            roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
-            release: 1_000 * MS,
-            cold_share,
-            warm_after: warm as TenthMillis * MS,
-            fall_multiple: multiple,
-            fall_span: span as TenthMillis * MS,
+            role_by_kind: vec![Role::Prefill, Role::Decode, Role::Mixed],
+            state_release_timeout: 1_000 * MS,
+            cold_capacity_share: cold_share,
+            warm_up_time: warm as TenthMillis * MS,
+            overload_multiple: multiple,
+            overload_window: span as TenthMillis * MS,
             max_attempts: 6,
             ..SchedulerConfig::default()
         };
@@ -120,8 +120,8 @@
         for n in which {
             let ((kind, size), cell) = (self.workers[usize::from(n)], n % 4);
             let (worker, status) = (worker(n), EndpointStatus::Serving);
-            let endpoint = Endpoint { worker, kind, size, status, cell, zone: 0, started };
-            self.routers.iter_mut().for_each(|r| r.listed(now, endpoint));
+            let endpoint = Endpoint { worker, kind, size, status, cell, zone: 0, start_time: started };
+            self.routers.iter_mut().for_each(|r| r.endpoint_updated(now, endpoint));
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     fn pull(&mut self, now: TenthMillis, router: usize) {
-        while let Some(decision) = self.routers[router].decide(now) {
+        while let Some(decision) = self.routers[router].next_action(now) {
             match decision {
                 Action::Dispatch { id, worker, .. } => {
                     let number = self.attempts.entry((router, id)).or_default();
@@ -159,7 +159,7 @@
                     let takes = if reader { 100.0 + 100.0 * self.draw.unit() } else { 5.0 };
                     self.after(now + takes as TenthMillis * MS, what(router, id, attempt));
                 }
-                Action::SetTimer { after } => self.after(now + after, What::Wake(router)),
+                Action::SetTimer { delay: after } => self.after(now + after, What::Wake(router)),
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.attempts.remove(&(router, id));
                 }
@@ -180,31 +180,43 @@
                     let lot = self.draw.unit();
                     let router = self.upto.partition_point(|upto| *upto < lot).min(self.routers.len() - 1);
                     let (session, prefix) = (event, 1 + (self.draw.unit() * 50.0) as u64);
-                    let new_request =
-                        NewRequest { id: event, class: 0, session, prefix, prompt: 900.0, left: 60_000 };
-                    self.routers[router].arrived(now, new_request);
+                    let new_request = NewRequest {
+                        id: event,
+                        class: 0,
+                        session,
+                        prefix,
+                        prompt_tokens: 900.0,
+                        remaining_time: 60_000,
+                    };
+                    self.routers[router].request_arrived(now, new_request);
                     router
                 }
                 What::Read(router, id, attempt) => {
-                    self.routers[router].settled(now, id, attempt, AttemptOutcome::PrefillComplete, false);
+                    self.routers[router].attempt_finished(
+                        now,
+                        id,
+                        attempt,
+                        AttemptOutcome::PrefillComplete,
+                        false,
+                    );
                     router
                 }
                 What::Refuse(router, id, attempt) => {
-                    self.routers[router].settled(now, id, attempt, AttemptOutcome::Rejected, false);
+                    self.routers[router].attempt_finished(now, id, attempt, AttemptOutcome::Rejected, false);
                     router
                 }
                 What::Begin(router, id, attempt) => {
-                    self.routers[router].started(now, id, attempt);
+                    self.routers[router].response_started(now, id, attempt);
                     self.after(now + 100 * MS, What::End(router, id, attempt));
                     router
                 }
                 What::End(router, id, attempt) => {
-                    self.routers[router].settled(now, id, attempt, AttemptOutcome::Completed, true);
+                    self.routers[router].attempt_finished(now, id, attempt, AttemptOutcome::Completed, true);
                     self.attempts.remove(&(router, id));
                     router
                 }
                 What::Wake(router) => {
-                    self.routers[router].woken(now);
+                    self.routers[router].timer_fired(now);
                     router
                 }
             };
@@ -216,18 +228,21 @@
     /// and chance allow, and the calls at cold workers beside what their budgets sum up to.
     fn judged(&self) -> (usize, usize, f64, f64) {
         let (t, mut all, mut over, mut reads, mut budgets) = (&self.terms, 0, 0, 0.0, 0.0);
-        let lasts = self.terms.warm_after as f64;
+        let lasts = self.terms.warm_up_time as f64;
         for n in self.cold.clone() {
             let size = self.workers[usize::from(n)].1;
             let sent = self.sent.get(&worker(n)).map_or(&[][..], Vec::as_slice);
             let sent: Vec<_> = sent.iter().filter(|at| **at >= self.began).collect();
-            budgets += t.fall_multiple * self.able * size * (1.0 + t.cold_share) / 2.0 * lasts / 10_000.0;
+            budgets += t.overload_multiple * self.able * size * (1.0 + t.cold_capacity_share) / 2.0 * lasts
+                / 10_000.0;
             reads += sent.len() as f64;
             for (n, &at) in sent.iter().enumerate() {
                 let warm = (at - self.began) as f64 / lasts;
-                let able = self.able * size * (t.cold_share + (1.0 - t.cold_share) * warm.min(1.0));
-                let budget = t.fall_multiple * able * t.fall_span as f64 / 10_000.0;
-                let count = sent[n..].partition_point(|s| **s < at + t.fall_span);
+                let able = self.able
+                    * size
+                    * (t.cold_capacity_share + (1.0 - t.cold_capacity_share) * warm.min(1.0));
+                let budget = t.overload_multiple * able * t.overload_window as f64 / 10_000.0;
+                let count = sent[n..].partition_point(|s| **s < at + t.overload_window);
                 all += 1;
                 over += usize::from(count as f64 > budget + 2.0 * budget.sqrt() + 2.0);
             }
@@ -260,7 +275,7 @@
                     fleet.began = known as TenthMillis * MS;
                     fleet.play(fleet.began);
                     fleet.list(fleet.began, fleet.cold.clone(), fleet.began);
-                    fleet.play(fleet.began + fleet.terms.warm_after);
+                    fleet.play(fleet.began + fleet.terms.warm_up_time);
                     let (all, over, calls, budgets) = fleet.judged();
                     sums = (sums.0 + over, sums.1 + all, sums.2 + calls, sums.3 + budgets);
                 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -60,9 +60,9 @@
             let mut entry = endpoint(which % 6);
             entry.status = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed]
                 [usize::from(much % 3)];
-            entry.started = world.list[&entry.worker].started;
+            entry.start_time = world.list[&entry.worker].start_time;
             if much % 6 == 3 {
-                entry.started = world.now - TenthMillis::from(much % 500) * MS;
+                entry.start_time = world.now - TenthMillis::from(much % 500) * MS;
             }
             world.relist(entry);
             world.pull();
@@ -70,9 +70,9 @@
         13 => {
             if let Some(worker) = world.probes.pop() {
                 if much % 2 == 0 {
-                    world.router.told(world.now, worker, f64::from(much % 40));
+                    world.router.load_reported(world.now, worker, f64::from(much % 40));
                 }
-                world.router.probed(world.now, worker, much % 2 == 0);
+                world.router.health_check_finished(world.now, worker, much % 2 == 0);
                 world.pull();
             }
         }
@@ -86,7 +86,15 @@
         let routers = if places { 268 } else { 1 };
         let (probes, max_attempts) = (cancellation, if few { 2 } else { 5 });
         let asks = asks && probes;
-        let terms = SchedulerConfig { routers, places, cancellation, probes, asks, max_attempts, ..terms() };
+        let terms = SchedulerConfig {
+            router_count: routers,
+            reservations_enabled: places,
+            cancellation_enabled: cancellation,
+            health_checks_enabled: probes,
+            load_reports_enabled: asks,
+            max_attempts,
+            ..terms()
+        };
         let mut world = World::new(terms, 6);
         steps.into_iter().for_each(|s| step(&mut world, s));
         world.pass(30_000 * MS);
