--- a/crates/admin/src/program.rs
+++ b/crates/admin/src/program.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute_tenant_store::Entry;
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::Micros;
 
 use crate::api::Api;
@@ -29,7 +29,7 @@
     api: Api,
     /// Told of each change once it is on the disk.
     changed: Box<dyn FnMut(&Entry) + Send>,
-    connections: BTreeMap<Link, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     stopping: bool,
 }
 
@@ -38,20 +38,20 @@
         Admin { api, changed: Box::new(changed), connections: BTreeMap::new(), stopping: false }
     }
 
-    fn requests(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+    fn requests(&mut self, now: Micros, connection_id: ConnectionId, effects: &mut Effects) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         for _ in 0..REPLIES {
             let request = match http::next(&mut connection.arrived) {
                 Ok(Some(request)) => request,
                 Ok(None) => {
                     let patience = if connection.arrived.is_empty() { IDLE } else { WHOLE };
                     connection.until = now + patience;
-                    return out.ring(connection.until, link.0);
+                    return effects.set_timer(connection.until, connection_id.0);
                 }
                 Err(reply) => {
-                    out.send(link, reply.bytes(true));
-                    self.connections.remove(&link);
-                    return out.close(link, "a request that cannot be read");
+                    effects.send(connection_id, reply.bytes(true));
+                    self.connections.remove(&connection_id);
+                    return effects.close(connection_id, "a request that cannot be read");
                 }
             };
             let (reply, change) = self.api.answer(now, &request);
@@ -69,86 +69,102 @@
                     self.api.forget(&change.name);
                 }
             }
-            out.send(link, reply.bytes(request.last || self.stopping));
+            effects.send(connection_id, reply.bytes(request.last || self.stopping));
             if request.last || self.stopping {
-                self.connections.remove(&link);
-                return out.close(link, "its last request");
+                self.connections.remove(&connection_id);
+                return effects.close(connection_id, "its last request");
             }
         }
-        self.connections.remove(&link);
-        out.close(link, "too many requests without reading a reply");
+        self.connections.remove(&connection_id);
+        effects.close(connection_id, "too many requests without reading a reply");
     }
 }
 
-impl Program for Admin {
-    fn begin(&mut self, _now: Micros, _out: &mut Outbox) {}
+impl EventHandler for Admin {
+    fn on_start(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn accepted(&mut self, now: Micros, link: Link, _door: usize, out: &mut Outbox) {
+    fn on_accepted(&mut self, now: Micros, connection_id: ConnectionId, _door: usize, effects: &mut Effects) {
         if self.connections.len() >= CONNECTIONS {
-            out.send(link, problem::reply(503, "connections", "too many connections").bytes(true));
-            return out.close(link, "too many connections");
+            effects
+                .send(connection_id, problem::reply(503, "connections", "too many connections").bytes(true));
+            return effects.close(connection_id, "too many connections");
         }
         let until = now + IDLE;
-        self.connections.insert(link, Connection { until, ..Connection::default() });
-        out.ring(until, link.0);
+        self.connections.insert(connection_id, Connection { until, ..Connection::default() });
+        effects.set_timer(until, connection_id.0);
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, bytes: &Bytes, out: &mut Outbox) {
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+    fn on_data(&mut self, now: Micros, connection_id: ConnectionId, bytes: &Bytes, effects: &mut Effects) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         let began = connection.arrived.is_empty();
         let until = connection.until;
         connection.arrived.extend_from_slice(bytes);
-        self.requests(now, link, out);
+        self.requests(now, connection_id, effects);
         // One that sends a byte now and then gets no more time for the same request.
-        if let Some(connection) = self.connections.get_mut(&link).filter(|c| !began && !c.arrived.is_empty())
+        if let Some(connection) =
+            self.connections.get_mut(&connection_id).filter(|c| !began && !c.arrived.is_empty())
         {
             connection.until = until;
         }
     }
 
-    fn lost(&mut self, _now: Micros, link: Link, _loss: Loss, _out: &mut Outbox) {
-        self.connections.remove(&link);
+    fn on_disconnect(
+        &mut self,
+        _now: Micros,
+        connection_id: ConnectionId,
+        _loss: DisconnectReason,
+        _out: &mut Effects,
+    ) {
+        self.connections.remove(&connection_id);
     }
 
-    fn crowded(&mut self, _now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
+    fn on_backpressure(
+        &mut self,
+        _now: Micros,
+        connection_id: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
         // Who does not read its replies is not read from either.
-        if self.connections.contains_key(&link) {
-            out.hush(link, crowded);
+        if self.connections.contains_key(&connection_id) {
+            effects.pause_reading(connection_id, crowded);
         }
     }
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
-        let link = Link(key);
-        let Some(connection) = self.connections.get(&link).filter(|c| c.until <= now) else { return };
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
+        let connection_id = ConnectionId(key);
+        let Some(connection) = self.connections.get(&connection_id).filter(|c| c.until <= now) else {
+            return;
+        };
         if !connection.arrived.is_empty() {
             let late = problem::reply(408, "slow", "the request was not whole in five seconds");
-            out.send(link, late.bytes(true));
+            effects.send(connection_id, late.bytes(true));
         }
-        self.connections.remove(&link);
-        out.close(link, "nothing more in time");
+        self.connections.remove(&connection_id);
+        effects.close(connection_id, "nothing more in time");
     }
 
-    fn told(&mut self, _now: Micros, letter: &Bytes, _out: &mut Outbox) {
+    fn on_message(&mut self, _now: Micros, letter: &Bytes, _out: &mut Effects) {
         if let Err(problem) = tideroute_wire::tenant::hear_figures(letter, &mut self.api) {
             tracing::error!(%problem, "a core's figures cannot be read");
         }
     }
 
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn stop(&mut self, _now: Micros, out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, effects: &mut Effects) {
         self.stopping = true;
         let idle: Vec<_> =
             self.connections.iter().filter(|(_, c)| c.arrived.is_empty()).map(|(l, _)| *l).collect();
-        for link in idle {
-            self.connections.remove(&link);
-            out.close(link, "the administration stops");
+        for connection_id in idle {
+            self.connections.remove(&connection_id);
+            effects.close(connection_id, "the administration stops");
         }
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stopping && self.connections.is_empty()
     }
 }
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use tideroute_admin::{Admin, Administrator, Api, Role};
 use tideroute_tenant_store::Store;
-use tideroute_wire::link::{Act, Link, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
 
 const NOW: u64 = 1_000_000_000;
 
@@ -14,8 +14,8 @@
     admin: Admin,
     store: Arc<Store>,
     changes: Arc<Mutex<Vec<String>>>,
-    out: Outbox,
-    links: u64,
+    effects: Effects,
+    connections: u64,
 }
 
 /// What a connection brought: the statuses and the last reply, and whether it was closed.
@@ -40,27 +40,27 @@
         let admin = Admin::new(api, move |entry| {
             told.lock().expect("no panic").push(format!("{} {}", entry.name, entry.tenant.is_some()));
         });
-        Server { admin, store, changes, out: Outbox::default(), links: 0 }
+        Server { admin, store, changes, effects: Effects::default(), connections: 0 }
     }
 
-    fn connect(&mut self) -> Link {
-        self.links += 1;
-        let link = Link(self.links);
-        self.admin.accepted(NOW, link, 0, &mut self.out);
-        link
+    fn connect(&mut self) -> ConnectionId {
+        self.connections += 1;
+        let connection = ConnectionId(self.connections);
+        self.admin.on_accepted(NOW, connection, 0, &mut self.effects);
+        connection
     }
 
     fn got(&mut self) -> Got {
         let mut got = Got::default();
-        for act in self.out.take() {
+        for act in self.effects.take() {
             match act {
-                Act::Send { frame, .. } => {
+                Effect::Send { frame, .. } => {
                     let text = String::from_utf8_lossy(&frame).into_owned();
                     assert!(text.starts_with("HTTP/1.1 "), "{text}");
                     got.statuses.push(text[9..12].parse().expect("a status"));
                     got.last = text;
                 }
-                Act::Close { .. } => got.closed = true,
+                Effect::Close { .. } => got.closed = true,
                 _ => {}
             }
         }
@@ -69,12 +69,17 @@
 
     /// Sends bytes on a connection of their own, in pieces of a size.
     fn send(&mut self, bytes: &[u8], piece: usize) -> Got {
-        let link = self.connect();
+        let connection = self.connect();
         for part in bytes.chunks(piece.max(1)) {
-            self.admin.heard(NOW, link, &Bytes::copy_from_slice(part), &mut self.out);
+            self.admin.on_data(NOW, connection, &Bytes::copy_from_slice(part), &mut self.effects);
         }
         let got = self.got();
-        self.admin.lost(NOW, link, tideroute_wire::link::Loss::Broken, &mut self.out);
+        self.admin.on_disconnect(
+            NOW,
+            connection,
+            tideroute_wire::event_loop::DisconnectReason::Reset,
+            &mut self.effects,
+        );
         got
     }
 
@@ -273,15 +278,15 @@
     let text = request("GET", "/v1/tenants", OPERATE, "");
     for (n, byte) in text.bytes().take(20).enumerate() {
         let now = NOW + n as u64 * 240_000;
-        server.admin.heard(now, slow, &Bytes::copy_from_slice(&[byte]), &mut server.out);
+        server.admin.on_data(now, slow, &Bytes::copy_from_slice(&[byte]), &mut server.effects);
     }
     server.got();
-    server.admin.rang(NOW + 5_000_000, slow.0, &mut server.out);
+    server.admin.on_timer(NOW + 5_000_000, slow.0, &mut server.effects);
     let got = server.got();
     assert_eq!((got.statuses.as_slice(), got.closed), ([408].as_slice(), true));
-    server.admin.rang(NOW + 59_000_000, idle.0, &mut server.out);
+    server.admin.on_timer(NOW + 59_000_000, idle.0, &mut server.effects);
     assert!(!server.got().closed);
-    server.admin.rang(NOW + 60_000_000, idle.0, &mut server.out);
+    server.admin.on_timer(NOW + 60_000_000, idle.0, &mut server.effects);
     assert!(server.got().closed);
 }
 
--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -16,7 +16,7 @@
 use tideroute_simulation::convert;
 use tideroute_simulation::load::Load;
 use tideroute_simulation::straight::Straight;
-use tideroute_wire::link::Program;
+use tideroute_wire::event_loop::EventHandler;
 use tideroute_wire::tap::Who;
 use tideroute_wire::{Address, Micros};
 
@@ -112,7 +112,7 @@
 }
 
 /// Drives the program; false if it ended by a crash of its own or by force.
-fn drive(mut reactor: Reactor, program: &mut impl Program) -> Ended {
+fn drive(mut reactor: Reactor, program: &mut impl EventHandler) -> Ended {
     Ok(reactor.run(program).map_err(|e| e.to_string())? == Loop::Done)
 }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the servers around a router, to test it against: [`Worker`], which reads, writes or does both
 //! and moves real read states, and [`List`], which says which workers run. Both are
-//! [`Program`](tideroute_wire::link::Program)s, and both follow a script of troubles. They answer as told;
+//! [`EventHandler`](tideroute_wire::link::Program)s, and both follow a script of troubles. They answer as told;
 //! how real engines behave under load is not theirs to say.
 
 mod list;
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::list::{self, EndpointStatus, Page};
 use tideroute_wire::{Address, Malformed, Micros, Party};
 
@@ -53,17 +53,17 @@
 pub struct List {
     terms: ListTerms,
     lag: Micros,
-    peers: BTreeMap<Link, Peer>,
-    watchers: BTreeSet<Link>,
+    peers: BTreeMap<ConnectionId, Peer>,
+    watchers: BTreeSet<ConnectionId>,
     /// Which link speaks for a worker: one that came back does so on a new one.
-    speaks: BTreeMap<Address, Link>,
+    speaks: BTreeMap<Address, ConnectionId>,
     /// What has happened and is not yet told, with its time to be.
     pending: VecDeque<(Micros, Entry)>,
     told: BTreeMap<Address, Entry>,
     history: VecDeque<Entry>,
     version: u64,
     /// Watchers that came before it had settled, with what they have; None once it has.
-    early: Option<Vec<(Link, u64)>>,
+    early: Option<Vec<(ConnectionId, u64)>>,
     stopping: bool,
 }
 
@@ -84,14 +84,14 @@
         }
     }
 
-    fn changed(&mut self, now: Micros, entry: Entry, out: &mut Outbox) {
+    fn changed(&mut self, now: Micros, entry: Entry, effects: &mut Effects) {
         // One by one and in order, also when the lag has become shorter meanwhile.
         let at = self.pending.back().map_or(0, |(at, _)| *at).max(now + self.lag);
         self.pending.push_back((at, entry));
-        out.ring(at, PUBLISH);
+        effects.set_timer(at, PUBLISH);
     }
 
-    fn publish(&mut self, now: Micros, out: &mut Outbox) {
+    fn publish(&mut self, now: Micros, effects: &mut Effects) {
         let mut fresh = Vec::new();
         while let Some((_, entry)) = self.pending.pop_front_if(|(at, _)| *at <= now) {
             self.version += 1;
@@ -108,14 +108,14 @@
         let mut page = Page::new(self.version, false);
         fresh.iter().for_each(|e| e.add_to(&mut page));
         let frame = page.frame();
-        self.watchers.iter().for_each(|&link| out.send(link, frame.clone()));
+        self.watchers.iter().for_each(|&connection| effects.send(connection, frame.clone()));
     }
 
-    fn watch(&mut self, link: Link, have: u64, out: &mut Outbox) {
+    fn watch(&mut self, connection: ConnectionId, have: u64, effects: &mut Effects) {
         if let Some(early) = self.early.as_mut() {
-            return early.push((link, have));
+            return early.push((connection, have));
         }
-        self.watchers.insert(link);
+        self.watchers.insert(connection);
         let missed = self.version.checked_sub(have).filter(|&m| have > 0 && m <= self.history.len() as u64);
         let mut page = Page::new(self.version, missed.is_none());
         match missed {
@@ -129,19 +129,25 @@
                 self.told.values().filter(there).for_each(|e| e.add_to(&mut page));
             }
         }
-        out.send(link, page.frame());
+        effects.send(connection, page.frame());
     }
 
-    fn route(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) -> Result<(), Malformed> {
-        if self.peers.get(&link) != Some(&Peer::Unknown) {
-            return list::hear_caller(frame, &mut Caller { list: self, now, link, out });
+    fn route(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        frame: &Bytes,
+        effects: &mut Effects,
+    ) -> Result<(), Malformed> {
+        if self.peers.get(&connection) != Some(&Peer::Unknown) {
+            return list::hear_caller(frame, &mut Caller { list: self, now, connection, effects });
         }
         let peer = match tideroute_wire::first(frame)?.0 {
             Party::Worker => Peer::Worker(None),
             Party::Router => Peer::Router,
             Party::Client => return Err(Malformed::Range("party")),
         };
-        self.peers.insert(link, peer);
+        self.peers.insert(connection, peer);
         Ok(())
     }
 }
@@ -149,16 +155,16 @@
 struct Caller<'a> {
     list: &'a mut List,
     now: Micros,
-    link: Link,
-    out: &'a mut Outbox,
+    connection: ConnectionId,
+    effects: &'a mut Effects,
 }
 
 impl list::List for Caller<'_> {
     fn watch(&mut self, have: u64) -> Result<(), Malformed> {
-        if self.list.peers.get(&self.link) != Some(&Peer::Router) {
+        if self.list.peers.get(&self.connection) != Some(&Peer::Router) {
             return Err(Malformed::Order("Watch"));
         }
-        self.list.watch(self.link, have, self.out);
+        self.list.watch(self.connection, have, self.effects);
         Ok(())
     }
 
@@ -172,64 +178,70 @@
         zone: u8,
         started: Micros,
     ) -> Result<(), Malformed> {
-        if !matches!(self.list.peers.get(&self.link), Some(Peer::Worker(_))) {
+        if !matches!(self.list.peers.get(&self.connection), Some(Peer::Worker(_))) {
             return Err(Malformed::Order("Here"));
         }
-        self.list.peers.insert(self.link, Peer::Worker(Some(worker)));
-        self.list.speaks.insert(worker, self.link);
+        self.list.peers.insert(self.connection, Peer::Worker(Some(worker)));
+        self.list.speaks.insert(worker, self.connection);
         let entry = Entry { worker, kind, size, standing, cell, zone, started };
-        self.list.changed(self.now, entry, self.out);
+        self.list.changed(self.now, entry, self.effects);
         Ok(())
     }
 }
 
-impl Program for List {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for List {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         // Versions of a later life are higher than all of an earlier one.
         self.version = now;
-        out.ring(now + SETTLES, SETTLED);
+        effects.set_timer(now + SETTLES, SETTLED);
         for (place, (after, _)) in self.terms.script.iter().enumerate() {
-            out.ring(now + after, SCRIPT + place as u64);
+            effects.set_timer(now + after, SCRIPT + place as u64);
         }
     }
 
-    fn accepted(&mut self, _now: Micros, link: Link, _door: usize, _out: &mut Outbox) {
-        self.peers.insert(link, Peer::Unknown);
+    fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, _out: &mut Effects) {
+        self.peers.insert(connection, Peer::Unknown);
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        if let Err(problem) = self.route(now, link, frame, out) {
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
+        if let Err(problem) = self.route(now, connection, frame, effects) {
             tracing::warn!(%problem, "closes a connection");
-            out.close(link, problem.to_string());
-            self.lost(now, link, Loss::Broken, out);
+            effects.close(connection, problem.to_string());
+            self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, _loss: Loss, out: &mut Outbox) {
-        self.watchers.remove(&link);
-        self.early.as_mut().into_iter().for_each(|early| early.retain(|(l, _)| *l != link));
-        let Some(Peer::Worker(Some(worker))) = self.peers.remove(&link) else { return };
-        if self.speaks.get(&worker) != Some(&link) {
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        self.watchers.remove(&connection);
+        self.early.as_mut().into_iter().for_each(|early| early.retain(|(l, _)| *l != connection));
+        let Some(Peer::Worker(Some(worker))) = self.peers.remove(&connection) else { return };
+        if self.speaks.get(&worker) != Some(&connection) {
             return;
         }
         self.speaks.remove(&worker);
         let pending = self.pending.iter().rev().find(|(_, e)| e.worker == worker).map(|(_, e)| *e);
         if let Some(last) = pending.or(self.told.get(&worker).copied()) {
-            self.changed(now, Entry { standing: EndpointStatus::Removed, ..last }, out);
+            self.changed(now, Entry { standing: EndpointStatus::Removed, ..last }, effects);
         }
     }
 
-    fn crowded(&mut self, _now: Micros, _link: Link, _crowded: bool, _out: &mut Outbox) {}
+    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         if key == PUBLISH {
-            return self.publish(now, out);
+            return self.publish(now, effects);
         }
         if key == SETTLED {
-            for (link, have) in self.early.take().unwrap_or_default() {
-                self.watch(link, have, out);
+            for (connection, have) in self.early.take().unwrap_or_default() {
+                self.watch(connection, have, effects);
             }
             return;
         }
@@ -238,13 +250,13 @@
         }
     }
 
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
         self.stopping = true;
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stopping
     }
 }
--- a/crates/emulator/src/reading.rs
+++ b/crates/emulator/src/reading.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::{Bytes, BytesMut};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{fetch, worker, Micros, Whose};
 
 use crate::state;
@@ -15,7 +15,7 @@
 const CHUNK: usize = 16 << 10;
 
 struct Read {
-    router: Link,
+    router: ConnectionId,
     shot: u16,
     serial: u64,
     prefix: u64,
@@ -27,7 +27,7 @@
     step_takes: Micros,
     kept: u32,
     /// Who fetches it, and the bytes sent so far.
-    fetcher: Option<(Link, usize)>,
+    fetcher: Option<(ConnectionId, usize)>,
 }
 
 impl Read {
@@ -48,7 +48,7 @@
     waiting: VecDeque<Whose>,
     running: usize,
     kept: VecDeque<u64>,
-    crowded: BTreeSet<Link>,
+    crowded: BTreeSet<ConnectionId>,
 }
 
 impl Reading {
@@ -65,7 +65,7 @@
     pub fn read(
         &mut self,
         now: Micros,
-        router: Link,
+        router: ConnectionId,
         id: Whose,
         shot: u16,
         prefix: u64,
@@ -73,16 +73,16 @@
         prefix_tokens: u32,
         prompt: &Bytes,
         bench: &mut Bench,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) -> bool {
         let full =
             self.waiting.len() >= bench.terms.reads_waiting && self.running >= bench.terms.reads_at_once;
         if !bench.takes_new() || full || self.reads.contains_key(&id) {
-            out.send(router, worker::ended(id.1, shot, worker::How::Full));
+            effects.send(router, worker::ended(id.1, shot, worker::How::Full));
             return false;
         }
         if bench.faults {
-            out.send(router, worker::ended(id.1, shot, worker::How::Fault));
+            effects.send(router, worker::ended(id.1, shot, worker::How::Fault));
             return false;
         }
         let serial = bench.serial();
@@ -103,12 +103,12 @@
         self.reads.insert(id, read);
         self.by_serial.insert(serial, id);
         self.waiting.push_back(id);
-        self.start(now, bench, out);
+        self.start(now, bench, effects);
         true
     }
 
     /// Starts what waits while there is room.
-    fn start(&mut self, now: Micros, bench: &mut Bench, out: &mut Outbox) {
+    fn start(&mut self, now: Micros, bench: &mut Bench, effects: &mut Effects) {
         while self.running < bench.terms.reads_at_once {
             let Some(id) = self.waiting.pop_front() else { return };
             let Some(read) = self.reads.get_mut(&id) else { continue };
@@ -118,41 +118,41 @@
             read.step_takes = bench.stretched(now, time / f64::from(STEPS));
             read.steps = Some(0);
             self.running += 1;
-            out.ring(now + read.step_takes, key(Timer::Read, read.serial));
+            effects.set_timer(now + read.step_takes, key(Timer::Read, read.serial));
         }
     }
 
     /// One step of a read has passed; false if the timer was not a read's.
-    pub fn rang(&mut self, now: Micros, serial: u64, bench: &mut Bench, out: &mut Outbox) -> bool {
+    pub fn rang(&mut self, now: Micros, serial: u64, bench: &mut Bench, effects: &mut Effects) -> bool {
         let Some(&id) = self.by_serial.get(&serial) else { return false };
         let Some(read) = self.reads.get_mut(&id) else { return true };
         let steps = read.steps.map_or(0, |s| s + 1).min(STEPS);
         read.steps = Some(steps);
         if steps < STEPS {
-            out.ring(now + read.step_takes, key(Timer::Read, serial));
+            effects.set_timer(now + read.step_takes, key(Timer::Read, serial));
         } else {
             let (router, prefix) = (read.router, read.prefix);
             let done = worker::read_done(id.1, read.shot, read.kept, read.state.len() as u64);
             self.running -= 1;
-            out.send(router, done);
+            effects.send(router, done);
             if prefix != 0 && !self.kept.contains(&prefix) {
                 self.kept.push_back(prefix);
                 if self.kept.len() > bench.terms.keeps {
                     self.kept.pop_front();
                 }
             }
-            self.start(now, bench, out);
+            self.start(now, bench, effects);
         }
-        self.pump(id, bench, out);
+        self.pump(id, bench, effects);
         true
     }
 
     /// Sends the fetcher what there is and it has not got, unless it is not taking any.
-    fn pump(&mut self, id: Whose, bench: &Bench, out: &mut Outbox) {
+    fn pump(&mut self, id: Whose, bench: &Bench, effects: &mut Effects) {
         let Some(read) = self.reads.get_mut(&id) else { return };
         let (there, done) = (read.there(), read.done());
-        let Some((link, sent)) = read.fetcher.as_mut() else { return };
-        while *sent < there && !self.crowded.contains(link) {
+        let Some((connection, sent)) = read.fetcher.as_mut() else { return };
+        while *sent < there && !self.crowded.contains(connection) {
             let end = (*sent + CHUNK).min(there);
             let mut part = read.state.slice(*sent..end);
             let crc = crc32fast::hash(&part);
@@ -161,42 +161,49 @@
                 broken[0] ^= 1;
                 part = broken.freeze();
             }
-            out.send(*link, fetch::chunk(id, *sent as u64, part, crc));
+            effects.send(*connection, fetch::chunk(id, *sent as u64, part, crc));
             *sent = end;
         }
         if done && *sent == read.state.len() {
-            out.send(*link, fetch::whole(id, read.state.len() as u64, crc32fast::hash(&read.state)));
+            effects
+                .send(*connection, fetch::whole(id, read.state.len() as u64, crc32fast::hash(&read.state)));
         }
     }
 
     /// False if there is no such read.
-    pub fn fetch(&mut self, link: Link, id: Whose, bench: &Bench, out: &mut Outbox) -> bool {
+    pub fn fetch(
+        &mut self,
+        connection: ConnectionId,
+        id: Whose,
+        bench: &Bench,
+        effects: &mut Effects,
+    ) -> bool {
         let Some(read) = self.reads.get_mut(&id) else { return false };
-        read.fetcher = Some((link, 0));
-        self.pump(id, bench, out);
+        read.fetcher = Some((connection, 0));
+        self.pump(id, bench, effects);
         true
     }
 
-    pub fn unfetch(&mut self, link: Link, id: Whose) {
+    pub fn unfetch(&mut self, connection: ConnectionId, id: Whose) {
         if let Some(read) = self.reads.get_mut(&id) {
-            read.fetcher.take_if(|(l, _)| *l == link);
+            read.fetcher.take_if(|(l, _)| *l == connection);
         }
     }
 
-    pub fn fetcher_lost(&mut self, link: Link) {
-        self.crowded.remove(&link);
+    pub fn fetcher_lost(&mut self, connection: ConnectionId) {
+        self.crowded.remove(&connection);
         for read in self.reads.values_mut() {
-            read.fetcher.take_if(|(l, _)| *l == link);
+            read.fetcher.take_if(|(l, _)| *l == connection);
         }
     }
 
-    pub fn crowded(&mut self, link: Link, crowded: bool, bench: &Bench, out: &mut Outbox) {
+    pub fn crowded(&mut self, connection: ConnectionId, crowded: bool, bench: &Bench, effects: &mut Effects) {
         if crowded {
-            self.crowded.insert(link);
-        } else if self.crowded.remove(&link) {
-            let mine = |r: &Read| r.fetcher.is_some_and(|(l, sent)| l == link && sent < r.there());
+            self.crowded.insert(connection);
+        } else if self.crowded.remove(&connection) {
+            let mine = |r: &Read| r.fetcher.is_some_and(|(l, sent)| l == connection && sent < r.there());
             let ids: Vec<_> = self.reads.iter().filter(|(_, r)| mine(r)).map(|(&id, _)| id).collect();
-            ids.into_iter().for_each(|id| self.pump(id, bench, out));
+            ids.into_iter().for_each(|id| self.pump(id, bench, effects));
         }
     }
 
@@ -207,17 +214,24 @@
         }
     }
 
-    pub fn withdraw(&mut self, now: Micros, id: Whose, shot: u16, bench: &mut Bench, out: &mut Outbox) {
+    pub fn withdraw(&mut self, now: Micros, id: Whose, shot: u16, bench: &mut Bench, effects: &mut Effects) {
         if self.reads.get(&id).is_some_and(|r| r.shot == shot) {
             self.remove(id);
-            self.start(now, bench, out);
+            self.start(now, bench, effects);
         }
     }
 
-    pub fn router_lost(&mut self, now: Micros, link: Link, bench: &mut Bench, out: &mut Outbox) {
-        let ids: Vec<_> = self.reads.iter().filter(|(_, r)| r.router == link).map(|(&id, _)| id).collect();
+    pub fn router_lost(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bench: &mut Bench,
+        effects: &mut Effects,
+    ) {
+        let ids: Vec<_> =
+            self.reads.iter().filter(|(_, r)| r.router == connection).map(|(&id, _)| id).collect();
         ids.into_iter().for_each(|id| self.remove(id));
-        self.start(now, bench, out);
+        self.start(now, bench, effects);
     }
 
     fn remove(&mut self, id: Whose) {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::list::EndpointStatus;
 use tideroute_wire::{fetch, list, say_hello, worker, Address, Malformed, Micros, Origin, Party, Whose};
 
@@ -176,10 +176,10 @@
     pub(crate) bench: Bench,
     pub(crate) reading: Reading,
     pub(crate) writing: Writing,
-    peers: BTreeMap<Link, Peer>,
-    readers: BTreeMap<Address, Link>,
-    early: VecDeque<(u64, Link, Whose)>,
-    list: Option<Link>,
+    peers: BTreeMap<ConnectionId, Peer>,
+    readers: BTreeMap<Address, ConnectionId>,
+    early: VecDeque<(u64, ConnectionId, Whose)>,
+    list: Option<ConnectionId>,
     silent: bool,
     stopping: bool,
 }
@@ -213,66 +213,72 @@
         }
     }
 
-    fn say_here(&mut self, out: &mut Outbox) {
-        let Some(link) = self.list else { return };
+    fn say_here(&mut self, effects: &mut Effects) {
+        let Some(connection) = self.list else { return };
         let t = &self.bench.terms;
         let standing = if self.bench.draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let started = if t.warm { 0 } else { self.bench.began };
-        out.send(link, list::here(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
+        effects.send(connection, list::here(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
     }
 
-    fn call_list(&mut self, out: &mut Outbox) {
-        let link = out.dial(self.bench.terms.list, DIAL);
-        self.peers.insert(link, Peer::List);
-        self.list = Some(link);
-        out.send(link, say_hello(Party::Worker, &self.bench.terms.name));
-        self.say_here(out);
+    fn call_list(&mut self, effects: &mut Effects) {
+        let connection = effects.connect(self.bench.terms.list, DIAL);
+        self.peers.insert(connection, Peer::List);
+        self.list = Some(connection);
+        effects.send(connection, say_hello(Party::Worker, &self.bench.terms.name));
+        self.say_here(effects);
     }
 
     /// The connection to a reader, dialled if there is none.
-    pub(crate) fn reader(&mut self, at: Address, out: &mut Outbox) -> Link {
+    pub(crate) fn reader(&mut self, at: Address, effects: &mut Effects) -> ConnectionId {
         *self.readers.entry(at).or_insert_with(|| {
-            let link = out.dial(at, DIAL);
-            self.peers.insert(link, Peer::Reader(at));
-            out.send(link, say_hello(Party::Worker, &self.bench.terms.name));
-            link
+            let connection = effects.connect(at, DIAL);
+            self.peers.insert(connection, Peer::Reader(at));
+            effects.send(connection, say_hello(Party::Worker, &self.bench.terms.name));
+            connection
         })
     }
 
-    fn follow(&mut self, trouble: Trouble, out: &mut Outbox) {
+    fn follow(&mut self, trouble: Trouble, effects: &mut Effects) {
         tracing::info!(name = self.bench.terms.name, ?trouble, "its script says");
         match trouble {
             Trouble::Refuse(refuse) => self.bench.refuses = refuse,
             Trouble::Fault(fault) => self.bench.faults = fault,
             Trouble::Slow(times) => self.bench.slow = times.max(0.01),
             Trouble::Corrupt(corrupt) => self.bench.corrupts = corrupt,
-            Trouble::Die => out.vanish(),
+            Trouble::Die => effects.crash(),
             Trouble::Silent => {
                 self.silent = true;
                 (self.reading, self.writing) = (Reading::default(), Writing::default());
             }
             Trouble::Drain => {
                 self.bench.draining = true;
-                self.say_here(out);
+                self.say_here(effects);
             }
         }
     }
 
     /// A fetch for a read that is not here yet waits for it a little while.
-    fn fetch(&mut self, now: Micros, link: Link, id: Whose, out: &mut Outbox) {
-        if self.reading.fetch(link, id, &self.bench, out) {
+    fn fetch(&mut self, now: Micros, connection: ConnectionId, id: Whose, effects: &mut Effects) {
+        if self.reading.fetch(connection, id, &self.bench, effects) {
             return;
         }
         if self.early.len() >= EARLY_FETCHES {
-            return out.send(link, fetch::missing(id));
+            return effects.send(connection, fetch::missing(id));
         }
         let serial = self.bench.serial();
-        self.early.push_back((serial, link, id));
-        out.ring(now + EARLY_FETCH, key(Timer::EarlyFetch, serial));
+        self.early.push_back((serial, connection, id));
+        effects.set_timer(now + EARLY_FETCH, key(Timer::EarlyFetch, serial));
     }
 
-    fn route(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) -> Result<(), Malformed> {
-        match self.peers.get(&link).copied() {
+    fn route(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        frame: &Bytes,
+        effects: &mut Effects,
+    ) -> Result<(), Malformed> {
+        match self.peers.get(&connection).copied() {
             Some(Peer::Unknown) => {
                 let (party, ..) = tideroute_wire::first(frame)?;
                 let peer = match party {
@@ -280,75 +286,89 @@
                     Party::Worker => Peer::Fetcher,
                     Party::Client => return Err(Malformed::Range("party")),
                 };
-                self.peers.insert(link, peer);
+                self.peers.insert(connection, peer);
                 Ok(())
             }
             Some(Peer::Router(origin)) => {
-                worker::hear_router(frame, &mut RouterLink { worker: self, now, link, origin, out })
+                worker::hear_router(frame, &mut RouterLink { worker: self, now, connection, origin, effects })
             }
             Some(Peer::Fetcher) => {
-                fetch::hear_fetcher(frame, &mut FetcherLink { worker: self, now, link, out })
+                fetch::hear_fetcher(frame, &mut FetcherLink { worker: self, now, connection, effects })
+            }
+            Some(Peer::Reader(_)) => {
+                fetch::hear_reader(frame, &mut ReaderLink { worker: self, now, effects })
             }
-            Some(Peer::Reader(_)) => fetch::hear_reader(frame, &mut ReaderLink { worker: self, now, out }),
             Some(Peer::List) => Err(Malformed::Order("a word from the list")),
             None => Ok(()),
         }
     }
 }
 
-impl Program for Worker {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
-        self.call_list(out);
+impl EventHandler for Worker {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
+        self.call_list(effects);
         for (place, (after, _)) in self.bench.terms.script.iter().enumerate() {
-            out.ring(now + after, key(Timer::Script, place as u64));
+            effects.set_timer(now + after, key(Timer::Script, place as u64));
         }
     }
 
-    fn accepted(&mut self, _now: Micros, link: Link, _door: usize, _out: &mut Outbox) {
-        self.peers.insert(link, Peer::Unknown);
+    fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, _out: &mut Effects) {
+        self.peers.insert(connection, Peer::Unknown);
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         if self.silent {
             return;
         }
-        if let Err(problem) = self.route(now, link, frame, out) {
+        if let Err(problem) = self.route(now, connection, frame, effects) {
             tracing::warn!(name = self.bench.terms.name, %problem, "closes a connection");
-            out.close(link, problem.to_string());
-            self.lost(now, link, Loss::Broken, out);
+            effects.close(connection, problem.to_string());
+            self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
         if self.bench.fallen {
-            out.vanish();
+            effects.crash();
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, _loss: Loss, out: &mut Outbox) {
-        match self.peers.remove(&link) {
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        match self.peers.remove(&connection) {
             Some(Peer::List) => {
                 self.list = None;
-                out.ring(now + DIAL, key(Timer::List, 0));
+                effects.set_timer(now + DIAL, key(Timer::List, 0));
             }
             // What is held for a connection ends with it.
             Some(Peer::Router(_)) => {
-                self.reading.router_lost(now, link, &mut self.bench, out);
-                self.with_writing(|w, worker| w.router_lost(now, link, worker, out));
+                self.reading.router_lost(now, connection, &mut self.bench, effects);
+                self.with_writing(|w, worker| w.router_lost(now, connection, worker, effects));
             }
-            Some(Peer::Fetcher) => self.reading.fetcher_lost(link),
+            Some(Peer::Fetcher) => self.reading.fetcher_lost(connection),
             Some(Peer::Reader(at)) => {
                 self.readers.remove(&at);
-                self.with_writing(|w, worker| w.reader_lost(now, at, worker, out));
+                self.with_writing(|w, worker| w.reader_lost(now, at, worker, effects));
             }
             Some(Peer::Unknown) | None => {}
         }
     }
 
-    fn crowded(&mut self, _now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        self.reading.crowded(link, crowded, &self.bench, out);
+    fn on_backpressure(
+        &mut self,
+        _now: Micros,
+        connection: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
+        self.reading.crowded(connection, crowded, &self.bench, effects);
     }
 
-    fn rang(&mut self, now: Micros, timer: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, timer: u64, effects: &mut Effects) {
         let (kind, what) = (timer >> 56, timer & ((1 << 56) - 1));
         if self.silent && kind != Timer::Script as u64 {
             return;
@@ -356,31 +376,31 @@
         if kind == Timer::Script as u64 {
             let trouble = self.bench.terms.script.get(what as usize).map(|(_, trouble)| *trouble);
             if let Some(trouble) = trouble {
-                self.follow(trouble, out);
+                self.follow(trouble, effects);
             }
         } else if kind == Timer::List as u64 {
-            self.call_list(out);
+            self.call_list(effects);
         } else if kind == Timer::Read as u64 {
-            if !self.reading.rang(now, what, &mut self.bench, out) {
-                self.with_writing(|w, worker| w.read_alone(now, what, worker, out));
+            if !self.reading.rang(now, what, &mut self.bench, effects) {
+                self.with_writing(|w, worker| w.read_alone(now, what, worker, effects));
             }
         } else if kind == Timer::Token as u64 {
-            self.with_writing(|w, worker| w.rang(now, what, worker, out));
+            self.with_writing(|w, worker| w.rang(now, what, worker, effects));
         } else if let Some(at) = self.early.iter().position(|(serial, ..)| *serial == what) {
-            if let Some((_, link, id)) = self.early.remove(at) {
-                out.send(link, fetch::missing(id));
+            if let Some((_, connection, id)) = self.early.remove(at) {
+                effects.send(connection, fetch::missing(id));
             }
         }
     }
 
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn stop(&mut self, _now: Micros, out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, effects: &mut Effects) {
         self.stopping = true;
-        self.follow(Trouble::Drain, out);
+        self.follow(Trouble::Drain, effects);
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stopping && (self.silent || self.reading.is_empty() && self.writing.is_empty())
     }
 }
@@ -397,9 +417,9 @@
 struct RouterLink<'a> {
     worker: &'a mut Worker,
     now: Micros,
-    link: Link,
+    connection: ConnectionId,
     origin: Origin,
-    out: &'a mut Outbox,
+    effects: &'a mut Effects,
 }
 
 impl worker::Worker for RouterLink<'_> {
@@ -416,15 +436,15 @@
         prompt: Bytes,
     ) -> Result<(), Malformed> {
         let id = (self.origin, id);
-        let RouterLink { worker, now, link, out, .. } = self;
+        let RouterLink { worker, now, connection, effects, .. } = self;
         if worker.bench.terms.does == Does::Write {
-            out.send(*link, worker::ended(id.1, shot, worker::How::Fault));
+            effects.send(*connection, worker::ended(id.1, shot, worker::How::Fault));
             return Ok(());
         }
         worker.bench.press(*now, f64::from(prompt_tokens));
         let taken = worker.reading.read(
             *now,
-            *link,
+            *connection,
             id,
             shot,
             prefix,
@@ -432,13 +452,13 @@
             prefix_tokens,
             &prompt,
             &mut worker.bench,
-            out,
+            effects,
         );
         if taken {
-            let early = |(_, _, wanted): &(u64, Link, Whose)| *wanted == id;
+            let early = |(_, _, wanted): &(u64, ConnectionId, Whose)| *wanted == id;
             if let Some(at) = worker.early.iter().position(early) {
                 if let Some((_, fetcher, _)) = worker.early.remove(at) {
-                    worker.reading.fetch(fetcher, id, &worker.bench, out);
+                    worker.reading.fetch(fetcher, id, &worker.bench, effects);
                 }
             }
         }
@@ -452,8 +472,9 @@
         most_tokens: u32,
         reader: Address,
     ) -> Result<(), Malformed> {
-        let (now, link, id) = (self.now, self.link, (self.origin, id));
-        self.worker.with_writing(|w, worker| w.hold(now, link, id, most_tokens, reader, worker, self.out));
+        let (now, connection, id) = (self.now, self.connection, (self.origin, id));
+        self.worker
+            .with_writing(|w, worker| w.hold(now, connection, id, most_tokens, reader, worker, self.effects));
         Ok(())
     }
 
@@ -473,38 +494,51 @@
         _prefix_tokens: u32,
         prompt: Bytes,
     ) -> Result<(), Malformed> {
-        let (now, link, id, out) = (self.now, self.link, (self.origin, id), &mut *self.out);
+        let (now, connection, id, effects) =
+            (self.now, self.connection, (self.origin, id), &mut *self.effects);
         self.worker.bench.press(now, f64::from(most_tokens));
         self.worker.with_writing(|w, worker| {
-            w.write(now, link, id, shot, prompt_tokens, most_tokens, reader, window, &prompt, worker, out);
+            w.write(
+                now,
+                connection,
+                id,
+                shot,
+                prompt_tokens,
+                most_tokens,
+                reader,
+                window,
+                &prompt,
+                worker,
+                effects,
+            );
         });
         Ok(())
     }
 
     fn let_go(&mut self, id: u64) -> Result<(), Malformed> {
-        let (now, id, out) = (self.now, (self.origin, id), &mut *self.out);
+        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.reading.let_go(id);
-        self.worker.with_writing(|w, worker| w.let_go(now, id, worker, out));
+        self.worker.with_writing(|w, worker| w.let_go(now, id, worker, effects));
         Ok(())
     }
 
     fn withdraw(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
-        let (now, id, out) = (self.now, (self.origin, id), &mut *self.out);
-        self.worker.reading.withdraw(now, id, shot, &mut self.worker.bench, out);
-        self.worker.with_writing(|w, worker| w.withdraw(now, id, shot, worker, out));
+        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
+        self.worker.reading.withdraw(now, id, shot, &mut self.worker.bench, effects);
+        self.worker.with_writing(|w, worker| w.withdraw(now, id, shot, worker, effects));
         Ok(())
     }
 
     fn probe(&mut self, nonce: u64) -> Result<(), Malformed> {
         let (reads, read_queue) = self.worker.reading.load();
         let (streams, queue) = self.worker.writing.load();
-        self.out.send(self.link, worker::probed(nonce, reads, streams, read_queue + queue));
+        self.effects.send(self.connection, worker::probed(nonce, reads, streams, read_queue + queue));
         Ok(())
     }
 
     fn more(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
-        let (now, id, out) = (self.now, (self.origin, id), &mut *self.out);
-        self.worker.with_writing(|w, worker| w.more(now, id, shot, tokens, worker, out));
+        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
+        self.worker.with_writing(|w, worker| w.more(now, id, shot, tokens, worker, effects));
         Ok(())
     }
 }
@@ -512,13 +546,13 @@
 struct FetcherLink<'a> {
     worker: &'a mut Worker,
     now: Micros,
-    link: Link,
-    out: &'a mut Outbox,
+    connection: ConnectionId,
+    effects: &'a mut Effects,
 }
 
 impl fetch::Reader for FetcherLink<'_> {
     fn fetch(&mut self, id: Whose) -> Result<(), Malformed> {
-        self.worker.fetch(self.now, self.link, id, self.out);
+        self.worker.fetch(self.now, self.connection, id, self.effects);
         Ok(())
     }
 
@@ -528,7 +562,7 @@
     }
 
     fn unfetch(&mut self, id: Whose) -> Result<(), Malformed> {
-        self.worker.reading.unfetch(self.link, id);
+        self.worker.reading.unfetch(self.connection, id);
         Ok(())
     }
 }
@@ -536,25 +570,25 @@
 struct ReaderLink<'a> {
     worker: &'a mut Worker,
     now: Micros,
-    out: &'a mut Outbox,
+    effects: &'a mut Effects,
 }
 
 impl fetch::Fetcher for ReaderLink<'_> {
     fn chunk(&mut self, id: Whose, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
-        let (now, out) = (self.now, &mut *self.out);
-        self.worker.with_writing(|w, worker| w.chunk(now, id, offset, &part, crc, worker, out));
+        let (now, effects) = (self.now, &mut *self.effects);
+        self.worker.with_writing(|w, worker| w.chunk(now, id, offset, &part, crc, worker, effects));
         Ok(())
     }
 
     fn whole(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
-        let (now, out) = (self.now, &mut *self.out);
-        self.worker.with_writing(|w, worker| w.whole(now, id, state_bytes, crc, worker, out));
+        let (now, effects) = (self.now, &mut *self.effects);
+        self.worker.with_writing(|w, worker| w.whole(now, id, state_bytes, crc, worker, effects));
         Ok(())
     }
 
     fn missing(&mut self, id: Whose) -> Result<(), Malformed> {
-        let (now, out) = (self.now, &mut *self.out);
-        self.worker.with_writing(|w, worker| w.missing(now, id, worker, out));
+        let (now, effects) = (self.now, &mut *self.effects);
+        self.worker.with_writing(|w, worker| w.missing(now, id, worker, effects));
         Ok(())
     }
 }
--- a/crates/emulator/src/writing.rs
+++ b/crates/emulator/src/writing.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::{Bytes, BytesMut};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{fetch, worker, Address, Micros, Whose};
 
 use crate::state;
@@ -21,7 +21,7 @@
 }
 
 struct Write {
-    router: Link,
+    router: ConnectionId,
     /// None while only a place is held.
     shot: Option<u16>,
     serial: u64,
@@ -64,28 +64,28 @@
     pub fn hold(
         &mut self,
         now: Micros,
-        router: Link,
+        router: ConnectionId,
         id: Whose,
         most_tokens: u32,
         reader: Address,
         worker: &mut Worker,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         let terms = &worker.bench.terms;
         let free = self.taken() < terms.streams_at_once && self.waiting.is_empty();
         let held =
             free && terms.does != Does::Read && worker.bench.takes_new() && !self.writes.contains_key(&id);
-        out.send(router, worker::hold_answer(id.1, held));
+        effects.send(router, worker::hold_answer(id.1, held));
         if held {
             self.insert(router, id, None, 0, most_tokens, Some(reader), 0, worker);
-            self.fetch(now, id, worker, out);
+            self.fetch(now, id, worker, effects);
         }
     }
 
     pub fn write(
         &mut self,
         now: Micros,
-        router: Link,
+        router: ConnectionId,
         id: Whose,
         shot: u16,
         prompt_tokens: u32,
@@ -94,17 +94,17 @@
         window: u32,
         prompt: &Bytes,
         worker: &mut Worker,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         let terms = &worker.bench.terms;
-        let mut end = |how| out.send(router, worker::ended(id.1, shot, how));
+        let mut end = |how| effects.send(router, worker::ended(id.1, shot, how));
         if worker.bench.faults || terms.does == Does::Read {
             self.remove(id);
             return end(worker::How::Fault);
         }
         if let Some(write) = self.writes.get_mut(&id).filter(|w| w.shot.is_none() && w.router == router) {
             (write.shot, write.window) = (Some(shot), window.max(1));
-            return self.go_on(now, id, worker, out);
+            return self.go_on(now, id, worker, effects);
         }
         let full = self.taken() >= terms.streams_at_once && self.waiting.len() >= terms.streams_waiting;
         if !worker.bench.takes_new() || full || self.writes.contains_key(&id) {
@@ -122,12 +122,12 @@
             write.waits = true;
             self.waiting.push_back(id);
         }
-        self.start(now, worker, out);
+        self.start(now, worker, effects);
     }
 
     fn insert(
         &mut self,
-        router: Link,
+        router: ConnectionId,
         id: Whose,
         shot: Option<u16>,
         prompt_tokens: u32,
@@ -157,7 +157,7 @@
     }
 
     /// Gives free slots to what waits.
-    fn start(&mut self, now: Micros, worker: &mut Worker, out: &mut Outbox) {
+    fn start(&mut self, now: Micros, worker: &mut Worker, effects: &mut Effects) {
         while self.taken() < worker.bench.terms.streams_at_once {
             let Some(id) = self.waiting.pop_front() else { return };
             let Some(write) = self.writes.get_mut(&id) else { continue };
@@ -165,28 +165,28 @@
             if write.own.is_some() {
                 let time = f64::from(write.prompt_tokens) / worker.bench.terms.read_rate * 1e6;
                 let takes = worker.bench.stretched(now, time);
-                out.ring(now + takes, key(Timer::Read, write.serial));
+                effects.set_timer(now + takes, key(Timer::Read, write.serial));
             } else {
-                self.fetch(now, id, worker, out);
+                self.fetch(now, id, worker, effects);
             }
         }
     }
 
-    fn fetch(&mut self, _now: Micros, id: Whose, worker: &mut Worker, out: &mut Outbox) {
+    fn fetch(&mut self, _now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         let Some(reader) = write.reader else { return };
         write.state = State::Coming(BytesMut::new());
-        let link = worker.reader(reader, out);
-        out.send(link, fetch::fetch(id));
+        let connection = worker.reader(reader, effects);
+        effects.send(connection, fetch::fetch(id));
     }
 
     /// A mixed worker has read a prompt itself.
-    pub fn read_alone(&mut self, now: Micros, serial: u64, worker: &mut Worker, out: &mut Outbox) {
+    pub fn read_alone(&mut self, now: Micros, serial: u64, worker: &mut Worker, effects: &mut Effects) {
         let Some(&id) = self.by_serial.get(&serial) else { return };
         let Some(write) = self.writes.get_mut(&id) else { return };
         if let Some(crc) = write.own {
             write.state = State::Here(crc);
-            self.go_on(now, id, worker, out);
+            self.go_on(now, id, worker, effects);
         }
     }
 
@@ -198,14 +198,14 @@
         part: &Bytes,
         crc: u32,
         worker: &mut Worker,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         let Some(Write { state: State::Coming(got), .. }) = self.writes.get_mut(&id) else { return };
         if offset == got.len() as u64 && crc32fast::hash(part) == crc {
             got.extend_from_slice(part);
         } else {
             tracing::debug!(id = id.1, offset, "a chunk of a state is broken; the state is not used");
-            self.missing(now, id, worker, out);
+            self.missing(now, id, worker, effects);
         }
     }
 
@@ -216,50 +216,50 @@
         state_bytes: u64,
         crc: u32,
         worker: &mut Worker,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         let State::Coming(got) = &write.state else { return };
         if got.len() as u64 != state_bytes || crc32fast::hash(got) != crc {
-            return self.missing(now, id, worker, out);
+            return self.missing(now, id, worker, effects);
         }
         write.state = State::Here(crc);
         if let Some(reader) = write.reader {
-            let link = worker.reader(reader, out);
-            out.send(link, fetch::fetched(id));
+            let connection = worker.reader(reader, effects);
+            effects.send(connection, fetch::fetched(id));
         }
-        self.go_on(now, id, worker, out);
+        self.go_on(now, id, worker, effects);
     }
 
     /// The state will not come.
-    pub fn missing(&mut self, now: Micros, id: Whose, worker: &mut Worker, out: &mut Outbox) {
+    pub fn missing(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         if matches!(write.state, State::Coming(_)) {
             write.state = State::Lost;
-            self.go_on(now, id, worker, out);
+            self.go_on(now, id, worker, effects);
         }
     }
 
     /// Takes the next step of an answer whose send and state are both here.
-    fn go_on(&mut self, now: Micros, id: Whose, worker: &mut Worker, out: &mut Outbox) {
+    fn go_on(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         let Some(shot) = write.shot else { return };
         match write.state {
             State::Lost => {
-                out.send(write.router, worker::ended(id.1, shot, worker::How::Stateless));
+                effects.send(write.router, worker::ended(id.1, shot, worker::How::Stateless));
                 self.remove(id);
-                self.start(now, worker, out);
+                self.start(now, worker, effects);
             }
             State::Here(_) => {
                 let gap = worker.bench.stretched(now, worker.bench.terms.token_gap as f64);
-                out.ring(now + gap, key(Timer::Token, write.serial));
+                effects.set_timer(now + gap, key(Timer::Token, write.serial));
             }
             State::None | State::Coming(_) => {}
         }
     }
 
     /// A token's time has come.
-    pub fn rang(&mut self, now: Micros, serial: u64, worker: &mut Worker, out: &mut Outbox) {
+    pub fn rang(&mut self, now: Micros, serial: u64, worker: &mut Worker, effects: &mut Effects) {
         let Some(&id) = self.by_serial.get(&serial) else { return };
         let Some(write) = self.writes.get_mut(&id) else { return };
         let (Some(shot), State::Here(crc)) = (write.shot, &write.state) else { return };
@@ -268,15 +268,15 @@
             return;
         }
         let text = Bytes::copy_from_slice(&state::text(*crc, write.sent));
-        out.send(write.router, worker::token(id.1, shot, write.sent, text));
+        effects.send(write.router, worker::token(id.1, shot, write.sent, text));
         (write.sent, write.under_way) = (write.sent + 1, write.under_way + 1);
         if write.sent == state::answer_tokens(*crc, write.most_tokens) {
-            out.send(write.router, worker::finished(id.1, shot, write.sent));
+            effects.send(write.router, worker::finished(id.1, shot, write.sent));
             self.remove(id);
-            return self.start(now, worker, out);
+            return self.start(now, worker, effects);
         }
         let gap = worker.bench.stretched(now, worker.bench.terms.token_gap as f64);
-        out.ring(now + gap, key(Timer::Token, serial));
+        effects.set_timer(now + gap, key(Timer::Token, serial));
     }
 
     /// The client has taken so many tokens.
@@ -287,47 +287,61 @@
         shot: u16,
         tokens: u32,
         worker: &mut Worker,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         let Some(write) = self.writes.get_mut(&id).filter(|w| w.shot == Some(shot)) else { return };
         write.under_way = write.under_way.saturating_sub(tokens);
         if std::mem::take(&mut write.paused) {
             let serial = write.serial;
-            self.rang(now, serial, worker, out);
+            self.rang(now, serial, worker, effects);
         }
     }
 
     /// Lets go of a place that no send has taken.
-    pub fn let_go(&mut self, now: Micros, id: Whose, worker: &mut Worker, out: &mut Outbox) {
+    pub fn let_go(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
         if self.writes.get(&id).is_some_and(|w| w.shot.is_none()) {
-            self.give_up(now, id, worker, out);
+            self.give_up(now, id, worker, effects);
         }
     }
 
-    pub fn withdraw(&mut self, now: Micros, id: Whose, shot: u16, worker: &mut Worker, out: &mut Outbox) {
+    pub fn withdraw(
+        &mut self,
+        now: Micros,
+        id: Whose,
+        shot: u16,
+        worker: &mut Worker,
+        effects: &mut Effects,
+    ) {
         if self.writes.get(&id).is_some_and(|w| w.shot == Some(shot)) {
-            self.give_up(now, id, worker, out);
+            self.give_up(now, id, worker, effects);
         }
     }
 
-    pub fn router_lost(&mut self, now: Micros, link: Link, worker: &mut Worker, out: &mut Outbox) {
-        let ids: Vec<_> = self.writes.iter().filter(|(_, w)| w.router == link).map(|(&id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.give_up(now, id, worker, out));
+    pub fn router_lost(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        worker: &mut Worker,
+        effects: &mut Effects,
+    ) {
+        let ids: Vec<_> =
+            self.writes.iter().filter(|(_, w)| w.router == connection).map(|(&id, _)| id).collect();
+        ids.into_iter().for_each(|id| self.give_up(now, id, worker, effects));
     }
 
-    pub fn reader_lost(&mut self, now: Micros, at: Address, worker: &mut Worker, out: &mut Outbox) {
+    pub fn reader_lost(&mut self, now: Micros, at: Address, worker: &mut Worker, effects: &mut Effects) {
         let fetched = |w: &Write| w.reader == Some(at) && matches!(w.state, State::Coming(_));
         let ids: Vec<_> = self.writes.iter().filter(|(_, w)| fetched(w)).map(|(&id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.missing(now, id, worker, out));
+        ids.into_iter().for_each(|id| self.missing(now, id, worker, effects));
     }
 
-    fn give_up(&mut self, now: Micros, id: Whose, worker: &mut Worker, out: &mut Outbox) {
+    fn give_up(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.remove(id) else { return };
         if let (State::Coming(_), Some(reader)) = (&write.state, write.reader) {
-            let link = worker.reader(reader, out);
-            out.send(link, fetch::unfetch(id));
+            let connection = worker.reader(reader, effects);
+            effects.send(connection, fetch::unfetch(id));
         }
-        self.start(now, worker, out);
+        self.start(now, worker, effects);
     }
 
     fn remove(&mut self, id: Whose) -> Option<Write> {
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/ask.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute_http::{number, Fields, Request};
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
 use crate::words::{self, is_trace, number_of};
@@ -16,7 +16,7 @@
 
 /// What the protocol keeps of a submission beside the books.
 pub struct Asked {
-    pub client: Link,
+    pub client: ConnectionId,
     pub trace: Arc<str>,
     pub target: String,
     /// Fields that go on to workers.
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use tideroute::types::RequestId;
 use tideroute_http::Body;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
 use crate::ask::Ask;
@@ -40,9 +40,9 @@
 
 #[derive(Default)]
 pub struct Clients {
-    links: HashMap<Link, Client>,
+    connections: HashMap<ConnectionId, Client>,
     /// Those with no request open, the longest wait first: they are the first to go when room is needed.
-    waiting: BTreeSet<(Micros, Link)>,
+    waiting: BTreeSet<(Micros, ConnectionId)>,
     /// Trace ids that are open.
     traces: HashMap<Arc<str>, RequestId>,
     /// Bytes that have arrived and are not gone again.
@@ -50,8 +50,8 @@
 }
 
 impl Clients {
-    pub fn accepted(&mut self, link: Link, now: Micros) -> &mut Client {
-        self.waiting.insert((now, link));
+    pub fn accepted(&mut self, connection: ConnectionId, now: Micros) -> &mut Client {
+        self.waiting.insert((now, connection));
         let client = Client {
             at: At::Head,
             arrived: BytesMut::new(),
@@ -62,36 +62,36 @@
             since: Some(now),
             counted: 0,
         };
-        self.links.entry(link).or_insert(client)
+        self.connections.entry(connection).or_insert(client)
     }
 
     pub fn len(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.links.is_empty()
+        self.connections.is_empty()
     }
 
-    pub fn get_mut(&mut self, link: Link) -> Option<&mut Client> {
-        self.links.get_mut(&link)
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Client> {
+        self.connections.get_mut(&connection)
     }
 
-    pub fn get(&self, link: Link) -> Option<&Client> {
-        self.links.get(&link)
+    pub fn get(&self, connection: ConnectionId) -> Option<&Client> {
+        self.connections.get(&connection)
     }
 
     /// Of those with no request open, the one that has waited longest.
-    pub fn longest_idle(&self) -> Option<Link> {
-        self.waiting.first().map(|(_, link)| *link)
+    pub fn longest_idle(&self) -> Option<ConnectionId> {
+        self.waiting.first().map(|(_, connection)| *connection)
     }
 
     /// Those with nothing of a request there, whether one was asked on them before, and since when they wait.
-    pub fn idle(&self) -> Vec<(Link, bool, Micros)> {
-        let idle = |&(since, link): &(Micros, Link)| {
-            let client = self.links.get(&link)?;
+    pub fn idle(&self) -> Vec<(ConnectionId, bool, Micros)> {
+        let idle = |&(since, connection): &(Micros, ConnectionId)| {
+            let client = self.connections.get(&connection)?;
             let nothing_there = client.arrived.is_empty() && matches!(client.at, At::Head);
-            nothing_there.then_some((link, client.asked, since))
+            nothing_there.then_some((connection, client.asked, since))
         };
         self.waiting.iter().filter_map(idle).collect()
     }
@@ -101,29 +101,29 @@
     }
 
     /// The client's submission is taken.
-    pub fn asked(&mut self, link: Link, trace: Arc<str>, id: RequestId) {
-        if let Some(client) = self.links.get_mut(&link) {
-            client.since.take().map(|since| self.waiting.remove(&(since, link)));
+    pub fn asked(&mut self, connection: ConnectionId, trace: Arc<str>, id: RequestId) {
+        if let Some(client) = self.connections.get_mut(&connection) {
+            client.since.take().map(|since| self.waiting.remove(&(since, connection)));
             self.traces.insert(trace.clone(), id);
             client.at = At::Response(id, trace, false);
         }
     }
 
     /// Its answer is complete, or its request was none: the next one may begin.
-    pub fn answered(&mut self, now: Micros, link: Link) {
-        let Some(client) = self.links.get_mut(&link) else { return };
+    pub fn answered(&mut self, now: Micros, connection: ConnectionId) {
+        let Some(client) = self.connections.get_mut(&connection) else { return };
         if let At::Response(_, trace, _) = std::mem::replace(&mut client.at, At::Head) {
             self.traces.remove(&trace);
         }
         if let Some(before) = client.since.replace(now) {
-            self.waiting.remove(&(before, link));
+            self.waiting.remove(&(before, connection));
         }
-        self.waiting.insert((now, link));
+        self.waiting.insert((now, connection));
     }
 
     /// Counts what the connection holds now.
-    pub fn count(&mut self, link: Link) {
-        let Some(client) = self.links.get_mut(&link) else { return };
+    pub fn count(&mut self, connection: ConnectionId) {
+        let Some(client) = self.connections.get_mut(&connection) else { return };
         let body = if let At::Body(at) = &client.at { at.2.len() } else { 0 };
         let holds = client.arrived.len() + body;
         self.held = self.held + holds - std::mem::replace(&mut client.counted, holds);
@@ -134,9 +134,9 @@
     }
 
     /// The connection is gone; the submission that was open on it comes back.
-    pub fn lose(&mut self, link: Link) -> Option<RequestId> {
-        let client = self.links.remove(&link)?;
-        client.since.map(|since| self.waiting.remove(&(since, link)));
+    pub fn lose(&mut self, connection: ConnectionId) -> Option<RequestId> {
+        let client = self.connections.remove(&connection)?;
+        client.since.map(|since| self.waiting.remove(&(since, connection)));
         self.held -= client.counted;
         let At::Response(id, trace, _) = client.at else { return None };
         self.traces.remove(&trace);
@@ -144,16 +144,16 @@
     }
 
     /// Whether the events of this submission have begun to go to the client.
-    pub fn streams(&self, link: Link, id: RequestId) -> Option<bool> {
-        match self.links.get(&link)?.at {
+    pub fn streams(&self, connection: ConnectionId, id: RequestId) -> Option<bool> {
+        match self.connections.get(&connection)?.at {
             At::Response(open, _, streams) if open == id => Some(streams),
             _ => None,
         }
     }
 
     /// They begin.
-    pub fn begin(&mut self, link: Link) {
-        if let Some(Client { at: At::Response(.., streams), .. }) = self.links.get_mut(&link) {
+    pub fn begin(&mut self, connection: ConnectionId) {
+        if let Some(Client { at: At::Response(.., streams), .. }) = self.connections.get_mut(&connection) {
             *streams = true;
         }
     }
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -7,7 +7,7 @@
 use tideroute_http::write;
 use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
 use tideroute_lifecycle::{Attempt, RequestState, Response, Timer, Transport};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
 use crate::ask::Asked;
@@ -29,7 +29,7 @@
 pub struct Later {
     pub outcomes: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Clients whose answer is complete: their next request may be there already.
-    pub answered: Vec<Link>,
+    pub answered: Vec<ConnectionId>,
 }
 
 /// A plain text as an answer, with the microseconds that its client should stay away; 0 for no advice.
@@ -49,13 +49,13 @@
     pub later: &'a mut Later,
     pub stopping: bool,
     pub now: Micros,
-    pub out: &'a mut Outbox,
+    pub effects: &'a mut Effects,
 }
 
 impl Exit<'_> {
     /// What is held, and what is needed to do something for it.
     fn held(&mut self) -> (&mut Held, Context<'_>) {
-        let context = Context { now: self.now, pools: &mut *self.pools, out: &mut *self.out };
+        let context = Context { now: self.now, pools: &mut *self.pools, effects: &mut *self.effects };
         (&mut *self.held, context)
     }
 
@@ -67,54 +67,57 @@
         }
         let target = format!("{}{trace}", words::PLACES);
         let bytes = write::request("POST", &target, [("host", "worker")], Some(b""));
-        let Some(link) = self.pools.call(self.now, at, Job::Place { id }, bytes, self.out) else { return };
-        if let Some(conn) = self.pools.get_mut(link) {
+        let Some(connection) = self.pools.call(self.now, at, Job::Place { id }, bytes, self.effects) else {
+            return;
+        };
+        if let Some(conn) = self.pools.get_mut(connection) {
             story::tell(id, trace, State::PlaceAsked(conn.to));
-            conn.patience.set(self.now + PLACE, key(Ring::Worker(link)), self.out);
+            conn.patience.set(self.now + PLACE, key(Ring::Worker(connection)), self.effects);
         }
         let (held, mut context) = self.held();
-        held.asked(id, trace, (at, link), &mut context);
+        held.asked(id, trace, (at, connection), &mut context);
     }
 
     /// Probes the reader of a request, whose answer is a sign of life.
     pub fn ask_for_sign(&mut self, id: RequestId, reader: WorkerId) {
         let bytes = write::request("GET", words::ALIVE, [("host", "worker")], None);
-        let Some(link) = self.pools.call(self.now, reader, Job::Liveness { id }, bytes, self.out) else {
+        let Some(connection) = self.pools.call(self.now, reader, Job::Liveness { id }, bytes, self.effects)
+        else {
             return;
         };
-        if let Some(conn) = self.pools.get_mut(link) {
-            conn.patience.set(self.now + self.terms.dial, key(Ring::Worker(link)), self.out);
+        if let Some(conn) = self.pools.get_mut(connection) {
+            conn.patience.set(self.now + self.terms.dial, key(Ring::Worker(connection)), self.effects);
         }
     }
 
     /// An attempt leaves on its connection, which is up: it tells how long its client waits from now.
-    pub fn attempt(&mut self, link: Link, s: &RequestState<Asked>, _permit: AttemptPermit) {
+    pub fn attempt(&mut self, connection: ConnectionId, s: &RequestState<Asked>, _permit: AttemptPermit) {
         let left = (s.deadline.saturating_sub(self.now) / 1_000).to_string();
         let fields = s.asked.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
         let fields = fields.chain([(words::LEFT, left.as_str())]);
-        self.out.send(link, write::request("POST", &s.asked.target, fields, Some(&s.asked.body)));
+        self.effects.send(connection, write::request("POST", &s.asked.target, fields, Some(&s.asked.body)));
     }
 
     /// Whether a shot's last byte has left; of one whose connection is not known nothing shows that it has not.
-    fn has_left(&mut self, link: Link) -> bool {
-        self.pools.get_mut(link).is_none_or(|conn| conn.written)
+    fn has_left(&mut self, connection: ConnectionId) -> bool {
+        self.pools.get_mut(connection).is_none_or(|conn| conn.written)
     }
 
     /// An answer that is all there is to say, on a connection that goes on if it can.
-    pub fn say(&mut self, link: Link, status: u16, after: Micros, what: &str) {
-        let last = self.stopping || self.clients.get(link).is_none_or(|c| c.last);
-        self.out.send(link, said(status, after, what, last));
-        self.complete(link, last);
+    pub fn say(&mut self, connection: ConnectionId, status: u16, after: Micros, what: &str) {
+        let last = self.stopping || self.clients.get(connection).is_none_or(|c| c.last);
+        self.effects.send(connection, said(status, after, what, last));
+        self.complete(connection, last);
     }
 
     /// The answer is complete.
-    fn complete(&mut self, link: Link, last: bool) {
+    fn complete(&mut self, connection: ConnectionId, last: bool) {
         if last {
-            self.clients.lose(link);
-            self.out.close(link, "its last answer");
+            self.clients.lose(connection);
+            self.effects.close(connection, "its last answer");
         } else {
-            self.clients.answered(self.now, link);
-            self.later.answered.push(link);
+            self.clients.answered(self.now, connection);
+            self.later.answered.push(connection);
         }
     }
 }
@@ -138,14 +141,14 @@
         let class = self.terms.lifecycle.module.classes.get(usize::from(s.class));
         let once = !attempt.reading && class.is_some_and(|t| t.idempotency == Idempotency::NonIdempotent);
         let job = Job::Attempt { id, number: attempt.number, reading: attempt.reading, once };
-        let Some(link) = self.pools.begin(self.now, attempt.worker, job, self.out) else {
+        let Some(connection) = self.pools.begin(self.now, attempt.worker, job, self.effects) else {
             return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
         };
-        if let Some(conn) = self.pools.get_mut(link) {
+        if let Some(conn) = self.pools.get_mut(connection) {
             story::tell(id, &s.asked.trace, State::AttemptChosen(attempt.number, conn.to));
         }
         if self.pools.attempt_is_connected(id) {
-            self.attempt(link, s, permit);
+            self.attempt(connection, s, permit);
             let (held, mut context) = self.held();
             held.pause(id, &mut context);
         }
@@ -159,7 +162,9 @@
         _reader: WorkerId,
         _permit: PlacePermit,
     ) {
-        let Some(conn) = self.pools.attempt_connection(id).and_then(|link| self.pools.get_mut(link)) else {
+        let Some(conn) =
+            self.pools.attempt_connection(id).and_then(|connection| self.pools.get_mut(connection))
+        else {
             return;
         };
         if conn.written {
@@ -185,14 +190,14 @@
     }
 
     fn withdraw(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
-        let Some(link) = self.pools.attempt_connection(id) else { return true };
-        let left = self.has_left(link);
-        self.pools.end(link, self.out);
+        let Some(connection) = self.pools.attempt_connection(id) else { return true };
+        let left = self.has_left(connection);
+        self.pools.end(connection, self.effects);
         !left
     }
 
     fn recall(&mut self, id: RequestId, attempt: &Attempt) -> bool {
-        let left = self.pools.attempt_connection(id).is_some_and(|link| self.has_left(link));
+        let left = self.pools.attempt_connection(id).is_some_and(|connection| self.has_left(connection));
         !left && self.withdraw(id, attempt)
     }
 
@@ -238,42 +243,42 @@
     }
 
     fn answer(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: AnswerPermit) {
-        let link = s.asked.client;
+        let connection = s.asked.client;
         story::tell(id, &s.asked.trace, State::Answered(answer));
-        let Some(streams) = self.clients.streams(link, id) else { return };
+        let Some(streams) = self.clients.streams(connection, id) else { return };
         match answer {
             Response::Completed(_) => {
-                let last = self.stopping || self.clients.get(link).is_none_or(|c| c.last);
-                self.out.send(link, write::LAST_CHUNK.into());
-                self.complete(link, last);
+                let last = self.stopping || self.clients.get(connection).is_none_or(|c| c.last);
+                self.effects.send(connection, write::LAST_CHUNK.into());
+                self.complete(connection, last);
             }
             // The client sees from the missing last chunk that there was more.
             Response::Failed if streams => {
-                self.clients.lose(link);
-                self.out.close(link, "its stream broke");
+                self.clients.lose(connection);
+                self.effects.close(connection, "its stream broke");
             }
-            Response::Failed if self.now >= s.deadline => self.say(link, 504, 0, "no answer in time"),
-            Response::Failed => self.say(link, 502, 0, "no worker answered it"),
-            Response::Rejected(after) => self.say(link, 503, after, "turned back: it has not run"),
+            Response::Failed if self.now >= s.deadline => self.say(connection, 504, 0, "no answer in time"),
+            Response::Failed => self.say(connection, 502, 0, "no worker answered it"),
+            Response::Rejected(after) => self.say(connection, 503, after, "turned back: it has not run"),
         }
     }
 
     fn probe(&mut self, nonce: u64, at: WorkerId) {
         let path = if self.terms.report.is_some() { words::LOAD } else { words::ALIVE };
         let bytes = write::request("GET", path, [("host", "worker")], None);
-        self.pools.call(self.now, at, Job::Probe { nonce }, bytes, self.out);
+        self.pools.call(self.now, at, Job::Probe { nonce }, bytes, self.effects);
     }
 
     fn probed(&mut self, at: WorkerId) {
-        self.pools.end_probe(at, self.out);
+        self.pools.end_probe(at, self.effects);
     }
 
     /// Changes come by themselves once the watch is open, which it is whenever it can be.
     fn subscribe(&mut self, version: u64) {
-        self.watch.begin(self.now, self.terms.discovery, version, self.out);
+        self.watch.begin(self.now, self.terms.discovery, version, self.effects);
     }
 
     fn ring(&mut self, at: Micros, timer: Timer) {
-        self.out.ring(at, key(Ring::RequestLifecycle(timer)));
+        self.effects.set_timer(at, key(Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/held.rs
@@ -14,7 +14,7 @@
 use tideroute::types::{RequestId, WorkerId};
 use tideroute_http::write;
 use tideroute_lifecycle::short;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
 use crate::conn::Job;
@@ -75,7 +75,7 @@
     /// The reader of a request has given a sign of life.
     pub fn reader_lives(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.since().is_none()) else { return };
-        entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.out);
+        entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.effects);
     }
 
     fn entry(&mut self, now: Micros, id: RequestId, trace: &Arc<str>) -> &mut Entry {
@@ -98,7 +98,7 @@
         let Some(entry) = self.entries.get_mut(&id) else { return };
         stop(entry, None, at);
         entry.clock = Clock::Runs(since);
-        entry.patience.set(entry.due(since, self.allowed), key(Ring::Held(short(id))), at.out);
+        entry.patience.set(entry.due(since, self.allowed), key(Ring::Held(short(id))), at.effects);
     }
 
     /// A read has ended well: its state takes the turn of whatever was held before.
@@ -138,7 +138,7 @@
         &mut self,
         id: RequestId,
         trace: &Arc<str>,
-        (worker, on): (WorkerId, Link),
+        (worker, on): (WorkerId, ConnectionId),
         at: &mut Context,
     ) {
         let new = !self.entries.contains_key(&id);
@@ -152,12 +152,18 @@
     }
 
     /// That call is over; `reading` if its read is out.
-    pub fn answered(&mut self, id: RequestId, on: Link, (place, reading): (Place, bool), at: &mut Context) {
+    pub fn answered(
+        &mut self,
+        id: RequestId,
+        on: ConnectionId,
+        (place, reading): (Place, bool),
+        at: &mut Context,
+    ) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         // An answer to an earlier call may be of an earlier read.
         let known = entry.asking.last() == Some(&on) && matches!(place, Place::Held | Place::Refused);
         let none = matches!(place, Place::Refused | Place::None);
-        entry.asking.retain(|link| *link != on);
+        entry.asking.retain(|connection| *connection != on);
         entry.asked &= none;
         if entry.holds_nothing() {
             stop(entry, None, at);
@@ -168,7 +174,7 @@
             self.unwanted(id, at);
         } else if known && reading && entry.release.is_none() {
             // The read is out at a worker that runs: the time rests.
-            entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.out);
+            entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.effects);
         } else if !none {
             // It may be held from now on; of a read that was taken to be out nobody there knows.
             entry.rounds = 0;
@@ -180,10 +186,10 @@
     /// No place is wanted any more: calls for one that have not left never do.
     pub fn unasked(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.asking.retain(|link| {
-            let left = at.pools.get_mut(*link).is_some_and(|conn| conn.written);
+        entry.asking.retain(|connection| {
+            let left = at.pools.get_mut(*connection).is_some_and(|conn| conn.written);
             if !left {
-                at.pools.end(*link, at.out);
+                at.pools.end(*connection, at.effects);
             }
             left
         });
@@ -224,7 +230,7 @@
     }
 
     /// A worker has answered a release, on that link. It frees nothing that an attempt waits with.
-    pub fn released(&mut self, id: RequestId, on: Link, at: &mut Context) {
+    pub fn released(&mut self, id: RequestId, on: ConnectionId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         story::tell(id, &entry.trace, State::Released);
         let began = entry.release.as_ref().map_or(at.now, |release| release.began);
@@ -247,12 +253,12 @@
     fn looks_again(&mut self, id: RequestId, after: Micros, at: &mut Context) {
         if let Some(entry) = self.entries.get_mut(&id) {
             let until = (at.now + after).min(entry.patience.until());
-            entry.patience.set(until, key(Ring::Held(short(id))), at.out);
+            entry.patience.set(until, key(Ring::Held(short(id))), at.effects);
         }
     }
 
     /// Nothing is held any more, but for what a call for a place under way may hold yet.
-    fn paid(&mut self, id: RequestId, on: Option<Link>, at: &mut Context) {
+    fn paid(&mut self, id: RequestId, on: Option<ConnectionId>, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         stop(entry, on, at);
         entry.asked = true;
@@ -281,7 +287,7 @@
             return;
         }
         stop(entry, None, at);
-        entry.patience.set(due, key(Ring::Held(short(id))), at.out);
+        entry.patience.set(due, key(Ring::Held(short(id))), at.effects);
     }
 
     /// Nobody wants what is held. Without an entry there is nothing to do.
@@ -293,7 +299,7 @@
         let until = (since + self.allowed).max(at.now + AHEAD) + BEYOND;
         tracing::debug!(id, at = ?entry.at, held = at.now - since, "releases what is held");
         let left = round(entry.at, at.pools);
-        entry.release = Some(Release { began: at.now, left, calls: 0, out: VecDeque::new(), until });
+        entry.release = Some(Release { began: at.now, left, calls: 0, in_flight: VecDeque::new(), until });
         self.go(id, 1, at);
     }
 
@@ -319,25 +325,25 @@
         for _ in 0..more.min(CALLS) {
             let mut called = None;
             while let Some(worker) = called.is_none().then(|| release.left.pop_front()).flatten() {
-                called = at.pools.call(at.now, worker, Job::Release { id }, bytes.clone(), at.out);
-                if let Some(conn) = called.and_then(|link| at.pools.get_mut(link)) {
+                called = at.pools.call(at.now, worker, Job::Release { id }, bytes.clone(), at.effects);
+                if let Some(conn) = called.and_then(|connection| at.pools.get_mut(connection)) {
                     story::tell(id, &entry.trace, State::ReleaseSent(conn.to));
                 }
             }
-            let Some(link) = called else { break };
+            let Some(connection) = called else { break };
             release.calls += 1;
-            release.out.push_back(link);
-            if release.out.len() > CALLS {
-                release.out.pop_front().into_iter().for_each(|oldest| at.pools.end(oldest, at.out));
+            release.in_flight.push_back(connection);
+            if release.in_flight.len() > CALLS {
+                release.in_flight.pop_front().into_iter().for_each(|oldest| at.pools.end(oldest, at.effects));
             }
         }
-        entry.patience.set(at.now + TRY, key(Ring::Held(short(id))), at.out);
+        entry.patience.set(at.now + TRY, key(Ring::Held(short(id))), at.effects);
     }
 
     /// The time of an entry is over, or a worker has not answered in time: the next ones are asked too.
     pub fn rang(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if !entry.patience.over(at.now, key(Ring::Held(short(id))), at.out) {
+        if !entry.patience.over(at.now, key(Ring::Held(short(id))), at.effects) {
             return;
         }
         let Some(release) = &mut entry.release else { return self.comes_due(id, at) };
@@ -373,16 +379,16 @@
         if at.now >= next {
             return self.unwanted(id, at);
         }
-        entry.patience.set(next, key(Ring::Held(short(id))), at.out);
+        entry.patience.set(next, key(Ring::Held(short(id))), at.effects);
     }
 
     /// A connection with a release on it came to nothing.
-    pub fn lost(&mut self, id: RequestId, link: Link, at: &mut Context) {
+    pub fn lost(&mut self, id: RequestId, connection: ConnectionId, at: &mut Context) {
         let Some(release) = self.entries.get_mut(&id).and_then(|e| e.release.as_mut()) else { return };
-        release.out.retain(|l| *l != link);
+        release.in_flight.retain(|l| *l != connection);
         // Beyond the first few, and where a round begins anew, it goes on by time alone, or refusals would follow each
         // other without a pause, through all of a fleet that can't be reached.
-        if release.out.is_empty() && !release.left.is_empty() && release.calls < CALLS {
+        if release.in_flight.is_empty() && !release.left.is_empty() && release.calls < CALLS {
             self.go(id, 1, at);
         }
     }
--- a/crates/gateway/src/held/entry.rs
+++ b/crates/gateway/src/held/entry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use tideroute::types::WorkerId;
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
 use crate::patience::Patience;
@@ -37,7 +37,7 @@
     /// Nothing but what a place that was asked for may hold.
     pub asked: bool,
     /// Calls that ask for a place and are out: what they hold they may hold after a release has passed them.
-    pub asking: Vec<Link>,
+    pub asking: Vec<ConnectionId>,
     /// Releases that were answered while such calls were out: from the third each waits twice as long as the one before.
     pub rounds: u32,
     /// Attempts that were ended by this side or by a reset, until their workers have seen that.
@@ -68,9 +68,9 @@
     }
 
     /// A read is known to be out now: the time rests.
-    pub fn rests(&mut self, now: Micros, allowed: Micros, key: u64, out: &mut Outbox) {
+    pub fn rests(&mut self, now: Micros, allowed: Micros, key: u64, effects: &mut Effects) {
         self.clock = Clock::Rests { since: now, asked: false };
-        self.patience.set(unsure_at(now, allowed), key, out);
+        self.patience.set(unsure_at(now, allowed), key, effects);
     }
 
     /// When what is held since then has to be released, of the time allowed for it.
@@ -83,7 +83,7 @@
 pub struct Context<'a> {
     pub now: Micros,
     pub pools: &'a mut Pools,
-    pub out: &'a mut Outbox,
+    pub effects: &'a mut Effects,
 }
 
 /// Who ended the connection of an attempt that was out.
@@ -136,7 +136,7 @@
     pub left: VecDeque<WorkerId>,
     /// Calls made, and those of them that are out, the oldest first.
     pub calls: usize,
-    pub out: VecDeque<Link>,
+    pub in_flight: VecDeque<ConnectionId>,
     /// When trying ends.
     pub until: Micros,
 }
@@ -153,7 +153,10 @@
 }
 
 /// Ends the calls that are out, but for the one that was answered.
-pub fn stop(entry: &mut Entry, answered: Option<Link>, at: &mut Context) {
-    let calls = entry.release.take().map(|r| r.out).unwrap_or_default();
-    calls.into_iter().filter(|link| Some(*link) != answered).for_each(|link| at.pools.end(link, at.out));
+pub fn stop(entry: &mut Entry, answered: Option<ConnectionId>, at: &mut Context) {
+    let calls = entry.release.take().map(|r| r.in_flight).unwrap_or_default();
+    calls
+        .into_iter()
+        .filter(|connection| Some(*connection) != answered)
+        .for_each(|connection| at.pools.end(connection, at.effects));
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! The platform's protocol: clients, workers and discovery over HTTP/1.1. [`Platform`] is a
-//! [`Program`](tideroute_wire::link::Program) on raw links, without socket and clock; what it is told goes to the
+//! [`EventHandler`](tideroute_wire::link::Program) on raw links, without socket and clock; what it is told goes to the
 //! books of `tideroute-lifecycle`, which pull the module's decisions, and what those say goes out as this protocol's
 //! words. It translates and decides nothing.
 //!
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/patience.rs
@@ -1,6 +1,6 @@
 //! How long a connection is waited for: one timer at a time, however often the wait is set anew.
 
-use tideroute_wire::link::Outbox;
+use tideroute_wire::event_loop::Effects;
 use tideroute_wire::Micros;
 
 #[derive(Clone, Copy, Debug)]
@@ -18,23 +18,23 @@
     }
 
     /// Waits until then from now on.
-    pub fn set(&mut self, until: Micros, key: u64, out: &mut Outbox) {
+    pub fn set(&mut self, until: Micros, key: u64, effects: &mut Effects) {
         self.until = until;
         if until < Micros::MAX && self.rung.is_none_or(|at| at > until) {
             self.rung = Some(until);
-            out.ring(until, key);
+            effects.set_timer(until, key);
         }
     }
 
     /// A timer rang: whether the wait is over. If it is not, the next timer is set.
-    pub fn over(&mut self, now: Micros, key: u64, out: &mut Outbox) -> bool {
+    pub fn over(&mut self, now: Micros, key: u64, effects: &mut Effects) -> bool {
         if self.rung.is_some_and(|at| at <= now) {
             self.rung = None;
         }
         if self.until <= now {
             return true;
         }
-        self.set(self.until, key, out);
+        self.set(self.until, key, effects);
         false
     }
 }
--- a/crates/gateway/src/pools.rs
+++ b/crates/gateway/src/pools.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute::types::{RequestId, WorkerId};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
 use crate::conn::{Conn, Job};
@@ -23,25 +23,25 @@
 
 #[derive(Default)]
 pub struct Pools {
-    conns: BTreeMap<Link, Conn>,
-    resting: BTreeMap<WorkerId, Vec<Link>>,
+    conns: BTreeMap<ConnectionId, Conn>,
+    resting: BTreeMap<WorkerId, Vec<ConnectionId>>,
     /// Resting connections of all workers, the longest rest first.
-    rests: BTreeSet<(Micros, Link)>,
+    rests: BTreeSet<(Micros, ConnectionId)>,
     /// The connection that each request's attempt is out on, and since when.
-    attempts: HashMap<RequestId, (Link, Micros)>,
+    attempts: HashMap<RequestId, (ConnectionId, Micros)>,
     /// When each worker was last heard.
     heard: HashMap<WorkerId, Micros>,
     places: BTreeMap<WorkerId, Address>,
     /// Those of them that take nothing new.
     drains: BTreeSet<WorkerId>,
-    probes: HashMap<WorkerId, Link>,
+    probes: HashMap<WorkerId, ConnectionId>,
     most: usize,
     dial: Micros,
     idle: Micros,
     /// A worker that says nothing for so long is taken for gone.
     pub hangs: Micros,
     /// Calls for places that workers are long in answering, the oldest first.
-    late: VecDeque<Link>,
+    late: VecDeque<ConnectionId>,
     /// Connections that have rested longer are not trusted, since when; none after `idle` of that.
     doubt: Option<(Micros, Micros)>,
 }
@@ -52,13 +52,13 @@
         Pools { most, dial, idle, hangs: HANGS, ..Pools::default() }
     }
 
-    pub fn get_mut(&mut self, link: Link) -> Option<&mut Conn> {
-        self.conns.get_mut(&link)
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Conn> {
+        self.conns.get_mut(&connection)
     }
 
     /// The connection that a submission's shot is out on.
-    pub fn attempt_connection(&self, id: RequestId) -> Option<Link> {
-        self.attempts.get(&id).map(|(link, _)| *link)
+    pub fn attempt_connection(&self, id: RequestId) -> Option<ConnectionId> {
+        self.attempts.get(&id).map(|(connection, _)| *connection)
     }
 
     /// How many shots are out on connections to each worker, and how many connections there are and rest.
@@ -72,7 +72,9 @@
 
     /// Whether a submission's shot has a connection that is there.
     pub fn attempt_is_connected(&self, id: RequestId) -> bool {
-        self.attempt_connection(id).and_then(|link| self.conns.get(&link)).is_some_and(|conn| conn.up)
+        self.attempt_connection(id)
+            .and_then(|connection| self.conns.get(&connection))
+            .is_some_and(|conn| conn.up)
     }
 
     /// Whether a submission's attempt to be read has left.
@@ -114,8 +116,8 @@
     }
 
     /// Bytes have come from the worker on that connection.
-    pub fn hears(&mut self, now: Micros, link: Link) -> Option<&mut Conn> {
-        let conn = self.conns.get_mut(&link)?;
+    pub fn hears(&mut self, now: Micros, connection: ConnectionId) -> Option<&mut Conn> {
+        let conn = self.conns.get_mut(&connection)?;
         conn.heard = now;
         self.heard.insert(conn.worker, now);
         Some(conn)
@@ -142,7 +144,7 @@
         at: Address,
         replaces_until: Option<Micros>,
         takes: bool,
-    ) -> Vec<Link> {
+    ) -> Vec<ConnectionId> {
         self.places.insert(worker, at);
         if takes {
             self.drains.remove(&worker);
@@ -154,22 +156,26 @@
                 || c.job.is_none() && c.to != at
                 || !takes && !c.up && c.brings_new()
         };
-        self.conns.iter().filter(|(_, c)| c.worker == worker && dead(c)).map(|(link, _)| *link).collect()
+        self.conns
+            .iter()
+            .filter(|(_, c)| c.worker == worker && dead(c))
+            .map(|(connection, _)| *connection)
+            .collect()
     }
 
     /// Connections under way, with what is new, to workers that are gone.
-    pub fn under_way_to_none(&self) -> Vec<Link> {
+    pub fn under_way_to_none(&self) -> Vec<ConnectionId> {
         let lost = |c: &Conn| !c.up && c.brings_new() && !self.places.contains_key(&c.worker);
-        self.conns.iter().filter(|(_, c)| lost(c)).map(|(link, _)| *link).collect()
+        self.conns.iter().filter(|(_, c)| lost(c)).map(|(connection, _)| *connection).collect()
     }
 
     /// A worker is gone: nothing new reaches it, and what rests there is put away.
-    pub fn gone(&mut self, worker: WorkerId, out: &mut Outbox) {
+    pub fn gone(&mut self, worker: WorkerId, effects: &mut Effects) {
         self.places.remove(&worker);
         self.drains.remove(&worker);
         self.heard.remove(&worker);
-        for link in self.resting.remove(&worker).unwrap_or_default() {
-            self.end(link, out);
+        for connection in self.resting.remove(&worker).unwrap_or_default() {
+            self.end(connection, effects);
         }
     }
 
@@ -193,10 +199,10 @@
     }
 
     /// Nobody waits for the probe of a worker any more.
-    pub fn end_probe(&mut self, worker: WorkerId, out: &mut Outbox) {
-        let Some(link) = self.probes.remove(&worker) else { return };
-        if self.conns.get(&link).is_some_and(|c| matches!(c.job, Some(Job::Probe { .. }))) {
-            self.end(link, out);
+    pub fn end_probe(&mut self, worker: WorkerId, effects: &mut Effects) {
+        let Some(connection) = self.probes.remove(&worker) else { return };
+        if self.conns.get(&connection).is_some_and(|c| matches!(c.job, Some(Job::Probe { .. }))) {
+            self.end(connection, effects);
         }
     }
 
@@ -215,15 +221,20 @@
 
     /// A call for a place has not been answered in time. Its worker may hang and grant it later, so it is waited for;
     /// the call that has waited longest comes back where so many wait that others would lack the connections.
-    pub fn is_late(&mut self, now: Micros, link: Link, out: &mut Outbox) -> Option<Link> {
-        if self.late.contains(&link) {
-            self.late.retain(|l| *l != link);
-            return Some(link);
+    pub fn is_late(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        effects: &mut Effects,
+    ) -> Option<ConnectionId> {
+        if self.late.contains(&connection) {
+            self.late.retain(|l| *l != connection);
+            return Some(connection);
         }
         self.late.retain(|l| self.conns.get(l).is_some_and(|c| matches!(c.job, Some(Job::Place { .. }))));
-        self.late.push_back(link);
+        self.late.push_back(connection);
         let until = now + self.hangs;
-        self.get_mut(link)?.patience.set(until, key(Ring::Worker(link)), out);
+        self.get_mut(connection)?.patience.set(until, key(Ring::Worker(connection)), effects);
         if self.late.len() > self.most / LATE_PART {
             self.late.pop_front()
         } else {
@@ -232,27 +243,28 @@
     }
 
     /// The router is to end: workers that hang are waited for no longer than that allows.
-    pub fn ends(&mut self, now: Micros, out: &mut Outbox) {
+    pub fn ends(&mut self, now: Micros, effects: &mut Effects) {
         self.hangs = HANGS_AT_END;
-        for &link in &self.late {
-            if let Some(conn) = self.conns.get_mut(&link) {
-                conn.patience.set(now + HANGS_AT_END, key(Ring::Worker(link)), out);
+        for &connection in &self.late {
+            if let Some(conn) = self.conns.get_mut(&connection) {
+                conn.patience.set(now + HANGS_AT_END, key(Ring::Worker(connection)), effects);
             }
         }
     }
 
     /// Takes the connection to a worker that rested last, if it can be trusted.
-    fn rested(&mut self, now: Micros, worker: WorkerId, out: &mut Outbox) -> Option<Link> {
-        let links = self.resting.get_mut(&worker)?;
-        let settled = |link: &Link| self.conns.get(link).is_some_and(|conn| conn.settled_by <= now);
-        let link = links.remove(links.iter().rposition(settled)?);
-        let since = self.conns.get(&link)?.rests_since;
+    fn rested(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
+        let connections = self.resting.get_mut(&worker)?;
+        let settled =
+            |connection: &ConnectionId| self.conns.get(connection).is_some_and(|conn| conn.settled_by <= now);
+        let connection = connections.remove(connections.iter().rposition(settled)?);
+        let since = self.conns.get(&connection)?.rests_since;
         if now.saturating_sub(since) <= self.trusted(now) {
-            return Some(link);
+            return Some(connection);
         }
         // Those below it have rested longer still.
         let others = self.resting.remove(&worker).unwrap_or_default();
-        others.into_iter().chain([link]).for_each(|link| self.end(link, out));
+        others.into_iter().chain([connection]).for_each(|connection| self.end(connection, effects));
         None
     }
 
@@ -263,88 +275,94 @@
         worker: WorkerId,
         job: Job,
         bytes: Bytes,
-        out: &mut Outbox,
-    ) -> Option<Link> {
-        let link = self.begin(now, worker, job, out)?;
-        out.send(link, bytes);
-        Some(link)
+        effects: &mut Effects,
+    ) -> Option<ConnectionId> {
+        let connection = self.begin(now, worker, job, effects)?;
+        effects.send(connection, bytes);
+        Some(connection)
     }
 
     /// Takes a connection for a call whose bytes are still to be sent: an attempt's once it is up, for they tell how
     /// long there is.
-    pub fn begin(&mut self, now: Micros, worker: WorkerId, job: Job, out: &mut Outbox) -> Option<Link> {
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        worker: WorkerId,
+        job: Job,
+        effects: &mut Effects,
+    ) -> Option<ConnectionId> {
         // Whether a request on an old connection that breaks has run is never known. One that may run but once
         // goes on a new one.
         let fresh = matches!(job, Job::Attempt { once: true, .. });
-        let rested = if fresh { None } else { self.rested(now, worker, out) };
-        let link = match rested {
-            Some(link) => link,
-            None => self.dial(now, worker, out)?,
+        let rested = if fresh { None } else { self.rested(now, worker, effects) };
+        let connection = match rested {
+            Some(connection) => connection,
+            None => self.dial(now, worker, effects)?,
         };
         let leaves_by = now + self.dial;
-        let conn = self.conns.get_mut(&link)?;
-        self.rests.remove(&(conn.rests_since, link));
+        let conn = self.conns.get_mut(&connection)?;
+        self.rests.remove(&(conn.rests_since, connection));
         (conn.job, conn.written, conn.used) = (Some(job), false, rested.is_some());
         conn.rested = if conn.used { now - conn.rests_since } else { 0 };
         (conn.place, conn.streams, conn.heads) = (None, false, 0);
         conn.leaves_by = leaves_by;
-        conn.patience.set(Micros::MAX, 0, out);
+        conn.patience.set(Micros::MAX, 0, effects);
         if let Job::Attempt { id, .. } = job {
-            conn.patience.set(leaves_by, key(Ring::Worker(link)), out);
-            self.attempts.insert(id, (link, now));
+            conn.patience.set(leaves_by, key(Ring::Worker(connection)), effects);
+            self.attempts.insert(id, (connection, now));
         }
         if let Job::Probe { .. } = job {
-            self.probes.insert(worker, link);
+            self.probes.insert(worker, connection);
         }
-        Some(link)
+        Some(connection)
     }
 
-    fn dial(&mut self, now: Micros, worker: WorkerId, out: &mut Outbox) -> Option<Link> {
+    fn dial(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
         let at = self.address(worker)?;
         if self.conns.len() >= self.most {
             let (_, oldest) = *self.rests.first()?;
-            self.end(oldest, out);
+            self.end(oldest, effects);
         }
-        let link = out.dial(at, self.dial);
-        self.conns.insert(link, Conn::new(worker, at, now));
-        Some(link)
+        let connection = effects.connect(at, self.dial);
+        self.conns.insert(connection, Conn::new(worker, at, now));
+        Some(connection)
     }
 
     /// The call is over. The connection rests, unless it must not be used again.
-    pub fn ended(&mut self, now: Micros, link: Link, out: &mut Outbox) -> Option<Job> {
-        let conn = self.conns.get_mut(&link)?;
+    pub fn ended(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Option<Job> {
+        let conn = self.conns.get_mut(&connection)?;
         let job = conn.job.take();
         let coming = conn.coming.take();
         conn.first = BytesMut::new();
         let gone = !self.places.contains_key(&conn.worker);
         // Bytes behind the answer were not asked for; those of a request that was answered early may still leave.
         if gone || coming.is_none_or(|c| c.last) || !conn.arrived.is_empty() || !conn.written {
-            self.end(link, out);
+            self.end(connection, effects);
         } else {
             conn.arrived = BytesMut::new();
             conn.rests_since = now;
             conn.settled_by = if conn.streams { now + SETTLES } else { now };
-            conn.patience.set(now + self.idle, key(Ring::Worker(link)), out);
-            self.rests.insert((now, link));
-            self.resting.entry(conn.worker).or_default().push(link);
+            conn.patience.set(now + self.idle, key(Ring::Worker(connection)), effects);
+            self.rests.insert((now, connection));
+            self.resting.entry(conn.worker).or_default().push(connection);
         }
         job
     }
 
     /// Ends a connection at once, whatever it is at.
-    pub fn end(&mut self, link: Link, out: &mut Outbox) {
-        if self.lose(link).is_some() {
-            out.cut(link);
+    pub fn end(&mut self, connection: ConnectionId, effects: &mut Effects) {
+        if self.lose(connection).is_some() {
+            effects.abort(connection);
         }
     }
 
     /// The connection is gone.
-    pub fn lose(&mut self, link: Link) -> Option<Conn> {
-        let conn = self.conns.remove(&link)?;
-        if self.rests.remove(&(conn.rests_since, link)) {
-            if let Some(links) = self.resting.get_mut(&conn.worker) {
-                links.retain(|l| *l != link);
-                if links.is_empty() {
+    pub fn lose(&mut self, connection: ConnectionId) -> Option<Conn> {
+        let conn = self.conns.remove(&connection)?;
+        if self.rests.remove(&(conn.rests_since, connection)) {
+            if let Some(connections) = self.resting.get_mut(&conn.worker) {
+                connections.retain(|l| *l != connection);
+                if connections.is_empty() {
                     self.resting.remove(&conn.worker);
                 }
             }
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, RequestId};
 use tideroute_lifecycle::{short, RequestLifecycle, Timer};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
 use crate::ask::Asked;
@@ -47,8 +47,8 @@
 #[derive(Clone, Copy)]
 pub(crate) enum Ring {
     RequestLifecycle(Timer),
-    Client(Link),
-    Worker(Link),
+    Client(ConnectionId),
+    Worker(ConnectionId),
     /// What is held for a request, by the short form of its id.
     Held(u64),
     Watch,
@@ -64,8 +64,8 @@
         Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
         Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
         Ring::RequestLifecycle(Timer::Shares) => (3, 0),
-        Ring::Client(link) => (4, link.number()),
-        Ring::Worker(link) => (5, link.number()),
+        Ring::Client(connection) => (4, connection.number()),
+        Ring::Worker(connection) => (5, connection.number()),
         Ring::Held(id) => (6, id),
         Ring::Watch => (7, 0),
         Ring::Grace => (8, 0),
@@ -118,7 +118,7 @@
     pub(crate) fn parts<'a>(
         &'a mut self,
         now: Micros,
-        out: &'a mut Outbox,
+        effects: &'a mut Effects,
     ) -> (&'a mut RequestLifecycle<Asked>, Exit<'a>) {
         let exit = Exit {
             terms: &self.terms,
@@ -129,7 +129,7 @@
             later: &mut self.later,
             stopping: self.stopping,
             now,
-            out,
+            effects,
         };
         (&mut self.lifecycle, exit)
     }
@@ -141,22 +141,29 @@
     }
 
     /// What is held, and what is needed to do something for it.
-    fn held<'a>(&'a mut self, now: Micros, out: &'a mut Outbox) -> (&'a mut Held, Context<'a>) {
-        (&mut self.held, Context { now, pools: &mut self.pools, out })
+    fn held<'a>(&'a mut self, now: Micros, effects: &'a mut Effects) -> (&'a mut Held, Context<'a>) {
+        (&mut self.held, Context { now, pools: &mut self.pools, effects })
     }
 
-    fn settle(&mut self, now: Micros, id: RequestId, number: u16, outcome: AttemptOutcome, out: &mut Outbox) {
-        let (lifecycle, mut exit) = self.parts(now, out);
+    fn settle(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        number: u16,
+        outcome: AttemptOutcome,
+        effects: &mut Effects,
+    ) {
+        let (lifecycle, mut exit) = self.parts(now, effects);
         lifecycle.settle(now, id, number, outcome, &mut exit);
     }
 
     /// Takes a page of the list.
-    fn hear_list(&mut self, now: Micros, line: &[u8], out: &mut Outbox) -> Result<(), list::Unreadable> {
+    fn hear_list(&mut self, now: Micros, line: &[u8], effects: &mut Effects) -> Result<(), list::Unreadable> {
         let names = self.terms.names.clone();
-        list::hear_line(line, &names, &mut Page { platform: self, now, out })?;
+        list::hear_line(line, &names, &mut Page { platform: self, now, effects })?;
         self.lifecycle.page_over(now);
-        for link in self.pools.under_way_to_none() {
-            self.worker_ends(now, link, out);
+        for connection in self.pools.under_way_to_none() {
+            self.worker_ends(now, connection, effects);
         }
         self.told = true;
         Ok(())
@@ -164,7 +171,7 @@
 
     /// Tells, where the log asks for it, what the books believe is out at each worker and what is out on
     /// connections; the two never differ between turns, or one of them is wrong.
-    fn tell_belief(&mut self, now: Micros, out: &mut Outbox) {
+    fn tell_belief(&mut self, now: Micros, effects: &mut Effects) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
@@ -179,120 +186,132 @@
         if believed != carried {
             tracing::debug!(?believed, ?carried, "belief and traffic differ");
         }
-        out.ring(now + TELLS, key(Ring::Belief));
+        effects.set_timer(now + TELLS, key(Ring::Belief));
     }
 }
 
-impl Program for Platform {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for Platform {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         self.now = now;
         let known = std::mem::take(&mut self.terms.known);
         if !known.is_null() {
             let names = self.terms.names.clone();
             // It was read once when the file was.
-            let _ = list::hear(&known, &names, &mut Page { platform: self, now, out });
+            let _ = list::hear(&known, &names, &mut Page { platform: self, now, effects });
             self.lifecycle.page_over(now);
         }
-        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
-        self.tell_belief(now, out);
-        self.turn(now, out);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
+        self.tell_belief(now, effects);
+        self.on_iteration(now, effects);
     }
 
-    fn accepted(&mut self, now: Micros, link: Link, _door: usize, out: &mut Outbox) {
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
         self.now = now;
-        self.client_came(now, link, out);
+        self.client_came(now, connection, effects);
     }
 
-    fn opened(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        let Some(conn) = self.pools.get_mut(link) else { return };
+    fn on_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(conn) = self.pools.get_mut(connection) else { return };
         conn.up = true;
         let leaves_by = conn.leaves_by;
         let Some(job @ Job::Attempt { id, number, .. }) = conn.job else { return };
         if now > leaves_by || !self.lifecycle.requests.get(id).is_some_and(|s| s.attempt_is(number)) {
             // Guards against a loop that comes to it late, and an attempt that nobody waits for.
-            self.pools.end(link, out);
-            return self.came_to_nothing(now, link, job, AttemptOutcome::Unreachable, out);
+            self.pools.end(connection, effects);
+            return self.came_to_nothing(now, connection, job, AttemptOutcome::Unreachable, effects);
         }
-        let (lifecycle, mut exit) = self.parts(now, out);
+        let (lifecycle, mut exit) = self.parts(now, effects);
         let permit = lifecycle.permit_bytes(now, id, number);
         let leaves = permit.and_then(|permit| Some((permit, lifecycle.requests.get(id)?)));
         let Some((permit, s)) = leaves else {
-            self.pools.end(link, out);
-            return self.came_to_nothing(now, link, job, AttemptOutcome::NotSent, out);
+            self.pools.end(connection, effects);
+            return self.came_to_nothing(now, connection, job, AttemptOutcome::NotSent, effects);
         };
-        exit.attempt(link, s, permit);
-        let (held, mut context) = self.held(now, out);
+        exit.attempt(connection, s, permit);
+        let (held, mut context) = self.held(now, effects);
         held.pause(id, &mut context);
     }
 
-    fn heard(&mut self, now: Micros, link: Link, bytes: &Bytes, out: &mut Outbox) {
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, bytes: &Bytes, effects: &mut Effects) {
         self.now = now;
-        if !link.dialled() {
-            return self.client_heard(now, link, bytes, out);
+        if !connection.is_outbound() {
+            return self.client_heard(now, connection, bytes, effects);
         }
-        if !self.watch.is(link) {
-            return self.worker_heard(now, link, bytes, out);
+        if !self.watch.is(connection) {
+            return self.worker_heard(now, connection, bytes, effects);
         }
-        match self.watch.heard(now, bytes, out) {
+        match self.watch.heard(now, bytes, effects) {
             Ok(lines) => {
                 for line in lines {
-                    if let Err(problem) = self.hear_list(now, &line, out) {
+                    if let Err(problem) = self.hear_list(now, &line, effects) {
                         tracing::warn!(%problem, "a line of discovery cannot be read; the watch is opened anew");
-                        return self.watch.end(now, out);
+                        return self.watch.end(now, effects);
                     }
                 }
                 self.lifecycle.list_heard(now);
             }
             Err(problem) => {
                 tracing::warn!(%problem, "discovery's answer cannot be read; the watch is opened anew");
-                self.watch.end(now, out);
+                self.watch.end(now, effects);
             }
         }
     }
 
-    fn drained(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        let Some(conn) = self.pools.get_mut(link) else { return };
+    fn on_write_complete(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(conn) = self.pools.get_mut(connection) else { return };
         conn.written = true;
         let (place, job, to) = (conn.place.take(), conn.job, conn.to);
         if conn.silent() && matches!(job, Some(Job::Attempt { .. })) {
-            conn.patience.set(Micros::MAX, key(Ring::Worker(link)), out);
+            conn.patience.set(Micros::MAX, key(Ring::Worker(connection)), effects);
         }
         let Some(Job::Attempt { id, number, .. }) = job else { return };
         let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.asked.trace.clone()) else { return };
         story::tell(id, &trace, State::AttemptWritten(number, to));
         if let Some(at) = place {
-            self.parts(now, out).1.place(id, &trace, at);
+            self.parts(now, effects).1.place(id, &trace, at);
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
         self.now = now;
-        if self.watch.is(link) {
+        if self.watch.is(connection) {
             tracing::debug!("discovery ended the watch; the list stays in force");
-            self.watch.end(now, out);
-        } else if link.dialled() {
-            self.worker_lost(now, link, loss, out);
+            self.watch.end(now, effects);
+        } else if connection.is_outbound() {
+            self.worker_lost(now, connection, loss, effects);
         } else {
-            self.client_gone(now, link, out);
+            self.client_gone(now, connection, effects);
         }
     }
 
     /// A client that reads slowly slows its own stream only.
-    fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        let Some(client) = self.clients.get(link) else { return };
+    fn on_backpressure(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(client) = self.clients.get(connection) else { return };
         if let At::Response(id, ..) = client.at {
             if let Some(worker) = self.pools.attempt_connection(id) {
-                out.hush(worker, crowded);
+                effects.pause_reading(worker, crowded);
                 // Nothing is read from the worker meanwhile: it is the client that is waited for.
                 let until = now + if crowded { STALLED } else { SILENCE };
                 if let Some(conn) = self.pools.get_mut(worker) {
-                    conn.patience.set(until, key(Ring::Worker(worker)), out);
+                    conn.patience.set(until, key(Ring::Worker(worker)), effects);
                 }
             }
         }
     }
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         self.now = now;
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
@@ -300,16 +319,16 @@
             1 => Timer::CutOff(self.lifecycle.requests.long(what)),
             2 => Timer::Probe(what),
             3 => Timer::Shares,
-            4 => return self.client_rang(now, Link(what), out),
-            5 => return self.worker_rang(now, Link::of_dial(what), out),
+            4 => return self.client_rang(now, ConnectionId(what), effects),
+            5 => return self.worker_rang(now, ConnectionId::outbound(what), effects),
             6 => {
                 let id = self.lifecycle.requests.long(what);
-                let (held, mut context) = self.held(now, out);
+                let (held, mut context) = self.held(now, effects);
                 return held.rang(id, &mut context);
             }
             7 => {
-                if self.watch.rang(now, out) {
-                    self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
+                if self.watch.rang(now, effects) {
+                    self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
                 }
                 return;
             }
@@ -317,17 +336,17 @@
                 self.grace_over = true;
                 return self.lifecycle.stop();
             }
-            9 => return self.tell_belief(now, out),
+            9 => return self.tell_belief(now, effects),
             // The turn that follows looks after it.
             _ => return,
         };
-        let (lifecycle, mut exit) = self.parts(now, out);
+        let (lifecycle, mut exit) = self.parts(now, effects);
         lifecycle.rang(now, timer, &mut exit);
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Outbox) {
+    fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
         loop {
-            let (lifecycle, mut exit) = self.parts(now, out);
+            let (lifecycle, mut exit) = self.parts(now, effects);
             lifecycle.turn(now, &mut exit);
             let outcomes = std::mem::take(&mut self.later.outcomes);
             let answered = std::mem::take(&mut self.later.answered);
@@ -335,17 +354,17 @@
                 break;
             }
             for (id, number, outcome) in outcomes {
-                self.settle(now, id, number, outcome, out);
+                self.settle(now, id, number, outcome, effects);
             }
-            for link in answered {
-                self.next_request(now, link, out);
+            for connection in answered {
+                self.next_request(now, connection, effects);
             }
         }
-        self.clean_up(now, out);
-        self.ask_for_signs(now, out);
+        self.clean_up(now, effects);
+        self.ask_for_signs(now, effects);
     }
 
-    fn reread(&mut self, now: Micros, file: &Bytes, out: &mut Outbox) -> bool {
+    fn on_config_reload(&mut self, now: Micros, file: &Bytes, effects: &mut Effects) -> bool {
         self.now = now;
         let fresh = match file::read(file) {
             Ok(fresh) => fresh,
@@ -359,34 +378,34 @@
         }
         tracing::info!("the configuration was read again");
         (self.terms.discovery, self.terms.travel) = (fresh.discovery, fresh.travel);
-        self.watch.end(now, out);
-        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), out);
+        self.watch.end(now, effects);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
         true
     }
 
-    fn late(&mut self, now: Micros, by: Micros) {
+    fn on_loop_lag(&mut self, now: Micros, by: Micros) {
         self.lifecycle.late(now, by);
     }
 
-    fn stop(&mut self, now: Micros, out: &mut Outbox) {
+    fn on_shutdown(&mut self, now: Micros, effects: &mut Effects) {
         tracing::info!(open = self.lifecycle.requests.len(), "ends: what is open is finished");
         self.stopping = true;
-        for (link, asked, since) in self.clients.idle() {
+        for (connection, asked, since) in self.clients.idle() {
             let first_request_by = since + FIRST_REQUEST;
             if !asked && now < first_request_by {
-                if let Some(client) = self.clients.get_mut(link) {
-                    client.patience.set(first_request_by, key(Ring::Client(link)), out);
+                if let Some(client) = self.clients.get_mut(connection) {
+                    client.patience.set(first_request_by, key(Ring::Client(connection)), effects);
                 }
                 continue;
             }
-            self.clients.lose(link);
-            out.close(link, "the router ends");
+            self.clients.lose(connection);
+            effects.close(connection, "the router ends");
         }
-        self.pools.ends(now, out);
-        out.ring(now + GRACE, key(Ring::Grace));
+        self.pools.ends(now, effects);
+        effects.set_timer(now + GRACE, key(Ring::Grace));
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.grace_over
             && self.clients.is_empty()
             && self.held.is_empty()
@@ -398,7 +417,7 @@
 struct Page<'a> {
     platform: &'a mut Platform,
     now: Micros,
-    out: &'a mut Outbox,
+    effects: &'a mut Effects,
 }
 
 impl list::Ear for Page<'_> {
@@ -426,13 +445,13 @@
     fn entry(&mut self, endpoint: Endpoint, at: Address) {
         let p = &mut *self.platform;
         if endpoint.status == EndpointStatus::Removed {
-            p.pools.gone(endpoint.worker, self.out);
+            p.pools.gone(endpoint.worker, self.effects);
             return p.lifecycle.gone(self.now, endpoint.worker);
         }
         let process = p.lifecycle.entry(self.now, endpoint);
         let takes = endpoint.status == EndpointStatus::Serving;
-        for link in p.pools.listed(endpoint.worker, at, process.replaces_until, takes) {
-            p.worker_ends(self.now, link, self.out);
+        for connection in p.pools.listed(endpoint.worker, at, process.replaces_until, takes) {
+            p.worker_ends(self.now, connection, self.effects);
         }
     }
 }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tideroute::types::AttemptOutcome;
 use tideroute_http::write;
-use tideroute_wire::link::{Link, Loss, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects};
 use tideroute_wire::Micros;
 
 use super::{key, Platform, Ring};
@@ -20,22 +20,28 @@
 const EVENT: usize = 64 << 10;
 
 impl Platform {
-    pub(super) fn worker_heard(&mut self, now: Micros, link: Link, bytes: &Bytes, out: &mut Outbox) {
-        let Some(conn) = self.pools.hears(now, link) else { return };
+    pub(super) fn worker_heard(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &Bytes,
+        effects: &mut Effects,
+    ) {
+        let Some(conn) = self.pools.hears(now, connection) else { return };
         if conn.job.is_none() {
             // Nothing was asked on it: whatever comes next could not be told from it.
-            return self.pools.end(link, out);
+            return self.pools.end(connection, effects);
         }
         conn.heard(bytes);
         loop {
-            let Some(conn) = self.pools.get_mut(link) else { return };
+            let Some(conn) = self.pools.get_mut(connection) else { return };
             match conn.next() {
                 Ok(Heard::Nothing) => return,
                 Ok(Heard::Piece(200, piece))
                     if matches!(conn.job, Some(Job::Attempt { reading: false, .. })) =>
                 {
-                    if !self.events(now, link, piece, out) {
-                        return self.spoilt(now, link, out);
+                    if !self.events(now, connection, piece, effects) {
+                        return self.spoilt(now, connection, effects);
                     }
                 }
                 Ok(Heard::Piece(200, piece)) if matches!(conn.job, Some(Job::Probe { .. })) => {
@@ -43,31 +49,31 @@
                 }
                 Ok(Heard::Piece(..)) => {}
                 Ok(Heard::End(status, never_ran)) => {
-                    return self.whole_answer(now, link, status, never_ran, out)
+                    return self.whole_answer(now, connection, status, never_ran, effects)
                 }
                 Err(problem) => {
                     tracing::debug!(worker = ?conn.worker, %problem, "an answer that cannot be read");
-                    return self.spoilt(now, link, out);
+                    return self.spoilt(now, connection, effects);
                 }
             }
         }
     }
 
     /// Passes a piece of a stream on; its start only once a first event is whole. False if that is none.
-    fn events(&mut self, now: Micros, link: Link, piece: Bytes, out: &mut Outbox) -> bool {
-        let Some(conn) = self.pools.get_mut(link) else { return true };
+    fn events(&mut self, now: Micros, connection: ConnectionId, piece: Bytes, effects: &mut Effects) -> bool {
+        let Some(conn) = self.pools.get_mut(connection) else { return true };
         let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
-        conn.patience.set(now + SILENCE, key(Ring::Worker(link)), out);
+        conn.patience.set(now + SILENCE, key(Ring::Worker(connection)), effects);
         let Some(s) = self.lifecycle.requests.get(id) else { return true };
         if s.over {
             // Nobody reads it: it ends like a stream whose client goes.
-            self.pools.end(link, out);
-            self.settle(now, id, number, AttemptOutcome::Cancelled, out);
+            self.pools.end(connection, effects);
+            self.settle(now, id, number, AttemptOutcome::Cancelled, effects);
             return true;
         }
         let client = s.asked.client;
         if conn.streams {
-            out.send(client, write::chunk(&piece));
+            effects.send(client, write::chunk(&piece));
             return true;
         }
         conn.first.extend_from_slice(&piece);
@@ -82,15 +88,15 @@
         let first = std::mem::take(&mut conn.first);
         let last = self.stopping || self.clients.get(client).is_none_or(|c| c.last);
         let fields = [("content-type", "text/event-stream"), ("cache-control", "no-store")];
-        out.send(client, write::chunked_head(200, fields, last));
-        out.send(client, write::chunk(&first));
+        effects.send(client, write::chunked_head(200, fields, last));
+        effects.send(client, write::chunk(&first));
         self.clients.begin(client);
-        let (lifecycle, mut exit) = self.parts(now, out);
+        let (lifecycle, mut exit) = self.parts(now, effects);
         lifecycle.started(now, id, &mut exit);
         if let Some(s) = lifecycle.requests.get(id) {
             story::tell(id, &s.asked.trace, State::Began);
         }
-        let mut context = Context { now, pools: exit.pools, out: exit.out };
+        let mut context = Context { now, pools: exit.pools, effects: exit.effects };
         exit.held.taken(id, &mut context);
         if let Some(s) = lifecycle.requests.get_mut(id) {
             // No other shot will need it.
@@ -101,10 +107,17 @@
     }
 
     /// An answer is whole.
-    fn whole_answer(&mut self, now: Micros, link: Link, status: u16, never_ran: bool, out: &mut Outbox) {
-        let Some(conn) = self.pools.get_mut(link) else { return };
+    fn whole_answer(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        status: u16,
+        never_ran: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(conn) = self.pools.get_mut(connection) else { return };
         let (worker, streamed, report) = (conn.worker, conn.streams, std::mem::take(&mut conn.first));
-        let Some(job) = self.pools.ended(now, link, out) else { return };
+        let Some(job) = self.pools.ended(now, connection, effects) else { return };
         match job {
             Job::Attempt { id, number, reading, .. } => {
                 let outcome = match status {
@@ -114,7 +127,7 @@
                     503 | 504 if never_ran => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::ServerError,
                 };
-                self.settle(now, id, number, outcome, out);
+                self.settle(now, id, number, outcome, effects);
             }
             Job::Place { id } => {
                 let place = match status {
@@ -127,25 +140,25 @@
                 };
                 let asked = self.lifecycle.requests.get(id).and_then(|s| s.places.last());
                 let reading = asked == Some(&worker) && self.pools.reads(id);
-                let (held, mut context) = self.held(now, out);
-                held.answered(id, link, (place, reading), &mut context);
+                let (held, mut context) = self.held(now, effects);
+                held.answered(id, connection, (place, reading), &mut context);
                 if matches!(place, Place::Held | Place::Refused) {
-                    let (lifecycle, mut exit) = self.parts(now, out);
+                    let (lifecycle, mut exit) = self.parts(now, effects);
                     lifecycle.held(now, id, worker, place == Place::Held, &mut exit);
                 }
             }
             Job::Release { id } => {
-                let (held, mut context) = self.held(now, out);
-                held.released(id, link, &mut context);
+                let (held, mut context) = self.held(now, effects);
+                held.released(id, connection, &mut context);
             }
             Job::Liveness { id } => {
-                let (held, mut context) = self.held(now, out);
+                let (held, mut context) = self.held(now, effects);
                 held.reader_lives(id, &mut context);
             }
             Job::Probe { nonce } => {
                 let column = self.terms.report.as_ref();
                 let amount = column.and_then(|c| c.amount(words::reported(&report, &c.name)?));
-                let (lifecycle, mut exit) = self.parts(now, out);
+                let (lifecycle, mut exit) = self.parts(now, effects);
                 amount.into_iter().for_each(|amount| lifecycle.told(now, nonce, amount));
                 lifecycle.probed(now, nonce, status == 200, &mut exit);
             }
@@ -153,52 +166,59 @@
     }
 
     /// What comes on the connection can't be read, or no longer comes: the request may have run.
-    fn spoilt(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        let Some((job, streams)) = self.pools.get_mut(link).and_then(|c| Some((c.job?, c.streams))) else {
+    fn spoilt(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some((job, streams)) = self.pools.get_mut(connection).and_then(|c| Some((c.job?, c.streams)))
+        else {
             return;
         };
-        self.pools.end(link, out);
+        self.pools.end(connection, effects);
         // A stream that began well is given up by this side; only an answer that never was one is a fault.
         let outcome = if streams { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
-        self.came_to_nothing(now, link, job, outcome, out);
+        self.came_to_nothing(now, connection, job, outcome, effects);
     }
 
     pub(super) fn came_to_nothing(
         &mut self,
         now: Micros,
-        link: Link,
+        connection: ConnectionId,
         job: Job,
         outcome: AttemptOutcome,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
         match job {
-            Job::Attempt { id, number, .. } => self.settle(now, id, number, outcome, out),
+            Job::Attempt { id, number, .. } => self.settle(now, id, number, outcome, effects),
             Job::Place { id } => {
                 let place = if outcome.never_ran() { Place::None } else { Place::Unknown };
-                let (held, mut context) = self.held(now, out);
-                held.answered(id, link, (place, false), &mut context);
+                let (held, mut context) = self.held(now, effects);
+                held.answered(id, connection, (place, false), &mut context);
             }
             Job::Release { id } => {
-                let (held, mut context) = self.held(now, out);
-                held.lost(id, link, &mut context);
+                let (held, mut context) = self.held(now, effects);
+                held.lost(id, connection, &mut context);
             }
             Job::Liveness { .. } => {}
             Job::Probe { nonce } => {
-                let (lifecycle, mut exit) = self.parts(now, out);
+                let (lifecycle, mut exit) = self.parts(now, effects);
                 lifecycle.probed(now, nonce, false, &mut exit);
             }
         }
     }
 
     /// A connection to a worker has ended, or never came about.
-    pub(super) fn worker_lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        let Some(conn) = self.pools.get_mut(link) else { return };
+    pub(super) fn worker_lost(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        let Some(conn) = self.pools.get_mut(connection) else { return };
         if conn.written {
             if let Some((status, never_ran)) = conn.ends_with() {
-                return self.whole_answer(now, link, status, never_ran, out);
+                return self.whole_answer(now, connection, status, never_ran, effects);
             }
         }
-        let Some(conn) = self.pools.lose(link) else { return };
+        let Some(conn) = self.pools.lose(connection) else { return };
         let Some(job) = conn.job else {
             tracing::debug!(worker = ?conn.worker, "a resting connection ended");
             return;
@@ -218,18 +238,18 @@
         // An old connection that was found dead says nothing of the worker, nor does one that could not be dialled here.
         let outcome = match (conn.written, conn.used, loss) {
             (true, ..) => AttemptOutcome::ConnectionReset,
-            (false, true, _) | (false, false, Loss::NotDialled) => AttemptOutcome::NotSent,
+            (false, true, _) | (false, false, DisconnectReason::LocalFailure) => AttemptOutcome::NotSent,
             (false, false, _) => AttemptOutcome::Unreachable,
         };
-        self.came_to_nothing(now, link, job, outcome, out);
+        self.came_to_nothing(now, connection, job, outcome, effects);
     }
 
     /// By what the list says, what was out on a connection has broken, or must never come to be.
-    pub(super) fn worker_ends(&mut self, now: Micros, link: Link, out: &mut Outbox) {
+    pub(super) fn worker_ends(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let attempt =
-            self.pools.get_mut(link).filter(|conn| conn.written).map(|conn| (conn.worker, conn.job));
-        self.worker_lost(now, link, Loss::Broken, out);
-        out.cut(link);
+            self.pools.get_mut(connection).filter(|conn| conn.written).map(|conn| (conn.worker, conn.job));
+        self.worker_lost(now, connection, DisconnectReason::Reset, effects);
+        effects.abort(connection);
         // Guards against a process that did get it, on a connection that came up behind its start.
         if let Some((worker, Some(Job::Attempt { id, .. }))) = attempt {
             self.held.gave_up(id, worker, EndedBy::ThisSide, now);
@@ -237,50 +257,50 @@
     }
 
     /// The wait on a connection to a worker may be over.
-    pub(super) fn worker_rang(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        let Some(conn) = self.pools.get_mut(link) else { return };
-        if !conn.patience.over(now, key(Ring::Worker(link)), out) {
+    pub(super) fn worker_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(conn) = self.pools.get_mut(connection) else { return };
+        if !conn.patience.over(now, key(Ring::Worker(connection)), effects) {
             return;
         }
         match conn.job {
             Some(job @ Job::Attempt { .. }) if !conn.written && conn.silent() => {
                 tracing::debug!(worker = ?conn.worker, "an attempt has not left in time");
-                self.pools.end(link, out);
-                self.came_to_nothing(now, link, job, AttemptOutcome::Unreachable, out);
+                self.pools.end(connection, effects);
+                self.came_to_nothing(now, connection, job, AttemptOutcome::Unreachable, effects);
             }
             // Also one whose first event is not whole: its request may have run.
             Some(Job::Attempt { .. }) => {
                 tracing::debug!(worker = ?conn.worker, "a stream is silent");
-                self.spoilt(now, link, out);
+                self.spoilt(now, connection, effects);
             }
             Some(job @ Job::Place { .. }) if !conn.written => {
-                self.pools.end(link, out);
-                self.came_to_nothing(now, link, job, AttemptOutcome::NotSent, out);
+                self.pools.end(connection, effects);
+                self.came_to_nothing(now, connection, job, AttemptOutcome::NotSent, effects);
             }
             Some(Job::Place { .. }) => {
-                if let Some(oldest) = self.pools.is_late(now, link, out) {
-                    self.forget_place(now, oldest, out);
+                if let Some(oldest) = self.pools.is_late(now, connection, effects) {
+                    self.forget_place(now, oldest, effects);
                 }
             }
-            _ => self.pools.end(link, out),
+            _ => self.pools.end(connection, effects),
         }
     }
 
     /// A call for a place is waited for no longer: it may be held.
-    fn forget_place(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        if let Some(job @ Job::Place { .. }) = self.pools.get_mut(link).and_then(|conn| conn.job) {
-            self.pools.end(link, out);
-            self.came_to_nothing(now, link, job, AttemptOutcome::ConnectionReset, out);
+    fn forget_place(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        if let Some(job @ Job::Place { .. }) = self.pools.get_mut(connection).and_then(|conn| conn.job) {
+            self.pools.end(connection, effects);
+            self.came_to_nothing(now, connection, job, AttemptOutcome::ConnectionReset, effects);
         }
     }
 
     /// Asks for signs that reads under which places are held are still out: of the reader where it may be probed, else
     /// of the writer, which is asked for the place again.
-    pub(super) fn ask_for_signs(&mut self, now: Micros, out: &mut Outbox) {
+    pub(super) fn ask_for_signs(&mut self, now: Micros, effects: &mut Effects) {
         for (id, trace) in self.held.unsure() {
             let place = self.lifecycle.requests.get(id).and_then(|s| s.places.last().copied());
             let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
-            let (_, mut exit) = self.parts(now, out);
+            let (_, mut exit) = self.parts(now, effects);
             if exit.terms.lifecycle.module.health_checks_enabled {
                 exit.ask_for_sign(id, reader);
             } else {
@@ -290,12 +310,12 @@
     }
 
     /// What a read that ended badly may have left is released at once where no attempt follows it.
-    pub(super) fn clean_up(&mut self, now: Micros, out: &mut Outbox) {
+    pub(super) fn clean_up(&mut self, now: Micros, effects: &mut Effects) {
         for id in self.held.doubtful() {
             let wanted =
                 |s: &tideroute_lifecycle::RequestState<Asked>| s.attempt.is_some() || s.state.is_some();
             if !self.lifecycle.requests.get(id).is_some_and(wanted) {
-                let (held, mut context) = self.held(now, out);
+                let (held, mut context) = self.held(now, effects);
                 held.unwanted(id, &mut context);
             }
         }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -6,7 +6,7 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute_http::{write, Body, Bounds, Problem};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
 use crate::objects::{NoObject, Objects};
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 pub struct Watch {
-    link: Option<Link>,
+    connection: Option<ConnectionId>,
     body: Option<Body>,
     arrived: BytesMut,
     objects: Objects,
@@ -50,30 +50,35 @@
 impl Default for Watch {
     fn default() -> Self {
         let (arrived, objects) = (BytesMut::new(), Objects::default());
-        Watch { link: None, body: None, arrived, objects, patience: Patience::ENDLESS, pause: AGAIN }
+        Watch { connection: None, body: None, arrived, objects, patience: Patience::ENDLESS, pause: AGAIN }
     }
 }
 
 impl Watch {
-    pub fn is(&self, link: Link) -> bool {
-        self.link == Some(link)
+    pub fn is(&self, connection: ConnectionId) -> bool {
+        self.connection == Some(connection)
     }
 
     /// Opens the watch for changes after that version, unless it is open.
-    pub fn begin(&mut self, now: Micros, to: Address, version: u64, out: &mut Outbox) {
-        if self.link.is_some() {
+    pub fn begin(&mut self, now: Micros, to: Address, version: u64, effects: &mut Effects) {
+        if self.connection.is_some() {
             return;
         }
-        let link = out.dial(to, DIAL);
+        let connection = effects.connect(to, DIAL);
         let target = format!("{}{version}", words::WATCH);
-        out.send(link, write::request("GET", &target, [("host", "discovery")], None));
-        self.link = Some(link);
-        self.patience.set(now + FIRST, key(Ring::Watch), out);
+        effects.send(connection, write::request("GET", &target, [("host", "discovery")], None));
+        self.connection = Some(connection);
+        self.patience.set(now + FIRST, key(Ring::Watch), effects);
     }
 
     /// The objects that are whole now, however they are broken into lines; empty lines only show that discovery is
     /// there.
-    pub fn heard(&mut self, now: Micros, bytes: &Bytes, out: &mut Outbox) -> Result<Vec<Bytes>, Unheard> {
+    pub fn heard(
+        &mut self,
+        now: Micros,
+        bytes: &Bytes,
+        effects: &mut Effects,
+    ) -> Result<Vec<Bytes>, Unheard> {
         self.arrived.extend_from_slice(bytes);
         while self.body.is_none() {
             let Some((head, length)) = tideroute_http::answer(&self.arrived, &BOUNDS)? else {
@@ -82,7 +87,7 @@
             let _ = self.arrived.split_to(length);
             if head.status == 200 {
                 self.body = Some(Body::new(head.framing, BOUNDS.body));
-                self.patience.set(now + SILENCE, key(Ring::Watch), out);
+                self.patience.set(now + SILENCE, key(Ring::Watch), effects);
             } else if head.status >= 200 {
                 return Err(Problem::Version.into());
             }
@@ -101,7 +106,7 @@
         }
         // Guards against an object that is never whole, behind which empty lines still come.
         if self.objects.is_empty() || !whole.is_empty() || !pending {
-            self.patience.set(now + SILENCE, key(Ring::Watch), out);
+            self.patience.set(now + SILENCE, key(Ring::Watch), effects);
         }
         // It works: the next loss is tried again soon.
         self.pause = AGAIN;
@@ -109,24 +114,24 @@
     }
 
     /// The watch has ended, or is to end: a new one is opened after a pause.
-    pub fn end(&mut self, now: Micros, out: &mut Outbox) {
-        if let Some(link) = self.link.take() {
-            out.cut(link);
+    pub fn end(&mut self, now: Micros, effects: &mut Effects) {
+        if let Some(connection) = self.connection.take() {
+            effects.abort(connection);
         }
         (self.body, self.arrived, self.objects) = (None, BytesMut::new(), Objects::default());
-        self.patience.set(now + self.pause, key(Ring::Watch), out);
+        self.patience.set(now + self.pause, key(Ring::Watch), effects);
         self.pause = (self.pause * 2).min(AGAIN_MOST);
     }
 
     /// A timer rang: whether the watch is to be opened now.
-    pub fn rang(&mut self, now: Micros, out: &mut Outbox) -> bool {
-        if !self.patience.over(now, key(Ring::Watch), out) {
+    pub fn rang(&mut self, now: Micros, effects: &mut Effects) -> bool {
+        if !self.patience.over(now, key(Ring::Watch), effects) {
             return false;
         }
-        if self.link.is_some() {
+        if self.connection.is_some() {
             tracing::warn!("discovery is silent; the watch is opened anew");
-            self.end(now, out);
+            self.end(now, effects);
         }
-        self.link.is_none()
+        self.connection.is_none()
     }
 }
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 
 /// What passes to workers so far.
 fn attempts(stage: &mut Stage) -> usize {
@@ -266,7 +266,7 @@
 }
 
 /// A request behind one that is answered, of which only a part has come, and the wait before the answer.
-fn half_a_request_behind_an_answer(part: &str, answered_after: u64) -> (Stage, Link) {
+fn half_a_request_behind_an_answer(part: &str, answered_after: u64) -> (Stage, ConnectionId) {
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, format!("{}{part}", ask("first", "safe")));
--- a/crates/gateway/tests/customers/world.rs
+++ b/crates/gateway/tests/customers/world.rs
@@ -5,7 +5,7 @@
 
 use serde_json::json;
 use tideroute::rng::Rng;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 use tideroute_wire::Micros;
 
 use crate::common::*;
@@ -59,7 +59,7 @@
     /// Its last bytes come so much later than its first.
     slow_ms: u64,
     number: Option<usize>,
-    link: Option<Link>,
+    connection: Option<ConnectionId>,
 }
 
 struct Router {
@@ -69,13 +69,13 @@
     told: BTreeMap<usize, Micros>,
     stopped: Option<Micros>,
     /// Connections to workers that are up, and how much of what was sent on them was looked at.
-    up: BTreeMap<Link, usize>,
-    met: BTreeSet<Link>,
-    gone: BTreeSet<Link>,
+    up: BTreeMap<ConnectionId, usize>,
+    met: BTreeSet<ConnectionId>,
+    gone: BTreeSet<ConnectionId>,
     /// Connections on which nothing passes.
-    void: BTreeSet<Link>,
+    void: BTreeSet<ConnectionId>,
     /// Calls whose last bytes wait in a full socket.
-    stuck: BTreeMap<Link, String>,
+    stuck: BTreeMap<ConnectionId, String>,
 }
 
 #[derive(Default)]
@@ -134,7 +134,7 @@
             let longest = self.customer.classes[class].deadline_ms.min(LONGEST_WAIT_MS);
             let wait_ms = (longest as f64 * between(&mut self.draw, 0.5, 1.0)).max(30.0) as u64;
             let slow_ms = if self.chance(0.15) { self.whole(50, 600) } else { 0 };
-            self.asks.push(Ask { router, class, wait_ms, slow_ms, number: None, link: None });
+            self.asks.push(Ask { router, class, wait_ms, slow_ms, number: None, connection: None });
             let at = self.whole(0, BUSY_MS as u64);
             self.after(at, Event::Ask(n));
             if self.chance(0.25) {
@@ -244,28 +244,29 @@
     fn look_at_dials(&mut self, router: usize) -> bool {
         let r = &mut self.routers[router];
         let fresh: Vec<_> = r.stage.dialled.iter().filter(|(l, _)| !r.met.contains(l)).collect();
-        let fresh: Vec<_> = fresh.into_iter().map(|(link, to)| (*link, to[2], usize::from(to[3]))).collect();
-        r.met.extend(fresh.iter().map(|(link, ..)| *link));
-        for (link, net, host) in &fresh {
+        let fresh: Vec<_> =
+            fresh.into_iter().map(|(connection, to)| (*connection, to[2], usize::from(to[3]))).collect();
+        r.met.extend(fresh.iter().map(|(connection, ..)| *connection));
+        for (connection, net, host) in &fresh {
             if *net != 1 {
-                self.open_watch(router, *link);
+                self.open_watch(router, *connection);
                 continue;
             }
             let (worker, dial_ms) = (host - 1, self.customer.dial / MS);
             if self.servers[worker].vanished || self.chance(0.03) {
-                self.after(dial_ms, Event::NotConnected((router, *link)));
+                self.after(dial_ms, Event::NotConnected((router, *connection)));
             } else {
                 let takes = if self.chance(0.15) { self.whole(dial_ms / 4, dial_ms) } else { 1 };
-                self.after(takes, Event::Connected((router, *link)));
+                self.after(takes, Event::Connected((router, *connection)));
             }
         }
         !fresh.is_empty()
     }
 
-    fn open_watch(&mut self, router: usize, link: Link) {
+    fn open_watch(&mut self, router: usize, connection: ConnectionId) {
         let r = &mut self.routers[router];
-        r.stage.written(link);
-        let known = r.stage.watching() == Some(link);
+        r.stage.written(connection);
+        let known = r.stage.watching() == Some(connection);
         if known {
             r.version += 1;
             let servers: Vec<_> = (0..self.customer.workers.len())
@@ -282,39 +283,41 @@
     fn look_at_ends(&mut self, router: usize) {
         let r = &mut self.routers[router];
         let ended: Vec<_> =
-            r.stage.ended.keys().filter(|l| l.dialled() && !r.gone.contains(l)).copied().collect();
-        for link in ended {
-            self.note(|| format!("router {router} ends {}", link.number()));
+            r.stage.ended.keys().filter(|l| l.is_outbound() && !r.gone.contains(l)).copied().collect();
+        for connection in ended {
+            self.note(|| format!("router {router} ends {}", connection.number()));
             let r = &mut self.routers[router];
-            r.gone.insert(link);
-            r.up.remove(&link);
-            r.stuck.remove(&link);
-            self.checker.gives_up((router, link));
+            r.gone.insert(connection);
+            r.up.remove(&connection);
+            r.stuck.remove(&connection);
+            self.checker.gives_up((router, connection));
             // Its worker learns of it some time later, before or behind what is sent on other connections.
             let late = self.whole(0, 6);
-            self.after(late, Event::EndIsSeen((router, link)));
+            self.after(late, Event::EndIsSeen((router, connection)));
         }
     }
 
     fn look_at_calls(&mut self, router: usize) -> bool {
         let mut called = false;
-        for link in self.routers[router].up.keys().copied().collect::<Vec<_>>() {
+        for connection in self.routers[router].up.keys().copied().collect::<Vec<_>>() {
             let r = &mut self.routers[router];
-            let (all, seen) = (r.stage.text(link), r.up[&link]);
-            if all.len() <= seen || r.stage.ended.contains_key(&link) {
+            let (all, seen) = (r.stage.text(connection), r.up[&connection]);
+            if all.len() <= seen || r.stage.ended.contains_key(&connection) {
                 continue;
             }
-            r.up.insert(link, all.len());
-            self.call_leaves((router, link), all[seen..].to_string());
+            r.up.insert(connection, all.len());
+            self.call_leaves((router, connection), all[seen..].to_string());
             called = true;
         }
         called
     }
 
     /// The first bytes of a call leave a router; the last ones at once, unless the socket is full.
-    fn call_leaves(&mut self, (router, link): Connection, text: String) {
-        let Some(worker) = self.worker((router, link)) else { return };
-        self.note(|| format!("router {router} on {} to worker {worker}: {}", link.number(), told(&text)));
+    fn call_leaves(&mut self, (router, connection): Connection, text: String) {
+        let Some(worker) = self.worker((router, connection)) else { return };
+        self.note(|| {
+            format!("router {router} on {} to worker {worker}: {}", connection.number(), told(&text))
+        });
         if text.starts_with("POST ") {
             let told = self.routers[router].told.get(&worker).copied();
             self.checker.leaves(self.now, &self.customer, &text[..25], told);
@@ -323,26 +326,26 @@
             let told_ms: u64 = after(&text, "x-expires-in-ms: ").parse().expect("milliseconds");
             self.checker.tells_deadline(self.now, request, told_ms * MS);
         }
-        self.routers[router].stuck.insert(link, text);
+        self.routers[router].stuck.insert(connection, text);
         if self.chance(0.04) {
             let waits = between(&mut self.draw, 10.0, 1_500.0) as u64;
-            self.after(waits, Event::Written((router, link)));
+            self.after(waits, Event::Written((router, connection)));
         } else {
-            self.written((router, link));
+            self.written((router, connection));
         }
     }
 
     /// The last byte of a call has been handed over, and arrives where anything passes.
-    fn written(&mut self, (router, link): Connection) {
-        let Some(text) = self.routers[router].stuck.remove(&link) else { return };
-        if self.passes((router, link)) {
-            self.arrives((router, link), text);
+    fn written(&mut self, (router, connection): Connection) {
+        let Some(text) = self.routers[router].stuck.remove(&connection) else { return };
+        if self.passes((router, connection)) {
+            self.arrives((router, connection), text);
         }
-        self.routers[router].stage.written(link);
+        self.routers[router].stage.written(connection);
     }
 
-    fn worker(&self, (router, link): Connection) -> Option<usize> {
-        let to = self.routers[router].stage.dialled.get(&link)?;
+    fn worker(&self, (router, connection): Connection) -> Option<usize> {
+        let to = self.routers[router].stage.dialled.get(&connection)?;
         (to[2] == 1).then(|| usize::from(to[3]) - 1)
     }
 
@@ -360,26 +363,28 @@
     }
 
     /// The worker's side of a connection ends, as its router learns if anything passes there.
-    fn breaks_off(&mut self, (router, link): Connection) {
-        if self.passes((router, link)) {
+    fn breaks_off(&mut self, (router, connection): Connection) {
+        if self.passes((router, connection)) {
             let r = &mut self.routers[router];
-            r.gone.insert(link);
-            r.up.remove(&link);
-            r.stuck.remove(&link);
-            r.stage.lose(link);
+            r.gone.insert(connection);
+            r.up.remove(&connection);
+            r.stuck.remove(&connection);
+            r.stage.lose(connection);
         }
     }
 
     fn look_at_answers(&mut self) {
         for ask in &self.asks {
-            let (Some(number), Some(link)) = (ask.number, ask.link) else { continue };
+            let (Some(number), Some(connection)) = (ask.number, ask.connection) else { continue };
             let stage = &self.routers[ask.router].stage;
-            let first = stage.statuses(link).first().copied();
+            let first = stage.statuses(connection).first().copied();
             match first {
                 Some(status) if !self.checker.is_answered(number) => {
                     self.checker.client_answered(self.now, &self.customer, number, status);
                 }
-                None if stage.ended.contains_key(&link) => self.checker.client_left_alone(self.now, number),
+                None if stage.ended.contains_key(&connection) => {
+                    self.checker.client_left_alone(self.now, number)
+                }
                 _ => {}
             }
         }
@@ -403,10 +408,10 @@
             Event::RestOfRequest(n) => self.rest_of_request(n),
             Event::ClientCloses(n) => self.client_closes(n),
             Event::Connected(on) => self.connected(on),
-            Event::NotConnected((router, link)) => {
+            Event::NotConnected((router, connection)) => {
                 let r = &mut self.routers[router];
-                if !r.stage.ended.contains_key(&link) && r.stage.dialled.contains_key(&link) {
-                    r.stage.lose_as(link, Loss::Unreached);
+                if !r.stage.ended.contains_key(&connection) && r.stage.dialled.contains_key(&connection) {
+                    r.stage.lose_as(connection, DisconnectReason::ConnectFailed);
                 }
             }
             Event::Written(on) => self.written(on),
@@ -461,44 +466,44 @@
         if r.stopped.is_some_and(|at| self.now > at + STILL_COMES) {
             return;
         }
-        let link = r.stage.come();
+        let connection = r.stage.come();
         let number = self.checker.asked(self.now, class, (wait_ms + slow_ms) * MS);
         let text = ask_for(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
-        (self.asks[n].number, self.asks[n].link) = (Some(number), Some(link));
+        (self.asks[n].number, self.asks[n].connection) = (Some(number), Some(connection));
         if slow_ms == 0 {
-            r.stage.say(link, text);
+            r.stage.say(connection, text);
         } else {
-            r.stage.say(link, &text[..40]);
+            r.stage.say(connection, &text[..40]);
             self.after(slow_ms, Event::RestOfRequest(n));
         }
     }
 
     fn rest_of_request(&mut self, n: usize) {
-        let Ask { router, class, wait_ms, link, number, .. } = self.asks[n];
-        let (Some(link), Some(number)) = (link, number) else { return };
+        let Ask { router, class, wait_ms, connection, number, .. } = self.asks[n];
+        let (Some(connection), Some(number)) = (connection, number) else { return };
         let text = ask_for(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
-        self.routers[router].stage.say(link, &text[40..]);
+        self.routers[router].stage.say(connection, &text[40..]);
     }
 
     fn client_closes(&mut self, n: usize) {
-        let (Some(link), Some(number)) = (self.asks[n].link, self.asks[n].number) else { return };
+        let (Some(connection), Some(number)) = (self.asks[n].connection, self.asks[n].number) else { return };
         let stage = &mut self.routers[self.asks[n].router].stage;
-        if !stage.ended.contains_key(&link) {
+        if !stage.ended.contains_key(&connection) {
             self.checker.client_closed(self.now, number);
-            stage.lose(link);
+            stage.lose(connection);
         }
     }
 
-    fn connected(&mut self, (router, link): Connection) {
-        if !self.passes((router, link)) {
-            return self.after(self.customer.dial / MS, Event::NotConnected((router, link)));
+    fn connected(&mut self, (router, connection): Connection) {
+        if !self.passes((router, connection)) {
+            return self.after(self.customer.dial / MS, Event::NotConnected((router, connection)));
         }
         // Some lead nowhere from here on, and nobody is told.
         if self.chance(0.02) {
-            self.routers[router].void.insert(link);
+            self.routers[router].void.insert(connection);
         }
-        self.routers[router].up.insert(link, 0);
-        self.routers[router].stage.opens(link);
+        self.routers[router].up.insert(connection, 0);
+        self.routers[router].stage.opens(connection);
     }
 
     fn tell(&mut self, router: usize, worker: usize, state: &'static str, started_ms: u64) {
--- a/crates/gateway/tests/debts.rs
+++ b/crates/gateway/tests/debts.rs
@@ -10,7 +10,7 @@
 use common::*;
 use serde_json::json;
 use tideroute::rng::Rng;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 use tideroute_wire::Micros;
 
 /// Worlds that are drawn; the first of them that breaks a rule is told by its seed.
@@ -27,12 +27,12 @@
 enum Next {
     Ask(usize),
     Leave(usize),
-    Up(Link),
-    Unreached(Link),
-    Say(Link, String),
-    ReadEnds(Link, String, u8),
-    WriteEnds(Link, String, u8),
-    Place(Link, String, bool),
+    Up(ConnectionId),
+    Unreached(ConnectionId),
+    Say(ConnectionId, String),
+    ReadEnds(ConnectionId, String, u8),
+    WriteEnds(ConnectionId, String, u8),
+    Place(ConnectionId, String, bool),
     Silent(usize),
     Back(usize),
     Drain(usize),
@@ -45,13 +45,13 @@
     state: bool,
     place: bool,
     since: Micros,
-    reads: BTreeSet<Link>,
-    writes: BTreeSet<Link>,
+    reads: BTreeSet<ConnectionId>,
+    writes: BTreeSet<ConnectionId>,
     begun: bool,
 }
 
 struct Client {
-    link: Link,
+    connection: ConnectionId,
     until: Micros,
     left: Option<Micros>,
 }
@@ -67,8 +67,8 @@
     drains: BTreeMap<usize, Micros>,
     version: u64,
     /// Links met, whether they are up, and how many bytes on them were looked at; links on which nothing passes.
-    links: BTreeMap<Link, (bool, usize)>,
-    void: BTreeSet<Link>,
+    connections: BTreeMap<ConnectionId, (bool, usize)>,
+    void: BTreeSet<ConnectionId>,
     broken: Option<String>,
 }
 
@@ -89,7 +89,7 @@
             silent: BTreeSet::new(),
             drains: BTreeMap::new(),
             version: 4,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             void: BTreeSet::new(),
             broken: None,
         };
@@ -136,26 +136,26 @@
         self.broken.get_or_insert(format!("at {at} ms: {what}"));
     }
 
-    fn worker(&self, link: Link) -> Option<usize> {
-        self.stage.dialled.get(&link).filter(|to| to[2] == 1).map(|to| usize::from(to[3]) - 1)
+    fn worker(&self, connection: ConnectionId) -> Option<usize> {
+        self.stage.dialled.get(&connection).filter(|to| to[2] == 1).map(|to| usize::from(to[3]) - 1)
     }
 
-    fn passes(&self, link: Link) -> bool {
-        !self.void.contains(&link) && self.worker(link).is_some_and(|w| !self.silent.contains(&w))
+    fn passes(&self, connection: ConnectionId) -> bool {
+        !self.void.contains(&connection) && self.worker(connection).is_some_and(|w| !self.silent.contains(&w))
     }
 
-    fn say(&mut self, link: Link, text: &str) {
-        if self.passes(link) && !self.stage.ended.contains_key(&link) {
-            self.stage.say(link, text);
+    fn say(&mut self, connection: ConnectionId, text: &str) {
+        if self.passes(connection) && !self.stage.ended.contains_key(&connection) {
+            self.stage.say(connection, text);
         }
     }
 
     /// An attempt has had its outcome over there.
-    fn outcome(&mut self, link: Link, trace: &str) {
+    fn outcome(&mut self, connection: ConnectionId, trace: &str) {
         let now = self.stage.now;
         let r = self.requests.entry(trace.to_string()).or_default();
-        r.reads.remove(&link);
-        r.writes.remove(&link);
+        r.reads.remove(&connection);
+        r.writes.remove(&connection);
         r.since = now;
     }
 
@@ -163,15 +163,15 @@
     fn look(&mut self) {
         loop {
             let fresh: Vec<_> =
-                self.stage.dialled.keys().filter(|l| !self.links.contains_key(l)).copied().collect();
-            for link in &fresh {
-                self.links.insert(*link, (false, 0));
-                let Some(worker) = self.worker(*link) else { continue };
+                self.stage.dialled.keys().filter(|l| !self.connections.contains_key(l)).copied().collect();
+            for connection in &fresh {
+                self.connections.insert(*connection, (false, 0));
+                let Some(worker) = self.worker(*connection) else { continue };
                 if self.silent.contains(&worker) || self.chance(0.03) {
-                    self.after(DIAL / MS, Next::Unreached(*link));
+                    self.after(DIAL / MS, Next::Unreached(*connection));
                 } else {
                     let late = if self.chance(0.1) { self.whole(20, 240) } else { 1 };
-                    self.after(late, Next::Up(*link));
+                    self.after(late, Next::Up(*connection));
                 }
             }
             let gone: Vec<_> = self.stage.ended.keys().copied().collect();
@@ -180,8 +180,10 @@
                 r.since = if ends { self.stage.now } else { r.since };
             }
             let mut said = false;
-            for link in self.links.iter().filter(|(_, (up, _))| *up).map(|(l, _)| *l).collect::<Vec<_>>() {
-                said |= self.heard(link);
+            for connection in
+                self.connections.iter().filter(|(_, (up, _))| *up).map(|(l, _)| *l).collect::<Vec<_>>()
+            {
+                said |= self.heard(connection);
             }
             if fresh.is_empty() && !said {
                 return;
@@ -190,15 +192,15 @@
     }
 
     /// A connection has brought requests: they are written at once, and arrive unless nothing passes.
-    fn heard(&mut self, link: Link) -> bool {
-        let seen = self.links.get(&link).map_or(0, |l| l.1);
-        let all = self.stage.text(link);
-        if all.len() <= seen || self.stage.ended.contains_key(&link) {
+    fn heard(&mut self, connection: ConnectionId) -> bool {
+        let seen = self.connections.get(&connection).map_or(0, |l| l.1);
+        let all = self.stage.text(connection);
+        if all.len() <= seen || self.stage.ended.contains_key(&connection) {
             return false;
         }
-        self.links.insert(link, (true, all.len()));
+        self.connections.insert(connection, (true, all.len()));
         let text = all[seen..].to_string();
-        let Some(worker) = self.worker(link) else { return true };
+        let Some(worker) = self.worker(connection) else { return true };
         let now = self.stage.now;
         let trace = |head: &str| text.split(head).nth(1)?.split(['\r', ' ']).next().map(str::to_string);
         if text.starts_with("POST /v1") {
@@ -213,49 +215,49 @@
         if new && self.drains.get(&worker).is_some_and(|at| now > *at + GRACE) {
             self.breaks(format!("{} to a worker that drains", &text[..30]));
         }
-        if self.passes(link) {
-            self.arrives(link, worker, &text);
+        if self.passes(connection) {
+            self.arrives(connection, worker, &text);
         }
-        self.stage.written(link);
+        self.stage.written(connection);
         true
     }
 
-    fn arrives(&mut self, link: Link, worker: usize, text: &str) {
+    fn arrives(&mut self, connection: ConnectionId, worker: usize, text: &str) {
         let after =
             |head: &str| text.split(head).nth(1).and_then(|t| t.split(['\r', ' ']).next()).unwrap_or("");
         if text.starts_with("GET ") {
-            return self.after(1, Next::Say(link, plain(200, "", "")));
+            return self.after(1, Next::Say(connection, plain(200, "", "")));
         }
         if text.starts_with("DELETE ") {
             let r = self.requests.entry(after("/internal/reservations/").into()).or_default();
             (r.state, r.place) = (r.state && !r.writes.is_empty(), false);
-            return self.after(1, Next::Say(link, "HTTP/1.1 204 No Content\r\n\r\n".into()));
+            return self.after(1, Next::Say(connection, "HTTP/1.1 204 No Content\r\n\r\n".into()));
         }
         if text.starts_with("POST /internal") {
             let trace = after("/internal/reservations/").to_string();
             let knows = self.requests.get(&trace).is_some_and(|r| !r.reads.is_empty());
             let takes = if knows { self.whole(1, 60) } else { 300 };
-            return self.after(takes, Next::Place(link, trace, knows));
+            return self.after(takes, Next::Place(connection, trace, knows));
         }
         let (trace, lot) = (after("x-trace-id: ").to_string(), self.whole(0, 100) as u8);
         let r = self.requests.entry(trace.clone()).or_default();
         if WORKERS[worker].1 == "reading" {
-            r.reads.insert(link);
+            r.reads.insert(connection);
             let takes = self.whole(2, 120);
-            self.after(takes, Next::ReadEnds(link, trace, lot));
+            self.after(takes, Next::ReadEnds(connection, trace, lot));
         } else {
-            r.writes.insert(link);
+            r.writes.insert(connection);
             r.place = false;
             let takes = if lot < 40 { self.whole(1, 900) } else { self.whole(1, 30) };
-            self.after(takes, Next::WriteEnds(link, trace, lot));
+            self.after(takes, Next::WriteEnds(connection, trace, lot));
         }
     }
 
     /// The connection breaks, as the router learns if anything passes there.
-    fn breaks_off(&mut self, link: Link) {
-        if self.passes(link) && !self.stage.ended.contains_key(&link) {
-            self.links.remove(&link);
-            self.stage.lose(link);
+    fn breaks_off(&mut self, connection: ConnectionId) {
+        if self.passes(connection) && !self.stage.ended.contains_key(&connection) {
+            self.connections.remove(&connection);
+            self.stage.lose(connection);
         }
     }
 
@@ -263,11 +265,11 @@
         let now = self.stage.now;
         match next {
             Next::Ask(n) => {
-                let link = self.stage.come();
+                let connection = self.stage.come();
                 let left = self.whole(800, 4_000);
                 let class = ["safe", "once", "keyed"][self.whole(0, 3) as usize];
-                let mut client = Client { link, until: now + left * MS, left: None };
-                self.stage.say(link, ask_for(&format!("t{n}"), class, left, "{}"));
+                let mut client = Client { connection, until: now + left * MS, left: None };
+                self.stage.say(connection, ask_for(&format!("t{n}"), class, left, "{}"));
                 if self.chance(0.3) {
                     let at = self.whole(0, 1_500);
                     self.after(at, Next::Leave(n));
@@ -277,75 +279,77 @@
             }
             Next::Leave(n) => {
                 let Some(client) = self.clients.get_mut(&n) else { return };
-                if !self.stage.ended.contains_key(&client.link) {
+                if !self.stage.ended.contains_key(&client.connection) {
                     client.left = Some(now);
-                    self.stage.lose(client.link);
+                    self.stage.lose(client.connection);
                 }
             }
-            Next::Up(link) => {
-                if !self.stage.ended.contains_key(&link) && self.passes(link) {
+            Next::Up(connection) => {
+                if !self.stage.ended.contains_key(&connection) && self.passes(connection) {
                     // One in fifty leads nowhere from here on, and nobody is told.
                     if self.chance(0.02) {
-                        self.void.insert(link);
+                        self.void.insert(connection);
                     }
-                    self.links.insert(link, (true, 0));
-                    self.stage.opens(link);
+                    self.connections.insert(connection, (true, 0));
+                    self.stage.opens(connection);
                 } else {
-                    self.after(DIAL / MS, Next::Unreached(link));
+                    self.after(DIAL / MS, Next::Unreached(connection));
                 }
             }
-            Next::Unreached(link) => {
-                if !self.stage.ended.contains_key(&link) && self.links.remove(&link).is_some() {
-                    self.stage.lose_as(link, Loss::Unreached);
+            Next::Unreached(connection) => {
+                if !self.stage.ended.contains_key(&connection)
+                    && self.connections.remove(&connection).is_some()
+                {
+                    self.stage.lose_as(connection, DisconnectReason::ConnectFailed);
                 }
             }
-            Next::Say(link, text) => self.say(link, &text),
-            Next::ReadEnds(link, trace, lot) => {
-                let out = self.requests.get(&trace).is_some_and(|r| r.reads.contains(&link));
-                if !out || !self.passes(link) {
+            Next::Say(connection, text) => self.say(connection, &text),
+            Next::ReadEnds(connection, trace, lot) => {
+                let out = self.requests.get(&trace).is_some_and(|r| r.reads.contains(&connection));
+                if !out || !self.passes(connection) {
                     return;
                 }
-                self.outcome(link, &trace);
+                self.outcome(connection, &trace);
                 let r = self.requests.entry(trace).or_default();
                 r.state |= lot < 90;
                 match lot {
-                    0..85 => self.say(link, READ),
+                    0..85 => self.say(connection, READ),
                     // It ends well just as its connection breaks.
-                    85..90 => self.breaks_off(link),
-                    90..95 => self.say(link, NEVER_RAN),
-                    _ => self.say(link, &plain(500, "", "")),
+                    85..90 => self.breaks_off(connection),
+                    90..95 => self.say(connection, NEVER_RAN),
+                    _ => self.say(connection, &plain(500, "", "")),
                 }
             }
-            Next::WriteEnds(link, trace, lot) => {
-                let passes = self.passes(link);
+            Next::WriteEnds(connection, trace, lot) => {
+                let passes = self.passes(connection);
                 let r = self.requests.entry(trace.clone()).or_default();
-                if !r.writes.contains(&link) || !passes {
+                if !r.writes.contains(&connection) || !passes {
                     return;
                 }
                 if !r.state {
-                    self.outcome(link, &trace);
-                    return self.say(link, &NEVER_RAN.replace("503", "410"));
+                    self.outcome(connection, &trace);
+                    return self.say(connection, &NEVER_RAN.replace("503", "410"));
                 }
                 match lot {
                     0..12 => {
-                        self.outcome(link, &trace);
-                        self.say(link, NEVER_RAN);
+                        self.outcome(connection, &trace);
+                        self.say(connection, NEVER_RAN);
                     }
                     12..18 => {
-                        self.outcome(link, &trace);
-                        self.breaks_off(link);
+                        self.outcome(connection, &trace);
+                        self.breaks_off(connection);
                     }
                     _ => {
                         (r.state, r.place, r.begun) = (false, false, true);
-                        self.say(link, &format!("{HEAD}{}", chunk(EVENTS[0])));
+                        self.say(connection, &format!("{HEAD}{}", chunk(EVENTS[0])));
                         let takes = self.whole(1, 300);
                         let rest = format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2]));
-                        self.after(takes, Next::Say(link, rest));
+                        self.after(takes, Next::Say(connection, rest));
                     }
                 }
             }
-            Next::Place(link, trace, knew) => {
-                if !self.passes(link) || self.stage.ended.contains_key(&link) && knew {
+            Next::Place(connection, trace, knew) => {
+                if !self.passes(connection) || self.stage.ended.contains_key(&connection) && knew {
                     return;
                 }
                 let held = self.chance(0.5);
@@ -358,20 +362,20 @@
                     (true, true) => plain(200, "", ""),
                     (true, false) => plain(409, "", ""),
                 };
-                self.say(link, &text);
+                self.say(connection, &text);
             }
             Next::Silent(worker) => drop(self.silent.insert(worker)),
             Next::Back(worker) => {
                 // What was open there is reset.
                 self.silent.remove(&worker);
                 let there: Vec<_> =
-                    self.links.keys().filter(|l| self.worker(**l) == Some(worker)).copied().collect();
-                for link in there {
+                    self.connections.keys().filter(|l| self.worker(**l) == Some(worker)).copied().collect();
+                for connection in there {
                     self.requests.values_mut().for_each(|r| {
-                        let ends = r.reads.remove(&link) | r.writes.remove(&link);
+                        let ends = r.reads.remove(&connection) | r.writes.remove(&connection);
                         r.since = if ends { now } else { r.since };
                     });
-                    self.breaks_off(link);
+                    self.breaks_off(connection);
                 }
             }
             Next::Drain(worker) => {
@@ -402,7 +406,7 @@
             return self.breaks(what);
         }
         for (n, client) in &self.clients {
-            let text = self.stage.text(client.link);
+            let text = self.stage.text(client.connection);
             let heads = text.matches("HTTP/1.1 ").count();
             let none = heads == 0 && client.left.is_none() && now > client.until;
             if heads > 1 || none {
--- a/crates/gateway/tests/held.rs
+++ b/crates/gateway/tests/held.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
 const RELEASE: &str = "DELETE /internal/reservations/id ";
 const FREED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
 /// A request that has just been read, with no place asked for, and the link and place of its reader.
-fn read(class: &str) -> (Stage, Link, Link, usize) {
+fn read(class: &str) -> (Stage, ConnectionId, ConnectionId, usize) {
     let mut stage = Stage::without_places();
     let client = stage.come();
     stage.say(client, ask("id", class));
@@ -25,7 +25,10 @@
 fn pass(stage: &mut Stage, time: u64) {
     for _ in 0..time / 10 {
         stage.pass(10 * MS);
-        stage.calls("GET /alive").into_iter().for_each(|(link, _)| stage.say(link, plain(200, "", "")));
+        stage
+            .calls("GET /alive")
+            .into_iter()
+            .for_each(|(connection, _)| stage.say(connection, plain(200, "", "")));
     }
 }
 
@@ -56,7 +59,7 @@
     while let Some((writer, _)) = stage.attempts().first().copied().filter(|_| waited < 750) {
         stage.pass(250 * MS);
         waited += 250;
-        stage.lose_as(writer, Loss::Unreached);
+        stage.lose_as(writer, DisconnectReason::ConnectFailed);
     }
     stage.pass((810 - waited) * MS);
     assert!(!stage.calls(RELEASE).is_empty(), "after {waited} ms of dials");
@@ -96,12 +99,15 @@
     let client = stage.come();
     stage.say(client, ask("id", "safe"));
     for _ in 0..400 {
-        stage.attempts().into_iter().for_each(|(link, _)| stage.lose_as(link, Loss::Unreached));
+        stage
+            .attempts()
+            .into_iter()
+            .for_each(|(connection, _)| stage.lose_as(connection, DisconnectReason::ConnectFailed));
         stage.pass(10 * MS);
     }
     assert_eq!(stage.statuses(client), [503]);
     stage.pass(2_000 * MS);
-    let dials = stage.dialled.keys().filter(|link| stage.text(**link).contains("DELETE")).count();
+    let dials = stage.dialled.keys().filter(|connection| stage.text(**connection).contains("DELETE")).count();
     assert_eq!((dials, stage.calls(RELEASE).len()), (0, 0));
 }
 
@@ -168,7 +174,7 @@
 }
 
 /// A router with a read under way at the one reader, whose connection was there before what follows.
-fn with_an_older_connection_to_the_reader() -> (Stage, Link) {
+fn with_an_older_connection_to_the_reader() -> (Stage, ConnectionId) {
     let mut stage = Stage::with(&one_of_each());
     let client = stage.come();
     stage.say(client, ask("older", "safe"));
@@ -225,7 +231,7 @@
 }
 
 /// A request whose client has gone while the call for a place is out; what was released of it is answered for.
-fn left_while_a_place_is_asked_for(written: bool) -> (Stage, Link) {
+fn left_while_a_place_is_asked_for(written: bool) -> (Stage, ConnectionId) {
     let mut stage = Stage::new();
     stage.eager = written;
     let client = stage.come();
@@ -246,7 +252,7 @@
 fn releases_are_answered(stage: &mut Stage) -> Vec<usize> {
     stage.pass(50 * MS);
     let calls = stage.calls(RELEASE);
-    calls.iter().for_each(|(link, _)| stage.say(*link, FREED));
+    calls.iter().for_each(|(connection, _)| stage.say(*connection, FREED));
     calls.into_iter().map(|(_, worker)| worker).collect()
 }
 
@@ -287,10 +293,10 @@
     assert!(stage.ended.contains_key(&place), "it is taken back");
     stage.pass(2_000 * MS);
     assert!(stage.calls(RELEASE).is_empty(), "and nothing is held by it");
-    use tideroute_wire::link::Program;
+    use tideroute_wire::event_loop::EventHandler;
     stage.stop();
     stage.pass(700 * MS);
-    assert!(stage.program.done());
+    assert!(stage.program.is_finished());
     // The same when the attempt that writes goes out.
     let mut stage = Stage::new();
     stage.eager = false;
@@ -329,18 +335,19 @@
     stage.lose(client);
     stage.pass(MS);
     assert!(stage.ended.contains_key(&writer));
-    let mut links = stage.calls(RELEASE).into_iter().map(|(link, _)| link).collect::<Vec<_>>();
-    assert_eq!(links, [reader]);
+    let mut connections =
+        stage.calls(RELEASE).into_iter().map(|(connection, _)| connection).collect::<Vec<_>>();
+    assert_eq!(connections, [reader]);
     for _ in 0..12 {
         stage.pass(100 * MS);
-        links.extend(stage.calls(RELEASE).into_iter().map(|(link, _)| link));
-        let out = links.iter().filter(|link| !stage.ended.contains_key(link)).count();
+        connections.extend(stage.calls(RELEASE).into_iter().map(|(connection, _)| connection));
+        let out = connections.iter().filter(|connection| !stage.ended.contains_key(connection)).count();
         assert!(out <= 16, "{out} calls out");
     }
-    assert!(links.len() > 20, "tried {} times, each worker more than once", links.len());
+    assert!(connections.len() > 20, "tried {} times, each worker more than once", connections.len());
     stage.pass(500 * MS);
-    links.extend(stage.calls(RELEASE).into_iter().map(|(link, _)| link));
-    assert!(links.iter().all(|link| stage.ended.contains_key(link)), "its time is over");
+    connections.extend(stage.calls(RELEASE).into_iter().map(|(connection, _)| connection));
+    assert!(connections.iter().all(|connection| stage.ended.contains_key(connection)), "its time is over");
 }
 
 #[test]
@@ -374,12 +381,12 @@
     stage.lose(client);
     stage.pass(MS);
     assert!(stage.ended.contains_key(&writer));
-    use tideroute_wire::link::Program;
-    assert!(!stage.program.done(), "the state is still to be released");
+    use tideroute_wire::event_loop::EventHandler;
+    assert!(!stage.program.is_finished(), "the state is still to be released");
     let (release, _) = stage.call(RELEASE);
     stage.say(release, FREED);
-    assert!(!stage.program.done(), "its writers may not have seen the ends of their attempts");
+    assert!(!stage.program.is_finished(), "its writers may not have seen the ends of their attempts");
     let told: BTreeSet<_> = (0..20).flat_map(|_| releases_are_answered(&mut stage)).collect();
-    assert!(stage.program.done());
+    assert!(stage.program.is_finished());
     assert!(told.contains(&first) && told.contains(&second), "each of them is told");
 }
--- a/crates/gateway/tests/list.rs
+++ b/crates/gateway/tests/list.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use serde_json::json;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
 fn up(stage: &mut Stage) -> u16 {
     let client = stage.come();
@@ -16,13 +16,15 @@
 fn reader_of(stage: &mut Stage, trace: &str) -> usize {
     let client = stage.come();
     stage.say(client, ask(trace, "safe"));
-    let (link, at) = stage.attempt();
+    let (connection, at) = stage.attempt();
     stage.lose(client);
-    assert!(stage.ended.contains_key(&link));
+    assert!(stage.ended.contains_key(&connection));
     stage.pass(20 * MS);
     for begin in ["POST /internal", "DELETE"] {
         let calls = stage.calls(begin);
-        calls.into_iter().for_each(|(link, _)| stage.say(link, "HTTP/1.1 204 No Content\r\n\r\n"));
+        calls
+            .into_iter()
+            .for_each(|(connection, _)| stage.say(connection, "HTTP/1.1 204 No Content\r\n\r\n"));
     }
     at
 }
@@ -46,7 +48,7 @@
 #[test]
 fn lines_come_in_odd_pieces_and_changes_are_applied_in_order() {
     let mut stage = Stage::new();
-    let (link, asked) = stage.watch();
+    let (connection, asked) = stage.watch();
     assert!(asked.starts_with("GET /discovery/hosts?watch=1&after=4 HTTP/1.1\r\n"), "{asked}");
     let drain = |version, states: [&str; 3]| {
         let servers: Vec<_> = [0, 1, 4].iter().zip(states).map(|(w, s)| entry(*w, s, 0)).collect();
@@ -58,10 +60,10 @@
         drain(6, ["DRAINING", "SERVING", "DELETED"])
     );
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
-    stage.say(link, head);
+    stage.say(connection, head);
     for piece in text.as_bytes().chunks(7) {
         let piece = std::str::from_utf8(piece).expect("ASCII");
-        chunk(piece).as_bytes().chunks(3).for_each(|bytes| stage.say(link, bytes));
+        chunk(piece).as_bytes().chunks(3).for_each(|bytes| stage.say(connection, bytes));
     }
     for n in 0..20 {
         assert_eq!(reader_of(&mut stage, &format!("id{n}")), 1, "the one that is left");
@@ -70,9 +72,9 @@
 
 #[test]
 fn a_watch_that_ends_is_silent_or_can_not_be_read_is_opened_anew() {
-    let ends: [fn(&mut Stage, Link); 6] = [
+    let ends: [fn(&mut Stage, ConnectionId); 6] = [
         |s, l| s.lose(l),
-        |s, l| s.lose_as(l, Loss::Unreached),
+        |s, l| s.lose_as(l, DisconnectReason::ConnectFailed),
         |s, _| s.pass(1_050 * MS),
         |s, l| s.say(l, "HTTP/1.1 500 Oh\r\n\r\n"),
         |s, l| {
@@ -92,11 +94,11 @@
     ];
     for (n, end) in ends.into_iter().enumerate() {
         let mut stage = Stage::new();
-        let (link, _) = stage.watch();
-        end(&mut stage, link);
+        let (connection, _) = stage.watch();
+        end(&mut stage, connection);
         stage.pass(250 * MS);
         let (again, asked) = stage.watch();
-        assert!(again != link && asked.contains("after=4 "), "case {n}");
+        assert!(again != connection && asked.contains("after=4 "), "case {n}");
         let waited = matches!(n, 2 | 5);
         assert_eq!(up(&mut stage), if waited { 200 } else { 503 }, "the old list stays, case {n}");
     }
@@ -105,13 +107,13 @@
 /// What discovery has counts as told six seconds after it fell silent, or could be reached again, whatever failed.
 #[test]
 fn what_a_silent_watch_missed_is_heard_well_within_six_seconds_though_the_next_call_comes_to_nothing() {
-    type Fails = fn(&mut Stage, Link);
+    type Fails = fn(&mut Stage, ConnectionId);
     let fails: [(&str, Fails); 5] = [
         ("nobody takes it", |s, l| {
             s.pass(500 * MS);
-            s.lose_as(l, Loss::Unreached);
+            s.lose_as(l, DisconnectReason::ConnectFailed);
         }),
-        ("it is refused", |s, l| s.lose_as(l, Loss::Unreached)),
+        ("it is refused", |s, l| s.lose_as(l, DisconnectReason::ConnectFailed)),
         ("nobody answers it", |_, _| {}),
         ("its answer has no end of a head", |s, l| s.say(l, "HTTP/1.1 200 OK\r\n")),
         ("it is reset", |s, l| s.lose(l)),
@@ -120,20 +122,20 @@
         // Failures before, as in a time without discovery, have made the pauses as long as they get.
         let mut stage = Stage::new();
         for _ in 0..8 {
-            let (link, _) = stage.watch();
-            stage.lose(link);
+            let (connection, _) = stage.watch();
+            stage.lose(connection);
             stage.pass(500 * MS);
         }
-        let (link, _) = stage.watch();
-        stage.say(link, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        let (connection, _) = stage.watch();
+        stage.say(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         let silent = stage.now;
-        let other = |stage: &mut Stage, than: Link| loop {
+        let other = |stage: &mut Stage, than: ConnectionId| loop {
             match stage.watching().filter(|now| *now != than) {
                 Some(now) => return now,
                 None => stage.pass(10 * MS),
             }
         };
-        let next = other(&mut stage, link);
+        let next = other(&mut stage, connection);
         fail(&mut stage, next);
         other(&mut stage, next);
         stage.discover(&list(9));
@@ -148,13 +150,13 @@
     let mut newer = list(9);
     newer["servers"][0]["state"] = json!("DRAINING");
     newer["servers"][4]["state"] = json!("DRAINING");
-    let (link, _) = stage.watch();
-    stage.say(link, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+    let (connection, _) = stage.watch();
+    stage.say(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
     let text = format!("\n  {:#}\n\n  \n", newer);
     for piece in text.as_bytes().chunks(100) {
-        stage.say(link, chunk(std::str::from_utf8(piece).expect("ASCII")));
+        stage.say(connection, chunk(std::str::from_utf8(piece).expect("ASCII")));
     }
-    assert_eq!(stage.watch().0, link, "nothing is wrong with it");
+    assert_eq!(stage.watch().0, connection, "nothing is wrong with it");
     for n in 0..20 {
         assert_eq!(reader_of(&mut stage, &format!("id{n}")), 1, "the one that is left");
     }
@@ -172,14 +174,14 @@
         servers.push(server);
     }
     servers[4]["state"] = json!("DRAINING");
-    let (link, _) = stage.watch();
-    stage.say(link, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+    let (connection, _) = stage.watch();
+    stage.say(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
     let began = std::time::Instant::now();
     for piece in format!("{newer:#}\n").as_bytes().chunks(64) {
-        stage.say(link, chunk(std::str::from_utf8(piece).expect("ASCII")));
+        stage.say(connection, chunk(std::str::from_utf8(piece).expect("ASCII")));
     }
     assert!(began.elapsed().as_secs() < 2, "{:?}", began.elapsed());
-    assert_eq!(stage.watch().0, link, "nothing is wrong with it");
+    assert_eq!(stage.watch().0, connection, "nothing is wrong with it");
     for n in 0..20 {
         assert_ne!(reader_of(&mut stage, &format!("id{n}")), 4, "it drains");
     }
@@ -483,7 +485,7 @@
 }
 
 fn done(stage: &Stage) -> bool {
-    tideroute_wire::link::Program::done(&stage.program)
+    tideroute_wire::event_loop::EventHandler::is_finished(&stage.program)
 }
 
 #[test]
