--- a/crates/gateway/tests/noise.rs
+++ b/crates/gateway/tests/noise.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use quickcheck::{Gen, QuickCheck};
-use tideroute_wire::link::{Link, Loss, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, EventHandler};
 
 /// Runs drawn, and events of each at most.
 const RUNS: u64 = 1_500;
@@ -16,12 +16,12 @@
 
 struct Noise {
     stage: Stage,
-    clients: Vec<Link>,
-    asked: BTreeMap<Link, usize>,
+    clients: Vec<ConnectionId>,
+    asked: BTreeMap<ConnectionId, usize>,
     count: usize,
     /// By trace id of single-use submissions, how often a writer may have run it.
     ran: BTreeMap<String, usize>,
-    wrote: BTreeMap<Link, usize>,
+    wrote: BTreeMap<ConnectionId, usize>,
 }
 
 impl Noise {
@@ -42,13 +42,13 @@
         (!from.is_empty()).then(|| from[usize::from(which) % from.len()])
     }
 
-    fn client(&mut self, which: u16) -> Option<Link> {
+    fn client(&mut self, which: u16) -> Option<ConnectionId> {
         let ended = &self.stage.ended;
         let open: Vec<_> = self.clients.iter().filter(|c| !ended.contains_key(c)).copied().collect();
         Self::pick(&open, which)
     }
 
-    fn worker(&mut self, which: u16) -> Option<Link> {
+    fn worker(&mut self, which: u16) -> Option<ConnectionId> {
         let ended = &self.stage.ended;
         let open: Vec<_> = self.stage.dialled.keys().filter(|l| !ended.contains_key(l)).copied().collect();
         Self::pick(&open, which)
@@ -68,10 +68,10 @@
 
     /// Counts shots of single-use submissions that writers have whole and did not prove to be void.
     fn note(&mut self) {
-        for (&link, to) in &self.stage.dialled {
+        for (&connection, to) in &self.stage.dialled {
             let writing = WORKERS.get(usize::from(to[3]) - 1).is_some_and(|w| w.1 == "writing" && to[2] == 1);
-            let text = self.stage.text(link);
-            let seen = self.wrote.entry(link).or_default();
+            let text = self.stage.text(connection);
+            let seen = self.wrote.entry(connection).or_default();
             let parts: Vec<_> = text.split("POST /v1/chat/completions").skip(1 + *seen).collect();
             *seen += parts.len();
             for part in parts.iter().filter(|p| writing && p.contains("x-qos: once")) {
@@ -107,12 +107,12 @@
                 self.stage.lose(client);
             }
             6..=8 => {
-                let Some(link) = self.worker(which) else { return };
+                let Some(connection) = self.worker(which) else { return };
                 let answers = [READ, &stream(), NEVER_RAN, &plain(200, "", ""), &plain(500, "", "x"), HEAD];
                 let answer = answers[usize::from(byte) % answers.len()];
                 // What proves that a shot is void takes it off the count.
                 if answer == NEVER_RAN {
-                    let text = self.stage.text(link);
+                    let text = self.stage.text(connection);
                     let last = text.rsplit("POST /v1/chat/completions").next().unwrap_or("");
                     let trace =
                         last.split("x-trace-id: ").nth(1).and_then(|t| t.split("\r\n").next()).unwrap_or("");
@@ -120,15 +120,18 @@
                         *ran = ran.saturating_sub(1);
                     }
                 }
-                self.stage.say(link, answer);
+                self.stage.say(connection, answer);
             }
             9 => {
-                let Some(link) = self.worker(which) else { return };
-                self.stage.say(link, Self::mangle(&stream(), byte, which));
+                let Some(connection) = self.worker(which) else { return };
+                self.stage.say(connection, Self::mangle(&stream(), byte, which));
             }
             10 => {
-                let Some(link) = self.worker(which) else { return };
-                self.stage.lose_as(link, if byte % 2 == 0 { Loss::Broken } else { Loss::Unreached });
+                let Some(connection) = self.worker(which) else { return };
+                self.stage.lose_as(
+                    connection,
+                    if byte % 2 == 0 { DisconnectReason::Reset } else { DisconnectReason::ConnectFailed },
+                );
             }
             11 => self.stage.pass(u64::from(which) * 20),
             12 => {
@@ -168,7 +171,7 @@
         }
         self.stage.stop();
         self.stage.pass(30_000 * MS);
-        self.stage.program.done()
+        self.stage.program.is_finished()
     }
 }
 
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use serde_json::{json, Value};
-use tideroute_wire::link::{Link, Program};
+use tideroute_wire::event_loop::{ConnectionId, EventHandler};
 
 const RELEASE: &str = "DELETE /internal/reservations/id ";
 const PLACE: &str = "POST /internal/reservations/id ";
@@ -33,7 +33,7 @@
 }
 
 /// The milliseconds that an attempt tells its worker.
-fn told(stage: &Stage, attempt: Link) -> u64 {
+fn told(stage: &Stage, attempt: ConnectionId) -> u64 {
     let text = stage.text(attempt);
     let told = text.split("x-expires-in-ms: ").nth(1).and_then(|t| t.split("\r\n").next());
     told.and_then(|t| t.parse().ok()).expect("a deadline")
@@ -98,7 +98,7 @@
     stage.say(release, FREED);
     // As by a worker that hangs for so long.
     stage.pass(3_000 * MS);
-    stage.calls(RELEASE).into_iter().for_each(|(link, _)| stage.say(link, FREED));
+    stage.calls(RELEASE).into_iter().for_each(|(connection, _)| stage.say(connection, FREED));
     assert!(!stage.ended.contains_key(&place), "its answer is waited for");
     stage.say(place, plain(200, "", ""));
     stage.call(RELEASE);
@@ -117,14 +117,15 @@
             stage.say(attempt, stream());
         }
         stage.pass(1_010 * MS);
-        for (link, _) in stage.calls("DELETE") {
-            stage.say(link, FREED);
+        for (connection, _) in stage.calls("DELETE") {
+            stage.say(connection, FREED);
         }
     }
-    let waiting = |link: &Link| {
-        !stage.ended.contains_key(link) && stage.text(*link).contains("POST /internal/reservations/")
+    let waiting = |connection: &ConnectionId| {
+        !stage.ended.contains_key(connection)
+            && stage.text(*connection).contains("POST /internal/reservations/")
     };
-    let waiting = stage.dialled.keys().filter(|link| waiting(link)).count();
+    let waiting = stage.dialled.keys().filter(|connection| waiting(connection)).count();
     assert!(waiting <= 30, "{waiting} connections");
 }
 
@@ -175,7 +176,7 @@
     assert!(stage.ended.contains_key(&reader));
     stage.stop();
     stage.pass(25_000 * MS);
-    assert!(stage.program.done(), "nothing is left of it");
+    assert!(stage.program.is_finished(), "nothing is left of it");
 }
 
 #[test]
--- a/crates/gateway/tests/shots.rs
+++ b/crates/gateway/tests/shots.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
 /// Reads a submission at a reader; the writer's call is out afterwards.
 fn read(stage: &mut Stage) {
@@ -12,7 +12,7 @@
 }
 
 /// A client whose submission has been read and is out at a writer.
-fn writing(class: &str) -> (Stage, Link, Link) {
+fn writing(class: &str) -> (Stage, ConnectionId, ConnectionId) {
     let mut stage = Stage::new();
     let client = stage.come();
     stage.say(client, ask("id", class));
@@ -38,14 +38,14 @@
     stage.say(place, plain(200, "", ""));
     stage.pass(50 * MS);
     stage.say(reader, READ);
-    let (link, to) = stage.attempt();
+    let (connection, to) = stage.attempt();
     assert_eq!(to, writer, "the writer that held the place");
     assert_eq!(stage.text(client), "", "no head before an event");
     for (n, event) in EVENTS.iter().enumerate() {
-        stage.say(link, if n == 0 { format!("{HEAD}{}", chunk(event)) } else { chunk(event) });
+        stage.say(connection, if n == 0 { format!("{HEAD}{}", chunk(event)) } else { chunk(event) });
         assert!(stage.text(client).ends_with(&chunk(event)), "as it comes");
     }
-    stage.say(link, "0\r\n\r\n");
+    stage.say(connection, "0\r\n\r\n");
     assert_eq!(unchunked(&stage.text(client)), (EVENTS.concat(), true));
     assert_eq!(stage.statuses(client), [200]);
     assert!(stage.calls("DELETE").is_empty(), "a stream frees all else by itself");
@@ -105,7 +105,7 @@
 #[test]
 fn what_never_ran_is_sent_again_and_what_may_have_run_only_where_that_is_harmless() {
     // How the writer's shot ends; whether a single-use submission may go on after it.
-    type Ends = fn(&mut Stage, Link);
+    type Ends = fn(&mut Stage, ConnectionId);
     let ends: [(&str, Ends, bool); 8] = [
         ("turned away", |s, l| s.say(l, NEVER_RAN), true),
         ("turned away as over", |s, l| s.say(l, NEVER_RAN.replace("503", "504")), true),
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_request_that_was_not_written_whole_never_ran() {
-    for (opened, loss) in [(false, Loss::Unreached), (true, Loss::Broken)] {
+    for (opened, loss) in [(false, DisconnectReason::ConnectFailed), (true, DisconnectReason::Reset)] {
         let mut stage = Stage::new();
         let client = stage.come();
         stage.say(client, ask("id", "once"));
@@ -294,7 +294,7 @@
     for _ in 0..3 {
         let (free, at) = stage.call("DELETE /internal/reservations/id ");
         tried.push(at);
-        stage.lose_as(free, Loss::Unreached);
+        stage.lose_as(free, DisconnectReason::ConnectFailed);
     }
     tried.sort_unstable();
     tried.dedup();
@@ -320,7 +320,7 @@
         let free =
             at_once.first().copied().unwrap_or_else(|| stage.call("DELETE /internal/reservations/id "));
         // As in a zone that is cut off: one shot after another comes to nothing, and the letting go goes on.
-        stage.lose_as(second, Loss::Unreached);
+        stage.lose_as(second, DisconnectReason::ConnectFailed);
         let (third, _) = stage.attempt();
         assert!(!stage.ended.contains_key(&free.0), "it goes on");
         stage.pass(200 * MS);
@@ -328,7 +328,7 @@
         assert_eq!(more.len(), 3, "one more after a while, then as many as before");
         // One comes up: what it makes must not be freed under it.
         stage.opens(third);
-        assert!(more.iter().chain([&free]).all(|(link, _)| stage.ended.contains_key(link)));
+        assert!(more.iter().chain([&free]).all(|(connection, _)| stage.ended.contains_key(connection)));
     }
 }
 
@@ -536,9 +536,9 @@
         stage.say(client, ask("id", "safe"));
         let mut order = vec![];
         for _ in 0..3 {
-            for (link, at) in stage.calls("GET /metrics/load") {
+            for (connection, at) in stage.calls("GET /metrics/load") {
                 let place = first.iter().position(|r| *r == at).expect("a reader");
-                stage.say(link, load(says[place]));
+                stage.say(connection, load(says[place]));
                 order.push(at);
             }
             assert_eq!(order[0], first[0], "the first alone at first");
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
 use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
-use tideroute_wire::link::{Act, Link, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
 use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, Party};
 
@@ -74,33 +74,33 @@
 }
 
 fn main() {
-    let (mut now, mut out, client) = (1_000_000_000, Outbox::default(), Link(0));
+    let (mut now, mut effects, client) = (1_000_000_000, Effects::default(), ConnectionId(0));
     let mut host = Host::new(config(), None, now);
-    host.begin(now, &mut out);
-    let list = out.take().into_iter().find_map(|act| match act {
-        Act::Dial { link, to: LIST, .. } => Some(link),
+    host.on_start(now, &mut effects);
+    let list = effects.take().into_iter().find_map(|act| match act {
+        Effect::Connect { connection, to: LIST, .. } => Some(connection),
         _ => None,
     });
     let list = list.expect("it dials the list");
-    host.heard(now, list, &page(0), &mut out);
-    host.accepted(now, client, 0, &mut out);
-    host.heard(now, client, &say_hello(Party::Client, "c"), &mut out);
+    host.on_data(now, list, &page(0), &mut effects);
+    host.on_accepted(now, client, 0, &mut effects);
+    host.on_data(now, client, &say_hello(Party::Client, "c"), &mut effects);
     for n in 1..=OPEN {
         let submit =
             client::submit(n, 0, n, n % 20, 300, 100, 20, 60_000_000, 7, Bytes::from_static(b"text"));
-        host.heard(now, client, &submit, &mut out);
-        host.turn(now, &mut out);
-        out.take();
+        host.on_data(now, client, &submit, &mut effects);
+        host.on_iteration(now, &mut effects);
+        effects.take();
     }
     let (mut longest, mut sum) = (Duration::ZERO, Duration::ZERO);
     for round in 1..=ROUNDS {
         now += 50_000;
         let page = page(round);
         let began = Instant::now();
-        host.heard(now, list, &page, &mut out);
-        host.turn(now, &mut out);
+        host.on_data(now, list, &page, &mut effects);
+        host.on_iteration(now, &mut effects);
         let took = began.elapsed();
-        out.take();
+        effects.take();
         (longest, sum) = (longest.max(took), sum + took);
     }
     let ms = |time: Duration| time.as_secs_f64() * 1e3;
--- a/crates/lifecycle/src/clients.rs
+++ b/crates/lifecycle/src/clients.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use tideroute::types::RequestId;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 
 #[derive(Default)]
 pub struct Client {
@@ -20,36 +20,36 @@
 #[derive(Default)]
 pub struct Clients {
     /// None until it has said Hello.
-    links: HashMap<Link, Option<Client>>,
+    connections: HashMap<ConnectionId, Option<Client>>,
 }
 
 impl Clients {
-    pub fn accepted(&mut self, link: Link) {
-        self.links.insert(link, None);
+    pub fn accepted(&mut self, connection: ConnectionId) {
+        self.connections.insert(connection, None);
     }
 
     /// Whether the link is a client's or may become one's.
-    pub fn knows(&self, link: Link) -> bool {
-        self.links.contains_key(&link)
+    pub fn knows(&self, connection: ConnectionId) -> bool {
+        self.connections.contains_key(&connection)
     }
 
-    pub fn greeted(&mut self, link: Link, key: Option<[u8; 32]>) {
-        self.links.insert(link, Some(Client { key, ..Client::default() }));
+    pub fn greeted(&mut self, connection: ConnectionId, key: Option<[u8; 32]>) {
+        self.connections.insert(connection, Some(Client { key, ..Client::default() }));
     }
 
-    pub fn is_silent(&self, link: Link) -> bool {
-        matches!(self.links.get(&link), Some(None))
+    pub fn is_silent(&self, connection: ConnectionId) -> bool {
+        matches!(self.connections.get(&connection), Some(None))
     }
 
-    pub fn get_mut(&mut self, link: Link) -> Option<&mut Client> {
-        self.links.get_mut(&link)?.as_mut()
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Client> {
+        self.connections.get_mut(&connection)?.as_mut()
     }
 
-    pub fn lose(&mut self, link: Link) -> Option<Client> {
-        self.links.remove(&link)?
+    pub fn lose(&mut self, connection: ConnectionId) -> Option<Client> {
+        self.connections.remove(&connection)?
     }
 
     pub fn len(&self) -> usize {
-        self.links.len()
+        self.connections.len()
     }
 }
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, TenthMillis};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
 
 use crate::host::Host;
@@ -13,8 +13,8 @@
 pub(crate) struct ClientLink<'a> {
     pub host: &'a mut Host,
     pub now: Micros,
-    pub link: Link,
-    pub out: &'a mut Outbox,
+    pub connection: ConnectionId,
+    pub effects: &'a mut Effects,
 }
 
 impl client::Router for ClientLink<'_> {
@@ -39,16 +39,16 @@
         }
         // A day is longer than any client waits, and keeps sums of times far from their ends.
         let left = self.host.lifecycle.left(left.min(DAY)).saturating_sub(self.host.config.travel);
-        let said = Said { client: self.link, number, prefix_tokens, most_tokens, mark, prompt };
+        let said = Said { client: self.connection, number, prefix_tokens, most_tokens, mark, prompt };
         let request = RequestState::new(said, class, (session, prefix), prompt_tokens).waits(self.now, left);
-        self.host.submitted(self.now, request, self.out)
+        self.host.submitted(self.now, request, self.effects)
     }
 
     /// A number that is not open was answered a moment ago.
     fn leave(&mut self, number: u64) -> Result<(), Malformed> {
-        let client = self.host.clients.get_mut(self.link).ok_or(Malformed::Hello)?;
+        let client = self.host.clients.get_mut(self.connection).ok_or(Malformed::Hello)?;
         if let Some(id) = client.open.remove(&number) {
-            self.host.dropped(self.now, id, self.out);
+            self.host.dropped(self.now, id, self.effects);
         }
         Ok(())
     }
@@ -60,13 +60,13 @@
 pub(crate) struct WorkerLink<'a> {
     pub host: &'a mut Host,
     pub now: Micros,
-    pub link: Link,
-    pub out: &'a mut Outbox,
+    pub connection: ConnectionId,
+    pub effects: &'a mut Effects,
 }
 
 impl WorkerLink<'_> {
     fn worker(&self) -> Result<Address, Malformed> {
-        self.host.lines.worker_of(self.link).ok_or(Malformed::Hello)
+        self.host.lines.worker_of(self.connection).ok_or(Malformed::Hello)
     }
 
     fn is_out(&self, id: u64, attempt: u16) -> Result<bool, Malformed> {
@@ -77,7 +77,7 @@
 impl worker::Router for WorkerLink<'_> {
     fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
         let worker = self.worker()?;
-        let (lifecycle, mut wires) = self.host.parts(self.out);
+        let (lifecycle, mut wires) = self.host.parts(self.effects);
         lifecycle.held(self.now, id, worker, held, &mut wires);
         Ok(())
     }
@@ -100,7 +100,7 @@
             if !reading {
                 return Err(Malformed::Order("a state from a shot that writes"));
             }
-            self.host.settle(self.now, id, attempt, AttemptOutcome::PrefillComplete, self.out);
+            self.host.settle(self.now, id, attempt, AttemptOutcome::PrefillComplete, self.effects);
         }
         Ok(())
     }
@@ -111,16 +111,16 @@
         }
         let Some(s) = self.host.lifecycle.requests.get_mut(id) else { return Ok(()) };
         let (client, number) = (s.asked.client, s.asked.number);
-        let Some(out) = s.attempt.as_mut() else { return Ok(()) };
-        if out.reading || index != out.tokens {
+        let Some(attempt) = s.attempt.as_mut() else { return Ok(()) };
+        if attempt.reading || index != attempt.tokens {
             return Err(Malformed::Order("a token"));
         }
-        (out.tokens, out.owed) = (out.tokens + 1, out.owed + 1);
-        let (lifecycle, mut wires) = self.host.parts(self.out);
+        (attempt.tokens, attempt.owed) = (attempt.tokens + 1, attempt.owed + 1);
+        let (lifecycle, mut wires) = self.host.parts(self.effects);
         lifecycle.started(self.now, id, &mut wires);
-        self.out.send(client, client::token(number, index, text));
+        self.effects.send(client, client::token(number, index, text));
         let half = self.host.config.window / 2;
-        self.host.pay(id, half, self.out);
+        self.host.pay(id, half, self.effects);
         Ok(())
     }
 
@@ -130,7 +130,7 @@
             if s.is_none_or(|s| s.tokens != tokens || tokens == 0) {
                 return Err(Malformed::Order("the end of a stream"));
             }
-            self.host.settle(self.now, id, attempt, AttemptOutcome::Completed, self.out);
+            self.host.settle(self.now, id, attempt, AttemptOutcome::Completed, self.effects);
         }
         Ok(())
     }
@@ -142,7 +142,7 @@
                 worker::How::Stateless => AttemptOutcome::StateMissing,
                 worker::How::Fault => AttemptOutcome::ServerError,
             };
-            self.host.settle(self.now, id, attempt, outcome, self.out);
+            self.host.settle(self.now, id, attempt, outcome, self.effects);
         }
         Ok(())
     }
@@ -150,7 +150,7 @@
     fn probed(&mut self, nonce: u64, reads: u32, streams: u32, waiting: u32) -> Result<(), Malformed> {
         let worker = self.worker()?;
         if self.host.lines.at(worker).probe == Some(nonce) {
-            let (lifecycle, mut wires) = self.host.parts(self.out);
+            let (lifecycle, mut wires) = self.host.parts(self.effects);
             let attempts = reads.saturating_add(streams).saturating_add(waiting);
             lifecycle.told(self.now, nonce, f64::from(attempts));
             lifecycle.probed(self.now, nonce, true, &mut wires);
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use metrics::counter;
 use tideroute::types::{AttemptOutcome, EndpointStatus, RequestId};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{client, list, worker, Malformed, Micros, Party};
 
 use crate::clients::Clients;
@@ -26,7 +26,7 @@
 pub(crate) enum Ring {
     RequestLifecycle(Timer),
     /// A connection, by its number, has not said Hello.
-    Hello(Link),
+    Hello(ConnectionId),
     /// Tenants' figures are told.
     Figures,
 }
@@ -36,7 +36,7 @@
         Ring::RequestLifecycle(Timer::Wake) => (0, 0),
         Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
         Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
-        Ring::Hello(link) => (3, link.0),
+        Ring::Hello(connection) => (3, connection.0),
         Ring::RequestLifecycle(Timer::Shares) => (4, 0),
         Ring::Figures => (5, 0),
     };
@@ -48,7 +48,7 @@
     pub(crate) lifecycle: RequestLifecycle<Said>,
     pub(crate) clients: Clients,
     pub(crate) lines: Lines,
-    pub(crate) list_link: Option<Link>,
+    pub(crate) list_link: Option<ConnectionId>,
     pub(crate) list_changed: bool,
     kept: Option<Bytes>,
 }
@@ -75,10 +75,10 @@
     /// The books, and the ways by which they speak.
     pub(crate) fn parts<'a>(
         &'a mut self,
-        out: &'a mut Outbox,
+        effects: &'a mut Effects,
     ) -> (&'a mut RequestLifecycle<Said>, Wires<'a>) {
         let (config, clients, lines) = (&self.config, &mut self.clients, &mut self.lines);
-        (&mut self.lifecycle, Wires { config, clients, lines, list_link: &mut self.list_link, out })
+        (&mut self.lifecycle, Wires { config, clients, lines, list_link: &mut self.list_link, effects })
     }
 
     pub(crate) fn settle(
@@ -87,14 +87,14 @@
         id: RequestId,
         number: u16,
         outcome: AttemptOutcome,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) {
-        let (lifecycle, mut wires) = self.parts(out);
+        let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.settle(now, id, number, outcome, &mut wires);
     }
 
-    pub(crate) fn dropped(&mut self, now: Micros, id: RequestId, out: &mut Outbox) {
-        let (lifecycle, mut wires) = self.parts(out);
+    pub(crate) fn dropped(&mut self, now: Micros, id: RequestId, effects: &mut Effects) {
+        let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.dropped(now, id, &mut wires);
     }
 
@@ -103,60 +103,69 @@
         &mut self,
         now: Micros,
         s: RequestState<Said>,
-        out: &mut Outbox,
+        effects: &mut Effects,
     ) -> Result<(), Malformed> {
         if self.config.lifecycle.module.classes.get(usize::from(s.class)).is_none() {
             return Err(Malformed::Range("track"));
         }
-        let (link, number) = (s.asked.client, s.asked.number);
-        let Some(client) = self.clients.get_mut(link) else { return Err(Malformed::Hello) };
+        let (connection, number) = (s.asked.client, s.asked.number);
+        let Some(client) = self.clients.get_mut(connection) else { return Err(Malformed::Hello) };
         if client.last.is_some_and(|last| number <= last) {
             return Err(Malformed::Order("a number that is not above the last"));
         }
         client.last = Some(number);
         let (key, full) = (client.key, client.open.len() >= self.config.most_a_client);
         if let Some((_, after)) = self.lifecycle.untaken(full) {
-            out.send(link, client::turned_back(number, after));
+            effects.send(connection, client::turned_back(number, after));
             return Ok(());
         }
         // A key may have been revoked since its Hello.
         let tenant = self.lifecycle.tenant_admission.as_ref().zip(key).and_then(|(t, key)| t.of(&key));
         // The books number submissions in turn, so that the client hears the id before anything else of it.
         let id = self.lifecycle.requests.coming();
-        if let Some(client) = self.clients.get_mut(link) {
+        if let Some(client) = self.clients.get_mut(connection) {
             client.open.insert(number, id);
         }
-        out.send(link, client::taken(number, id));
-        let (lifecycle, mut wires) = self.parts(out);
+        effects.send(connection, client::taken(number, id));
+        let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.submitted(now, s, tenant, &mut wires);
         Ok(())
     }
 
     /// Tells tenants' figures, and again a while later.
-    fn tell_figures(&mut self, now: Micros, out: &mut Outbox) {
+    fn tell_figures(&mut self, now: Micros, effects: &mut Effects) {
         let Some(tenant_admission) = &mut self.lifecycle.tenant_admission else { return };
-        tenant_admission.news(&self.config.lifecycle.name).into_iter().for_each(|letter| out.publish(letter));
-        out.ring(now + TELLS, key(Ring::Figures));
+        tenant_admission
+            .news(&self.config.lifecycle.name)
+            .into_iter()
+            .for_each(|letter| effects.publish(letter));
+        effects.set_timer(now + TELLS, key(Ring::Figures));
     }
 
     /// A client has said Hello; where there are tenants it must speak for one.
-    fn greeted(&mut self, link: Link, name: &str, key: &[u8], out: &mut Outbox) {
+    fn greeted(&mut self, connection: ConnectionId, name: &str, key: &[u8], effects: &mut Effects) {
         let tenant_admission = self.lifecycle.tenant_admission.as_ref();
         let hash = tenant_admission.map(|_| *blake3::hash(key).as_bytes());
         if tenant_admission.zip(hash).is_some_and(|(t, hash)| t.of(&hash).is_none()) {
             counter!("tideroute_denied_total").increment(1);
-            tracing::debug!(link = link.0, name, "a client without a tenant's key");
-            self.clients.lose(link);
-            out.send(link, client::denied("no tenant has this key"));
-            return out.close(link, "no tenant has its key");
+            tracing::debug!(connection = connection.0, name, "a client without a tenant's key");
+            self.clients.lose(connection);
+            effects.send(connection, client::denied("no tenant has this key"));
+            return effects.close(connection, "no tenant has its key");
         }
-        tracing::debug!(link = link.0, name, "a client is there");
-        self.clients.greeted(link, hash);
+        tracing::debug!(connection = connection.0, name, "a client is there");
+        self.clients.greeted(connection, hash);
     }
 
     /// A connection to a worker has ended, or never came about.
-    fn line_lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        let Some((worker, line)) = self.lines.lose(link) else { return };
+    fn line_lost(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        let Some((worker, line)) = self.lines.lose(connection) else { return };
         tracing::info!(worker = %shown(worker), ?loss, attempts = line.attempts.len(), "lost a worker's line");
         for id in line.places {
             if let Some(s) = self.lifecycle.requests.get_mut(id) {
@@ -164,24 +173,24 @@
             }
         }
         let outcome = match loss {
-            Loss::Unreached => AttemptOutcome::Unreachable,
-            Loss::NotDialled => AttemptOutcome::NotSent,
-            Loss::Broken => AttemptOutcome::ConnectionReset,
+            DisconnectReason::ConnectFailed => AttemptOutcome::Unreachable,
+            DisconnectReason::LocalFailure => AttemptOutcome::NotSent,
+            DisconnectReason::Reset => AttemptOutcome::ConnectionReset,
         };
         for id in line.attempts {
             let number = self.lifecycle.requests.get(id).and_then(|s| s.attempt.as_ref()).map(|s| s.number);
             if let Some(number) = number {
-                self.settle(now, id, number, outcome, out);
+                self.settle(now, id, number, outcome, effects);
             }
         }
         if let Some(nonce) = line.probe {
-            let (lifecycle, mut wires) = self.parts(out);
+            let (lifecycle, mut wires) = self.parts(effects);
             lifecycle.probed(now, nonce, false, &mut wires);
         }
     }
 
     /// Tells the worker of a stream that its client has taken tokens, once `least` of them are owed.
-    pub(crate) fn pay(&mut self, id: RequestId, least: u32, out: &mut Outbox) {
+    pub(crate) fn pay(&mut self, id: RequestId, least: u32, effects: &mut Effects) {
         let Some(s) = self.lifecycle.requests.get_mut(id) else { return };
         let crowded = self.clients.get_mut(s.asked.client).is_none_or(|c| c.crowded);
         let Some(attempt) = s.attempt.as_mut().filter(|s| s.started && s.owed >= least.max(1)) else {
@@ -189,7 +198,7 @@
         };
         if !crowded {
             let tokens = std::mem::take(&mut attempt.owed);
-            self.lines.send_if_there(attempt.worker, worker::more(id, attempt.number, tokens), out);
+            self.lines.send_if_there(attempt.worker, worker::more(id, attempt.number, tokens), effects);
         }
     }
 
@@ -207,8 +216,8 @@
     }
 }
 
-impl Program for Host {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for Host {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(kept) = self.kept.take() {
             let mut listener = crate::hear::ListLink { host: self, now };
             if let Err(problem) = list::hear_list(&kept, &mut listener) {
@@ -218,106 +227,118 @@
             self.lifecycle.forget_version();
             self.list_changed = false;
         }
-        self.tell_figures(now, out);
-        self.turn(now, out);
+        self.tell_figures(now, effects);
+        self.on_iteration(now, effects);
     }
 
-    fn accepted(&mut self, now: Micros, link: Link, _door: usize, out: &mut Outbox) {
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
         if self.clients.len() >= self.config.most_clients {
             counter!("tideroute_clients_sent_away_total").increment(1);
-            return out.close(link, "too many clients");
+            return effects.close(connection, "too many clients");
         }
-        self.clients.accepted(link);
-        out.ring(now + self.config.lifecycle.unheard, key(Ring::Hello(link)));
+        self.clients.accepted(connection);
+        effects.set_timer(now + self.config.lifecycle.unheard, key(Ring::Hello(connection)));
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        let taken = if self.lines.worker_of(link).is_some() {
-            let mut listener = crate::hear::WorkerLink { host: self, now, link, out };
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
+        let taken = if self.lines.worker_of(connection).is_some() {
+            let mut listener = crate::hear::WorkerLink { host: self, now, connection, effects };
             worker::hear_worker(frame, &mut listener)
-        } else if self.list_link == Some(link) {
+        } else if self.list_link == Some(connection) {
             let heard = list::hear_list(frame, &mut crate::hear::ListLink { host: self, now });
             self.lifecycle.list_heard(now);
             heard
-        } else if self.clients.is_silent(link) {
+        } else if self.clients.is_silent(connection) {
             tideroute_wire::first(frame).and_then(|(party, name, key)| match party {
                 Party::Client => {
-                    self.greeted(link, &name, &key, out);
+                    self.greeted(connection, &name, &key, effects);
                     Ok(())
                 }
                 _ => Err(Malformed::Range("party")),
             })
-        } else if self.clients.knows(link) {
-            client::hear_client(frame, &mut crate::hear::ClientLink { host: self, now, link, out })
+        } else if self.clients.knows(connection) {
+            client::hear_client(frame, &mut crate::hear::ClientLink { host: self, now, connection, effects })
         } else {
             Ok(())
         };
         if let Err(problem) = taken {
-            tracing::warn!(link = link.0, %problem, "closes a connection that breaks the protocol");
+            tracing::warn!(connection = connection.0, %problem, "closes a connection that breaks the protocol");
             counter!("tideroute_protocol_breaks_total").increment(1);
-            out.close(link, problem.to_string());
-            self.lost(now, link, Loss::Broken, out);
+            effects.close(connection, problem.to_string());
+            self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        if self.list_link == Some(link) {
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        if self.list_link == Some(connection) {
             tracing::warn!(?loss, "lost the list; the old one stays in force");
             self.list_link = None;
             self.lifecycle.list_failed(now);
-        } else if let Some(client) = self.clients.lose(link) {
+        } else if let Some(client) = self.clients.lose(connection) {
             for id in client.open.into_values() {
-                self.dropped(now, id, out);
+                self.dropped(now, id, effects);
             }
         } else {
-            self.line_lost(now, link, loss, out);
+            self.line_lost(now, connection, loss, effects);
         }
     }
 
-    fn crowded(&mut self, _now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        let Some(client) = self.clients.get_mut(link) else { return };
+    fn on_backpressure(
+        &mut self,
+        _now: Micros,
+        connection: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(client) = self.clients.get_mut(connection) else { return };
         client.crowded = crowded;
         let open: Vec<_> = client.open.values().copied().collect();
         // Who does not read shall not ask for more either.
-        out.hush(link, crowded);
+        effects.pause_reading(connection, crowded);
         counter!("tideroute_crowded_total").increment(u64::from(crowded));
         if !crowded {
-            open.into_iter().for_each(|id| self.pay(id, 1, out));
+            open.into_iter().for_each(|id| self.pay(id, 1, effects));
         }
     }
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
             0 => Timer::Wake,
             1 => Timer::CutOff(self.lifecycle.requests.long(what)),
             2 => Timer::Probe(what),
             4 => Timer::Shares,
-            5 => return self.tell_figures(now, out),
+            5 => return self.tell_figures(now, effects),
             _ => {
-                let link = Link(what);
-                if self.clients.is_silent(link) {
-                    self.clients.lose(link);
-                    out.close(link, "no Hello in time");
+                let connection = ConnectionId(what);
+                if self.clients.is_silent(connection) {
+                    self.clients.lose(connection);
+                    effects.close(connection, "no Hello in time");
                 }
                 return;
             }
         };
-        let (lifecycle, mut wires) = self.parts(out);
+        let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.rang(now, timer, &mut wires);
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Outbox) {
-        let (lifecycle, mut wires) = self.parts(out);
+    fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
+        let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.turn(now, &mut wires);
         if std::mem::take(&mut self.list_changed) {
-            out.keep(self.list_to_keep());
+            effects.persist(self.list_to_keep());
         }
     }
 
-    fn told(&mut self, now: Micros, letter: &Bytes, _out: &mut Outbox) {
+    fn on_message(&mut self, now: Micros, letter: &Bytes, _out: &mut Effects) {
         let Some(tenant_admission) = &mut self.lifecycle.tenant_admission else { return };
         if let Err(problem) = tideroute_wire::tenant::hear(letter, &mut Ear { tenant_admission, now }) {
             tracing::error!(%problem, "a letter about tenants cannot be read");
@@ -325,15 +346,15 @@
         self.lifecycle.stirred = true;
     }
 
-    fn late(&mut self, now: Micros, by: Micros) {
+    fn on_loop_lag(&mut self, now: Micros, by: Micros) {
         self.lifecycle.late(now, by);
     }
 
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
         self.lifecycle.stop();
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.lifecycle.done()
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,5 +1,5 @@
 //! The router between its connections and the decision module. [`Host`] is a
-//! [`Program`](tideroute_wire::link::Program): it is told what happened on links, keeps submissions, shots and
+//! [`EventHandler`](tideroute_wire::link::Program): it is told what happened on links, keeps submissions, shots and
 //! workers as plain data, hands the module what happened, and carries out what the module decides. It has no
 //! socket and no clock, so several can run in one process, in virtual time.
 //!
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -2,7 +2,7 @@
 
 use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_invariants::{AnswerPermit, AttemptPermit, PlacePermit};
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{client, list, say_router, worker, Micros};
 
 use crate::clients::Clients;
@@ -14,7 +14,7 @@
 
 /// What the protocol keeps of a submission, as the client handed it over.
 pub struct Said {
-    pub client: Link,
+    pub client: ConnectionId,
     /// The client's own number for it.
     pub number: u64,
     pub prefix_tokens: u32,
@@ -27,15 +27,15 @@
     pub config: &'a RouterConfig,
     pub clients: &'a mut Clients,
     pub lines: &'a mut Lines,
-    pub list_link: &'a mut Option<Link>,
-    pub out: &'a mut Outbox,
+    pub list_link: &'a mut Option<ConnectionId>,
+    pub effects: &'a mut Effects,
 }
 
 impl Wires<'_> {
     fn send(&mut self, to: WorkerId, frame: bytes::Bytes) {
         let config = self.config;
         let hello = || say_router(&config.lifecycle.name, config.origin);
-        self.lines.send(to, hello, config.lifecycle.unheard, frame, self.out);
+        self.lines.send(to, hello, config.lifecycle.unheard, frame, self.effects);
     }
 }
 
@@ -100,7 +100,7 @@
     fn unplace(&mut self, id: RequestId, at: WorkerId, tell: bool) {
         self.lines.at(at).places.remove(&id);
         if tell {
-            self.lines.send_if_there(at, worker::let_go(id), self.out);
+            self.lines.send_if_there(at, worker::let_go(id), self.effects);
         }
     }
 
@@ -113,13 +113,13 @@
     ) {
         places.iter().for_each(|&place| self.unplace(id, place, true));
         if let Some(reader) = state {
-            self.lines.send_if_there(reader, worker::let_go(id), self.out);
+            self.lines.send_if_there(reader, worker::let_go(id), self.effects);
         }
     }
 
     /// A frame that was handed to a link may have left at once.
     fn withdraw(&mut self, id: RequestId, attempt: &Attempt) -> bool {
-        self.lines.send_if_there(attempt.worker, worker::withdraw(id, attempt.number), self.out);
+        self.lines.send_if_there(attempt.worker, worker::withdraw(id, attempt.number), self.effects);
         false
     }
 
@@ -140,7 +140,7 @@
             Response::Rejected(after) => client::turned_back(number, after),
             Response::Failed => client::abandoned(number),
         };
-        self.out.send(s.asked.client, frame);
+        self.effects.send(s.asked.client, frame);
         if let Some(client) = self.clients.get_mut(s.asked.client) {
             client.open.remove(&number);
         }
@@ -156,15 +156,15 @@
     }
 
     fn subscribe(&mut self, version: u64) {
-        let link = *self.list_link.get_or_insert_with(|| {
-            let link = self.out.dial(self.config.list, self.config.lifecycle.unheard);
-            self.out.send(link, say_router(&self.config.lifecycle.name, self.config.origin));
-            link
+        let connection = *self.list_link.get_or_insert_with(|| {
+            let connection = self.effects.connect(self.config.list, self.config.lifecycle.unheard);
+            self.effects.send(connection, say_router(&self.config.lifecycle.name, self.config.origin));
+            connection
         });
-        self.out.send(link, list::watch(version));
+        self.effects.send(connection, list::watch(version));
     }
 
     fn ring(&mut self, at: Micros, timer: Timer) {
-        self.out.ring(at, key(crate::host::Ring::RequestLifecycle(timer)));
+        self.effects.set_timer(at, key(crate::host::Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -7,7 +7,7 @@
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
 use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
-use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
 use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, worker, Address, Malformed, Micros, Party};
 
@@ -105,13 +105,13 @@
 
 struct World {
     host: Host,
-    out: Outbox,
+    effects: Effects,
     now: Micros,
-    links: BTreeMap<Link, Address>,
+    connections: BTreeMap<ConnectionId, Address>,
     rings: BTreeSet<(Micros, u64)>,
     heard: Heard,
     /// Ids of submissions that shots went out for, by the worker's link.
-    attempts: Vec<(Link, u64, u16)>,
+    attempts: Vec<(ConnectionId, u64, u16)>,
     number: u64,
     client: u64,
 }
@@ -119,21 +119,26 @@
 impl World {
     fn new() -> World {
         let now = 1_000_000_000;
-        let (links, rings) = (BTreeMap::new(), BTreeSet::new());
+        let (connections, rings) = (BTreeMap::new(), BTreeSet::new());
         let mut world = World {
             host: Host::new(config(), None, now),
-            out: Outbox::default(),
+            effects: Effects::default(),
             now,
-            links,
+            connections,
             rings,
             heard: Heard::default(),
             attempts: vec![],
             number: 0,
             client: 0,
         };
-        world.host.begin(now, &mut world.out);
+        world.host.on_start(now, &mut world.effects);
         world.settle();
-        let list = world.links.iter().find(|(_, to)| **to == LIST).map(|(link, _)| *link).expect("a dial");
+        let list = world
+            .connections
+            .iter()
+            .find(|(_, to)| **to == LIST)
+            .map(|(connection, _)| *connection)
+            .expect("a dial");
         let mut page = Page::new(1, true);
         for n in 0..6u8 {
             let kind = u16::from(n > 1);
@@ -145,40 +150,40 @@
     }
 
     fn meet(&mut self) {
-        let link = Link(self.client);
-        self.host.accepted(self.now, link, 0, &mut self.out);
-        self.hear(link, &say_hello(Party::Client, "c"));
+        let connection = ConnectionId(self.client);
+        self.host.on_accepted(self.now, connection, 0, &mut self.effects);
+        self.hear(connection, &say_hello(Party::Client, "c"));
         self.number = 0;
         self.heard.over.clear();
     }
 
-    fn hear(&mut self, link: Link, frame: &Bytes) {
-        self.host.heard(self.now, link, frame, &mut self.out);
+    fn hear(&mut self, connection: ConnectionId, frame: &Bytes) {
+        self.host.on_data(self.now, connection, frame, &mut self.effects);
         self.settle();
     }
 
     fn settle(&mut self) {
-        self.host.turn(self.now, &mut self.out);
-        for act in self.out.take() {
+        self.host.on_iteration(self.now, &mut self.effects);
+        for act in self.effects.take() {
             match act {
-                Act::Dial { link, to, .. } => drop(self.links.insert(link, to)),
-                Act::Ring { at, key } => drop(self.rings.insert((at, key))),
-                Act::Close { link, .. } if link == Link(self.client) => {
+                Effect::Connect { connection, to, .. } => drop(self.connections.insert(connection, to)),
+                Effect::SetTimer { at, key } => drop(self.rings.insert((at, key))),
+                Effect::Close { connection, .. } if connection == ConnectionId(self.client) => {
                     self.client += 1;
                     self.meet();
                 }
-                Act::Close { link, .. } => drop(self.links.remove(&link)),
-                Act::Send { link, frame } if link == Link(self.client) => {
+                Effect::Close { connection, .. } => drop(self.connections.remove(&connection)),
+                Effect::Send { connection, frame } if connection == ConnectionId(self.client) => {
                     client::hear_router(&frame, &mut self.heard).expect("a client's word");
                 }
-                Act::Send { link, frame } => self.note_attempt(link, &frame),
+                Effect::Send { connection, frame } => self.note_attempt(connection, &frame),
                 _ => {}
             }
         }
     }
 
     /// The id and number of a shot are the first two fields of Read and Write alike.
-    fn note_attempt(&mut self, link: Link, frame: &Bytes) {
+    fn note_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
         struct Ear(Option<(u64, u16)>);
         impl worker::Worker for Ear {
             fn read(
@@ -233,7 +238,7 @@
         }
         let mut ear = Ear(None);
         if worker::hear_router(frame, &mut ear).is_ok() {
-            self.attempts.extend(ear.0.map(|(id, attempt)| (link, id, attempt)));
+            self.attempts.extend(ear.0.map(|(id, attempt)| (connection, id, attempt)));
         }
     }
 
@@ -248,11 +253,11 @@
                 let (tokens, left) = (u32::from(much), Micros::from(much) * 100);
                 let class = which % 2;
                 let submit = client::submit(self.number, class, 1, 0, tokens, 0, 9, left, 0, prompt);
-                self.hear(Link(self.client), &submit);
+                self.hear(ConnectionId(self.client), &submit);
             }
-            3 => self.hear(Link(self.client), &client::leave(u64::from(which))),
+            3 => self.hear(ConnectionId(self.client), &client::leave(u64::from(which))),
             4..=9 => {
-                let Some((link, id, attempt)) = one else { return };
+                let Some((connection, id, attempt)) = one else { return };
                 let word = match much % 7 {
                     0 | 1 => worker::read_done(id, attempt, 0, 9),
                     2 | 3 => worker::token(id, attempt, u32::from(much / 7 % 3), text),
@@ -264,25 +269,31 @@
                     ),
                     _ => worker::hold_answer(id, much % 2 == 0),
                 };
-                self.hear(link, &word);
+                self.hear(connection, &word);
             }
             10 => {
-                let Some((&link, _)) = self.links.iter().nth(usize::from(which) % self.links.len().max(1))
+                let Some((&connection, _)) =
+                    self.connections.iter().nth(usize::from(which) % self.connections.len().max(1))
                 else {
                     return;
                 };
-                self.links.remove(&link);
-                let loss = [Loss::Broken, Loss::Unreached][usize::from(much) % 2];
-                self.host.lost(self.now, link, loss, &mut self.out);
+                self.connections.remove(&connection);
+                let loss = [DisconnectReason::Reset, DisconnectReason::ConnectFailed][usize::from(much) % 2];
+                self.host.on_disconnect(self.now, connection, loss, &mut self.effects);
                 self.settle();
             }
             11 => {
                 let garbage = Bytes::from(much.to_le_bytes().repeat(usize::from(which) % 9));
-                let link = one.map_or(Link(self.client), |(link, ..)| link);
-                self.hear(if which % 2 == 0 { link } else { Link(self.client) }, &garbage);
+                let connection = one.map_or(ConnectionId(self.client), |(connection, ..)| connection);
+                self.hear(if which % 2 == 0 { connection } else { ConnectionId(self.client) }, &garbage);
             }
             12 => {
-                self.host.crowded(self.now, Link(self.client), which % 2 == 0, &mut self.out);
+                self.host.on_backpressure(
+                    self.now,
+                    ConnectionId(self.client),
+                    which % 2 == 0,
+                    &mut self.effects,
+                );
                 self.settle();
             }
             _ => self.pass(Micros::from(much) * 10),
@@ -294,7 +305,7 @@
         while let Some(&(at, key)) = self.rings.first().filter(|(at, _)| *at <= until) {
             self.rings.pop_first();
             self.now = self.now.max(at);
-            self.host.rang(self.now, key, &mut self.out);
+            self.host.on_timer(self.now, key, &mut self.effects);
             self.settle();
         }
         self.now = until;
@@ -307,11 +318,16 @@
         let mut world = World::new();
         steps.into_iter().for_each(|step| world.step(step));
         // Streams that nobody ends stay; all else is over once every client's time is up.
-        world.host.stop(world.now, &mut world.out);
-        world.host.lost(world.now, Link(world.client), Loss::Broken, &mut world.out);
+        world.host.on_shutdown(world.now, &mut world.effects);
+        world.host.on_disconnect(
+            world.now,
+            ConnectionId(world.client),
+            DisconnectReason::Reset,
+            &mut world.effects,
+        );
         world.settle();
         world.pass(20_000_000);
-        world.heard.fault.is_none() && world.host.done() && world.host.open() == 0
+        world.heard.fault.is_none() && world.host.is_finished() && world.host.open() == 0
     }
     let check = holds as fn(Vec<(u8, u8, u16)>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(400, 20_261_201)).tests(300).quickcheck(check);
--- a/crates/membership/src/program.rs
+++ b/crates/membership/src/program.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use metrics::{counter, gauge};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::fleet::{Standing, LARGEST};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
 use tideroute_wire::{Address, Micros};
 
 use crate::group::{Act, Counts, Group};
@@ -61,24 +61,38 @@
     }
 }
 
-impl Program for Member {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
-        self.turn(now, out);
+impl EventHandler for Member {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
+        self.on_iteration(now, effects);
     }
 
-    fn accepted(&mut self, _now: Micros, link: Link, _door: usize, out: &mut Outbox) {
-        out.cut(link);
+    fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
+        effects.abort(connection);
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, _now: Micros, _link: Link, _frame: &Bytes, _out: &mut Outbox) {}
+    fn on_data(&mut self, _now: Micros, _link: ConnectionId, _frame: &Bytes, _out: &mut Effects) {}
 
-    fn lost(&mut self, _now: Micros, _link: Link, _loss: Loss, _out: &mut Outbox) {}
+    fn on_disconnect(
+        &mut self,
+        _now: Micros,
+        _link: ConnectionId,
+        _loss: DisconnectReason,
+        _out: &mut Effects,
+    ) {
+    }
 
-    fn crowded(&mut self, _now: Micros, _link: Link, _crowded: bool, _out: &mut Outbox) {}
+    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
-    fn datagram(&mut self, now: Micros, _door: usize, from: Address, datagram: &Bytes, _out: &mut Outbox) {
+    fn on_datagram(
+        &mut self,
+        now: Micros,
+        _door: usize,
+        from: Address,
+        datagram: &Bytes,
+        _out: &mut Effects,
+    ) {
         counter!("tideroute_fleet_bytes_total", "way" => "in").increment(datagram.len() as u64);
         // What cannot be opened or read is dropped and counted, and never answered.
         let dropped = if datagram.len() > LARGEST {
@@ -95,41 +109,41 @@
         }
     }
 
-    fn rang(&mut self, _now: Micros, _key: u64, _out: &mut Outbox) {}
+    fn on_timer(&mut self, _now: Micros, _key: u64, _out: &mut Effects) {}
 
-    fn turn(&mut self, now: Micros, out: &mut Outbox) {
+    fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
         while let Some(act) = self.group.next(now) {
             match act {
                 Act::Say { to, said } => {
                     let datagram = self.seal.close(&said);
                     counter!("tideroute_fleet_bytes_total", "way" => "out").increment(datagram.len() as u64);
-                    out.datagram(0, to, datagram);
+                    effects.send_datagram(0, to, datagram);
                 }
-                Act::Saw(seen) => saw(&seen, out),
+                Act::Saw(seen) => saw(&seen, effects),
             }
         }
         self.tell(now);
         let due = self.group.due();
         if due < Micros::MAX && (due < self.rings_at || self.rings_at <= now) {
             self.rings_at = due;
-            out.ring(due, 0);
+            effects.set_timer(due, 0);
         }
     }
 
-    fn told(&mut self, now: Micros, _letter: &Bytes, out: &mut Outbox) {
-        self.stop(now, out);
+    fn on_message(&mut self, now: Micros, _letter: &Bytes, effects: &mut Effects) {
+        self.on_shutdown(now, effects);
     }
 
-    fn stop(&mut self, now: Micros, _out: &mut Outbox) {
+    fn on_shutdown(&mut self, now: Micros, _out: &mut Effects) {
         self.group.leave(now);
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.group.left()
     }
 }
 
-fn saw(seen: &Seen, out: &mut Outbox) {
+fn saw(seen: &Seen, effects: &mut Effects) {
     let standing = match seen.standing {
         Standing::There => "there",
         Standing::Suspected => "suspected",
@@ -138,5 +152,5 @@
     };
     tracing::info!(name = seen.name, incarnation = seen.incarnation, standing, "saw a router of the fleet");
     counter!("tideroute_fleet_seen_total", "standing" => standing).increment(1);
-    out.note(format!("{standing} {} {}", seen.incarnation, seen.name));
+    effects.annotate_capture(format!("{standing} {} {}", seen.incarnation, seen.name));
 }
--- a/crates/reactor/src/conn.rs
+++ b/crates/reactor/src/conn.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use socket2::{Domain, Protocol, Socket, Type};
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::{frame, Address, Malformed, Micros};
 
 /// Bytes read from one connection before others have their turn.
@@ -41,7 +41,7 @@
 }
 
 pub struct Conn {
-    pub link: Link,
+    pub connection: ConnectionId,
     pub stream: TcpStream,
     pub stage: Stage,
     pub hushed: bool,
@@ -67,10 +67,10 @@
 }
 
 impl Conn {
-    pub fn new(link: Link, stream: TcpStream, stage: Stage) -> Conn {
+    pub fn new(connection: ConnectionId, stream: TcpStream, stage: Stage) -> Conn {
         let (arrived, waiting) = (BytesMut::new(), BytesMut::new());
         Conn {
-            link,
+            connection,
             stream,
             stage,
             hushed: false,
@@ -85,7 +85,7 @@
     }
 
     /// Begins to connect; whether it led anywhere is known once the socket can be written to.
-    pub fn dial(link: Link, to: Address, until: Micros) -> io::Result<Conn> {
+    pub fn dial(connection: ConnectionId, to: Address, until: Micros) -> io::Result<Conn> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         if let Err(problem) = socket.set_tcp_nodelay(true) {
@@ -99,7 +99,7 @@
             Err(e) if matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => {}
             Err(e) => return Err(e),
         }
-        Ok(Conn::new(link, socket.into(), Stage::Dialling { until }))
+        Ok(Conn::new(connection, socket.into(), Stage::Dialling { until }))
     }
 
     /// After the socket became writable: whether the dial led to a connection.
--- a/crates/reactor/src/door.rs
+++ b/crates/reactor/src/door.rs
@@ -5,7 +5,7 @@
 use std::os::fd::AsFd;
 
 use socket2::{Domain, Protocol, SockFilter, SockRef, Socket, Type};
-use tideroute_wire::link::Shut;
+use tideroute_wire::event_loop::ListenerState;
 
 /// Connections that may wait at a door to be taken; the standard library's own number.
 pub const BACKLOG: i32 = 4096;
@@ -16,7 +16,7 @@
 pub struct Door {
     pub listener: Option<TcpListener>,
     address: SocketAddr,
-    shut: Shut,
+    shut: ListenerState,
     /// Holds the one place of a queue that has no more, so that the kernel leaves further dials unanswered.
     plug: Option<Socket>,
 }
@@ -24,7 +24,7 @@
 impl Door {
     pub fn new(listener: TcpListener) -> io::Result<Door> {
         let address = listener.local_addr()?;
-        Ok(Door { listener: Some(listener), address, shut: Shut::Open, plug: None })
+        Ok(Door { listener: Some(listener), address, shut: ListenerState::Open, plug: None })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -32,7 +32,7 @@
     }
 
     pub fn is_open(&self) -> bool {
-        self.shut == Shut::Open
+        self.shut == ListenerState::Open
     }
 
     /// Has the kernel drop what else would come, so that no connection is made there any more. Where the kernel can't,
@@ -45,7 +45,7 @@
     }
 
     /// Opens or shuts it; whoever watches it stops before it is shut and begins again once it is open.
-    pub fn set(&mut self, shut: Shut) -> io::Result<()> {
+    pub fn set(&mut self, shut: ListenerState) -> io::Result<()> {
         if std::mem::replace(&mut self.shut, shut) == shut {
             return Ok(());
         }
@@ -56,14 +56,14 @@
         }
         let Some(listener) = &self.listener else { return Ok(()) };
         match shut {
-            Shut::Open => {
+            ListenerState::Open => {
                 SockRef::from(&listener.as_fd()).listen(BACKLOG)?;
                 if self.plug.take().is_some() {
                     // It came first and so it is the first to be taken.
                     let _ = listener.accept();
                 }
             }
-            Shut::Deaf => {
+            ListenerState::Unresponsive => {
                 while listener.accept().is_ok() {}
                 SockRef::from(&listener.as_fd()).listen(0)?;
                 let plug = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
@@ -72,7 +72,7 @@
                 let _ = plug.connect(&self.address.into());
                 self.plug = Some(plug);
             }
-            Shut::Gone => (self.listener, self.plug) = (None, None),
+            ListenerState::Refusing => (self.listener, self.plug) = (None, None),
         }
         Ok(())
     }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,4 +1,4 @@
-//! One loop over `polling` that drives a [`Program`](tideroute_wire::link::Program).
+//! One loop over `polling` that drives a [`EventHandler`](tideroute_wire::link::Program).
 //!
 //! A [`Reactor`] is made with the doors at which it listens, and [`Reactor::run`] drives one program until it
 //! is done: it reads frames, calls the program, and carries out what the program asks, in order. All of a
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -13,7 +13,7 @@
 use polling::{Event, Events, PollMode, Poller};
 use slab::Slab;
 use socket2::{Domain, Protocol, Socket, Type};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::tap::{counts, What};
 use tideroute_wire::{Address, Micros};
 
@@ -66,10 +66,10 @@
 
 /// What the program is yet to be told.
 enum News {
-    Opened(Link),
-    Lost(Link, Loss),
-    Crowded(Link, bool),
-    Drained(Link),
+    Opened(ConnectionId),
+    Lost(ConnectionId, DisconnectReason),
+    Crowded(ConnectionId, bool),
+    Drained(ConnectionId),
 }
 
 pub struct Reactor {
@@ -80,7 +80,7 @@
     /// Where some are to be dialled in place of where they are.
     ways: HashMap<Address, Address>,
     conns: Slab<Conn>,
-    places: HashMap<Link, usize>,
+    places: HashMap<ConnectionId, usize>,
     dirty: Vec<usize>,
     dead: Vec<usize>,
     news: VecDeque<News>,
@@ -102,7 +102,7 @@
     /// Doors stay open after a signal to end, and another changes nothing.
     patient: bool,
     piece: Box<[u8]>,
-    links: u64,
+    connections: u64,
     stopping: bool,
     vanished: bool,
 }
@@ -110,8 +110,8 @@
 /// A timer of the program, or the end of a connection's patience.
 #[derive(Clone, Copy)]
 enum Ring {
-    Program(u64),
-    Patience(Link),
+    EventHandler(u64),
+    Patience(ConnectionId),
     /// A door is looked at again.
     Door(usize),
     /// The file is read again that could not be used.
@@ -176,7 +176,7 @@
             most_lingering: usize::MAX,
             patient: false,
             piece: vec![0; PIECE].into(),
-            links: 0,
+            connections: 0,
             stopping: false,
             vanished: false,
         })
@@ -268,20 +268,20 @@
     }
 
     /// Drives the program until it is done.
-    pub fn run(&mut self, program: &mut impl Program) -> Result<Ended, ReactorError> {
-        let (mut out, mut events, mut due) = (Outbox::default(), Events::new(), Vec::new());
+    pub fn run(&mut self, program: &mut impl EventHandler) -> Result<Ended, ReactorError> {
+        let (mut effects, mut events, mut due) = (Effects::default(), Events::new(), Vec::new());
         self.note_process(What::Began);
-        program.begin(self.clock.now(), &mut out);
+        program.on_start(self.clock.now(), &mut effects);
         loop {
-            self.settle(program, &mut out);
+            self.settle(program, &mut effects);
             if self.vanished {
                 self.note_process(What::Killed);
                 self.reset_all();
                 return Ok(Ended::Vanished);
             }
             let lingers = self.patient && self.lingering > 0;
-            if program.done() && !lingers && self.conns.iter().all(|(_, c)| c.waiting() == 0) {
-                match self.take_the_last(program, &mut out) {
+            if program.is_finished() && !lingers && self.conns.iter().all(|(_, c)| c.waiting() == 0) {
+                match self.take_the_last(program, &mut effects) {
                     Last::Came => continue,
                     Last::Unknown => {}
                     Last::Nobody => {
@@ -308,40 +308,40 @@
                             return Ok(Ended::Forced);
                         }
                         if count > 0 && !self.stopping {
-                            self.stop(program, &mut out)?;
+                            self.stop(program, &mut effects)?;
                         }
                     }
-                    REREADS => self.read_again(false, program, &mut out),
-                    door if door < DATAGRAMS => drop(self.accept(door, program, &mut out)),
-                    door if door < SIGNALS => self.take(door - DATAGRAMS, program, &mut out),
-                    key => self.ready(key - CONNS, event, program, &mut out),
+                    REREADS => self.read_again(false, program, &mut effects),
+                    door if door < DATAGRAMS => drop(self.accept(door, program, &mut effects)),
+                    door if door < SIGNALS => self.take(door - DATAGRAMS, program, &mut effects),
+                    key => self.ready(key - CONNS, event, program, &mut effects),
                 }
             }
             while let Some(letter) = self.letters.as_ref().and_then(Letters::next) {
-                program.told(self.clock.now(), &letter, &mut out);
-                self.carry_out(&mut out);
+                program.on_message(self.clock.now(), &letter, &mut effects);
+                self.carry_out(&mut effects);
                 self.letters.as_ref().into_iter().for_each(Letters::told);
             }
             self.wheel.advance(self.now() / TICK, &mut due);
             for ring in due.drain(..) {
                 match ring {
-                    Ring::Program(key) => {
-                        program.rang(self.clock.now(), key, &mut out);
-                        self.carry_out(&mut out);
+                    Ring::EventHandler(key) => {
+                        program.on_timer(self.clock.now(), key, &mut effects);
+                        self.carry_out(&mut effects);
                     }
-                    Ring::Patience(link) => self.out_of_patience(link),
+                    Ring::Patience(connection) => self.out_of_patience(connection),
                     Ring::Door(door) => self.look_at(door, true),
-                    Ring::Reread => self.read_again(true, program, &mut out),
+                    Ring::Reread => self.read_again(true, program, &mut effects),
                     Ring::Fail => panic!("told to fail"),
                 }
             }
             let now = self.now();
-            program.late(now, (now - woke).max(woke.saturating_sub(due_at)));
+            program.on_loop_lag(now, (now - woke).max(woke.saturating_sub(due_at)));
         }
     }
 
     /// Asks the program to end, as a signal does; its doors take nobody any more.
-    fn stop(&mut self, program: &mut impl Program, out: &mut Outbox) -> Result<(), ReactorError> {
+    fn stop(&mut self, program: &mut impl EventHandler, effects: &mut Effects) -> Result<(), ReactorError> {
         self.stopping = true;
         if !self.patient {
             for door in std::mem::take(&mut self.doors) {
@@ -350,13 +350,13 @@
                 }
             }
         }
-        program.stop(self.clock.now(), out);
-        self.carry_out(out);
+        program.on_shutdown(self.clock.now(), effects);
+        self.carry_out(effects);
         Ok(())
     }
 
     /// Hands the program its file; what can't be read leaves the old one in force.
-    fn read_again(&mut self, again: bool, program: &mut impl Program, out: &mut Outbox) {
+    fn read_again(&mut self, again: bool, program: &mut impl EventHandler, effects: &mut Effects) {
         let Some((signals, path)) = &mut self.rereads else { return };
         if signals.count() > 0 {
             self.rereads_left = REREADS_MOST;
@@ -367,8 +367,8 @@
         let file = std::fs::File::open(&*path).and_then(|f| f.take(LARGEST).read_to_end(&mut bytes));
         let used = match file {
             Ok(_) => {
-                let used = program.reread(self.clock.now(), &bytes.into(), out);
-                self.carry_out(out);
+                let used = program.on_config_reload(self.clock.now(), &bytes.into(), effects);
+                self.carry_out(effects);
                 used
             }
             Err(problem) => {
@@ -387,18 +387,18 @@
         self.clock.now()
     }
 
-    fn note(&mut self, link: Link, what: What, frame: &Bytes) {
+    fn note(&mut self, connection: ConnectionId, what: What, frame: &Bytes) {
         let now = self.clock.now();
         if let Some(tap) = self.tap.as_mut() {
-            tap.note(now, link, what, 0, frame);
+            tap.note(now, connection, what, 0, frame);
         }
     }
 
     /// Notes that a connection is over, with how much passed.
     fn note_end(&mut self, place: usize) {
         let conn = &self.conns[place];
-        let (link, counts) = (conn.link, counts(conn.sent, conn.heard));
-        self.note(link, What::Closed, &counts);
+        let (connection, counts) = (conn.connection, counts(conn.sent, conn.heard));
+        self.note(connection, What::Closed, &counts);
     }
 
     /// Notes the beginning or end of the process itself.
@@ -408,32 +408,34 @@
                 self.conns.iter().filter(|(_, c)| c.stage == Stage::Open).map(|(p, _)| p).collect();
             open.into_iter().for_each(|place| self.note_end(place));
         }
-        self.note(Link(0), what, &Bytes::new());
+        self.note(ConnectionId(0), what, &Bytes::new());
         if let Some(tap) = self.tap.as_mut() {
             tap.flush();
         }
     }
 
     /// Tells the program what has come of what it asked for.
-    fn tell(&mut self, program: &mut impl Program, out: &mut Outbox) {
+    fn tell(&mut self, program: &mut impl EventHandler, effects: &mut Effects) {
         while let Some(news) = self.news.pop_front() {
             let now = self.clock.now();
             match news {
-                News::Opened(link) => program.opened(now, link, out),
-                News::Lost(link, loss) => program.lost(now, link, loss, out),
-                News::Crowded(link, crowded) => program.crowded(now, link, crowded, out),
-                News::Drained(link) => program.drained(now, link, out),
+                News::Opened(connection) => program.on_connected(now, connection, effects),
+                News::Lost(connection, loss) => program.on_disconnect(now, connection, loss, effects),
+                News::Crowded(connection, crowded) => {
+                    program.on_backpressure(now, connection, crowded, effects)
+                }
+                News::Drained(connection) => program.on_write_complete(now, connection, effects),
             }
-            self.carry_out(out);
+            self.carry_out(effects);
         }
     }
 
     /// Lets the program decide, sends what it said, and tells it what came of that, until all is quiet.
-    fn settle(&mut self, program: &mut impl Program, out: &mut Outbox) {
+    fn settle(&mut self, program: &mut impl EventHandler, effects: &mut Effects) {
         loop {
-            self.tell(program, out);
-            program.turn(self.clock.now(), out);
-            self.carry_out(out);
+            self.tell(program, effects);
+            program.on_iteration(self.clock.now(), effects);
+            self.carry_out(effects);
             // Written down before it leaves: a process killed in between has not sent what its record lacks.
             if let Some(tap) = self.tap.as_mut() {
                 tap.flush();
@@ -447,7 +449,7 @@
         }
         for place in std::mem::take(&mut self.dead) {
             let conn = self.conns.remove(place);
-            self.places.remove(&conn.link);
+            self.places.remove(&conn.connection);
         }
         gauge!("tideroute_links").set(self.conns.len() as f64);
         if let Some(tap) = self.tap.as_mut() {
@@ -480,7 +482,7 @@
         }
         let before = conn.waiting();
         if conn.flush().is_err() {
-            return self.lose(place, Loss::Broken, "it broke while sending");
+            return self.lose(place, DisconnectReason::Reset, "it broke while sending");
         }
         counter!("tideroute_bytes_total", "way" => "out").increment((before - conn.waiting()) as u64);
         let (waiting, closing) = (conn.waiting(), conn.stage != Stage::Open);
@@ -491,10 +493,10 @@
         let crowded = if conn.crowded { waiting > low } else { waiting > high };
         if crowded != conn.crowded && !closing {
             conn.crowded = crowded;
-            self.news.push_back(News::Crowded(conn.link, crowded));
+            self.news.push_back(News::Crowded(conn.connection, crowded));
         }
         if self.conns[place].raw && before > 0 && waiting == 0 {
-            self.news.push_back(News::Drained(self.conns[place].link));
+            self.news.push_back(News::Drained(self.conns[place].connection));
         }
         if closing && waiting < before {
             self.speaks_its_last(place);
@@ -502,8 +504,9 @@
         self.watch(place);
     }
 
-    fn note_joined(&mut self, links: [Link; 2]) {
-        let conns = links.map(|link| self.places.get(&link).map(|&place| &self.conns[place].stream));
+    fn note_joined(&mut self, connections: [ConnectionId; 2]) {
+        let conns = connections
+            .map(|connection| self.places.get(&connection).map(|&place| &self.conns[place].stream));
         let [Some(one), Some(two)] = conns else { return };
         let ends = [one.local_addr().ok(), one.peer_addr().ok(), two.peer_addr().ok(), two.local_addr().ok()];
         if let Some(tap) = self.tap.as_mut() {
@@ -512,22 +515,22 @@
     }
 
     /// Takes the datagrams that wait at a door, up to a bound.
-    fn take(&mut self, door: usize, program: &mut impl Program, out: &mut Outbox) {
+    fn take(&mut self, door: usize, program: &mut impl EventHandler, effects: &mut Effects) {
         for _ in 0..TAKEN {
             let Some(taken) = self.datagrams.get(door).map(|d| d.take(&mut self.piece)) else { return };
             match taken {
-                Ok(Some((from, bytes))) => program.datagram(self.clock.now(), door, from, &bytes, out),
+                Ok(Some((from, bytes))) => program.on_datagram(self.clock.now(), door, from, &bytes, effects),
                 Ok(None) => return,
                 Err(problem) => {
                     tracing::warn!(%problem, "a datagram could not be taken");
                     return;
                 }
             }
-            self.carry_out(out);
+            self.carry_out(effects);
         }
     }
 
-    fn ready(&mut self, place: usize, event: Event, program: &mut impl Program, out: &mut Outbox) {
+    fn ready(&mut self, place: usize, event: Event, program: &mut impl EventHandler, effects: &mut Effects) {
         let Some(conn) = self.conns.get(place) else { return };
         if let Stage::Dialling { .. } = conn.stage {
             return self.reached(place);
@@ -539,18 +542,18 @@
             self.flush(place);
             // Guards against what follows in this turn, a list or a timer, taking a request for unwritten whose last
             // byte has just left.
-            self.tell(program, out);
+            self.tell(program, effects);
         }
         // Of a link that is hushed the poller still tells that it broke, over and over.
         let hushed = self.conns[place].hushed && self.conns[place].stage == Stage::Open;
         if hushed && (event.is_interrupt() || event.is_err().unwrap_or(false)) {
-            return self.lose(place, Loss::Broken, "it broke while nothing was read from it");
+            return self.lose(place, DisconnectReason::Reset, "it broke while nothing was read from it");
         }
         let open = |r: &Self| r.conns.get(place).is_some_and(|c| c.stage == Stage::Open);
         if !event.readable || !open(self) || self.conns[place].hushed {
             return;
         }
-        let link = self.conns[place].link;
+        let connection = self.conns[place].connection;
         let (frames, end) = match self.conns[place].read(&mut self.piece) {
             Ok(Got::Frames(frames)) => (frames, None),
             Ok(Got::End(frames)) => (frames, Some("its peer ended it".to_string())),
@@ -565,31 +568,31 @@
             let number = self.conns[place].heard;
             self.conns[place].heard += 1;
             if let Some(tap) = self.tap.as_mut() {
-                tap.note(now, link, What::Heard, number, &frame);
+                tap.note(now, connection, What::Heard, number, &frame);
             }
-            program.heard(now, link, &frame, out);
-            self.carry_out(out);
+            program.on_data(now, connection, &frame, effects);
+            self.carry_out(effects);
         }
         if let Some(why) = end {
             if open(self) {
-                self.lose(place, Loss::Broken, &why);
+                self.lose(place, DisconnectReason::Reset, &why);
             }
         }
     }
 
     fn reached(&mut self, place: usize) {
         if !self.conns[place].reached() {
-            return self.lose(place, Loss::Unreached, "nobody there");
+            return self.lose(place, DisconnectReason::ConnectFailed, "nobody there");
         }
         let now = self.clock.now();
         let conn = &mut self.conns[place];
         conn.stage = Stage::Open;
-        let link = conn.link;
+        let connection = conn.connection;
         let ends = [conn.stream.peer_addr().ok(), conn.stream.local_addr().ok()];
         if let Some(tap) = self.tap.as_mut() {
-            tap.met(now, link, What::Met, ends);
+            tap.met(now, connection, What::Met, ends);
         }
-        self.news.push_back(News::Opened(link));
+        self.news.push_back(News::Opened(connection));
         self.dirty.push(place);
         self.watch(place);
     }
--- a/crates/reactor/src/reactor/acts.rs
+++ b/crates/reactor/src/reactor/acts.rs
@@ -7,7 +7,7 @@
 use metrics::counter;
 use polling::Event;
 use socket2::SockRef;
-use tideroute_wire::link::{Act, Link, Loss, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects};
 use tideroute_wire::tap::What;
 
 use super::{add, News, Reactor, Ring, CONNS, TICK};
@@ -15,60 +15,60 @@
 
 impl Reactor {
     /// Does all that the program has asked for, in order.
-    pub(super) fn carry_out(&mut self, out: &mut Outbox) {
-        for act in out.take() {
+    pub(super) fn carry_out(&mut self, effects: &mut Effects) {
+        for act in effects.take() {
             match act {
-                Act::Dial { link, to, within } => {
+                Effect::Connect { connection, to, timeout: within } => {
                     let until = self.now() + within;
-                    self.note(link, What::Dialled, &Bytes::copy_from_slice(&to));
+                    self.note(connection, What::Dialled, &Bytes::copy_from_slice(&to));
                     let to = self.ways.get(&to).copied().unwrap_or(to);
-                    match Conn::dial(link, to, until) {
+                    match Conn::dial(connection, to, until) {
                         Ok(mut conn) => {
                             conn.raw = self.raw;
                             self.insert(conn, Event::writable(0));
-                            self.wheel.set(until / TICK + 1, Ring::Patience(link));
+                            self.wheel.set(until / TICK + 1, Ring::Patience(connection));
                         }
                         Err(problem) => {
                             let loss = dial_loss(&problem);
-                            tracing::debug!(link = link.0, %problem, ?loss, "a dial failed at once");
-                            self.note(link, What::Unreached, &Bytes::new());
-                            self.news.push_back(News::Lost(link, loss));
+                            tracing::debug!(connection = connection.0, %problem, ?loss, "a dial failed at once");
+                            self.note(connection, What::Unreached, &Bytes::new());
+                            self.news.push_back(News::Lost(connection, loss));
                         }
                     }
                 }
-                Act::Send { link, frame } => self.send(link, &frame),
-                Act::Close { link, why } => self.close(link, &why),
-                Act::Cut { link } => {
-                    if let Some(&place) = self.places.get(&link) {
+                Effect::Send { connection, frame } => self.send(connection, &frame),
+                Effect::Close { connection, reason: why } => self.close(connection, &why),
+                Effect::Abort { connection } => {
+                    if let Some(&place) = self.places.get(&connection) {
                         self.bury(place);
                     }
                 }
-                Act::Reset { link } => {
-                    if let Some(&place) = self.places.get(&link) {
+                Effect::Reset { connection } => {
+                    if let Some(&place) = self.places.get(&connection) {
                         let _ = SockRef::from(&self.conns[place].stream).set_linger(Some(Duration::ZERO));
                         self.give_up(place);
                     }
                 }
-                Act::Door { door, shut } => self.shut(door, shut),
-                Act::Joined { links } => self.note_joined(links),
-                Act::Ring { at, key } => self.wheel.set(at.div_ceil(TICK), Ring::Program(key)),
-                Act::Hush { link, hush } => {
-                    let Some(&place) = self.places.get(&link) else { continue };
+                Effect::SetListenerState { listener: door, state: shut } => self.shut(door, shut),
+                Effect::Joined { connections } => self.note_joined(connections),
+                Effect::SetTimer { at, key } => self.wheel.set(at.div_ceil(TICK), Ring::EventHandler(key)),
+                Effect::PauseReading { connection, paused: hush } => {
+                    let Some(&place) = self.places.get(&connection) else { continue };
                     self.conns[place].hushed = hush;
                     self.watch(place);
                 }
-                Act::Keep { bytes } => self.keep_file(&bytes),
-                Act::Publish { bytes } => {
+                Effect::Persist { bytes } => self.keep_file(&bytes),
+                Effect::Publish { bytes } => {
                     let taken = self.published.as_ref().is_some_and(|to| to.offer(bytes));
                     counter!("tideroute_published_total", "taken" => taken.to_string()).increment(1);
                 }
-                Act::Datagram { door, to, bytes } => {
+                Effect::Datagram { socket: door, to, bytes } => {
                     let to = self.ways.get(&to).copied().unwrap_or(to);
                     let sent = self.datagrams.get(door).is_some_and(|d| d.send(to, &bytes));
                     counter!("tideroute_datagrams_total", "sent" => sent.to_string()).increment(1);
                 }
-                Act::Note { bytes } => self.note(Link(0), What::Saw, &bytes),
-                Act::Vanish => self.vanished = true,
+                Effect::AnnotateCapture { bytes } => self.note(ConnectionId(0), What::Saw, &bytes),
+                Effect::Crash => self.vanished = true,
             }
         }
     }
@@ -83,21 +83,21 @@
     }
 
     pub(super) fn insert(&mut self, conn: Conn, mut interest: Event) {
-        let link = conn.link;
+        let connection = conn.connection;
         let place = self.conns.insert(conn);
         interest.key = CONNS + place;
         self.conns[place].watched = (interest.readable, interest.writable);
         if let Err(problem) = add(&self.poller, &self.conns[place].stream, interest) {
             tracing::error!(%problem, "a connection could not be watched");
             self.conns.remove(place);
-            self.news.push_back(News::Lost(link, Loss::Unreached));
+            self.news.push_back(News::Lost(connection, DisconnectReason::ConnectFailed));
             return;
         }
-        self.places.insert(link, place);
+        self.places.insert(connection, place);
     }
 
-    fn send(&mut self, link: Link, frame: &Bytes) {
-        let Some(&place) = self.places.get(&link) else { return };
+    fn send(&mut self, connection: ConnectionId, frame: &Bytes) {
+        let Some(&place) = self.places.get(&connection) else { return };
         let now = self.clock.now();
         let conn = &mut self.conns[place];
         if !matches!(conn.stage, Stage::Dialling { .. } | Stage::Open) {
@@ -105,11 +105,11 @@
         }
         conn.put(frame);
         if let Some(tap) = self.tap.as_mut() {
-            tap.note(now, link, What::Sent, conn.sent, frame);
+            tap.note(now, connection, What::Sent, conn.sent, frame);
         }
         conn.sent += 1;
         if conn.waiting() > MOST {
-            self.lose(place, Loss::Broken, "its peer does not read");
+            self.lose(place, DisconnectReason::Reset, "its peer does not read");
         } else if self.conns[place].stage == Stage::Open {
             self.dirty.push(place);
         }
@@ -117,7 +117,7 @@
 }
 
 /// Whether a dial that failed at once failed at its peer, or for want of something on this machine.
-fn dial_loss(problem: &io::Error) -> Loss {
+fn dial_loss(problem: &io::Error) -> DisconnectReason {
     match problem.raw_os_error() {
         Some(
             libc::EMFILE
@@ -129,7 +129,7 @@
             | libc::EAGAIN
             | libc::EACCES
             | libc::EPERM,
-        ) => Loss::NotDialled,
-        _ => Loss::Unreached,
+        ) => DisconnectReason::LocalFailure,
+        _ => DisconnectReason::ConnectFailed,
     }
 }
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use metrics::counter;
 use socket2::Socket;
-use tideroute_wire::link::{Link, Loss};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 use tideroute_wire::tap::What;
 use tideroute_wire::Micros;
 
@@ -24,15 +24,15 @@
 
 impl Reactor {
     /// Ends a connection for the program; what is still to be sent goes first.
-    pub(super) fn close(&mut self, link: Link, why: &str) {
-        let Some(&place) = self.places.get(&link) else { return };
-        tracing::debug!(link = link.0, why, "closes a connection");
+    pub(super) fn close(&mut self, connection: ConnectionId, why: &str) {
+        let Some(&place) = self.places.get(&connection) else { return };
+        tracing::debug!(connection = connection.0, why, "closes a connection");
         counter!("tideroute_links_closed_total", "by" => "program").increment(1);
         if self.conns[place].stage == Stage::Dead {
             return;
         }
         if let Stage::Dialling { .. } = self.conns[place].stage {
-            self.note(link, What::Unreached, &Bytes::new());
+            self.note(connection, What::Unreached, &Bytes::new());
         } else {
             self.note_end(place);
         }
@@ -54,21 +54,21 @@
         let conn = &mut self.conns[place];
         let until = now + if conn.raw { RAW_LAST_WORDS } else { LAST_WORDS };
         conn.stage = Stage::Closing { until };
-        self.wheel.set(until / TICK + 1, Ring::Patience(conn.link));
+        self.wheel.set(until / TICK + 1, Ring::Patience(conn.connection));
     }
 
     /// The last words have gone out, just now or before. A reset would follow if the peer still sends, and might
     /// overtake them: a raw connection that was taken at a door ends on this side first.
     pub(super) fn end(&mut self, place: usize) {
         let conn = &mut self.conns[place];
-        let lingers = conn.raw && !conn.link.dialled() && self.lingering < self.most_lingering;
+        let lingers = conn.raw && !conn.connection.is_outbound() && self.lingering < self.most_lingering;
         if !lingers || conn.stream.shutdown(std::net::Shutdown::Write).is_err() {
             return self.bury(place);
         }
         let until = self.clock.now() + STOPS;
         conn.stage = Stage::Lingering { until, left: WASTE };
         self.lingering += 1;
-        self.wheel.set(until / TICK + 1, Ring::Patience(conn.link));
+        self.wheel.set(until / TICK + 1, Ring::Patience(conn.connection));
         self.watch(place);
     }
 
@@ -86,17 +86,20 @@
     }
 
     /// Ends a connection that the program did not end, and tells it.
-    pub(super) fn lose(&mut self, place: usize, loss: Loss, why: &str) {
+    pub(super) fn lose(&mut self, place: usize, loss: DisconnectReason, why: &str) {
         let conn = &self.conns[place];
-        let (link, told) = (conn.link, matches!(conn.stage, Stage::Dialling { .. } | Stage::Open));
+        let (connection, told) =
+            (conn.connection, matches!(conn.stage, Stage::Dialling { .. } | Stage::Open));
         if told {
-            tracing::debug!(link = link.0, why, "lost a connection");
+            tracing::debug!(connection = connection.0, why, "lost a connection");
             counter!("tideroute_links_closed_total", "by" => "loss").increment(1);
             match loss {
-                Loss::Broken => self.note_end(place),
-                Loss::Unreached | Loss::NotDialled => self.note(link, What::Unreached, &Bytes::new()),
+                DisconnectReason::Reset => self.note_end(place),
+                DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
+                    self.note(connection, What::Unreached, &Bytes::new())
+                }
             }
-            self.news.push_back(News::Lost(link, loss));
+            self.news.push_back(News::Lost(connection, loss));
         }
         self.bury(place);
     }
@@ -121,11 +124,11 @@
     }
 
     /// The time of a connection for what it is at may be over.
-    pub(super) fn out_of_patience(&mut self, link: Link) {
-        let Some(&place) = self.places.get(&link) else { return };
+    pub(super) fn out_of_patience(&mut self, connection: ConnectionId) {
+        let Some(&place) = self.places.get(&connection) else { return };
         match self.conns[place].stage {
             Stage::Dialling { until } if until <= self.now() => {
-                self.lose(place, Loss::Unreached, "no connection in time");
+                self.lose(place, DisconnectReason::ConnectFailed, "no connection in time");
             }
             Stage::Closing { until } | Stage::Lingering { until, .. } if until <= self.now() => {
                 self.bury(place);
--- a/crates/reactor/src/reactor/doors.rs
+++ b/crates/reactor/src/reactor/doors.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use polling::{Event, PollMode};
-use tideroute_wire::link::{Link, Outbox, Program, Shut};
+use tideroute_wire::event_loop::{ConnectionId, Effects, EventHandler, ListenerState};
 use tideroute_wire::tap::What;
 use tideroute_wire::Micros;
 
@@ -75,7 +75,12 @@
 
 impl Reactor {
     /// Takes those who wait at a door, up to a bound.
-    pub(super) fn accept(&mut self, door: usize, program: &mut impl Program, out: &mut Outbox) -> Look {
+    pub(super) fn accept(
+        &mut self,
+        door: usize,
+        program: &mut impl EventHandler,
+        effects: &mut Effects,
+    ) -> Look {
         let mut gone = 0;
         for _ in 0..ACCEPTS {
             let Some(listener) = self.doors.get(door).and_then(|d| d.listener.as_ref()) else {
@@ -103,17 +108,17 @@
             if let Err(problem) = stream.set_nodelay(true) {
                 tracing::debug!(%problem, "a connection whose small writes may wait");
             }
-            let link = Link(self.links);
-            self.links += 1;
+            let connection = ConnectionId(self.connections);
+            self.connections += 1;
             let (now, ends) = (self.clock.now(), [stream.peer_addr().ok(), stream.local_addr().ok()]);
             if let Some(tap) = self.tap.as_mut() {
-                tap.met(now, link, What::Accepted, ends);
+                tap.met(now, connection, What::Accepted, ends);
             }
-            let mut conn = Conn::new(link, stream, Stage::Open);
+            let mut conn = Conn::new(connection, stream, Stage::Open);
             conn.raw = self.raw;
             self.insert(conn, Event::readable(0));
-            program.accepted(now, link, door, out);
-            self.carry_out(out);
+            program.on_accepted(now, connection, door, effects);
+            self.carry_out(effects);
         }
         // Guards against calls that fail over and over with nobody taken.
         if gone == ACCEPTS {
@@ -131,17 +136,17 @@
 
     /// Takes those who still wait at the doors of a program that is done: with the end of the process the kernel would
     /// reset their connections.
-    pub(super) fn take_the_last(&mut self, program: &mut impl Program, out: &mut Outbox) -> Last {
+    pub(super) fn take_the_last(&mut self, program: &mut impl EventHandler, effects: &mut Effects) -> Last {
         if !self.patient {
             return Last::Nobody;
         }
-        let before = self.links;
+        let before = self.connections;
         for door in 0..self.doors.len() {
-            let mut look = self.accept(door, program, out);
+            let mut look = self.accept(door, program, effects);
             if look == Look::Nobody {
                 // Nobody is let in between the last look and the end.
                 self.doors[door].admit_no_more();
-                look = self.accept(door, program, out);
+                look = self.accept(door, program, effects);
             }
             match look {
                 Look::Nobody => {}
@@ -153,7 +158,7 @@
                 Look::Paused => {}
             }
         }
-        if self.links > before {
+        if self.connections > before {
             Last::Came
         } else {
             Last::Nobody
@@ -161,9 +166,11 @@
     }
 
     /// Opens or shuts a door; what cannot be done leaves it as it is, told aloud.
-    pub(super) fn shut(&mut self, place: usize, shut: Shut) {
+    pub(super) fn shut(&mut self, place: usize, shut: ListenerState) {
         let Some(door) = self.doors.get_mut(place) else { return };
-        if let Some(listener) = door.listener.as_ref().filter(|_| door.is_open() && shut != Shut::Open) {
+        if let Some(listener) =
+            door.listener.as_ref().filter(|_| door.is_open() && shut != ListenerState::Open)
+        {
             let _ = self.poller.delete(listener);
         }
         let was_open = door.is_open();
--- a/crates/reactor/src/tap.rs
+++ b/crates/reactor/src/tap.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 use bytes::Bytes;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::tap::{self, Passed, What, Who};
 use tideroute_wire::{Address, Micros};
 
@@ -29,32 +29,39 @@
         Ok(Tap { file, process: who.number, role: who.role.clone(), clock: None })
     }
 
-    pub(crate) fn note(&mut self, at: Micros, link: Link, what: What, place: u64, frame: &Bytes) {
+    pub(crate) fn note(
+        &mut self,
+        at: Micros,
+        connection: ConnectionId,
+        what: What,
+        place: u64,
+        frame: &Bytes,
+    ) {
         // What a relay passes on is written down by those who speak.
         if self.role == "relay" && !matches!(what, What::Joined | What::Began | What::Left | What::Killed) {
             return;
         }
         let frame = tap::kept(frame, &self.role);
         let at = self.clock.map_or(at, |clock| clock.true_now());
-        let passed = Passed { at, process: self.process, link: link.0, what, place, frame };
+        let passed = Passed { at, process: self.process, link: connection.0, what, place, frame };
         self.write(&passed);
     }
 
     /// A relay has joined two connections: each one's ends, where it was taken or went to first.
     pub(crate) fn joined(&mut self, at: Micros, ends: [Option<SocketAddr>; 4]) {
-        self.met(at, Link(0), What::Joined, ends);
+        self.met(at, ConnectionId(0), What::Joined, ends);
     }
 
     /// Two ends of one connection are known to belong together by both ends' addresses.
     pub(crate) fn met<const N: usize>(
         &mut self,
         at: Micros,
-        link: Link,
+        connection: ConnectionId,
         what: What,
         ends: [Option<SocketAddr>; N],
     ) {
         let ends: Vec<u8> = ends.into_iter().flat_map(|end| end.map_or([0; 6], bytes_of)).collect();
-        self.note(at, link, what, 0, &ends.into());
+        self.note(at, connection, what, 0, &ends.into());
     }
 
     fn write(&mut self, passed: &Passed) {
--- a/crates/reactor/tests/links.rs
+++ b/crates/reactor/tests/links.rs
@@ -9,16 +9,16 @@
 use bytes::Bytes;
 use tideroute_reactor::conn::{HIGH, MOST};
 use tideroute_reactor::{Ended, Reactor};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
 /// What a program saw.
 #[derive(Debug, PartialEq)]
 enum Seen {
-    Accepted(Link),
+    Accepted(ConnectionId),
     Opened,
     Heard(Bytes),
-    Lost(Loss),
+    Lost(DisconnectReason),
     Crowded(bool),
     Rang(u64),
 }
@@ -30,46 +30,52 @@
     over: bool,
 }
 
-impl<F: FnMut(&Seen, Link, &mut Outbox, Micros)> Scripted<F> {
-    fn saw(&mut self, now: Micros, link: Link, seen: Seen, out: &mut Outbox) {
-        (self.hands)(&seen, link, out, now);
+impl<F: FnMut(&Seen, ConnectionId, &mut Effects, Micros)> Scripted<F> {
+    fn saw(&mut self, now: Micros, connection: ConnectionId, seen: Seen, out: &mut Effects) {
+        (self.hands)(&seen, connection, out, now);
         self.over |= seen == Seen::Heard(Bytes::from_static(b"end"));
         let _ = self.seen.send(seen);
     }
 }
 
-impl<F: FnMut(&Seen, Link, &mut Outbox, Micros)> Program for Scripted<F> {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
-        (self.hands)(&Seen::Rang(0), Link(0), out, now);
+impl<F: FnMut(&Seen, ConnectionId, &mut Effects, Micros)> EventHandler for Scripted<F> {
+    fn on_start(&mut self, now: Micros, out: &mut Effects) {
+        (self.hands)(&Seen::Rang(0), ConnectionId(0), out, now);
     }
-    fn accepted(&mut self, now: Micros, link: Link, _door: usize, out: &mut Outbox) {
-        self.saw(now, link, Seen::Accepted(link), out);
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, _door: usize, out: &mut Effects) {
+        self.saw(now, connection, Seen::Accepted(connection), out);
     }
-    fn opened(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        self.saw(now, link, Seen::Opened, out);
+    fn on_connected(&mut self, now: Micros, connection: ConnectionId, out: &mut Effects) {
+        self.saw(now, connection, Seen::Opened, out);
     }
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        self.saw(now, link, Seen::Heard(frame.clone()), out);
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, out: &mut Effects) {
+        self.saw(now, connection, Seen::Heard(frame.clone()), out);
     }
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        self.saw(now, link, Seen::Lost(loss), out);
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        out: &mut Effects,
+    ) {
+        self.saw(now, connection, Seen::Lost(loss), out);
     }
-    fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        self.saw(now, link, Seen::Crowded(crowded), out);
+    fn on_backpressure(&mut self, now: Micros, connection: ConnectionId, crowded: bool, out: &mut Effects) {
+        self.saw(now, connection, Seen::Crowded(crowded), out);
     }
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
-        self.saw(now, Link(0), Seen::Rang(key), out);
+    fn on_timer(&mut self, now: Micros, key: u64, out: &mut Effects) {
+        self.saw(now, ConnectionId(0), Seen::Rang(key), out);
     }
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {}
-    fn done(&self) -> bool {
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn is_finished(&self) -> bool {
         self.over
     }
 }
 
 type Run = (SocketAddr, Receiver<Seen>, JoinHandle<Ended>);
 
-fn run(hands: impl FnMut(&Seen, Link, &mut Outbox, Micros) + Send + 'static) -> Run {
+fn run(hands: impl FnMut(&Seen, ConnectionId, &mut Effects, Micros) + Send + 'static) -> Run {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
     let (at, (seen, all)) = (reactor.addresses()[0], channel());
     let mut program = Scripted { seen, hands, over: false };
@@ -101,9 +107,9 @@
 
 #[test]
 fn frames_arrive_in_order_and_whole_both_ways() {
-    let (at, _seen, thread) = run(|seen, link, out, _| {
+    let (at, _seen, thread) = run(|seen, connection, out, _| {
         if let Seen::Heard(frame) = seen {
-            out.send(link, frame.clone());
+            out.send(connection, frame.clone());
         }
     });
     let mut stream = TcpStream::connect(at).unwrap();
@@ -123,13 +129,13 @@
     let mut began = false;
     let (at, seen, thread) = run(move |seen, _, out, now| match seen {
         // Sends on and on, a piece a ring, until the link is gone.
-        Seen::Accepted(Link(0)) => {
+        Seen::Accepted(ConnectionId(0)) => {
             began = true;
-            out.ring(now, 0);
+            out.set_timer(now, 0);
         }
         Seen::Rang(0) if began => {
-            out.send(Link(0), piece.clone());
-            out.ring(now + 200, 0);
+            out.send(ConnectionId(0), piece.clone());
+            out.set_timer(now + 200, 0);
         }
         _ => {}
     });
@@ -138,7 +144,7 @@
     loop {
         match next(&seen) {
             Seen::Crowded(true) => crowded = true,
-            Seen::Lost(loss) => break assert_eq!(loss, Loss::Broken),
+            Seen::Lost(loss) => break assert_eq!(loss, DisconnectReason::Reset),
             _ => {}
         }
     }
@@ -158,12 +164,12 @@
 fn a_peer_that_reads_again_is_no_longer_crowded() {
     let mut full = false;
     let (at, seen, thread) = run(move |seen, _, out, now| match seen {
-        Seen::Accepted(Link(0)) => out.ring(now, 5),
+        Seen::Accepted(ConnectionId(0)) => out.set_timer(now, 5),
         Seen::Crowded(crowded) => full |= *crowded,
         // Sends on until the link is crowded, however much the kernel takes.
         Seen::Rang(5) if !full => {
-            out.send(Link(0), vec![1; 50 << 10].into());
-            out.ring(now + 200, 5);
+            out.send(ConnectionId(0), vec![1; 50 << 10].into());
+            out.set_timer(now + 200, 5);
         }
         _ => {}
     });
@@ -177,17 +183,17 @@
 
 #[test]
 fn a_hushed_link_waits_and_is_heard_later() {
-    let (at, seen, thread) = run(|seen, link, out, now| match seen {
-        Seen::Accepted(Link(0)) => {
-            out.hush(link, true);
-            out.ring(now + 50_000, 9);
+    let (at, seen, thread) = run(|seen, connection, out, now| match seen {
+        Seen::Accepted(ConnectionId(0)) => {
+            out.pause_reading(connection, true);
+            out.set_timer(now + 50_000, 9);
         }
-        Seen::Rang(9) => out.hush(Link(0), false),
+        Seen::Rang(9) => out.pause_reading(ConnectionId(0), false),
         _ => {}
     });
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&frame(b"late")).unwrap();
-    assert_eq!(next(&seen), Seen::Accepted(Link(0)));
+    assert_eq!(next(&seen), Seen::Accepted(ConnectionId(0)));
     // The timer rings first, though the frame was there long before.
     assert_eq!(next(&seen), Seen::Rang(9));
     assert_eq!(next(&seen), Seen::Heard(Bytes::from_static(b"late")));
@@ -201,14 +207,14 @@
     let (to, no) = (bytes_of(there), bytes_of(nobody));
     let (at, seen, dialler) = run(move |seen, _, out, _| {
         if matches!(seen, Seen::Rang(0)) {
-            out.dial(no, 1_000_000);
-            let link = out.dial(to, 1_000_000);
-            out.send(link, Bytes::from_static(b"early"));
+            out.connect(no, 1_000_000);
+            let connection = out.connect(to, 1_000_000);
+            out.send(connection, Bytes::from_static(b"early"));
         }
     });
     let mut both = vec![next(&seen), next(&seen)];
     both.sort_by_key(|s| *s == Seen::Opened);
-    assert_eq!(both, [Seen::Lost(Loss::Unreached), Seen::Opened]);
+    assert_eq!(both, [Seen::Lost(DisconnectReason::ConnectFailed), Seen::Opened]);
     assert!(matches!(next(&heard), Seen::Accepted(_)));
     assert_eq!(next(&heard), Seen::Heard(Bytes::from_static(b"early")));
     end(at, dialler);
@@ -219,7 +225,7 @@
 fn a_program_that_vanishes_resets_its_peers() {
     let (at, _seen, thread) = run(|seen, _, out, _| {
         if matches!(seen, Seen::Heard(_)) {
-            out.vanish();
+            out.crash();
         }
     });
     let mut stream = TcpStream::connect(at).unwrap();
@@ -234,13 +240,13 @@
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
     reactor.raw(8);
     let at = reactor.addresses()[0];
-    let hands = |seen: &Seen, link, out: &mut Outbox, now| match seen {
-        Seen::Heard(_) if link == Link(0) => {
-            out.send(link, Bytes::from_static(b"answer"));
-            out.hush(link, true);
-            out.ring(now + 100_000, 9);
+    let hands = |seen: &Seen, connection, out: &mut Effects, now| match seen {
+        Seen::Heard(_) if connection == ConnectionId(0) => {
+            out.send(connection, Bytes::from_static(b"answer"));
+            out.pause_reading(connection, true);
+            out.set_timer(now + 100_000, 9);
         }
-        Seen::Rang(9) => out.close(Link(0), "idle"),
+        Seen::Rang(9) => out.close(ConnectionId(0), "idle"),
         _ => {}
     };
     let (seen, all) = channel();
@@ -248,7 +254,7 @@
     let thread = std::thread::spawn(move || reactor.run(&mut program).unwrap());
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(b"ask").unwrap();
-    assert_eq!(next(&all), Seen::Accepted(Link(0)));
+    assert_eq!(next(&all), Seen::Accepted(ConnectionId(0)));
     assert_eq!(next(&all), Seen::Heard(Bytes::from_static(b"ask")));
     stream.write_all(b"ask again").unwrap();
     let mut got = Vec::new();
@@ -272,21 +278,27 @@
     gone: usize,
 }
 
-impl Program for LastMoment {
-    fn begin(&mut self, _now: Micros, _out: &mut Outbox) {}
-    fn accepted(&mut self, _now: Micros, _link: Link, _door: usize, _out: &mut Outbox) {
+impl EventHandler for LastMoment {
+    fn on_start(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn on_accepted(&mut self, _now: Micros, _link: ConnectionId, _door: usize, _out: &mut Effects) {
         self.open += 1;
     }
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
-    fn heard(&mut self, _now: Micros, link: Link, asked: &Bytes, out: &mut Outbox) {
-        out.send(link, asked.clone());
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
+    fn on_data(&mut self, _now: Micros, connection: ConnectionId, asked: &Bytes, out: &mut Effects) {
+        out.send(connection, asked.clone());
     }
-    fn lost(&mut self, _now: Micros, _link: Link, _loss: Loss, _out: &mut Outbox) {
+    fn on_disconnect(
+        &mut self,
+        _now: Micros,
+        _link: ConnectionId,
+        _loss: DisconnectReason,
+        _out: &mut Effects,
+    ) {
         (self.open, self.gone) = (self.open - 1, self.gone + 1);
     }
-    fn crowded(&mut self, _now: Micros, _link: Link, _crowded: bool, _out: &mut Outbox) {}
-    fn rang(&mut self, _now: Micros, _key: u64, _out: &mut Outbox) {}
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {
+    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
+    fn on_timer(&mut self, _now: Micros, _key: u64, _out: &mut Effects) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {
         if self.gone == 1 && self.late.is_none() {
             let mut late = TcpStream::connect(self.at).unwrap();
             late.write_all(b"late!").unwrap();
@@ -294,8 +306,8 @@
             self.late = Some(late);
         }
     }
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {}
-    fn done(&self) -> bool {
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn is_finished(&self) -> bool {
         // The one that waits at the door is not known here before it is taken.
         self.gone > 0 && self.open == 0
     }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use tideroute_wire::link::{Link, Outbox};
+use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
 /// Bytes that wait in one direction over which nothing more is read: about what a kernel holds of a peer that is
@@ -40,19 +40,19 @@
     }
 
     /// Sends what is due; tells when the next part is.
-    pub fn pump(&mut self, now: Micros, to: Link, out: &mut Outbox) -> Option<Micros> {
+    pub fn pump(&mut self, now: Micros, to: ConnectionId, effects: &mut Effects) -> Option<Micros> {
         while let Some((_, part)) = self.waiting.pop_front_if(|(at, _)| *at <= now) {
             self.bytes -= part.len();
-            out.send(to, part);
+            effects.send(to, part);
         }
         self.waiting.front().map(|(at, _)| *at)
     }
 
     /// Reads on or stops reading, by what waits here and by what the other side takes.
-    pub fn hush(&mut self, from: Link, cut: bool, out: &mut Outbox) {
+    pub fn hush(&mut self, from: ConnectionId, cut: bool, effects: &mut Effects) {
         let hush = cut || self.crowded || self.bytes > MOST;
         if std::mem::replace(&mut self.hushed, hush) != hush {
-            out.hush(from, hush);
+            effects.pause_reading(from, hush);
         }
     }
 }
@@ -60,7 +60,7 @@
 pub struct Flow {
     pub door: usize,
     /// The link that was taken at the door, and the one that goes on.
-    pub links: [Link; 2],
+    pub connections: [ConnectionId; 2],
     /// What comes from the first link, and what from the second.
     pub streams: [Stream; 2],
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_wire::link::{Link, Loss, Outbox, Program, Shut};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler, ListenerState};
 use tideroute_wire::{Address, Micros};
 
 use crate::flow::{Flow, Stream};
@@ -81,7 +81,7 @@
     began: Micros,
     flows: BTreeMap<u64, Flow>,
     /// Which flow a link belongs to, and which of its two it is.
-    by_link: HashMap<Link, (u64, usize)>,
+    by_link: HashMap<ConnectionId, (u64, usize)>,
     count: u64,
     held: BTreeMap<u64, (usize, Bytes)>,
     chance: Pcg64,
@@ -128,25 +128,25 @@
     }
 
     /// Moves what may move in a flow, and ends what has ended.
-    fn pump(&mut self, n: u64, now: Micros, out: &mut Outbox) {
+    fn pump(&mut self, n: u64, now: Micros, effects: &mut Effects) {
         let Some(door) = self.flows.get(&n).map(|f| f.door) else { return };
         let cut = [0, 1].map(|direction| self.cut(door, direction, now));
         let Some(flow) = self.flows.get_mut(&n) else { return };
         for direction in [0, 1] {
-            let (from, to) = (flow.links[direction], flow.links[1 - direction]);
+            let (from, to) = (flow.connections[direction], flow.connections[1 - direction]);
             let stream: &mut Stream = &mut flow.streams[direction];
             if !cut[direction] {
-                if let Some(next) = stream.pump(now, to, out) {
-                    out.ring(next, DUE | n);
+                if let Some(next) = stream.pump(now, to, effects) {
+                    effects.set_timer(next, DUE | n);
                 }
             }
             if stream.ended && stream.is_empty() && !cut[direction] {
                 // All that was said has gone: the other side hears of the end.
-                out.close(to, "the other side has ended");
+                effects.close(to, "the other side has ended");
                 return self.forget(n);
             }
             if !stream.ended {
-                stream.hush(from, cut[direction], out);
+                stream.hush(from, cut[direction], effects);
             }
         }
     }
@@ -165,132 +165,151 @@
         Some(at)
     }
 
-    fn send_datagram(&self, door: usize, bytes: Bytes, out: &mut Outbox) {
+    fn send_datagram(&self, door: usize, bytes: Bytes, effects: &mut Effects) {
         if let Some(to) = self.terms.datagrams.get(door).map(|d| d.to) {
-            out.datagram(door, to, bytes);
+            effects.send_datagram(door, to, bytes);
         }
     }
 
     fn forget(&mut self, n: u64) {
         if let Some(flow) = self.flows.remove(&n) {
-            flow.links.iter().for_each(|link| {
-                self.by_link.remove(link);
+            flow.connections.iter().for_each(|connection| {
+                self.by_link.remove(connection);
             });
         }
     }
 
     /// A fault begins or ends: doors and connections are as they now have to be.
-    fn turn_of(&mut self, fault: usize, now: Micros, out: &mut Outbox) {
+    fn turn_of(&mut self, fault: usize, now: Micros, effects: &mut Effects) {
         for door in 0..self.terms.doors.len() {
             if !self.terms.doors[door].faults.contains(&fault) {
                 continue;
             }
-            let shut = self.now_at(door, now).fold(Shut::Open, |shut, f| match (f.how, shut) {
-                (How::Reset, _) | (_, Shut::Gone) => Shut::Gone,
-                (How::Silent, _) | (_, Shut::Deaf) => Shut::Deaf,
-                _ => Shut::Open,
+            let shut = self.now_at(door, now).fold(ListenerState::Open, |shut, f| match (f.how, shut) {
+                (How::Reset, _) | (_, ListenerState::Refusing) => ListenerState::Refusing,
+                (How::Silent, _) | (_, ListenerState::Unresponsive) => ListenerState::Unresponsive,
+                _ => ListenerState::Open,
             });
-            out.door(door, shut);
+            effects.set_listener_state(door, shut);
             let mine: Vec<_> = self.flows.iter().filter(|(_, f)| f.door == door).map(|(n, _)| *n).collect();
             for n in mine {
-                if shut == Shut::Gone {
-                    let links = self.flows.get(&n).map(|f| f.links);
-                    links.into_iter().flatten().for_each(|link| out.reset(link));
+                if shut == ListenerState::Refusing {
+                    let connections = self.flows.get(&n).map(|f| f.connections);
+                    connections.into_iter().flatten().for_each(|connection| effects.reset(connection));
                     self.forget(n);
                 } else {
-                    self.pump(n, now, out);
+                    self.pump(n, now, effects);
                 }
             }
         }
     }
 }
 
-impl Program for Relay {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for Relay {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         self.began = now;
         for (n, fault) in self.terms.faults.iter().enumerate() {
-            out.ring(now + fault.from, n as u64);
-            out.ring(now + fault.until, n as u64);
+            effects.set_timer(now + fault.from, n as u64);
+            effects.set_timer(now + fault.until, n as u64);
         }
     }
 
-    fn accepted(&mut self, now: Micros, link: Link, door: usize, out: &mut Outbox) {
-        let Some(to) = self.terms.doors.get(door).map(|d| d.to) else { return out.reset(link) };
-        let on = out.dial(to, DIAL);
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, door: usize, effects: &mut Effects) {
+        let Some(to) = self.terms.doors.get(door).map(|d| d.to) else { return effects.reset(connection) };
+        let on = effects.connect(to, DIAL);
         self.count += 1;
-        self.by_link.extend([(link, (self.count, 0)), (on, (self.count, 1))]);
-        let flow = Flow { door, links: [link, on], streams: Default::default() };
+        self.by_link.extend([(connection, (self.count, 0)), (on, (self.count, 1))]);
+        let flow = Flow { door, connections: [connection, on], streams: Default::default() };
         self.flows.insert(self.count, flow);
-        self.pump(self.count, now, out);
+        self.pump(self.count, now, effects);
     }
 
-    fn opened(&mut self, _now: Micros, link: Link, out: &mut Outbox) {
-        if let Some(flow) = self.by_link.get(&link).and_then(|(n, _)| self.flows.get(n)) {
-            out.joined(flow.links[0], flow.links[1]);
+    fn on_connected(&mut self, _now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        if let Some(flow) = self.by_link.get(&connection).and_then(|(n, _)| self.flows.get(n)) {
+            effects.joined(flow.connections[0], flow.connections[1]);
         }
     }
 
-    fn heard(&mut self, now: Micros, link: Link, part: &Bytes, out: &mut Outbox) {
-        let Some(&(n, direction)) = self.by_link.get(&link) else { return };
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, part: &Bytes, effects: &mut Effects) {
+        let Some(&(n, direction)) = self.by_link.get(&connection) else { return };
         let Some(door) = self.flows.get(&n).map(|f| f.door) else { return };
         let due = self.due(door, direction, now);
         if let Some(flow) = self.flows.get_mut(&n) {
             flow.streams[direction].push(due, part);
         }
-        self.pump(n, now, out);
+        self.pump(n, now, effects);
     }
 
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        let Some(&(n, direction)) = self.by_link.get(&link) else { return };
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        let Some(&(n, direction)) = self.by_link.get(&connection) else { return };
         let Some(flow) = self.flows.get_mut(&n) else { return };
-        if loss != Loss::Broken {
+        if loss != DisconnectReason::Reset {
             // Nobody is behind the door: who came in is sent away as nobody would.
-            out.reset(flow.links[1 - direction]);
+            effects.reset(flow.connections[1 - direction]);
             return self.forget(n);
         }
         flow.streams[direction].ended = true;
-        self.pump(n, now, out);
+        self.pump(n, now, effects);
     }
 
-    fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        let Some(&(n, side)) = self.by_link.get(&link) else { return };
+    fn on_backpressure(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(&(n, side)) = self.by_link.get(&connection) else { return };
         if let Some(flow) = self.flows.get_mut(&n) {
             flow.streams[1 - side].crowded(crowded);
         }
-        self.pump(n, now, out);
+        self.pump(n, now, effects);
     }
 
-    fn datagram(&mut self, now: Micros, door: usize, _from: Address, bytes: &Bytes, out: &mut Outbox) {
+    fn on_datagram(
+        &mut self,
+        now: Micros,
+        door: usize,
+        _from: Address,
+        bytes: &Bytes,
+        effects: &mut Effects,
+    ) {
         match self.datagram_due(door, now) {
-            Some(at) if at <= now => self.send_datagram(door, bytes.clone(), out),
+            Some(at) if at <= now => self.send_datagram(door, bytes.clone(), effects),
             Some(at) if self.held.len() < MOST_HELD => {
                 self.count += 1;
                 self.held.insert(self.count, (door, bytes.clone()));
-                out.ring(at, HELD | self.count);
+                effects.set_timer(at, HELD | self.count);
             }
             _ => {}
         }
     }
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         if key & HELD != 0 {
             if let Some((door, bytes)) = self.held.remove(&(key & !HELD)) {
-                self.send_datagram(door, bytes, out);
+                self.send_datagram(door, bytes, effects);
             }
         } else if key & DUE != 0 {
-            self.pump(key & !DUE, now, out);
+            self.pump(key & !DUE, now, effects);
         } else {
-            self.turn_of(key as usize, now, out);
+            self.turn_of(key as usize, now, effects);
         }
     }
 
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
         self.stopping = true;
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stopping
     }
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -9,7 +9,7 @@
 use tideroute_emulator::{List, Worker};
 use tideroute_lifecycle::Host;
 use tideroute_trace_checker::{CheckError, Report};
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::Micros;
 
 use crate::convert;
@@ -161,7 +161,7 @@
         let missing = || FleetError::Terms(format!("{name} is nobody"));
         let bad = FleetError::Terms;
         self.starts += 1;
-        let (role, address, program): (_, _, Box<dyn Program>) = if name == "list" {
+        let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
             let list = files::list(day, ports).list.ok_or_else(missing)?;
             ("list", &ports.list, Box::new(List::new(convert::list(&list, self.begins, now))))
         } else if let Some(n) = day.router_names().position(|r| r == name) {
@@ -199,44 +199,56 @@
     }
 }
 
-impl Program for Shared {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
-        self.with(|load| load.begin(now, out));
+impl EventHandler for Shared {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
+        self.with(|load| load.on_start(now, effects));
     }
 
-    fn accepted(&mut self, now: Micros, link: Link, door: usize, out: &mut Outbox) {
-        self.with(|load| load.accepted(now, link, door, out));
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, door: usize, effects: &mut Effects) {
+        self.with(|load| load.on_accepted(now, connection, door, effects));
     }
 
-    fn opened(&mut self, now: Micros, link: Link, out: &mut Outbox) {
-        self.with(|load| load.opened(now, link, out));
+    fn on_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        self.with(|load| load.on_connected(now, connection, effects));
     }
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        self.with(|load| load.heard(now, link, frame, out));
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
+        self.with(|load| load.on_data(now, connection, frame, effects));
     }
 
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        self.with(|load| load.lost(now, link, loss, out));
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        effects: &mut Effects,
+    ) {
+        self.with(|load| load.on_disconnect(now, connection, loss, effects));
     }
 
-    fn crowded(&mut self, now: Micros, link: Link, crowded: bool, out: &mut Outbox) {
-        self.with(|load| load.crowded(now, link, crowded, out));
+    fn on_backpressure(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        crowded: bool,
+        effects: &mut Effects,
+    ) {
+        self.with(|load| load.on_backpressure(now, connection, crowded, effects));
     }
 
-    fn rang(&mut self, now: Micros, key: u64, out: &mut Outbox) {
-        self.with(|load| load.rang(now, key, out));
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
+        self.with(|load| load.on_timer(now, key, effects));
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Outbox) {
-        self.with(|load| load.turn(now, out));
+    fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
+        self.with(|load| load.on_iteration(now, effects));
     }
 
-    fn stop(&mut self, now: Micros, out: &mut Outbox) {
-        self.with(|load| load.stop(now, out));
+    fn on_shutdown(&mut self, now: Micros, effects: &mut Effects) {
+        self.with(|load| load.on_shutdown(now, effects));
     }
 
-    fn done(&self) -> bool {
-        self.with(|load| load.done())
+    fn is_finished(&self) -> bool {
+        self.with(|load| load.is_finished())
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,6 @@
 //! The laboratory: load as clients bring it, and whole scripted days.
 //!
-//! [`load::Load`] is a [`Program`](tideroute_wire::link::Program) that plays clients in open loop: when each
+//! [`load::Load`] is a [`EventHandler`](tideroute_wire::link::Program) that plays clients in open loop: when each
 //! submission comes is drawn ahead and never waits for an answer. [`day::play`] starts a fleet of processes on
 //! free loopback ports, makes things go wrong as a day file says, collects the record of what passed, and has
 //! the rules checked. [`world::World`] runs the same programs in virtual time, in one process and from one seed, and
--- a/crates/simulation/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use tideroute_config_language::kinds::Load as Record;
 use tideroute_emulator::state;
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{client, say_hello_with, Address, Malformed, Micros, Party};
 
 use crate::tally::{Progress, Tally};
@@ -60,7 +60,7 @@
 /// One connection to a router.
 struct Client {
     router: usize,
-    link: Option<Link>,
+    connection: Option<ConnectionId>,
     numbers: u64,
     /// Numbers that are out, and whose submissions they are.
     out: HashMap<u64, usize>,
@@ -75,7 +75,7 @@
     began: Micros,
     courses: BTreeMap<usize, Course>,
     clients: Vec<Client>,
-    by_link: HashMap<Link, usize>,
+    by_link: HashMap<ConnectionId, usize>,
     pub tally: Tally,
     progress: Arc<Progress>,
     stopped: bool,
@@ -88,7 +88,7 @@
         let at = routers_of(&terms, routers.len());
         let client = |n: usize| Client {
             router: at[n],
-            link: None,
+            connection: None,
             numbers: 0,
             out: HashMap::new(),
             sluggish: n < terms.sluggish,
@@ -120,7 +120,7 @@
     }
 
     /// Makes the submissions whose time has come.
-    fn arrive(&mut self, now: Micros, out: &mut Outbox) {
+    fn arrive(&mut self, now: Micros, out: &mut Effects) {
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now) {
             let (place, left) = (self.next, p.left);
             let earnings = self.terms.tracks[usize::from(p.track)].earnings;
@@ -143,31 +143,31 @@
             self.try_it(now, place, out);
         }
         if let Some(p) = self.planned.get(self.next) {
-            out.ring(self.began + p.at, key(ARRIVAL, 0));
+            out.set_timer(self.began + p.at, key(ARRIVAL, 0));
         }
     }
 
-    fn link(&mut self, n: usize, out: &mut Outbox) -> Link {
+    fn connection(&mut self, n: usize, out: &mut Effects) -> ConnectionId {
         let client = &mut self.clients[n];
-        if let Some(link) = client.link {
-            return link;
+        if let Some(connection) = client.connection {
+            return connection;
         }
-        let link = out.dial(self.routers[client.router], DIAL);
-        client.link = Some(link);
+        let connection = out.connect(self.routers[client.router], DIAL);
+        client.connection = Some(connection);
         (client.numbers, client.out) = (0, HashMap::new());
-        self.by_link.insert(link, n);
+        self.by_link.insert(connection, n);
         let keys = &self.terms.keys;
         let shown = if keys.is_empty() { "" } else { &keys[n % keys.len()].key };
-        out.send(link, say_hello_with(Party::Client, &format!("client{n}"), shown.as_bytes()));
+        out.send(connection, say_hello_with(Party::Client, &format!("client{n}"), shown.as_bytes()));
         if client.sluggish {
-            out.ring(0, key(DOZE, n));
+            out.set_timer(0, key(DOZE, n));
         }
-        link
+        connection
     }
 
-    fn try_it(&mut self, now: Micros, place: usize, out: &mut Outbox) {
+    fn try_it(&mut self, now: Micros, place: usize, out: &mut Effects) {
         let n = self.planned[place].client;
-        let link = self.link(n, out);
+        let connection = self.connection(n, out);
         let Some(course) = self.courses.get_mut(&place).filter(|c| !c.over) else { return };
         if now >= course.until {
             return self.end(place, |t| &mut t.unanswered);
@@ -179,7 +179,7 @@
         (course.tries, course.tokens) = (course.tries + 1, 0);
         let left = course.until - now;
         out.send(
-            link,
+            connection,
             client::submit(
                 client.numbers,
                 p.track,
@@ -195,17 +195,17 @@
         );
         self.tally.tries += 1;
         self.progress.made.store(self.next as u64, Ordering::Relaxed);
-        out.ring(course.until + SLACK, key(PATIENCE, place));
+        out.set_timer(course.until + SLACK, key(PATIENCE, place));
         if p.leaves_after == Some(0) {
             self.leave(place, out);
         }
     }
 
-    fn leave(&mut self, place: usize, out: &mut Outbox) {
+    fn leave(&mut self, place: usize, out: &mut Effects) {
         let Some((n, number)) = self.courses.get_mut(&place).and_then(|c| c.out.take()) else { return };
         self.clients[n].out.remove(&number);
-        if let Some(link) = self.clients[n].link {
-            out.send(link, client::leave(number));
+        if let Some(connection) = self.clients[n].connection {
+            out.send(connection, client::leave(number));
         }
         self.end(place, |t| &mut t.left);
     }
@@ -224,7 +224,7 @@
         place: usize,
         harmless: bool,
         after: Micros,
-        out: &mut Outbox,
+        out: &mut Effects,
         count: impl Fn(&mut Tally) -> &mut u64,
     ) {
         let track = &self.terms.tracks[usize::from(self.planned[place].track)];
@@ -234,13 +234,13 @@
         let at = now + after.max(self.terms.retry_wait);
         let may = (harmless || repeats) && course.tries <= self.terms.retries && at + LEAST < course.until;
         if may && !course.over && !self.stopped {
-            out.ring(at, key(RETRY, place));
+            out.set_timer(at, key(RETRY, place));
         } else {
             self.end(place, count);
         }
     }
 
-    fn hear(&mut self, now: Micros, n: usize, frame: &Bytes, out: &mut Outbox) -> Result<(), Malformed> {
+    fn hear(&mut self, now: Micros, n: usize, frame: &Bytes, out: &mut Effects) -> Result<(), Malformed> {
         client::hear_router(frame, &mut Ear { load: self, now, n, out })
     }
 
@@ -265,7 +265,7 @@
         }
     }
 
-    fn token(&mut self, now: Micros, place: usize, index: u32, text: &Bytes, out: &mut Outbox) {
+    fn token(&mut self, now: Micros, place: usize, index: u32, text: &Bytes, out: &mut Effects) {
         let p = &self.planned[place];
         let Some(course) = self.courses.get_mut(&place) else { return };
         let crc = *course.crc.get_or_insert_with(|| {
@@ -288,7 +288,7 @@
     load: &'a mut Load,
     now: Micros,
     n: usize,
-    out: &'a mut Outbox,
+    out: &'a mut Effects,
 }
 
 impl Ear<'_> {
@@ -349,48 +349,54 @@
     }
 }
 
-impl Program for Load {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for Load {
+    fn on_start(&mut self, now: Micros, out: &mut Effects) {
         self.began = now;
         (0..self.clients.len()).for_each(|n| {
-            self.link(n, out);
+            self.connection(n, out);
         });
         self.arrive(now, out);
     }
 
-    fn accepted(&mut self, _now: Micros, link: Link, _door: usize, out: &mut Outbox) {
-        out.close(link, "a load listens to nobody");
+    fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, out: &mut Effects) {
+        out.close(connection, "a load listens to nobody");
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        let Some(&n) = self.by_link.get(&link) else { return };
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, out: &mut Effects) {
+        let Some(&n) = self.by_link.get(&connection) else { return };
         if let Err(problem) = self.hear(now, n, frame, out) {
             tracing::error!(%problem, "a router breaks the protocol");
-            out.close(link, problem.to_string());
-            self.lost(now, link, Loss::Broken, out);
+            out.close(connection, problem.to_string());
+            self.on_disconnect(now, connection, DisconnectReason::Reset, out);
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, loss: Loss, out: &mut Outbox) {
-        let Some(n) = self.by_link.remove(&link) else { return };
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        loss: DisconnectReason,
+        out: &mut Effects,
+    ) {
+        let Some(n) = self.by_link.remove(&connection) else { return };
         let client = &mut self.clients[n];
-        client.link = None;
+        client.connection = None;
         // The front layer's next router.
         client.router = (client.router + 1) % self.routers.len();
         let mut lost: Vec<usize> = client.out.drain().map(|(_, place)| place).collect();
         lost.sort_unstable();
         for place in lost {
-            let harmless = loss != Loss::Broken;
+            let harmless = loss != DisconnectReason::Reset;
             self.again(now, place, harmless, FAILOVER, out, |t| &mut t.unheard);
         }
-        out.ring(now + FAILOVER, key(DIAL_AGAIN, n));
+        out.set_timer(now + FAILOVER, key(DIAL_AGAIN, n));
     }
 
-    fn crowded(&mut self, _now: Micros, _link: Link, _crowded: bool, _out: &mut Outbox) {}
+    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
-    fn rang(&mut self, now: Micros, timer: u64, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Micros, timer: u64, out: &mut Effects) {
         let (kind, what) = (timer >> KIND, (timer & ((1 << KIND) - 1)) as usize);
         match kind {
             ARRIVAL => self.arrive(now, out),
@@ -408,38 +414,38 @@
                 }
             }
             DOZE | WAKE => {
-                let Some(link) = self.clients[what].link else { return };
-                out.hush(link, kind == DOZE);
+                let Some(connection) = self.clients[what].connection else { return };
+                out.pause_reading(connection, kind == DOZE);
                 let (then, next) = if kind == DOZE { (DOZES, WAKE) } else { (WAKES, DOZE) };
-                out.ring(now + then, key(next, what));
+                out.set_timer(now + then, key(next, what));
             }
             _ => {
                 if !self.stopped {
-                    self.link(what, out);
+                    self.connection(what, out);
                 }
             }
         }
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Outbox) {
+    fn on_iteration(&mut self, now: Micros, out: &mut Effects) {
         // A submission that is over has nothing more to say; those at the front go.
         while self.courses.first_key_value().is_some_and(|(_, c)| c.over) {
             self.courses.pop_first();
         }
         if self.next == self.planned.len() && self.courses.is_empty() && !self.stopped {
-            self.stop(now, out);
+            self.on_shutdown(now, out);
         }
     }
 
-    fn stop(&mut self, _now: Micros, out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, out: &mut Effects) {
         self.stopped = true;
         self.next = self.planned.len();
-        let mut links: Vec<_> = std::mem::take(&mut self.by_link).into_keys().collect();
-        links.sort_unstable();
-        links.into_iter().for_each(|link| out.close(link, "the load is over"));
+        let mut connections: Vec<_> = std::mem::take(&mut self.by_link).into_keys().collect();
+        connections.sort_unstable();
+        connections.into_iter().for_each(|connection| out.close(connection, "the load is over"));
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.stopped
     }
 }
--- a/crates/simulation/src/straight.rs
+++ b/crates/simulation/src/straight.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use tideroute_config_language::kinds::Load as Record;
-use tideroute_wire::link::{Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::worker::{self, How};
 use tideroute_wire::{say_router, Address, Malformed, Micros};
 
@@ -41,7 +41,7 @@
     planned: Vec<Planned>,
     next: usize,
     began: Micros,
-    links: BTreeMap<Address, Link>,
+    connections: BTreeMap<Address, ConnectionId>,
     going: BTreeMap<u64, Going>,
     streams: BTreeMap<Address, u32>,
     pub ended: u64,
@@ -56,7 +56,7 @@
             planned: plan(terms),
             next: 0,
             began: 0,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             going: BTreeMap::new(),
             streams: BTreeMap::new(),
             ended: 0,
@@ -66,7 +66,7 @@
 
     /// Makes the submissions whose time has come: a read, and a place ahead at the writer of the reader's cell
     /// with the fewest streams.
-    fn arrive(&mut self, now: Micros, out: &mut Outbox) {
+    fn arrive(&mut self, now: Micros, effects: &mut Effects) {
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now).cloned() {
             let id = self.next as u64 + 1;
             self.next += 1;
@@ -92,11 +92,11 @@
                 p.left,
                 p.prompt,
             );
-            out.send(self.links[&reader], read);
-            out.send(self.links[&writer], worker::hold(id, p.prompt_tokens, p.most_tokens, reader));
+            effects.send(self.connections[&reader], read);
+            effects.send(self.connections[&writer], worker::hold(id, p.prompt_tokens, p.most_tokens, reader));
         }
         if let Some(p) = self.planned.get(self.next) {
-            out.ring(self.began + p.at, 0);
+            effects.set_timer(self.began + p.at, 0);
         }
     }
 
@@ -121,7 +121,7 @@
 struct Ear<'a> {
     straight: &'a mut Straight,
     now: Micros,
-    out: &'a mut Outbox,
+    effects: &'a mut Effects,
 }
 
 impl worker::Router for Ear<'_> {
@@ -131,7 +131,7 @@
 
     fn read_done(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
         self.straight.read(self.now, id);
-        let (s, out) = (&self.straight, &mut *self.out);
+        let (s, effects) = (&self.straight, &mut *self.effects);
         let (Some(going), Some(p)) = (s.going.get(&id), s.planned.get(id as usize - 1)) else {
             return Ok(());
         };
@@ -150,7 +150,7 @@
             p.prefix_tokens,
             p.prompt.clone(),
         );
-        out.send(s.links[&going.writer], write);
+        effects.send(s.connections[&going.writer], write);
         Ok(())
     }
 
@@ -176,50 +176,56 @@
 /// There is one such client at its workers.
 const ORIGIN: tideroute_wire::Origin = 1;
 
-impl Program for Straight {
-    fn begin(&mut self, now: Micros, out: &mut Outbox) {
+impl EventHandler for Straight {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         self.began = now;
         for worker in &self.workers {
-            let link = out.dial(worker.address, DIAL);
-            out.send(link, say_router("straight", ORIGIN));
-            self.links.insert(worker.address, link);
+            let connection = effects.connect(worker.address, DIAL);
+            effects.send(connection, say_router("straight", ORIGIN));
+            self.connections.insert(worker.address, connection);
         }
-        self.arrive(now, out);
+        self.arrive(now, effects);
     }
 
-    fn accepted(&mut self, _now: Micros, link: Link, _door: usize, out: &mut Outbox) {
-        out.close(link, "listens to nobody");
+    fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
+        effects.close(connection, "listens to nobody");
     }
 
-    fn opened(&mut self, _now: Micros, _link: Link, _out: &mut Outbox) {}
+    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
-    fn heard(&mut self, now: Micros, link: Link, frame: &Bytes, out: &mut Outbox) {
-        if let Err(problem) = worker::hear_worker(frame, &mut Ear { straight: self, now, out }) {
-            tracing::error!(%problem, link = link.0, "a worker breaks the protocol");
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
+        if let Err(problem) = worker::hear_worker(frame, &mut Ear { straight: self, now, effects }) {
+            tracing::error!(%problem, connection = connection.0, "a worker breaks the protocol");
         }
     }
 
-    fn lost(&mut self, now: Micros, link: Link, _loss: Loss, _out: &mut Outbox) {
-        let lost = self.links.iter().find(|(_, l)| **l == link).map(|(at, _)| *at);
+    fn on_disconnect(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _loss: DisconnectReason,
+        _out: &mut Effects,
+    ) {
+        let lost = self.connections.iter().find(|(_, l)| **l == connection).map(|(at, _)| *at);
         let hit = |g: &Going| Some(g.reader) == lost || Some(g.writer) == lost;
         let ids: Vec<_> = self.going.iter().filter(|(_, g)| hit(g)).map(|(id, _)| *id).collect();
         ids.into_iter().for_each(|id| self.end(now, id, false));
     }
 
-    fn crowded(&mut self, _now: Micros, _link: Link, _crowded: bool, _out: &mut Outbox) {}
+    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
-    fn rang(&mut self, now: Micros, _key: u64, out: &mut Outbox) {
-        self.arrive(now, out);
+    fn on_timer(&mut self, now: Micros, _key: u64, effects: &mut Effects) {
+        self.arrive(now, effects);
     }
 
-    fn turn(&mut self, _now: Micros, _out: &mut Outbox) {}
+    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
-    fn stop(&mut self, _now: Micros, _out: &mut Outbox) {
+    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
         self.next = self.planned.len();
         self.going.clear();
     }
 
-    fn done(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.next == self.planned.len() && self.going.is_empty()
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
 use bytes::Bytes;
-use tideroute_wire::link::{Act, Link, Loss, Outbox, Program};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
 use tideroute_wire::tap::{self, counts, Passed, What, Who};
 use tideroute_wire::{Address, Micros};
 
@@ -17,8 +17,8 @@
     name: String,
     role: String,
     address: Option<Address>,
-    program: Option<Box<dyn Program>>,
-    out: Outbox,
+    program: Option<Box<dyn EventHandler>>,
+    effects: Effects,
     /// How often a program was started here; what was meant for an earlier one is void.
     life: u32,
     process: u32,
@@ -34,7 +34,7 @@
 
 struct End {
     life: u32,
-    peer: Option<(NodeId, Link)>,
+    peer: Option<(NodeId, ConnectionId)>,
     open: bool,
     /// Its program knows that it is there.
     met: bool,
@@ -47,12 +47,12 @@
 }
 
 enum Event {
-    Accept(Link),
-    Opened(Link),
-    Frame(Link, Bytes),
+    Accept(ConnectionId),
+    Opened(ConnectionId),
+    Frame(ConnectionId, Bytes),
     /// The program reads the link again: what waited is heard.
-    Drain(Link),
-    Lost(Link, Loss),
+    Drain(ConnectionId),
+    Lost(ConnectionId, DisconnectReason),
     Ring(u64),
 }
 
@@ -91,7 +91,7 @@
     order: u64,
     due: BinaryHeap<Due>,
     nodes: Vec<Node>,
-    ends: HashMap<(NodeId, Link), End>,
+    ends: HashMap<(NodeId, ConnectionId), End>,
     listens: BTreeMap<Address, NodeId>,
     processes: Vec<Who>,
     passed: Vec<Passed>,
@@ -132,7 +132,7 @@
             role: role.into(),
             address,
             program: None,
-            out: Outbox::default(),
+            effects: Effects::default(),
             life: 0,
             process: 0,
             accepted: 0,
@@ -160,15 +160,15 @@
     }
 
     /// Starts a program at a place.
-    pub fn start(&mut self, id: NodeId, program: Box<dyn Program>) {
+    pub fn start(&mut self, id: NodeId, program: Box<dyn EventHandler>) {
         let number = self.processes.len() as u32 + 1;
         let node = &mut self.nodes[id.0];
         (node.life, node.process) = (node.life + 1, number);
         node.program = Some(program);
         let who = Who { number, name: node.name.clone(), role: node.role.clone(), address: node.address };
         self.processes.push(who);
-        self.note(id, Link(0), What::Began, 0, &Bytes::new());
-        self.call(id, |program, now, out| program.begin(now, out));
+        self.note(id, ConnectionId(0), What::Began, 0, &Bytes::new());
+        self.call(id, |program, now, effects| program.on_start(now, effects));
     }
 
     /// Ends a program at once; its peers find their connections broken.
@@ -176,23 +176,24 @@
         if self.nodes[id.0].program.take().is_none() {
             return;
         }
-        self.note(id, Link(0), What::Killed, 0, &Bytes::new());
-        let mut links: Vec<_> = self.ends.keys().filter(|(n, _)| *n == id).map(|(_, link)| *link).collect();
-        links.sort_unstable();
-        for link in links {
-            self.sever(id, link);
+        self.note(id, ConnectionId(0), What::Killed, 0, &Bytes::new());
+        let mut connections: Vec<_> =
+            self.ends.keys().filter(|(n, _)| *n == id).map(|(_, connection)| *connection).collect();
+        connections.sort_unstable();
+        for connection in connections {
+            self.sever(id, connection);
         }
     }
 
     /// Nothing happens at the place until it goes on; what comes meanwhile waits.
     pub fn halt(&mut self, id: NodeId) {
         self.nodes[id.0].halted = true;
-        self.note(id, Link(0), What::Halted, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), What::Halted, 0, &Bytes::new());
     }
 
     pub fn go_on(&mut self, id: NodeId) {
         self.nodes[id.0].halted = false;
-        self.note(id, Link(0), What::WentOn, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), What::WentOn, 0, &Bytes::new());
         for mut due in std::mem::take(&mut self.nodes[id.0].missed) {
             due.at = self.now;
             self.due.push(due);
@@ -206,12 +207,12 @@
 
     /// Another thread of the program's process tells it something.
     pub fn tell(&mut self, id: NodeId, letter: &Bytes) {
-        self.call(id, |program, now, out| program.told(now, letter, out));
+        self.call(id, |program, now, effects| program.on_message(now, letter, effects));
     }
 
     /// Tells a program to end in order.
     pub fn stop(&mut self, id: NodeId) {
-        self.call(id, |program, now, out| program.stop(now, out));
+        self.call(id, |program, now, effects| program.on_shutdown(now, effects));
     }
 
     /// Lets time pass up to a moment.
@@ -229,10 +230,10 @@
         let ended: Vec<_> = self.nodes.iter().enumerate().filter(|(_, n)| n.program.is_some()).collect();
         let ended: Vec<_> = ended.into_iter().map(|(n, _)| NodeId(n)).collect();
         for id in ended {
-            let mut links: Vec<_> =
+            let mut connections: Vec<_> =
                 self.ends.iter().filter(|((n, _), e)| *n == id && e.open).map(|((_, l), _)| *l).collect();
-            links.sort_unstable();
-            links.into_iter().for_each(|link| self.note_end(id, link));
+            connections.sort_unstable();
+            connections.into_iter().for_each(|connection| self.note_end(id, connection));
         }
         let mut bytes = Vec::new();
         tap::write_head(&mut bytes, &self.processes, terms)?;
@@ -240,23 +241,23 @@
         Ok(bytes)
     }
 
-    fn note(&mut self, id: NodeId, link: Link, what: What, place: u64, frame: &Bytes) {
+    fn note(&mut self, id: NodeId, connection: ConnectionId, what: What, place: u64, frame: &Bytes) {
         let frame = tap::kept(frame, &self.nodes[id.0].role);
         let process = self.nodes[id.0].process;
-        self.passed.push(Passed { at: self.now, process, link: link.0, what, place, frame });
+        self.passed.push(Passed { at: self.now, process, link: connection.0, what, place, frame });
     }
 
-    fn note_end(&mut self, id: NodeId, link: Link) {
-        let Some(end) = self.ends.get(&(id, link)) else { return };
+    fn note_end(&mut self, id: NodeId, connection: ConnectionId) {
+        let Some(end) = self.ends.get(&(id, connection)) else { return };
         let (counts, met, there) = (counts(end.sent, end.heard), end.met, end.peer.is_some());
-        if link.dialled() && !met && !there {
-            return self.note(id, link, What::Unreached, 0, &Bytes::new());
+        if connection.is_outbound() && !met && !there {
+            return self.note(id, connection, What::Unreached, 0, &Bytes::new());
         }
-        if link.dialled() && !met {
+        if connection.is_outbound() && !met {
             // Ended before it was known to be there: what was sent on it arrives all the same.
-            self.note_met(id, link, What::Met);
+            self.note_met(id, connection, What::Met);
         }
-        self.note(id, link, What::Closed, 0, &counts);
+        self.note(id, connection, What::Closed, 0, &counts);
     }
 
     fn later(&mut self, at: Micros, node: NodeId, life: u32, event: Event) {
@@ -275,77 +276,79 @@
         let Due { node, event, .. } = due;
         self.events += 1;
         match event {
-            Event::Ring(key) => self.call(node, |program, now, out| program.rang(now, key, out)),
-            Event::Accept(link) => {
-                self.note_met(node, link, What::Accepted);
-                self.call(node, |program, now, out| program.accepted(now, link, 0, out));
+            Event::Ring(key) => self.call(node, |program, now, effects| program.on_timer(now, key, effects)),
+            Event::Accept(connection) => {
+                self.note_met(node, connection, What::Accepted);
+                self.call(node, |program, now, effects| program.on_accepted(now, connection, 0, effects));
             }
-            Event::Opened(link) => {
-                self.note_met(node, link, What::Met);
-                self.ends.get_mut(&(node, link)).into_iter().for_each(|end| end.met = true);
-                self.call(node, |program, now, out| program.opened(now, link, out));
+            Event::Opened(connection) => {
+                self.note_met(node, connection, What::Met);
+                self.ends.get_mut(&(node, connection)).into_iter().for_each(|end| end.met = true);
+                self.call(node, |program, now, effects| program.on_connected(now, connection, effects));
             }
-            Event::Frame(link, frame) => {
-                let Some(end) = self.ends.get_mut(&(node, link)).filter(|e| e.open) else { return };
+            Event::Frame(connection, frame) => {
+                let Some(end) = self.ends.get_mut(&(node, connection)).filter(|e| e.open) else { return };
                 if end.hushed || !end.waiting.is_empty() {
                     return end.waiting.push_back(frame);
                 }
-                self.hear(node, link, &frame);
+                self.hear(node, connection, &frame);
             }
-            Event::Drain(link) => loop {
-                let end = self.ends.get_mut(&(node, link)).filter(|e| e.open && !e.hushed);
+            Event::Drain(connection) => loop {
+                let end = self.ends.get_mut(&(node, connection)).filter(|e| e.open && !e.hushed);
                 let Some(frame) = end.and_then(|e| e.waiting.pop_front()) else { return };
-                self.hear(node, link, &frame);
+                self.hear(node, connection, &frame);
             },
-            Event::Lost(link, loss) => {
-                let Some(end) = self.ends.get_mut(&(node, link)).filter(|e| e.open) else { return };
+            Event::Lost(connection, loss) => {
+                let Some(end) = self.ends.get_mut(&(node, connection)).filter(|e| e.open) else { return };
                 end.open = false;
                 match loss {
-                    Loss::Broken => self.note_end(node, link),
-                    Loss::Unreached | Loss::NotDialled => {
-                        self.note(node, link, What::Unreached, 0, &Bytes::new())
+                    DisconnectReason::Reset => self.note_end(node, connection),
+                    DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
+                        self.note(node, connection, What::Unreached, 0, &Bytes::new())
                     }
                 }
-                self.call(node, |program, now, out| program.lost(now, link, loss, out));
+                self.call(node, |program, now, effects| {
+                    program.on_disconnect(now, connection, loss, effects)
+                });
             }
         }
     }
 
-    fn hear(&mut self, node: NodeId, link: Link, frame: &Bytes) {
-        let Some(end) = self.ends.get_mut(&(node, link)) else { return };
+    fn hear(&mut self, node: NodeId, connection: ConnectionId, frame: &Bytes) {
+        let Some(end) = self.ends.get_mut(&(node, connection)) else { return };
         let place = end.heard;
         end.heard += 1;
-        self.note(node, link, What::Heard, place, frame);
-        self.call(node, |program, now, out| program.heard(now, link, frame, out));
+        self.note(node, connection, What::Heard, place, frame);
+        self.call(node, |program, now, effects| program.on_data(now, connection, frame, effects));
     }
 
     /// Both ends' addresses; a node without one gets one from its link, so that pairs stay apart.
-    fn note_met(&mut self, node: NodeId, link: Link, what: What) {
-        let Some((peer, peer_link)) = self.ends.get(&(node, link)).and_then(|e| e.peer) else { return };
-        let dialler = |n: NodeId, link: Link| {
-            let (number, link) = (self.nodes[n.0].process as u16, link.0 as u32);
-            let (n, l) = (number.to_be_bytes(), link.to_be_bytes());
+    fn note_met(&mut self, node: NodeId, connection: ConnectionId, what: What) {
+        let Some((peer, peer_link)) = self.ends.get(&(node, connection)).and_then(|e| e.peer) else { return };
+        let dialler = |n: NodeId, connection: ConnectionId| {
+            let (number, connection) = (self.nodes[n.0].process as u16, connection.0 as u32);
+            let (n, l) = (number.to_be_bytes(), connection.to_be_bytes());
             Bytes::copy_from_slice(&[n[0], n[1], l[0], l[1], l[2], l[3]])
         };
         let listener = |n: NodeId| Bytes::copy_from_slice(&self.nodes[n.0].address.unwrap_or_default());
         let (other, own) = match what {
-            What::Met => (listener(peer), dialler(node, link)),
+            What::Met => (listener(peer), dialler(node, connection)),
             _ => (dialler(peer, peer_link), listener(node)),
         };
-        self.note(node, link, what, 0, &Bytes::from([other, own].concat()));
+        self.note(node, connection, what, 0, &Bytes::from([other, own].concat()));
     }
 
     /// Calls the program at a node and carries out what it asks for.
-    fn call(&mut self, id: NodeId, call: impl FnOnce(&mut dyn Program, Micros, &mut Outbox)) {
+    fn call(&mut self, id: NodeId, call: impl FnOnce(&mut dyn EventHandler, Micros, &mut Effects)) {
         let (now, node) = (self.now, &mut self.nodes[id.0]);
         let Some(mut program) = node.program.take() else { return };
-        let mut out = std::mem::take(&mut node.out);
+        let mut effects = std::mem::take(&mut node.effects);
         let life = node.life;
-        call(program.as_mut(), now, &mut out);
-        program.turn(now, &mut out);
-        let (acts, done) = (out.take(), program.done());
+        call(program.as_mut(), now, &mut effects);
+        program.on_iteration(now, &mut effects);
+        let (acts, done) = (effects.take(), program.is_finished());
         let node = &mut self.nodes[id.0];
-        (node.program, node.out) = (Some(program), out);
+        (node.program, node.effects) = (Some(program), effects);
         for act in acts {
             if self.nodes[id.0].life == life && self.nodes[id.0].program.is_some() {
                 self.carry_out(id, act);
@@ -355,27 +358,27 @@
             let mut open: Vec<_> =
                 self.ends.iter().filter(|((n, _), e)| *n == id && e.open).map(|((_, l), _)| *l).collect();
             open.sort_unstable();
-            for link in open {
-                self.note_end(id, link);
-                self.sever(id, link);
+            for connection in open {
+                self.note_end(id, connection);
+                self.sever(id, connection);
             }
-            self.note(id, Link(0), What::Left, 0, &Bytes::new());
+            self.note(id, ConnectionId(0), What::Left, 0, &Bytes::new());
             self.nodes[id.0].program = None;
         }
     }
 
-    fn carry_out(&mut self, id: NodeId, act: Act) {
+    fn carry_out(&mut self, id: NodeId, act: Effect) {
         let life = self.nodes[id.0].life;
         match act {
-            Act::Dial { link, to, within } => self.dial(id, link, to, within),
-            Act::Send { link, frame } => {
+            Effect::Connect { connection, to, timeout: within } => self.dial(id, connection, to, within),
+            Effect::Send { connection, frame } => {
                 let now = self.now;
-                let Some(end) = self.ends.get_mut(&(id, link)).filter(|e| e.open) else { return };
+                let Some(end) = self.ends.get_mut(&(id, connection)).filter(|e| e.open) else { return };
                 let place = end.sent;
                 end.sent += 1;
                 end.last = end.last.max(now + self.delay);
                 let (at, peer) = (end.last, end.peer);
-                self.note(id, link, What::Sent, place, &frame);
+                self.note(id, connection, What::Sent, place, &frame);
                 if let Some((node, peer_link)) = peer {
                     if !self.nodes[id.0].dark && !self.nodes[node.0].dark {
                         let life = self.ends.get(&(node, peer_link)).map_or(0, |e| e.life);
@@ -384,31 +387,36 @@
                 }
             }
             // Here all that was sent is under way at once, so both ends are the same.
-            Act::Close { link, .. } | Act::Cut { link } | Act::Reset { link } => {
-                if self.ends.get(&(id, link)).is_some_and(|e| e.open) {
-                    self.note_end(id, link);
-                    self.sever(id, link);
+            Effect::Close { connection, .. }
+            | Effect::Abort { connection }
+            | Effect::Reset { connection } => {
+                if self.ends.get(&(id, connection)).is_some_and(|e| e.open) {
+                    self.note_end(id, connection);
+                    self.sever(id, connection);
                 }
             }
             // Relays run as processes only.
             // Nobody in a world has a record or hears datagrams.
-            Act::Door { .. } | Act::Joined { .. } | Act::Datagram { .. } | Act::Note { .. } => {}
-            Act::Ring { at, key } => self.later(at.max(self.now), id, life, Event::Ring(key)),
-            Act::Hush { link, hush } => {
-                let Some(end) = self.ends.get_mut(&(id, link)) else { return };
+            Effect::SetListenerState { .. }
+            | Effect::Joined { .. }
+            | Effect::Datagram { .. }
+            | Effect::AnnotateCapture { .. } => {}
+            Effect::SetTimer { at, key } => self.later(at.max(self.now), id, life, Event::Ring(key)),
+            Effect::PauseReading { connection, paused: hush } => {
+                let Some(end) = self.ends.get_mut(&(id, connection)) else { return };
                 end.hushed = hush;
                 if !hush {
-                    self.later(self.now, id, life, Event::Drain(link));
+                    self.later(self.now, id, life, Event::Drain(connection));
                 }
             }
-            Act::Keep { bytes } => self.nodes[id.0].kept = Some(bytes),
-            Act::Publish { .. } => {}
-            Act::Vanish => self.kill(id),
+            Effect::Persist { bytes } => self.nodes[id.0].kept = Some(bytes),
+            Effect::Publish { .. } => {}
+            Effect::Crash => self.kill(id),
         }
     }
 
-    fn dial(&mut self, id: NodeId, link: Link, to: Address, within: Micros) {
-        self.note(id, link, What::Dialled, 0, &Bytes::copy_from_slice(&to));
+    fn dial(&mut self, id: NodeId, connection: ConnectionId, to: Address, within: Micros) {
+        self.note(id, connection, What::Dialled, 0, &Bytes::copy_from_slice(&to));
         let there = self.listens.get(&to).copied();
         let dark = |n: NodeId| self.nodes[n.0].dark;
         let life = self.nodes[id.0].life;
@@ -430,28 +438,33 @@
             _ => Some(self.delay.min(within)),
         };
         if let Some(after) = lost {
-            self.ends.insert((id, link), end(life, None));
-            return self.later(self.now + after, id, life, Event::Lost(link, Loss::Unreached));
+            self.ends.insert((id, connection), end(life, None));
+            return self.later(
+                self.now + after,
+                id,
+                life,
+                Event::Lost(connection, DisconnectReason::ConnectFailed),
+            );
         }
         let Some(node) = there else { return };
         let place = &mut self.nodes[node.0];
-        let peer_link = Link(place.accepted);
+        let peer_link = ConnectionId(place.accepted);
         place.accepted += 1;
         let peer_life = place.life;
-        self.ends.insert((node, peer_link), end(peer_life, Some((id, link))));
-        self.ends.insert((id, link), end(life, Some((node, peer_link))));
+        self.ends.insert((node, peer_link), end(peer_life, Some((id, connection))));
+        self.ends.insert((id, connection), end(life, Some((node, peer_link))));
         self.later(self.now + self.delay, node, peer_life, Event::Accept(peer_link));
-        self.later(self.now + 2 * self.delay, id, life, Event::Opened(link));
+        self.later(self.now + 2 * self.delay, id, life, Event::Opened(connection));
     }
 
     /// One end of a connection is gone; the other finds out after all that was sent before.
-    fn sever(&mut self, id: NodeId, link: Link) {
-        let Some(end) = self.ends.get_mut(&(id, link)).filter(|e| e.open) else { return };
+    fn sever(&mut self, id: NodeId, connection: ConnectionId) {
+        let Some(end) = self.ends.get_mut(&(id, connection)).filter(|e| e.open) else { return };
         end.open = false;
         let at = end.last.max(self.now + self.delay);
         if let Some((node, peer_link)) = end.peer {
             let life = self.ends.get(&(node, peer_link)).map_or(0, |e| e.life);
-            self.later(at, node, life, Event::Lost(peer_link, Loss::Broken));
+            self.later(at, node, life, Event::Lost(peer_link, DisconnectReason::Reset));
         }
     }
 }
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
 use crate::customer::{Customer, Effect};
@@ -42,7 +42,7 @@
 }
 
 /// One router's connection to a worker.
-pub type Connection = (usize, Link);
+pub type Connection = (usize, ConnectionId);
 
 struct Attempt {
     worker: usize,
--- a/crates/test-support/src/judge.rs
+++ b/crates/test-support/src/judge.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use tideroute::rng::Rng;
-use tideroute_wire::link::Link;
+use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
 use crate::checker::{Break, Checker};
@@ -24,8 +24,8 @@
 }
 
 impl On {
-    fn connection(self) -> (usize, Link) {
-        (self.worker, Link(self.number))
+    fn connection(self) -> (usize, ConnectionId) {
+        (self.worker, ConnectionId(self.number))
     }
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! Each side of a conversation has a module with a trait, whose calls are what that side may hear, a function
 //! `hear` that takes one frame apart and makes the one call, and one function for each message that it may
-//! say. Messages have no types outside this package. [`frame`] cuts a stream of bytes into frames, [`link`] is
+//! say. Messages have no types outside this package. [`frame`] cuts a stream of bytes into frames, [`event_loop`] is
 //! what a program sees of its connections, whichever loop drives it, and [`tap`] the record of what passed.
 
 pub mod client;
+pub mod event_loop;
 pub mod fetch;
 pub mod fleet;
 pub mod frame;
-pub mod link;
 pub mod list;
 pub mod tap;
 pub mod tenant;
