--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -129,10 +129,10 @@
     pub(crate) fn client_gone(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if let Some(id) = self.clients.lose(connection) {
             if let Some(s) = self.lifecycle.requests.get(id) {
-                story::tell(id, &s.asked.trace, State::ClientLeft);
+                story::tell(id, &s.context.trace, State::ClientLeft);
             }
             let (lifecycle, mut exit) = self.parts(now, effects);
-            lifecycle.dropped(now, id, &mut exit);
+            lifecycle.client_disconnected(now, id, &mut exit);
         }
     }
 
@@ -247,21 +247,22 @@
             self.refuse(connection, Refusal(409, "a request with this x-trace-id is open"), effects);
             return false;
         }
-        if let Some((why, after)) = self.lifecycle.untaken(false) {
+        if let Some((why, after)) = self.lifecycle.rejection(false) {
             self.parts(now, effects).1.say(connection, 503, after, why);
             return true;
         }
-        let left = self.lifecycle.left(ask.left).saturating_sub(self.terms.travel);
+        let left = self.lifecycle.remaining_time(ask.left).saturating_sub(self.terms.travel);
         let tokens = ask.prompt_tokens(body.len());
         let (trace, target, fields) = (ask.trace.clone(), ask.target, ask.fields);
         let asked = Asked { client: connection, trace: ask.trace, target, fields, body };
-        let s = RequestState::new(asked, ask.class, (ask.session, ask.prefix), tokens).waits(now, left);
-        let id = self.lifecycle.requests.coming();
+        let s =
+            RequestState::new(asked, ask.class, (ask.session, ask.prefix), tokens).with_deadline(now, left);
+        let id = self.lifecycle.requests.next_id();
         story::tell(id, &trace, State::Taken);
         tracing::debug!(id, connection = connection.0, "takes a request");
         self.clients.asked(connection, trace, id);
         let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.submitted(now, s, None, &mut exit);
+        lifecycle.accept(now, s, None, &mut exit);
         false
     }
 
@@ -275,7 +276,7 @@
     ) {
         counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
         tracing::debug!(connection = connection.0, status, why, "refuses a request");
-        let after = if status == 503 { self.lifecycle.advice() } else { 0 };
+        let after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
         effects.send(connection, said(status, after, why, true));
         self.clients.lose(connection);
         effects.close(connection, why);
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/exit.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tideroute::types::{AttemptOutcome, Idempotency, RequestId, WorkerId};
 use tideroute_http::write;
-use tideroute_invariants::{AnswerPermit, AttemptPermit, ClosePermit, PlacePermit};
+use tideroute_invariants::{AttemptPermit, ClosePermit, ReservationPermit, ResponsePermit};
 use tideroute_lifecycle::{Attempt, RequestState, Response, Timer, Transport};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
@@ -93,9 +93,10 @@
     /// An attempt leaves on its connection, which is up: it tells how long its client waits from now.
     pub fn attempt(&mut self, connection: ConnectionId, s: &RequestState<Asked>, _permit: AttemptPermit) {
         let left = (s.deadline.saturating_sub(self.now) / 1_000).to_string();
-        let fields = s.asked.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
+        let fields = s.context.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
         let fields = fields.chain([(words::LEFT, left.as_str())]);
-        self.effects.send(connection, write::request("POST", &s.asked.target, fields, Some(&s.asked.body)));
+        self.effects
+            .send(connection, write::request("POST", &s.context.target, fields, Some(&s.context.body)));
     }
 
     /// Whether a shot's last byte has left; of one whose connection is not known nothing shows that it has not.
@@ -123,9 +124,9 @@
 }
 
 impl Transport for Exit<'_> {
-    type Asked = Asked;
+    type Context = Asked;
 
-    fn shoot(
+    fn dispatch(
         &mut self,
         id: RequestId,
         s: &RequestState<Asked>,
@@ -133,19 +134,19 @@
         _left: Micros,
         permit: AttemptPermit,
     ) {
-        if !attempt.reading {
+        if !attempt.is_prefill {
             // A place comes too late now.
             let (held, mut context) = self.held();
             held.unasked(id, &mut context);
         }
-        let class = self.terms.lifecycle.module.classes.get(usize::from(s.class));
-        let once = !attempt.reading && class.is_some_and(|t| t.idempotency == Idempotency::NonIdempotent);
-        let job = Job::Attempt { id, number: attempt.number, reading: attempt.reading, once };
+        let class = self.terms.lifecycle.scheduler.classes.get(usize::from(s.class));
+        let once = !attempt.is_prefill && class.is_some_and(|t| t.idempotency == Idempotency::NonIdempotent);
+        let job = Job::Attempt { id, number: attempt.number, reading: attempt.is_prefill, once };
         let Some(connection) = self.pools.begin(self.now, attempt.worker, job, self.effects) else {
             return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
         };
         if let Some(conn) = self.pools.get_mut(connection) {
-            story::tell(id, &s.asked.trace, State::AttemptChosen(attempt.number, conn.to));
+            story::tell(id, &s.context.trace, State::AttemptChosen(attempt.number, conn.to));
         }
         if self.pools.attempt_is_connected(id) {
             self.attempt(connection, s, permit);
@@ -154,13 +155,13 @@
         }
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         id: RequestId,
         s: &RequestState<Asked>,
         at: WorkerId,
         _reader: WorkerId,
-        _permit: PlacePermit,
+        _permit: ReservationPermit,
     ) {
         let Some(conn) =
             self.pools.attempt_connection(id).and_then(|connection| self.pools.get_mut(connection))
@@ -168,16 +169,16 @@
             return;
         };
         if conn.written {
-            self.place(id, &s.asked.trace, at);
+            self.place(id, &s.context.trace, at);
         } else {
             conn.place = Some(at);
         }
     }
 
     /// A new place or a shot elsewhere takes the old place's turn by itself; a word here would free the state too.
-    fn unplace(&mut self, _id: RequestId, _at: WorkerId, _tell: bool) {}
+    fn cancel_reservation(&mut self, _id: RequestId, _at: WorkerId, _tell: bool) {}
 
-    fn let_go(
+    fn release(
         &mut self,
         id: RequestId,
         _s: &RequestState<Asked>,
@@ -189,19 +190,19 @@
         held.let_go(id, at, &mut context);
     }
 
-    fn withdraw(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
+    fn cancel(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
         let Some(connection) = self.pools.attempt_connection(id) else { return true };
         let left = self.has_left(connection);
         self.pools.end(connection, self.effects);
         !left
     }
 
-    fn recall(&mut self, id: RequestId, attempt: &Attempt) -> bool {
+    fn cancel_if_unsent(&mut self, id: RequestId, attempt: &Attempt) -> bool {
         let left = self.pools.attempt_connection(id).is_some_and(|connection| self.has_left(connection));
-        !left && self.withdraw(id, attempt)
+        !left && self.cancel(id, attempt)
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         id: RequestId,
         s: &RequestState<Asked>,
@@ -209,12 +210,12 @@
         outcome: AttemptOutcome,
     ) {
         let sent = self.pools.over(id).unwrap_or(self.now);
-        let trace = &s.asked.trace;
+        let trace = &s.context.trace;
         story::tell(id, trace, State::AttemptEnded(attempt.number, outcome));
         let (held, mut context) = self.held();
-        let failed = outcome != AttemptOutcome::Completed && !attempt.started;
+        let failed = outcome != AttemptOutcome::Completed && !attempt.streaming;
         // One that was sent with no state waiting for it has read the prompt itself.
-        let read = attempt.reading || s.state.is_none();
+        let read = attempt.is_prefill || s.state_holder.is_none();
         if outcome == AttemptOutcome::PrefillComplete {
             held.read(id, trace, attempt.worker, &mut context);
         } else if failed && read && !outcome.never_ran() {
@@ -225,11 +226,11 @@
                 AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
             );
             let reached = !matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent);
-            held.stays(id, trace, (s.state, reached, spoke), &mut context);
+            held.stays(id, trace, (s.state_holder, reached, spoke), &mut context);
         }
         let ended_by = match outcome {
             AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => Some(EndedBy::ThisSide),
-            AttemptOutcome::ConnectionReset if !attempt.started => Some(EndedBy::Reset),
+            AttemptOutcome::ConnectionReset if !attempt.streaming => Some(EndedBy::Reset),
             _ => None,
         };
         if let Some(by) = ended_by {
@@ -237,14 +238,14 @@
         }
     }
 
-    fn closed(&mut self, id: RequestId, _permit: ClosePermit) {
+    fn request_closed(&mut self, id: RequestId, _permit: ClosePermit) {
         let (held, mut context) = self.held();
         held.over(id, &mut context);
     }
 
-    fn answer(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: AnswerPermit) {
-        let connection = s.asked.client;
-        story::tell(id, &s.asked.trace, State::Answered(answer));
+    fn respond(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: ResponsePermit) {
+        let connection = s.context.client;
+        story::tell(id, &s.context.trace, State::Answered(answer));
         let Some(streams) = self.clients.streams(connection, id) else { return };
         match answer {
             Response::Completed(_) => {
@@ -263,22 +264,22 @@
         }
     }
 
-    fn probe(&mut self, nonce: u64, at: WorkerId) {
+    fn check_health(&mut self, nonce: u64, at: WorkerId) {
         let path = if self.terms.report.is_some() { words::LOAD } else { words::ALIVE };
         let bytes = write::request("GET", path, [("host", "worker")], None);
         self.pools.call(self.now, at, Job::Probe { nonce }, bytes, self.effects);
     }
 
-    fn probed(&mut self, at: WorkerId) {
+    fn health_check_finished(&mut self, at: WorkerId) {
         self.pools.end_probe(at, self.effects);
     }
 
     /// Changes come by themselves once the watch is open, which it is whenever it can be.
-    fn subscribe(&mut self, version: u64) {
+    fn watch_endpoints(&mut self, version: u64) {
         self.watch.begin(self.now, self.terms.discovery, version, self.effects);
     }
 
-    fn ring(&mut self, at: Micros, timer: Timer) {
+    fn set_timer(&mut self, at: Micros, timer: Timer) {
         self.effects.set_timer(at, key(Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -64,7 +64,7 @@
                 self.dial / 1_000
             ));
         }
-        for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.module.classes) {
+        for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.scheduler.classes) {
             if matches!(class.idempotency, Idempotency::IdempotentWithKey { window: 0, .. }) {
                 found.push(format!(
                     "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never repeated",
@@ -123,13 +123,13 @@
     }
     let lifecycle = LifecycleConfig {
         name,
-        module,
+        scheduler: module,
         classes,
-        unheard: dial,
-        most_open: rooms.open,
+        connect_timeout: dial,
+        max_open_requests: rooms.open,
         tenants: None,
-        part: 1.0,
-        longest_wait: 0,
+        limits_share: 1.0,
+        max_admission_wait: 0,
         seed,
     };
     let [a, b, c, d, high, low] = listen;
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/program.rs
@@ -60,10 +60,10 @@
 
 pub(crate) fn key(ring: Ring) -> u64 {
     let (kind, what) = match ring {
-        Ring::RequestLifecycle(Timer::Wake) => (0, 0),
-        Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
-        Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
-        Ring::RequestLifecycle(Timer::Shares) => (3, 0),
+        Ring::RequestLifecycle(Timer::SchedulerWake) => (0, 0),
+        Ring::RequestLifecycle(Timer::Deadline(id)) => (1, short(id)),
+        Ring::RequestLifecycle(Timer::HealthCheck(nonce)) => (2, nonce),
+        Ring::RequestLifecycle(Timer::Admission) => (3, 0),
         Ring::Client(connection) => (4, connection.number()),
         Ring::Worker(connection) => (5, connection.number()),
         Ring::Held(id) => (6, id),
@@ -154,14 +154,14 @@
         effects: &mut Effects,
     ) {
         let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.settle(now, id, number, outcome, &mut exit);
+        lifecycle.finish_attempt(now, id, number, outcome, &mut exit);
     }
 
     /// Takes a page of the list.
     fn hear_list(&mut self, now: Micros, line: &[u8], effects: &mut Effects) -> Result<(), list::Unreadable> {
         let names = self.terms.names.clone();
         list::hear_line(line, &names, &mut Page { platform: self, now, effects })?;
-        self.lifecycle.page_over(now);
+        self.lifecycle.finish_endpoint_update(now);
         for connection in self.pools.under_way_to_none() {
             self.worker_ends(now, connection, effects);
         }
@@ -198,9 +198,9 @@
             let names = self.terms.names.clone();
             // It was read once when the file was.
             let _ = list::hear(&known, &names, &mut Page { platform: self, now, effects });
-            self.lifecycle.page_over(now);
+            self.lifecycle.finish_endpoint_update(now);
         }
-        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.endpoint_list_version(), effects);
         self.tell_belief(now, effects);
         self.on_iteration(now, effects);
     }
@@ -215,13 +215,13 @@
         conn.up = true;
         let leaves_by = conn.leaves_by;
         let Some(job @ Job::Attempt { id, number, .. }) = conn.job else { return };
-        if now > leaves_by || !self.lifecycle.requests.get(id).is_some_and(|s| s.attempt_is(number)) {
+        if now > leaves_by || !self.lifecycle.requests.get(id).is_some_and(|s| s.is_current_attempt(number)) {
             // Guards against a loop that comes to it late, and an attempt that nobody waits for.
             self.pools.end(connection, effects);
             return self.came_to_nothing(now, connection, job, AttemptOutcome::Unreachable, effects);
         }
         let (lifecycle, mut exit) = self.parts(now, effects);
-        let permit = lifecycle.permit_bytes(now, id, number);
+        let permit = lifecycle.permit_transmission(now, id, number);
         let leaves = permit.and_then(|permit| Some((permit, lifecycle.requests.get(id)?)));
         let Some((permit, s)) = leaves else {
             self.pools.end(connection, effects);
@@ -248,7 +248,7 @@
                         return self.watch.end(now, effects);
                     }
                 }
-                self.lifecycle.list_heard(now);
+                self.lifecycle.discovery_synced(now);
             }
             Err(problem) => {
                 tracing::warn!(%problem, "discovery's answer cannot be read; the watch is opened anew");
@@ -265,7 +265,7 @@
             conn.patience.set(Micros::MAX, key(Ring::Worker(connection)), effects);
         }
         let Some(Job::Attempt { id, number, .. }) = job else { return };
-        let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.asked.trace.clone()) else { return };
+        let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.context.trace.clone()) else { return };
         story::tell(id, &trace, State::AttemptWritten(number, to));
         if let Some(at) = place {
             self.parts(now, effects).1.place(id, &trace, at);
@@ -315,39 +315,44 @@
         self.now = now;
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
-            0 => Timer::Wake,
-            1 => Timer::CutOff(self.lifecycle.requests.long(what)),
-            2 => Timer::Probe(what),
-            3 => Timer::Shares,
+            0 => Timer::SchedulerWake,
+            1 => Timer::Deadline(self.lifecycle.requests.expand_id(what)),
+            2 => Timer::HealthCheck(what),
+            3 => Timer::Admission,
             4 => return self.client_rang(now, ConnectionId(what), effects),
             5 => return self.worker_rang(now, ConnectionId::outbound(what), effects),
             6 => {
-                let id = self.lifecycle.requests.long(what);
+                let id = self.lifecycle.requests.expand_id(what);
                 let (held, mut context) = self.held(now, effects);
                 return held.rang(id, &mut context);
             }
             7 => {
                 if self.watch.rang(now, effects) {
-                    self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
+                    self.watch.begin(
+                        now,
+                        self.terms.discovery,
+                        self.lifecycle.endpoint_list_version(),
+                        effects,
+                    );
                 }
                 return;
             }
             8 => {
                 self.grace_over = true;
-                return self.lifecycle.stop();
+                return self.lifecycle.shut_down();
             }
             9 => return self.tell_belief(now, effects),
             // The turn that follows looks after it.
             _ => return,
         };
         let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.rang(now, timer, &mut exit);
+        lifecycle.timer_fired(now, timer, &mut exit);
     }
 
     fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
         loop {
             let (lifecycle, mut exit) = self.parts(now, effects);
-            lifecycle.turn(now, &mut exit);
+            lifecycle.run_scheduling_pass(now, &mut exit);
             let outcomes = std::mem::take(&mut self.later.outcomes);
             let answered = std::mem::take(&mut self.later.answered);
             if outcomes.is_empty() && answered.is_empty() {
@@ -379,12 +384,12 @@
         tracing::info!("the configuration was read again");
         (self.terms.discovery, self.terms.travel) = (fresh.discovery, fresh.travel);
         self.watch.end(now, effects);
-        self.watch.begin(now, self.terms.discovery, self.lifecycle.version(), effects);
+        self.watch.begin(now, self.terms.discovery, self.lifecycle.endpoint_list_version(), effects);
         true
     }
 
     fn on_loop_lag(&mut self, now: Micros, by: Micros) {
-        self.lifecycle.late(now, by);
+        self.lifecycle.record_loop_lag(now, by);
     }
 
     fn on_shutdown(&mut self, now: Micros, effects: &mut Effects) {
@@ -425,7 +430,7 @@
     /// heard again once they are newer too; only if that lasts has its count begun anew.
     fn page(&mut self, version: u64, whole: bool) -> bool {
         let (p, now) = (&mut *self.platform, self.now);
-        if p.told && version < p.lifecycle.version() {
+        if p.told && version < p.lifecycle.endpoint_list_version() {
             let since = *p.stale.get_or_insert(now);
             if !whole || now < since + STALE {
                 tracing::debug!(version, whole, "an old list is passed over");
@@ -438,7 +443,7 @@
             let gone: Vec<_> = p.pools.workers().collect();
             gone.into_iter().for_each(|w| p.pools.unlist(w));
         }
-        p.lifecycle.page(now, version, whole);
+        p.lifecycle.begin_endpoint_update(now, version, whole);
         true
     }
 
@@ -446,11 +451,11 @@
         let p = &mut *self.platform;
         if endpoint.status == EndpointStatus::Removed {
             p.pools.gone(endpoint.worker, self.effects);
-            return p.lifecycle.gone(self.now, endpoint.worker);
+            return p.lifecycle.endpoint_removed(self.now, endpoint.worker);
         }
-        let process = p.lifecycle.entry(self.now, endpoint);
+        let process = p.lifecycle.endpoint_updated(self.now, endpoint);
         let takes = endpoint.status == EndpointStatus::Serving;
-        for connection in p.pools.listed(endpoint.worker, at, process.replaces_until, takes) {
+        for connection in p.pools.listed(endpoint.worker, at, process.replaced_before, takes) {
             p.worker_ends(self.now, connection, self.effects);
         }
     }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/program/workers.rs
@@ -65,13 +65,13 @@
         let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
         conn.patience.set(now + SILENCE, key(Ring::Worker(connection)), effects);
         let Some(s) = self.lifecycle.requests.get(id) else { return true };
-        if s.over {
+        if s.finished {
             // Nobody reads it: it ends like a stream whose client goes.
             self.pools.end(connection, effects);
             self.settle(now, id, number, AttemptOutcome::Cancelled, effects);
             return true;
         }
-        let client = s.asked.client;
+        let client = s.context.client;
         if conn.streams {
             effects.send(client, write::chunk(&piece));
             return true;
@@ -92,16 +92,16 @@
         effects.send(client, write::chunk(&first));
         self.clients.begin(client);
         let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.started(now, id, &mut exit);
+        lifecycle.response_started(now, id, &mut exit);
         if let Some(s) = lifecycle.requests.get(id) {
-            story::tell(id, &s.asked.trace, State::Began);
+            story::tell(id, &s.context.trace, State::Began);
         }
         let mut context = Context { now, pools: exit.pools, effects: exit.effects };
         exit.held.taken(id, &mut context);
         if let Some(s) = lifecycle.requests.get_mut(id) {
             // No other shot will need it.
-            s.asked.body = Bytes::new();
-            s.asked.fields = vec![];
+            s.context.body = Bytes::new();
+            s.context.fields = vec![];
         }
         true
     }
@@ -138,13 +138,13 @@
                     // With 204 too, though nobody there knows of a read.
                     _ => Place::Unknown,
                 };
-                let asked = self.lifecycle.requests.get(id).and_then(|s| s.places.last());
+                let asked = self.lifecycle.requests.get(id).and_then(|s| s.reservations.last());
                 let reading = asked == Some(&worker) && self.pools.reads(id);
                 let (held, mut context) = self.held(now, effects);
                 held.answered(id, connection, (place, reading), &mut context);
                 if matches!(place, Place::Held | Place::Refused) {
                     let (lifecycle, mut exit) = self.parts(now, effects);
-                    lifecycle.held(now, id, worker, place == Place::Held, &mut exit);
+                    lifecycle.reservation_answered(now, id, worker, place == Place::Held, &mut exit);
                 }
             }
             Job::Release { id } => {
@@ -159,8 +159,8 @@
                 let column = self.terms.report.as_ref();
                 let amount = column.and_then(|c| c.amount(words::reported(&report, &c.name)?));
                 let (lifecycle, mut exit) = self.parts(now, effects);
-                amount.into_iter().for_each(|amount| lifecycle.told(now, nonce, amount));
-                lifecycle.probed(now, nonce, status == 200, &mut exit);
+                amount.into_iter().for_each(|amount| lifecycle.load_reported(now, nonce, amount));
+                lifecycle.health_check_finished(now, nonce, status == 200, &mut exit);
             }
         }
     }
@@ -199,7 +199,7 @@
             Job::Liveness { .. } => {}
             Job::Probe { nonce } => {
                 let (lifecycle, mut exit) = self.parts(now, effects);
-                lifecycle.probed(now, nonce, false, &mut exit);
+                lifecycle.health_check_finished(now, nonce, false, &mut exit);
             }
         }
     }
@@ -298,10 +298,10 @@
     /// of the writer, which is asked for the place again.
     pub(super) fn ask_for_signs(&mut self, now: Micros, effects: &mut Effects) {
         for (id, trace) in self.held.unsure() {
-            let place = self.lifecycle.requests.get(id).and_then(|s| s.places.last().copied());
+            let place = self.lifecycle.requests.get(id).and_then(|s| s.reservations.last().copied());
             let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
             let (_, mut exit) = self.parts(now, effects);
-            if exit.terms.lifecycle.module.health_checks_enabled {
+            if exit.terms.lifecycle.scheduler.health_checks_enabled {
                 exit.ask_for_sign(id, reader);
             } else {
                 exit.place(id, &trace, place);
@@ -312,8 +312,9 @@
     /// What a read that ended badly may have left is released at once where no attempt follows it.
     pub(super) fn clean_up(&mut self, now: Micros, effects: &mut Effects) {
         for id in self.held.doubtful() {
-            let wanted =
-                |s: &tideroute_lifecycle::RequestState<Asked>| s.attempt.is_some() || s.state.is_some();
+            let wanted = |s: &tideroute_lifecycle::RequestState<Asked>| {
+                s.attempt.is_some() || s.state_holder.is_some()
+            };
             if !self.lifecycle.requests.get(id).is_some_and(wanted) {
                 let (held, mut context) = self.held(now, effects);
                 held.unwanted(id, &mut context);
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -36,34 +36,38 @@
 /// Why something may not be done.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Reason {
-    AfterFinalAnswer,
-    AfterClientLeft,
+    AfterFinalResponse,
+    AfterClientDisconnected,
     AfterDeadline,
     AfterStreamBegan,
-    SecondFinalAnswer,
-    AnotherAttemptIsOut,
+    SecondFinalResponse,
+    AnotherAttemptInFlight,
     EarlierAttemptMayHaveRun,
-    OutsideRepeatWindow,
-    OutsideRepeatGroup,
-    RefusedAfterItMayHaveRun,
-    WorkerDrains,
-    WorkerIsNotListed,
-    ClosedWithAttemptOut,
-    ClosedWhileHolding,
+    OutsideDeduplicationWindow,
+    OutsideDeduplicationScope,
+    RejectedAfterPossibleExecution,
+    WorkerDraining,
+    WorkerNotListed,
+    ClosedWithAttemptInFlight,
+    ClosedWithReservedState,
 }
 
 impl Reason {
     pub fn rule(self) -> Rule {
         use Reason::*;
         match self {
-            AfterFinalAnswer | AfterClientLeft | AfterDeadline | AfterStreamBegan | SecondFinalAnswer
-            | ClosedWithAttemptOut => Rule::Lost,
-            AnotherAttemptIsOut
+            AfterFinalResponse
+            | AfterClientDisconnected
+            | AfterDeadline
+            | AfterStreamBegan
+            | SecondFinalResponse
+            | ClosedWithAttemptInFlight => Rule::Lost,
+            AnotherAttemptInFlight
             | EarlierAttemptMayHaveRun
-            | OutsideRepeatWindow
-            | OutsideRepeatGroup
-            | RefusedAfterItMayHaveRun => Rule::Duplicate,
-            WorkerDrains | WorkerIsNotListed => Rule::Drain,
+            | OutsideDeduplicationWindow
+            | OutsideDeduplicationScope
+            | RejectedAfterPossibleExecution => Rule::Duplicate,
+            WorkerDraining | WorkerNotListed => Rule::Drain,
             ClosedWhileHolding => Rule::Pinned,
         }
     }
@@ -107,11 +111,11 @@
 
 /// A place may be asked for.
 #[derive(PartialEq, Eq, Debug)]
-pub struct PlacePermit(());
+pub struct ReservationPermit(());
 
 /// The final answer may be given.
 #[derive(PartialEq, Eq, Debug)]
-pub struct AnswerPermit(());
+pub struct ResponsePermit(());
 
 /// The request may be forgotten.
 #[derive(PartialEq, Eq, Debug)]
@@ -119,11 +123,11 @@
 
 /// A kind of final answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum FinalAnswer {
+pub enum FinalResponse {
     /// A worker's answer, whole.
-    Served,
+    Completed,
     /// Trying again is harmless.
-    Refused,
+    Rejected,
     /// No promise.
     Failed,
 }
@@ -169,8 +173,8 @@
     fn permit_new(&self, now: TenthMillis) -> Result<(), Violation> {
         let reason = match self.phase {
             Phase::Streaming => Reason::AfterStreamBegan,
-            Phase::Answered => Reason::AfterFinalAnswer,
-            Phase::ClientLeft => Reason::AfterClientLeft,
+            Phase::Answered => Reason::AfterFinalResponse,
+            Phase::ClientLeft => Reason::AfterClientDisconnected,
             Phase::Open if now >= self.deadline => Reason::AfterDeadline,
             Phase::Open => return Ok(()),
         };
@@ -182,9 +186,9 @@
         match to {
             Some(endpoint) if endpoint.status == EndpointStatus::Serving => Ok(endpoint),
             Some(endpoint) if endpoint.status == EndpointStatus::Draining => {
-                Err(Violation { reason: Reason::WorkerDrains })
+                Err(Violation { reason: Reason::WorkerDraining })
             }
-            _ => Err(Violation { reason: Reason::WorkerIsNotListed }),
+            _ => Err(Violation { reason: Reason::WorkerNotListed }),
         }
     }
 
@@ -199,7 +203,7 @@
         self.permit_new(now)?;
         let to = *RequestRecord::permit_worker(to)?;
         if self.out.is_some() {
-            return Err(Violation { reason: Reason::AnotherAttemptIsOut });
+            return Err(Violation { reason: Reason::AnotherAttemptInFlight });
         }
         if writes {
             self.permit_repeat(now, &to)?;
@@ -215,10 +219,10 @@
             Idempotency::Idempotent => return Ok(()),
             Idempotency::NonIdempotent => Reason::EarlierAttemptMayHaveRun,
             Idempotency::IdempotentWithKey { .. } if !self.repeat.allows_retry_after(now - first) => {
-                Reason::OutsideRepeatWindow
+                Reason::OutsideDeduplicationWindow
             }
             Idempotency::IdempotentWithKey { .. } if !self.repeat.deduplicates_at(self.ran, to) => {
-                Reason::OutsideRepeatGroup
+                Reason::OutsideDeduplicationScope
             }
             Idempotency::IdempotentWithKey { .. } => return Ok(()),
         };
@@ -226,23 +230,27 @@
     }
 
     /// Asks whether the attempt that is out may leave now: its connection was not there before.
-    pub fn permit_bytes(&self, now: TenthMillis, number: u16) -> Result<AttemptPermit, Violation> {
+    pub fn permit_transmission(&self, now: TenthMillis, number: u16) -> Result<AttemptPermit, Violation> {
         self.permit_new(now)?;
         if self.out.is_none_or(|out| out.number != number) {
-            return Err(Violation { reason: Reason::AnotherAttemptIsOut });
+            return Err(Violation { reason: Reason::AnotherAttemptInFlight });
         }
         Ok(AttemptPermit(()))
     }
 
     /// Asks whether a place may be asked for at a worker.
-    pub fn permit_place(&self, now: TenthMillis, at: Option<&Endpoint>) -> Result<PlacePermit, Violation> {
+    pub fn permit_reservation(
+        &self,
+        now: TenthMillis,
+        at: Option<&Endpoint>,
+    ) -> Result<ReservationPermit, Violation> {
         self.permit_new(now)?;
         RequestRecord::permit_worker(at)?;
-        Ok(PlacePermit(()))
+        Ok(ReservationPermit(()))
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(&mut self, number: u16, outcome: AttemptOutcome) {
+    pub fn attempt_finished(&mut self, number: u16, outcome: AttemptOutcome) {
         let Some(out) = self.out.take_if(|out| out.number == number) else { return };
         if out.writes && !outcome.never_ran() {
             self.ran.get_or_insert((out.sent, out.to));
@@ -250,22 +258,24 @@
     }
 
     /// The answer has begun to go to the client.
-    pub fn began(&mut self) {
+    pub fn response_started(&mut self) {
         if self.phase == Phase::Open {
             self.phase = Phase::Streaming;
         }
     }
 
     /// Asks whether the request may be given its final answer.
-    pub fn permit_answer(&mut self, answer: FinalAnswer) -> Result<AnswerPermit, Violation> {
+    pub fn permit_response(&mut self, answer: FinalResponse) -> Result<ResponsePermit, Violation> {
         let reason = match (self.phase, answer) {
-            (Phase::Answered, _) => Reason::SecondFinalAnswer,
-            (Phase::ClientLeft, _) => Reason::AfterClientLeft,
-            (Phase::Streaming, FinalAnswer::Refused) => Reason::RefusedAfterItMayHaveRun,
-            (_, FinalAnswer::Refused) if self.may_not_be_refused() => Reason::RefusedAfterItMayHaveRun,
+            (Phase::Answered, _) => Reason::SecondFinalResponse,
+            (Phase::ClientLeft, _) => Reason::AfterClientDisconnected,
+            (Phase::Streaming, FinalResponse::Rejected) => Reason::RejectedAfterPossibleExecution,
+            (_, FinalResponse::Rejected) if self.may_not_be_refused() => {
+                Reason::RejectedAfterPossibleExecution
+            }
             _ => {
                 self.phase = Phase::Answered;
-                return Ok(AnswerPermit(()));
+                return Ok(ResponsePermit(()));
             }
         };
         Err(Violation { reason })
@@ -278,7 +288,7 @@
     }
 
     /// The client has gone.
-    pub fn client_left(&mut self) {
+    pub fn client_disconnected(&mut self) {
         if self.phase != Phase::Answered {
             self.phase = Phase::ClientLeft;
         }
@@ -287,10 +297,10 @@
     /// Asks whether the request may be forgotten, with something held for it or not.
     pub fn permit_close(&self, holds_nothing: bool) -> Result<ClosePermit, Violation> {
         if self.out.is_some() {
-            return Err(Violation { reason: Reason::ClosedWithAttemptOut });
+            return Err(Violation { reason: Reason::ClosedWithAttemptInFlight });
         }
         if !holds_nothing {
-            return Err(Violation { reason: Reason::ClosedWhileHolding });
+            return Err(Violation { reason: Reason::ClosedWithReservedState });
         }
         Ok(ClosePermit(()))
     }
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -28,9 +28,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Incarnation {
     /// When it started, on this router's clock; 0 for long ago.
-    pub began: Micros,
+    pub started_at: Micros,
     /// It is another process than the one that was listed before: connections opened before then led to that one.
-    pub replaces_until: Option<Micros>,
+    pub replaced_before: Option<Micros>,
 }
 
 #[derive(Default)]
@@ -42,15 +42,15 @@
 
 impl EndpointIncarnations {
     /// Discovery has been heard, and what it told has been taken.
-    pub fn heard(&mut self, now: Micros) {
+    pub fn discovery_synced(&mut self, now: Micros) {
         self.heard = Some(now);
     }
 
     /// A worker is listed with the Unix time of its start.
-    pub fn listed(&mut self, now: Micros, worker: WorkerId, told: Micros) -> Incarnation {
+    pub fn observe(&mut self, now: Micros, worker: WorkerId, told: Micros) -> Incarnation {
         if let Some(known) = self.known.get_mut(&worker).filter(|known| known.told == told) {
             known.removed = None;
-            return Incarnation { began: known.began, replaces_until: None };
+            return Incarnation { started_at: known.began, replaced_before: None };
         }
         let earliest = self.heard.map_or(0, |heard| heard.saturating_sub(LIST_LAG));
         let agrees = told == 0 || (earliest..=now + CLOCK_SKEW).contains(&told);
@@ -66,11 +66,11 @@
         let before = self.known.insert(worker, Start { told, began, removed: None });
         // Only connections older than any time at which it may have started are surely dead.
         let replaces_until = before.map(|_| if agrees { began } else { earliest });
-        Incarnation { began, replaces_until }
+        Incarnation { started_at: began, replaced_before: replaces_until }
     }
 
     /// The Unix time of a worker's start as it was told.
-    pub fn told(&self, worker: WorkerId) -> Micros {
+    pub fn reported_start_time(&self, worker: WorkerId) -> Micros {
         self.known.get(&worker).map_or(0, |known| known.told)
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Forgets workers that were removed long ago.
-    pub fn forget_old(&mut self, now: Micros) {
+    pub fn forget_removed(&mut self, now: Micros) {
         self.known.retain(|_, known| known.removed.is_none_or(|removed| now < removed + REMEMBERED));
     }
 }
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -38,9 +38,11 @@
             return Err(Malformed::Range("most_tokens"));
         }
         // A day is longer than any client waits, and keeps sums of times far from their ends.
-        let left = self.host.lifecycle.left(left.min(DAY)).saturating_sub(self.host.config.travel);
+        let left =
+            self.host.lifecycle.remaining_time(left.min(DAY)).saturating_sub(self.host.config.network_delay);
         let said = Said { client: self.connection, number, prefix_tokens, most_tokens, mark, prompt };
-        let request = RequestState::new(said, class, (session, prefix), prompt_tokens).waits(self.now, left);
+        let request =
+            RequestState::new(said, class, (session, prefix), prompt_tokens).with_deadline(self.now, left);
         self.host.submitted(self.now, request, self.effects)
     }
 
@@ -70,7 +72,7 @@
     }
 
     fn is_out(&self, id: u64, attempt: u16) -> Result<bool, Malformed> {
-        Ok(self.host.lifecycle.is_out(id, attempt, self.worker()?))
+        Ok(self.host.lifecycle.is_in_flight(id, attempt, self.worker()?))
     }
 }
 
@@ -78,7 +80,7 @@
     fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
         let worker = self.worker()?;
         let (lifecycle, mut wires) = self.host.parts(self.effects);
-        lifecycle.held(self.now, id, worker, held, &mut wires);
+        lifecycle.reservation_answered(self.now, id, worker, held, &mut wires);
         Ok(())
     }
 
@@ -96,7 +98,7 @@
                 .requests
                 .get(id)
                 .and_then(|s| s.attempt.as_ref())
-                .is_some_and(|s| s.reading);
+                .is_some_and(|s| s.is_prefill);
             if !reading {
                 return Err(Malformed::Order("a state from a shot that writes"));
             }
@@ -110,16 +112,17 @@
             return Ok(());
         }
         let Some(s) = self.host.lifecycle.requests.get_mut(id) else { return Ok(()) };
-        let (client, number) = (s.asked.client, s.asked.number);
+        let (client, number) = (s.context.client, s.context.number);
         let Some(attempt) = s.attempt.as_mut() else { return Ok(()) };
-        if attempt.reading || index != attempt.tokens {
+        if attempt.is_prefill || index != attempt.tokens {
             return Err(Malformed::Order("a token"));
         }
-        (attempt.tokens, attempt.owed) = (attempt.tokens + 1, attempt.owed + 1);
+        (attempt.tokens, attempt.unacknowledged_tokens) =
+            (attempt.tokens + 1, attempt.unacknowledged_tokens + 1);
         let (lifecycle, mut wires) = self.host.parts(self.effects);
-        lifecycle.started(self.now, id, &mut wires);
+        lifecycle.response_started(self.now, id, &mut wires);
         self.effects.send(client, client::token(number, index, text));
-        let half = self.host.config.window / 2;
+        let half = self.host.config.stream_window_tokens / 2;
         self.host.pay(id, half, self.effects);
         Ok(())
     }
@@ -152,8 +155,8 @@
         if self.host.lines.at(worker).probe == Some(nonce) {
             let (lifecycle, mut wires) = self.host.parts(self.effects);
             let attempts = reads.saturating_add(streams).saturating_add(waiting);
-            lifecycle.told(self.now, nonce, f64::from(attempts));
-            lifecycle.probed(self.now, nonce, true, &mut wires);
+            lifecycle.load_reported(self.now, nonce, f64::from(attempts));
+            lifecycle.health_check_finished(self.now, nonce, true, &mut wires);
         }
         Ok(())
     }
@@ -166,10 +169,10 @@
 
 impl list::Router for ListLink<'_> {
     fn page(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
-        if !whole && version <= self.host.lifecycle.version() {
+        if !whole && version <= self.host.lifecycle.endpoint_list_version() {
             return Err(Malformed::Order("a page"));
         }
-        self.host.lifecycle.page(self.now, version, whole);
+        self.host.lifecycle.begin_endpoint_update(self.now, version, whole);
         self.host.list_changed = true;
         Ok(())
     }
@@ -190,9 +193,10 @@
             list::EndpointStatus::Draining => EndpointStatus::Draining,
         };
         let started = (started / MICROS_PER_TENTH_MILLI) as TenthMillis;
-        self.host
-            .lifecycle
-            .entry(self.now, Endpoint { worker, kind, size, status, cell, zone, start_time: started });
+        self.host.lifecycle.endpoint_updated(
+            self.now,
+            Endpoint { worker, kind, size, status, cell, zone, start_time: started },
+        );
         Ok(())
     }
 }
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -33,11 +33,11 @@
 
 pub(crate) fn key(ring: Ring) -> u64 {
     let (kind, what) = match ring {
-        Ring::RequestLifecycle(Timer::Wake) => (0, 0),
-        Ring::RequestLifecycle(Timer::CutOff(id)) => (1, short(id)),
-        Ring::RequestLifecycle(Timer::Probe(nonce)) => (2, nonce),
+        Ring::RequestLifecycle(Timer::SchedulerWake) => (0, 0),
+        Ring::RequestLifecycle(Timer::Deadline(id)) => (1, short(id)),
+        Ring::RequestLifecycle(Timer::HealthCheck(nonce)) => (2, nonce),
         Ring::Hello(connection) => (3, connection.0),
-        Ring::RequestLifecycle(Timer::Shares) => (4, 0),
+        Ring::RequestLifecycle(Timer::Admission) => (4, 0),
         Ring::Figures => (5, 0),
     };
     kind << KIND | what
@@ -90,12 +90,12 @@
         effects: &mut Effects,
     ) {
         let (lifecycle, mut wires) = self.parts(effects);
-        lifecycle.settle(now, id, number, outcome, &mut wires);
+        lifecycle.finish_attempt(now, id, number, outcome, &mut wires);
     }
 
     pub(crate) fn dropped(&mut self, now: Micros, id: RequestId, effects: &mut Effects) {
         let (lifecycle, mut wires) = self.parts(effects);
-        lifecycle.dropped(now, id, &mut wires);
+        lifecycle.client_disconnected(now, id, &mut wires);
     }
 
     /// Takes a new submission, or turns it back at once where the operator's bounds are reached.
@@ -105,30 +105,30 @@
         s: RequestState<Said>,
         effects: &mut Effects,
     ) -> Result<(), Malformed> {
-        if self.config.lifecycle.module.classes.get(usize::from(s.class)).is_none() {
+        if self.config.lifecycle.scheduler.classes.get(usize::from(s.class)).is_none() {
             return Err(Malformed::Range("track"));
         }
-        let (connection, number) = (s.asked.client, s.asked.number);
+        let (connection, number) = (s.context.client, s.context.number);
         let Some(client) = self.clients.get_mut(connection) else { return Err(Malformed::Hello) };
         if client.last.is_some_and(|last| number <= last) {
             return Err(Malformed::Order("a number that is not above the last"));
         }
         client.last = Some(number);
-        let (key, full) = (client.key, client.open.len() >= self.config.most_a_client);
-        if let Some((_, after)) = self.lifecycle.untaken(full) {
+        let (key, full) = (client.key, client.open.len() >= self.config.max_requests_per_client);
+        if let Some((_, after)) = self.lifecycle.rejection(full) {
             effects.send(connection, client::turned_back(number, after));
             return Ok(());
         }
         // A key may have been revoked since its Hello.
         let tenant = self.lifecycle.tenant_admission.as_ref().zip(key).and_then(|(t, key)| t.of(&key));
         // The books number submissions in turn, so that the client hears the id before anything else of it.
-        let id = self.lifecycle.requests.coming();
+        let id = self.lifecycle.requests.next_id();
         if let Some(client) = self.clients.get_mut(connection) {
             client.open.insert(number, id);
         }
         effects.send(connection, client::taken(number, id));
         let (lifecycle, mut wires) = self.parts(effects);
-        lifecycle.submitted(now, s, tenant, &mut wires);
+        lifecycle.accept(now, s, tenant, &mut wires);
         Ok(())
     }
 
@@ -169,7 +169,7 @@
         tracing::info!(worker = %shown(worker), ?loss, attempts = line.attempts.len(), "lost a worker's line");
         for id in line.places {
             if let Some(s) = self.lifecycle.requests.get_mut(id) {
-                s.places.retain(|&p| p != worker);
+                s.reservations.retain(|&p| p != worker);
             }
         }
         let outcome = match loss {
@@ -185,32 +185,42 @@
         }
         if let Some(nonce) = line.probe {
             let (lifecycle, mut wires) = self.parts(effects);
-            lifecycle.probed(now, nonce, false, &mut wires);
+            lifecycle.health_check_finished(now, nonce, false, &mut wires);
         }
     }
 
     /// Tells the worker of a stream that its client has taken tokens, once `least` of them are owed.
     pub(crate) fn pay(&mut self, id: RequestId, least: u32, effects: &mut Effects) {
         let Some(s) = self.lifecycle.requests.get_mut(id) else { return };
-        let crowded = self.clients.get_mut(s.asked.client).is_none_or(|c| c.crowded);
-        let Some(attempt) = s.attempt.as_mut().filter(|s| s.started && s.owed >= least.max(1)) else {
+        let crowded = self.clients.get_mut(s.context.client).is_none_or(|c| c.crowded);
+        let Some(attempt) =
+            s.attempt.as_mut().filter(|s| s.streaming && s.unacknowledged_tokens >= least.max(1))
+        else {
             return;
         };
         if !crowded {
-            let tokens = std::mem::take(&mut attempt.owed);
+            let tokens = std::mem::take(&mut attempt.unacknowledged_tokens);
             self.lines.send_if_there(attempt.worker, worker::more(id, attempt.number, tokens), effects);
         }
     }
 
     /// The list as it stands, as a page that `new` takes again.
     fn list_to_keep(&self) -> Bytes {
-        let mut page = list::Page::new(self.lifecycle.version(), true);
-        for l in self.lifecycle.listed().filter(|l| l.status != EndpointStatus::Removed) {
+        let mut page = list::Page::new(self.lifecycle.endpoint_list_version(), true);
+        for l in self.lifecycle.endpoints().filter(|l| l.status != EndpointStatus::Removed) {
             let status = match l.status {
                 EndpointStatus::Serving => list::EndpointStatus::Serving,
                 _ => list::EndpointStatus::Draining,
             };
-            page.add(l.worker, l.kind, l.size, status, l.cell, l.zone, self.lifecycle.start_told(l.worker));
+            page.add(
+                l.worker,
+                l.kind,
+                l.size,
+                status,
+                l.cell,
+                l.zone,
+                self.lifecycle.reported_start_time(l.worker),
+            );
         }
         page.frame()
     }
@@ -224,7 +234,7 @@
                 tracing::warn!(%problem, "the list that was kept cannot be read; starts without");
             }
             // The list server may have started anew too: it is asked for all.
-            self.lifecycle.forget_version();
+            self.lifecycle.reset_endpoint_list_version();
             self.list_changed = false;
         }
         self.tell_figures(now, effects);
@@ -232,12 +242,12 @@
     }
 
     fn on_accepted(&mut self, now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
-        if self.clients.len() >= self.config.most_clients {
+        if self.clients.len() >= self.config.max_clients {
             counter!("tideroute_clients_sent_away_total").increment(1);
             return effects.close(connection, "too many clients");
         }
         self.clients.accepted(connection);
-        effects.set_timer(now + self.config.lifecycle.unheard, key(Ring::Hello(connection)));
+        effects.set_timer(now + self.config.lifecycle.connect_timeout, key(Ring::Hello(connection)));
     }
 
     fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
@@ -248,7 +258,7 @@
             worker::hear_worker(frame, &mut listener)
         } else if self.list_link == Some(connection) {
             let heard = list::hear_list(frame, &mut crate::hear::ListLink { host: self, now });
-            self.lifecycle.list_heard(now);
+            self.lifecycle.discovery_synced(now);
             heard
         } else if self.clients.is_silent(connection) {
             tideroute_wire::first(frame).and_then(|(party, name, key)| match party {
@@ -281,7 +291,7 @@
         if self.list_link == Some(connection) {
             tracing::warn!(?loss, "lost the list; the old one stays in force");
             self.list_link = None;
-            self.lifecycle.list_failed(now);
+            self.lifecycle.discovery_failed(now);
         } else if let Some(client) = self.clients.lose(connection) {
             for id in client.open.into_values() {
                 self.dropped(now, id, effects);
@@ -312,10 +322,10 @@
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         let what = key & ((1 << KIND) - 1);
         let timer = match key >> KIND {
-            0 => Timer::Wake,
-            1 => Timer::CutOff(self.lifecycle.requests.long(what)),
-            2 => Timer::Probe(what),
-            4 => Timer::Shares,
+            0 => Timer::SchedulerWake,
+            1 => Timer::Deadline(self.lifecycle.requests.expand_id(what)),
+            2 => Timer::HealthCheck(what),
+            4 => Timer::Admission,
             5 => return self.tell_figures(now, effects),
             _ => {
                 let connection = ConnectionId(what);
@@ -327,12 +337,12 @@
             }
         };
         let (lifecycle, mut wires) = self.parts(effects);
-        lifecycle.rang(now, timer, &mut wires);
+        lifecycle.timer_fired(now, timer, &mut wires);
     }
 
     fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
         let (lifecycle, mut wires) = self.parts(effects);
-        lifecycle.turn(now, &mut wires);
+        lifecycle.run_scheduling_pass(now, &mut wires);
         if std::mem::take(&mut self.list_changed) {
             effects.persist(self.list_to_keep());
         }
@@ -343,18 +353,18 @@
         if let Err(problem) = tideroute_wire::tenant::hear(letter, &mut Ear { tenant_admission, now }) {
             tracing::error!(%problem, "a letter about tenants cannot be read");
         }
-        self.lifecycle.stirred = true;
+        self.lifecycle.scheduling_needed = true;
     }
 
     fn on_loop_lag(&mut self, now: Micros, by: Micros) {
-        self.lifecycle.late(now, by);
+        self.lifecycle.record_loop_lag(now, by);
     }
 
     fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
-        self.lifecycle.stop();
+        self.lifecycle.shut_down();
     }
 
     fn is_finished(&self) -> bool {
-        self.lifecycle.done()
+        self.lifecycle.is_drained()
     }
 }
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -9,7 +9,7 @@
     AttemptOutcome, Endpoint, EndpointStatus, Idempotency, NewRequest, RequestId, Role, TenthMillis, WorkerId,
 };
 use tideroute_admission::{Asked, Known, Tenant, Ticket, Verdict};
-use tideroute_invariants::{AttemptPermit, FinalAnswer, RequestRecord, Violation};
+use tideroute_invariants::{AttemptPermit, FinalResponse, RequestRecord, Violation};
 use tideroute_wire::Micros;
 
 use crate::config::LifecycleConfig;
@@ -28,106 +28,107 @@
 
 pub struct RequestLifecycle<A> {
     pub(crate) config: LifecycleConfig,
-    pub(crate) module: Scheduler,
+    pub(crate) scheduler: Scheduler,
     pub requests: RequestTable<A>,
     /// What the list says of each worker, the role by its kind beside it.
-    pub(crate) listed: BTreeMap<WorkerId, (Endpoint, Role)>,
-    version: u64,
+    pub(crate) endpoints: BTreeMap<WorkerId, (Endpoint, Role)>,
+    endpoint_list_version: u64,
     incarnations: EndpointIncarnations,
     /// What came of decisions while they were pulled; the module hears it after the last of them.
-    pub(crate) settled: Vec<(RequestId, u16, AttemptOutcome)>,
+    pub(crate) finished_attempts: Vec<(RequestId, u16, AttemptOutcome)>,
     /// Submissions that may be over and free of everything.
     pub(crate) closing: Vec<RequestId>,
-    pub(crate) probes: BTreeMap<u64, WorkerId>,
-    pub(crate) nonce: u64,
+    pub(crate) health_checks: BTreeMap<u64, WorkerId>,
+    pub(crate) health_check_nonce: u64,
     /// The module has heard something since it was last asked.
-    pub(crate) stirred: bool,
+    pub(crate) scheduling_needed: bool,
     pub(crate) loop_lag: LoopLag,
     pub(crate) tenant_admission: Option<TenantAdmission>,
     stopping: bool,
     /// How many open submissions the figures show.
-    shown: Option<usize>,
+    reported_open_requests: Option<usize>,
 }
 
 impl<A> RequestLifecycle<A> {
     pub fn new(config: LifecycleConfig, now: Micros) -> RequestLifecycle<A> {
         RequestLifecycle {
-            module: Scheduler::new(config.module.clone(), config.seed, to_tenth_millis(now)),
+            scheduler: Scheduler::new(config.scheduler.clone(), config.seed, to_tenth_millis(now)),
             requests: RequestTable::new(config.seed),
             tenant_admission: config
                 .tenants
                 .as_ref()
-                .map(|t| TenantAdmission::new(t, config.part, admission_config(&config), now)),
+                .map(|t| TenantAdmission::new(t, config.limits_share, admission_config(&config), now)),
             config,
-            listed: BTreeMap::new(),
-            version: 0,
+            endpoints: BTreeMap::new(),
+            endpoint_list_version: 0,
             incarnations: EndpointIncarnations::default(),
-            settled: vec![],
+            finished_attempts: vec![],
             closing: vec![],
-            probes: BTreeMap::new(),
-            nonce: 0,
-            stirred: true,
+            health_checks: BTreeMap::new(),
+            health_check_nonce: 0,
+            scheduling_needed: true,
             loop_lag: LoopLag::default(),
             stopping: false,
-            shown: None,
+            reported_open_requests: None,
         }
     }
 
     /// The version of the list in force.
-    pub fn version(&self) -> u64 {
-        self.version
+    pub fn endpoint_list_version(&self) -> u64 {
+        self.endpoint_list_version
     }
 
     /// The list will be asked for all that it holds.
-    pub fn forget_version(&mut self) {
-        self.version = 0;
+    pub fn reset_endpoint_list_version(&mut self) {
+        self.endpoint_list_version = 0;
     }
 
     /// Discovery has been heard, and what it told has been taken.
-    pub fn list_heard(&mut self, now: Micros) {
-        self.incarnations.heard(now);
+    pub fn discovery_synced(&mut self, now: Micros) {
+        self.incarnations.discovery_synced(now);
     }
 
     /// The Unix time of a worker's start as it was told.
-    pub fn start_told(&self, worker: WorkerId) -> Micros {
-        self.incarnations.told(worker)
+    pub fn reported_start_time(&self, worker: WorkerId) -> Micros {
+        self.incarnations.reported_start_time(worker)
     }
 
-    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
-        self.listed.values().map(|(endpoint, _)| endpoint)
+    pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
+        self.endpoints.values().map(|(endpoint, _)| endpoint)
     }
 
     /// Whether the shot is the one that is out, at this worker. What comes for another was called back.
-    pub fn is_out(&self, id: RequestId, number: u16, worker: WorkerId) -> bool {
+    pub fn is_in_flight(&self, id: RequestId, number: u16, worker: WorkerId) -> bool {
         let attempt = self.requests.get(id).and_then(|s| s.attempt.as_ref());
         attempt.is_some_and(|s| s.number == number && s.worker == worker)
     }
 
     /// Gives a submission its final answer, once.
-    pub(crate) fn answer(
+    pub(crate) fn respond(
         &mut self,
         now: Micros,
         id: RequestId,
         answer: Response,
-        transport: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Context = A>,
     ) {
-        let Some(s) = self.requests.get_mut(id).filter(|s| !s.over) else { return };
-        let (answer, permit) = match s.record.permit_answer(kind_of(answer)) {
+        let Some(s) = self.requests.get_mut(id).filter(|s| !s.finished) else { return };
+        let (answer, permit) = match s.record.permit_response(kind_of(answer)) {
             Ok(permit) => (answer, permit),
             Err(violation) => {
-                self.refuse_step(id, violation);
+                self.report_violation(id, violation);
                 // What may not be refused has failed: it is owed an answer all the same.
                 let Some(s) = self.requests.get_mut(id) else { return };
-                let Ok(permit) = s.record.permit_answer(FinalAnswer::Failed) else { return };
+                let Ok(permit) = s.record.permit_response(FinalResponse::Failed) else { return };
                 (Response::Failed, permit)
             }
         };
         let Some(s) = self.requests.get_mut(id) else { return };
-        s.over = true;
+        s.finished = true;
         self.closing.push(id);
-        let first = s.first.or_else(|| matches!(answer, Response::Rejected(_)).then_some(Micros::MAX));
-        let (came, prompt, class_index) = (s.came, s.prompt_tokens, usize::from(s.class));
-        transport.answer(id, s, answer, permit);
+        let first =
+            s.first_token_at.or_else(|| matches!(answer, Response::Rejected(_)).then_some(Micros::MAX));
+        let (came, prompt, class_index) = (s.arrived_at, s.prompt_tokens, usize::from(s.class));
+        transport.respond(id, s, answer, permit);
         let outcome = match answer {
             Response::Completed(_) => "honoured",
             Response::Rejected(_) => "turned back",
@@ -138,18 +139,18 @@
         histogram!("tideroute_answer_seconds").record(now.saturating_sub(came) as f64 / 1e6);
         tracing::debug!(id, outcome, attempts = s.attempts, "answered");
         if let (Some(tenant_admission), Some(class)) =
-            (&mut self.tenant_admission, self.config.module.classes.get(class_index))
+            (&mut self.tenant_admission, self.config.scheduler.classes.get(class_index))
         {
             let ttft_objective =
                 came + class.ttft_objective_for(f64::from(prompt)) as Micros * MICROS_PER_TENTH_MILLI;
             let known = first.map(|at| if at <= ttft_objective { Known::InTime } else { Known::Late });
             tenant_admission.shares.answered(now, Ticket(id), known.unwrap_or(Known::Nothing));
-            self.stirred = true;
+            self.scheduling_needed = true;
         }
     }
 
     /// Counts and tells a step that a rule forbids, with the request's story. The step is not done.
-    pub(crate) fn refuse_step(&mut self, id: RequestId, violation: Violation) {
+    pub(crate) fn report_violation(&mut self, id: RequestId, violation: Violation) {
         let (rule, reason) = (violation.rule().name(), violation.reason.name());
         counter!("tideroute_invariant_violations_total", "rule" => rule).increment(1);
         let record = self.requests.get(id).map(|s| &s.record);
@@ -157,113 +158,125 @@
     }
 
     /// Asks whether an attempt may leave on its connection, which has just come up.
-    pub fn permit_bytes(&mut self, now: Micros, id: RequestId, number: u16) -> Option<AttemptPermit> {
-        let permit = self.requests.get(id)?.record.permit_bytes(to_tenth_millis(now), number);
-        permit.map_err(|violation| self.refuse_step(id, violation)).ok()
+    pub fn permit_transmission(&mut self, now: Micros, id: RequestId, number: u16) -> Option<AttemptPermit> {
+        let permit = self.requests.get(id)?.record.permit_transmission(to_tenth_millis(now), number);
+        permit.map_err(|violation| self.report_violation(id, violation)).ok()
     }
 
     /// A shot has ended: the module hears of it, and the client if that was the end of its stream.
-    pub fn settle(
+    pub fn finish_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         number: u16,
         outcome: AttemptOutcome,
-        transport: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Context = A>,
     ) {
         let Some(s) = self.requests.get_mut(id) else { return };
         let Some(attempt) = s.attempt.take_if(|s| s.number == number) else { return };
-        s.record.attempt_ended(number, outcome);
-        transport.settled(id, s, &attempt, outcome);
-        let terminal = s.over || attempt.started || outcome == AttemptOutcome::Completed;
+        s.record.attempt_finished(number, outcome);
+        transport.attempt_finished(id, s, &attempt, outcome);
+        let terminal = s.finished || attempt.streaming || outcome == AttemptOutcome::Completed;
         if outcome == AttemptOutcome::PrefillComplete {
-            s.state = Some(attempt.worker);
+            s.state_holder = Some(attempt.worker);
         }
         tracing::debug!(id, attempt = number, worker = ?attempt.worker, ?outcome, "a shot ended");
         counter!("tideroute_shots_ended_total", "ending" => name_of(outcome)).increment(1);
-        self.module.attempt_finished(to_tenth_millis(now), id, number, outcome, terminal);
-        self.stirred = true;
+        self.scheduler.attempt_finished(to_tenth_millis(now), id, number, outcome, terminal);
+        self.scheduling_needed = true;
         self.closing.push(id);
         if outcome == AttemptOutcome::Completed {
-            self.answer(now, id, Response::Completed(attempt.tokens), transport);
-        } else if attempt.started {
-            self.answer(now, id, Response::Failed, transport);
+            self.respond(now, id, Response::Completed(attempt.tokens), transport);
+        } else if attempt.streaming {
+            self.respond(now, id, Response::Failed, transport);
         }
     }
 
     /// The first of the shot's answer is there: it belongs to the client now, and all else held goes by itself.
-    pub fn started(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
+    pub fn response_started(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        transport: &mut impl Transport<Context = A>,
+    ) {
         let Some(s) = self.requests.get_mut(id) else { return };
-        let Some(attempt) = s.attempt.as_mut().filter(|s| !s.started) else { return };
-        attempt.started = true;
-        s.record.began();
-        let (worker, number, came) = (attempt.worker, attempt.number, s.came);
-        (s.state, s.first) = (None, Some(now));
-        for place in std::mem::take(&mut s.places) {
-            transport.unplace(id, place, place != worker);
+        let Some(attempt) = s.attempt.as_mut().filter(|s| !s.streaming) else { return };
+        attempt.streaming = true;
+        s.record.response_started();
+        let (worker, number, came) = (attempt.worker, attempt.number, s.arrived_at);
+        (s.state_holder, s.first_token_at) = (None, Some(now));
+        for place in std::mem::take(&mut s.reservations) {
+            transport.cancel_reservation(id, place, place != worker);
         }
         tracing::debug!(id, attempt = number, worker = %shown(worker), "an answer begins");
-        self.module.response_started(to_tenth_millis(now), id, number);
-        self.stirred = true;
+        self.scheduler.response_started(to_tenth_millis(now), id, number);
+        self.scheduling_needed = true;
         histogram!("tideroute_first_token_seconds").record(now.saturating_sub(came) as f64 / 1e6);
     }
 
     /// A writer's answer on a place. The module hears it while the read is out; after that it has gone by what
     /// it knew then.
-    pub fn held(
+    pub fn reservation_answered(
         &mut self,
         now: Micros,
         id: RequestId,
         at: WorkerId,
         held: bool,
-        transport: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Context = A>,
     ) {
-        let Some(s) = self.requests.get_mut(id).filter(|s| s.places.last() == Some(&at)) else { return };
+        let Some(s) = self.requests.get_mut(id).filter(|s| s.reservations.last() == Some(&at)) else {
+            return;
+        };
         if !held {
-            s.places.clear();
-            transport.unplace(id, at, false);
+            s.reservations.clear();
+            transport.cancel_reservation(id, at, false);
         }
-        if s.attempt.as_ref().is_some_and(|s| s.reading) {
-            self.module.reservation_answered(to_tenth_millis(now), id, held);
-            self.stirred = true;
+        if s.attempt.as_ref().is_some_and(|s| s.is_prefill) {
+            self.scheduler.reservation_answered(to_tenth_millis(now), id, held);
+            self.scheduling_needed = true;
         }
     }
 
     /// The client no longer waits. A stream that nobody reads ends; the rest is the module's to call back.
-    pub fn dropped(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
+    pub fn client_disconnected(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        transport: &mut impl Transport<Context = A>,
+    ) {
         let Some(s) = self.requests.get_mut(id) else { return };
-        s.over = true;
-        s.record.client_left();
+        s.finished = true;
+        s.record.client_disconnected();
         self.closing.push(id);
         counter!("tideroute_left_total").increment(1);
-        self.module.client_disconnected(to_tenth_millis(now), id);
+        self.scheduler.client_disconnected(to_tenth_millis(now), id);
         self.tenant_admission.iter_mut().for_each(|t| t.shares.left(now, Ticket(id)));
-        self.stirred = true;
+        self.scheduling_needed = true;
         let Some(attempt) = &s.attempt else { return };
         let number = attempt.number;
-        if attempt.started {
-            transport.withdraw(id, attempt);
-            self.settle(now, id, number, AttemptOutcome::Cancelled, transport);
-        } else if transport.recall(id, attempt) {
+        if attempt.streaming {
+            transport.cancel(id, attempt);
+            self.finish_attempt(now, id, number, AttemptOutcome::Cancelled, transport);
+        } else if transport.cancel_if_unsent(id, attempt) {
             // Guards against a connection that comes up only now, and an attempt that begins for nobody.
-            self.settle(now, id, number, AttemptOutcome::NotSent, transport);
+            self.finish_attempt(now, id, number, AttemptOutcome::NotSent, transport);
         }
     }
 
     /// Why one more submission can't be taken: all that may be open is.
-    pub fn untaken(&self, full_client: bool) -> Option<(&'static str, Micros)> {
-        let full = full_client || self.requests.len() >= self.config.most_open;
+    pub fn rejection(&self, full_client: bool) -> Option<(&'static str, Micros)> {
+        let full = full_client || self.requests.len() >= self.config.max_open_requests;
         if !full && !self.stopping {
             return None;
         }
         let why = if full { "full" } else { "stopping" };
         counter!("tideroute_untaken_total", "why" => why).increment(1);
-        Some((why, if full { self.advice() } else { 0 }))
+        Some((why, if full { self.retry_after() } else { 0 }))
     }
 
     /// How long who is told that there is no room should stay away; 0 where the terms allow no such advice.
-    pub fn advice(&self) -> Micros {
-        let config = &self.config.module;
+    pub fn retry_after(&self) -> Micros {
+        let config = &self.config.scheduler;
         if config.retry_after_enabled {
             config.max_retry_after.max(0) as Micros * MICROS_PER_TENTH_MILLI
         } else {
@@ -272,29 +285,29 @@
     }
 
     /// Takes a new submission; with a tenant it may have to wait until its share lets it in.
-    pub fn submitted(
+    pub fn accept(
         &mut self,
         now: Micros,
         s: RequestState<A>,
         tenant: Option<Tenant>,
-        transport: &mut impl Transport<Asked = A>,
+        transport: &mut impl Transport<Context = A>,
     ) -> RequestId {
         let (class, deadline, tokens) = (s.class, s.deadline, s.prompt_tokens);
         let repeat = self
             .config
-            .module
+            .scheduler
             .classes
             .get(usize::from(class))
             .map_or(Idempotency::NonIdempotent, |t| t.idempotency);
         let record = RequestRecord::new(repeat, to_tenth_millis(deadline));
         let id = self.requests.insert(RequestState { record, ..s });
         counter!("tideroute_taken_total").increment(1);
-        transport.ring(deadline, Timer::CutOff(id));
-        self.stirred = true;
+        transport.set_timer(deadline, Timer::Deadline(id));
+        self.scheduling_needed = true;
         let priority_weight =
-            self.config.module.classes.get(usize::from(class)).map_or(0.0, |t| t.priority_weight);
+            self.config.scheduler.classes.get(usize::from(class)).map_or(0.0, |t| t.priority_weight);
         let Some(tenant_admission) = &mut self.tenant_admission else {
-            self.let_in(now, id);
+            self.admit_to_scheduler(now, id);
             return id;
         };
         match tenant {
@@ -304,14 +317,14 @@
                     .shares
                     .asked(now, Asked { ticket, tenant, tokens, priority_weight, deadline });
             }
-            None => self.answer(now, id, Response::Rejected(0), transport),
+            None => self.respond(now, id, Response::Rejected(0), transport),
         }
         id
     }
 
     /// The module hears of a submission.
-    fn let_in(&mut self, now: Micros, id: RequestId) {
-        let Some(s) = self.requests.get(id).filter(|s| !s.over) else { return };
+    fn admit_to_scheduler(&mut self, now: Micros, id: RequestId) {
+        let Some(s) = self.requests.get(id).filter(|s| !s.finished) else { return };
         let new_request = NewRequest {
             id,
             class: s.class,
@@ -320,156 +333,164 @@
             prompt_tokens: f64::from(s.prompt_tokens),
             remaining_time: to_tenth_millis(s.deadline.saturating_sub(now)),
         };
-        self.module.request_arrived(to_tenth_millis(now), new_request);
-        self.stirred = true;
+        self.scheduler.request_arrived(to_tenth_millis(now), new_request);
+        self.scheduling_needed = true;
     }
 
     /// Carries out what the shares decide.
-    fn admit(&mut self, now: Micros, transport: &mut impl Transport<Asked = A>) {
+    fn run_admission(&mut self, now: Micros, transport: &mut impl Transport<Context = A>) {
         while let Some(verdict) = self.tenant_admission.as_mut().and_then(|t| t.shares.decide(now)) {
             match verdict {
-                Verdict::Let(Ticket(id)) => self.let_in(now, id),
+                Verdict::Let(Ticket(id)) => self.admit_to_scheduler(now, id),
                 Verdict::TurnBack { ticket: Ticket(id), after } => {
                     counter!("tideroute_untaken_total", "why" => "share").increment(1);
-                    let after = if self.config.module.retry_after_enabled { after } else { 0 };
-                    self.answer(now, id, Response::Rejected(after), transport);
+                    let after = if self.config.scheduler.retry_after_enabled { after } else { 0 };
+                    self.respond(now, id, Response::Rejected(after), transport);
                 }
-                Verdict::Wake { at } => transport.ring(at, Timer::Shares),
+                Verdict::Wake { at } => transport.set_timer(at, Timer::Admission),
             }
         }
     }
 
     /// The client's time is up: a shot that has not begun to answer has timed out, also where its client has gone and
     /// nothing may be called back.
-    fn deadline(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Asked = A>) {
-        let Some(s) = self.requests.get(id).filter(|s| !s.streams()) else { return };
+    fn deadline_expired(&mut self, now: Micros, id: RequestId, transport: &mut impl Transport<Context = A>) {
+        let Some(s) = self.requests.get(id).filter(|s| !s.is_streaming()) else { return };
         let Some(attempt) = &s.attempt else {
-            self.stirred = true;
+            self.scheduling_needed = true;
             return;
         };
         let number = attempt.number;
         let outcome =
-            if transport.withdraw(id, attempt) { AttemptOutcome::NotSent } else { AttemptOutcome::TimedOut };
-        self.settle(now, id, number, outcome, transport);
+            if transport.cancel(id, attempt) { AttemptOutcome::NotSent } else { AttemptOutcome::TimedOut };
+        self.finish_attempt(now, id, number, outcome, transport);
     }
 
     /// A worker that was probed says how much it works on or has waiting, in the unit of the terms.
-    pub fn told(&mut self, now: Micros, nonce: u64, amount: f64) {
-        if let Some(&worker) = self.probes.get(&nonce) {
-            self.module.load_reported(to_tenth_millis(now), worker, amount);
+    pub fn load_reported(&mut self, now: Micros, nonce: u64, amount: f64) {
+        if let Some(&worker) = self.health_checks.get(&nonce) {
+            self.scheduler.load_reported(to_tenth_millis(now), worker, amount);
         }
     }
 
-    pub fn probed(&mut self, now: Micros, nonce: u64, well: bool, transport: &mut impl Transport<Asked = A>) {
-        let Some(worker) = self.probes.remove(&nonce) else { return };
-        transport.probed(worker);
-        self.module.health_check_finished(to_tenth_millis(now), worker, well);
-        self.stirred = true;
+    pub fn health_check_finished(
+        &mut self,
+        now: Micros,
+        nonce: u64,
+        well: bool,
+        transport: &mut impl Transport<Context = A>,
+    ) {
+        let Some(worker) = self.health_checks.remove(&nonce) else { return };
+        transport.health_check_finished(worker);
+        self.scheduler.health_check_finished(to_tenth_millis(now), worker, well);
+        self.scheduling_needed = true;
     }
 
     /// Begins a page of the list; entries follow.
-    pub fn page(&mut self, now: Micros, version: u64, whole: bool) {
+    pub fn begin_endpoint_update(&mut self, now: Micros, version: u64, whole: bool) {
         if whole {
-            self.listed.values_mut().for_each(|(l, _)| l.status = EndpointStatus::Removed);
-            self.module.begin_endpoint_snapshot(to_tenth_millis(now));
+            self.endpoints.values_mut().for_each(|(l, _)| l.status = EndpointStatus::Removed);
+            self.scheduler.begin_endpoint_snapshot(to_tenth_millis(now));
         }
-        (self.version, self.stirred) = (version, true);
+        (self.endpoint_list_version, self.scheduling_needed) = (version, true);
     }
 
     /// A worker that is gone may be told by its name alone.
-    pub fn gone(&mut self, now: Micros, worker: WorkerId) {
-        if let Some((known, _)) = self.listed.get(&worker) {
+    pub fn endpoint_removed(&mut self, now: Micros, worker: WorkerId) {
+        if let Some((known, _)) = self.endpoints.get(&worker) {
             let gone = Endpoint { status: EndpointStatus::Removed, ..*known };
-            self.take_entry(now, gone);
+            self.apply_endpoint(now, gone);
         }
     }
 
     /// A worker is listed, its start in Unix time; what that says of its process.
-    pub fn entry(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
+    pub fn endpoint_updated(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
         let told = endpoint.start_time.max(0) as Micros * MICROS_PER_TENTH_MILLI;
-        let process = self.incarnations.listed(now, endpoint.worker, told);
-        self.take_entry(now, Endpoint { start_time: to_tenth_millis(process.began), ..endpoint });
+        let process = self.incarnations.observe(now, endpoint.worker, told);
+        self.apply_endpoint(now, Endpoint { start_time: to_tenth_millis(process.started_at), ..endpoint });
         process
     }
 
     /// The module hears of a worker whose start is one on this router's clock.
-    fn take_entry(&mut self, now: Micros, endpoint: Endpoint) {
-        let Some(&role) = self.config.module.role_by_kind.get(usize::from(endpoint.kind)) else {
+    fn apply_endpoint(&mut self, now: Micros, endpoint: Endpoint) {
+        let Some(&role) = self.config.scheduler.role_by_kind.get(usize::from(endpoint.kind)) else {
             tracing::warn!(worker = %shown(endpoint.worker), kind = endpoint.kind, "a kind that no term names");
             return;
         };
         let Endpoint { worker, kind, size, status, cell, zone, start_time: started } = endpoint;
         tracing::debug!(worker = %shown(worker), ?status, kind, size, cell, zone, started, "listed");
-        self.listed.insert(endpoint.worker, (endpoint, role));
-        self.module.endpoint_updated(to_tenth_millis(now), endpoint);
+        self.endpoints.insert(endpoint.worker, (endpoint, role));
+        self.scheduler.endpoint_updated(to_tenth_millis(now), endpoint);
     }
 
     /// The page is complete. Workers that are gone need no books.
-    pub fn page_over(&mut self, now: Micros) {
+    pub fn finish_endpoint_update(&mut self, now: Micros) {
         let gone = |(l, _): &(Endpoint, Role)| l.status == EndpointStatus::Removed;
-        let removed = self.listed.iter().filter(|(_, entry)| gone(entry)).map(|(worker, _)| *worker);
+        let removed = self.endpoints.iter().filter(|(_, entry)| gone(entry)).map(|(worker, _)| *worker);
         removed.for_each(|worker| self.incarnations.removed(now, worker));
-        self.listed.retain(|_, entry| !gone(entry));
-        self.incarnations.forget_old(now);
+        self.endpoints.retain(|_, entry| !gone(entry));
+        self.incarnations.forget_removed(now);
     }
 
     /// The list can't be heard; the old one stays in force.
-    pub fn list_failed(&mut self, now: Micros) {
-        self.module.discovery_failed(to_tenth_millis(now));
-        self.stirred = true;
+    pub fn discovery_failed(&mut self, now: Micros) {
+        self.scheduler.discovery_failed(to_tenth_millis(now));
+        self.scheduling_needed = true;
     }
 
-    pub fn rang(&mut self, now: Micros, timer: Timer, transport: &mut impl Transport<Asked = A>) {
+    pub fn timer_fired(&mut self, now: Micros, timer: Timer, transport: &mut impl Transport<Context = A>) {
         match timer {
-            Timer::Wake => {
-                self.module.timer_fired(to_tenth_millis(now));
-                self.stirred = true;
+            Timer::SchedulerWake => {
+                self.scheduler.timer_fired(to_tenth_millis(now));
+                self.scheduling_needed = true;
             }
-            Timer::CutOff(id) => self.deadline(now, id, transport),
-            Timer::Probe(nonce) => self.probed(now, nonce, false, transport),
-            Timer::Shares => self.stirred = true,
+            Timer::Deadline(id) => self.deadline_expired(now, id, transport),
+            Timer::HealthCheck(nonce) => self.health_check_finished(now, nonce, false, transport),
+            Timer::Admission => self.scheduling_needed = true,
         }
     }
 
     /// Pulls decisions until none is left.
-    pub fn turn(&mut self, now: Micros, transport: &mut impl Transport<Asked = A>) {
-        while std::mem::take(&mut self.stirred) {
-            self.admit(now, transport);
-            while let Some(decision) = self.module.next_action(to_tenth_millis(now)) {
+    pub fn run_scheduling_pass(&mut self, now: Micros, transport: &mut impl Transport<Context = A>) {
+        while std::mem::take(&mut self.scheduling_needed) {
+            self.run_admission(now, transport);
+            while let Some(decision) = self.scheduler.next_action(to_tenth_millis(now)) {
                 self.carry_out(now, decision, transport);
             }
-            for (id, attempt, outcome) in std::mem::take(&mut self.settled) {
-                self.settle(now, id, attempt, outcome, transport);
+            for (id, attempt, outcome) in std::mem::take(&mut self.finished_attempts) {
+                self.finish_attempt(now, id, attempt, outcome, transport);
             }
         }
-        self.close_up(transport);
-        if self.shown != Some(self.requests.len()) {
-            self.shown = Some(self.requests.len());
+        self.close_finished(transport);
+        if self.reported_open_requests != Some(self.requests.len()) {
+            self.reported_open_requests = Some(self.requests.len());
             gauge!("tideroute_open", "core" => self.config.name.clone()).set(self.requests.len() as f64);
         }
     }
 
     /// Lets go of what is left of submissions that are over and forgets them.
-    fn close_up(&mut self, transport: &mut impl Transport<Asked = A>) {
+    fn close_finished(&mut self, transport: &mut impl Transport<Context = A>) {
         for id in std::mem::take(&mut self.closing) {
-            let Some(s) = self.requests.get(id).filter(|s| s.over && s.attempt.is_none()) else { continue };
+            let Some(s) = self.requests.get(id).filter(|s| s.finished && s.attempt.is_none()) else {
+                continue;
+            };
             if !s.holds_nothing() {
                 self.let_go(id, transport);
             }
             let Some(s) = self.requests.get(id) else { continue };
             match s.record.permit_close(s.holds_nothing()) {
                 Ok(permit) => {
-                    transport.closed(id, permit);
+                    transport.request_closed(id, permit);
                     self.requests.remove(id);
                 }
-                Err(violation) => self.refuse_step(id, violation),
+                Err(violation) => self.report_violation(id, violation),
             }
         }
     }
 
-    pub fn late(&mut self, now: Micros, by: Micros) {
+    pub fn record_loop_lag(&mut self, now: Micros, by: Micros) {
         let before = self.loop_lag.worst();
-        self.loop_lag.note(now, by);
+        self.loop_lag.record(now, by);
         // Each turn of the loop comes here: the figure is only written when it is another.
         if self.loop_lag.worst() != before {
             gauge!("tideroute_late_seconds", "core" => self.config.name.clone())
@@ -478,35 +499,35 @@
     }
 
     /// What is left of a client's time, given how late the loop has been of late.
-    pub fn left(&self, left: Micros) -> Micros {
-        self.loop_lag.left(left)
+    pub fn remaining_time(&self, left: Micros) -> Micros {
+        self.loop_lag.remaining_time(left)
     }
 
     /// Takes nothing new from now on.
-    pub fn stop(&mut self) {
+    pub fn shut_down(&mut self) {
         tracing::info!(open = self.requests.len(), "stops: takes nothing new");
         self.stopping = true;
     }
 
-    pub fn done(&self) -> bool {
-        self.stopping && self.requests.none_waits()
+    pub fn is_drained(&self) -> bool {
+        self.stopping && self.requests.all_finished()
     }
 }
 
 /// A quarter of what may be open may wait to be let in.
 fn admission_config(config: &LifecycleConfig) -> tideroute_admission::Terms {
     tideroute_admission::Terms {
-        longest_wait: config.longest_wait,
-        most_waiting: (config.most_open / 4).max(1),
-        longest_advice: config.module.max_retry_after.max(0) as Micros * MICROS_PER_TENTH_MILLI,
+        longest_wait: config.max_admission_wait,
+        most_waiting: (config.max_open_requests / 4).max(1),
+        longest_advice: config.scheduler.max_retry_after.max(0) as Micros * MICROS_PER_TENTH_MILLI,
     }
 }
 
-fn kind_of(answer: Response) -> FinalAnswer {
+fn kind_of(answer: Response) -> FinalResponse {
     match answer {
-        Response::Completed(_) => FinalAnswer::Served,
-        Response::Rejected(_) => FinalAnswer::Refused,
-        Response::Failed => FinalAnswer::Failed,
+        Response::Completed(_) => FinalResponse::Completed,
+        Response::Rejected(_) => FinalResponse::Rejected,
+        Response::Failed => FinalResponse::Failed,
     }
 }
 
--- a/crates/lifecycle/src/request_table.rs
+++ b/crates/lifecycle/src/request_table.rs
@@ -12,23 +12,23 @@
 /// A submission as the client handed it over, and what is out for it.
 pub struct RequestState<A> {
     /// What the protocol keeps of it.
-    pub asked: A,
+    pub context: A,
     pub class: u8,
     pub session: u64,
     pub prefix: u64,
     pub prompt_tokens: u32,
-    pub came: Micros,
+    pub arrived_at: Micros,
     pub deadline: Micros,
     pub attempts: u16,
     pub attempt: Option<Attempt>,
     /// The reader where its state waits.
-    pub state: Option<WorkerId>,
+    pub state_holder: Option<WorkerId>,
     /// Writers asked for a place that have not said no, the last one last.
-    pub places: Vec<WorkerId>,
+    pub reservations: Vec<WorkerId>,
     /// When its first token came.
-    pub first: Option<Micros>,
+    pub first_token_at: Option<Micros>,
     /// The final answer was given, or nobody waits for one.
-    pub over: bool,
+    pub finished: bool,
     /// What may be done for it.
     pub record: RequestRecord,
 }
@@ -37,39 +37,39 @@
     /// One that has just come.
     pub fn new(asked: A, class: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> RequestState<A> {
         RequestState {
-            asked,
+            context: asked,
             class,
             session,
             prefix,
             prompt_tokens,
-            came: 0,
+            arrived_at: 0,
             deadline: 0,
             attempts: 0,
             attempt: None,
-            state: None,
-            places: vec![],
-            first: None,
-            over: false,
+            state_holder: None,
+            reservations: vec![],
+            first_token_at: None,
+            finished: false,
             // The books put the request's own in its place as they take it.
             record: RequestRecord::new(Idempotency::NonIdempotent, 0),
         }
     }
 
     /// It came then and its client waits so long.
-    pub fn waits(self, came: Micros, left: Micros) -> RequestState<A> {
-        RequestState { came, deadline: came + left, ..self }
+    pub fn with_deadline(self, came: Micros, left: Micros) -> RequestState<A> {
+        RequestState { arrived_at: came, deadline: came + left, ..self }
     }
 
-    pub fn attempt_is(&self, number: u16) -> bool {
+    pub fn is_current_attempt(&self, number: u16) -> bool {
         self.attempt.as_ref().is_some_and(|s| s.number == number)
     }
 
-    pub fn streams(&self) -> bool {
-        self.attempt.as_ref().is_some_and(|s| s.started)
+    pub fn is_streaming(&self) -> bool {
+        self.attempt.as_ref().is_some_and(|s| s.streaming)
     }
 
     pub fn holds_nothing(&self) -> bool {
-        self.attempt.is_none() && self.state.is_none() && self.places.is_empty()
+        self.attempt.is_none() && self.state_holder.is_none() && self.reservations.is_empty()
     }
 }
 
@@ -77,17 +77,17 @@
 pub struct Attempt {
     pub number: u16,
     pub worker: WorkerId,
-    pub reading: bool,
-    pub started: bool,
+    pub is_prefill: bool,
+    pub streaming: bool,
     /// Tokens relayed, and those of them that the worker has not been told of.
     pub tokens: u32,
-    pub owed: u32,
+    pub unacknowledged_tokens: u32,
 }
 
 impl Attempt {
     /// One that goes out now.
     pub fn new(number: u16, worker: WorkerId, reading: bool) -> Attempt {
-        Attempt { number, worker, reading, started: false, tokens: 0, owed: 0 }
+        Attempt { number, worker, is_prefill: reading, streaming: false, tokens: 0, unacknowledged_tokens: 0 }
     }
 }
 
@@ -110,19 +110,19 @@
     }
 
     /// The id that the next submission will have.
-    pub fn coming(&self) -> RequestId {
+    pub fn next_id(&self) -> RequestId {
         self.base | (self.count + 1)
     }
 
     pub fn insert(&mut self, request: RequestState<A>) -> RequestId {
-        let id = self.coming();
+        let id = self.next_id();
         self.count += 1;
         self.open.insert(id, request);
         id
     }
 
     /// The id again, of which a timer's key kept what [`short`] gives.
-    pub fn long(&self, short: u64) -> RequestId {
+    pub fn expand_id(&self, short: u64) -> RequestId {
         self.base | short
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Whether any is open whose client still waits or whose shot is still out.
-    pub fn none_waits(&self) -> bool {
-        self.open.values().all(|s| s.over)
+    pub fn all_finished(&self) -> bool {
+        self.open.values().all(|s| s.finished)
     }
 }
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -1,7 +1,7 @@
 //! The books' words on protobuf links.
 
 use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
-use tideroute_invariants::{AnswerPermit, AttemptPermit, PlacePermit};
+use tideroute_invariants::{AttemptPermit, ReservationPermit, ResponsePermit};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{client, list, say_router, worker, Micros};
 
@@ -35,14 +35,14 @@
     fn send(&mut self, to: WorkerId, frame: bytes::Bytes) {
         let config = self.config;
         let hello = || say_router(&config.lifecycle.name, config.origin);
-        self.lines.send(to, hello, config.lifecycle.unheard, frame, self.effects);
+        self.lines.send(to, hello, config.lifecycle.connect_timeout, frame, self.effects);
     }
 }
 
 impl Transport for Wires<'_> {
-    type Asked = Said;
+    type Context = Said;
 
-    fn shoot(
+    fn dispatch(
         &mut self,
         id: RequestId,
         s: &RequestState<Said>,
@@ -50,8 +50,8 @@
         left: Micros,
         _permit: AttemptPermit,
     ) {
-        let (said, number) = (&s.asked, attempt.number);
-        let frame = if attempt.reading {
+        let (said, number) = (&s.context, attempt.number);
+        let frame = if attempt.is_prefill {
             worker::read(
                 id,
                 number,
@@ -72,8 +72,8 @@
                 said.most_tokens,
                 left,
                 said.mark,
-                s.state,
-                self.config.window,
+                s.state_holder,
+                self.config.stream_window_tokens,
                 s.session,
                 s.prefix,
                 said.prefix_tokens,
@@ -84,46 +84,46 @@
         self.send(attempt.worker, frame);
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         id: RequestId,
         s: &RequestState<Said>,
         at: WorkerId,
         reader: WorkerId,
-        _permit: PlacePermit,
+        _permit: ReservationPermit,
     ) {
-        let frame = worker::hold(id, s.prompt_tokens, s.asked.most_tokens, reader);
+        let frame = worker::hold(id, s.prompt_tokens, s.context.most_tokens, reader);
         self.lines.at(at).places.insert(id);
         self.send(at, frame);
     }
 
-    fn unplace(&mut self, id: RequestId, at: WorkerId, tell: bool) {
+    fn cancel_reservation(&mut self, id: RequestId, at: WorkerId, tell: bool) {
         self.lines.at(at).places.remove(&id);
         if tell {
             self.lines.send_if_there(at, worker::let_go(id), self.effects);
         }
     }
 
-    fn let_go(
+    fn release(
         &mut self,
         id: RequestId,
         _s: &RequestState<Said>,
         places: &[WorkerId],
         state: Option<WorkerId>,
     ) {
-        places.iter().for_each(|&place| self.unplace(id, place, true));
+        places.iter().for_each(|&place| self.cancel_reservation(id, place, true));
         if let Some(reader) = state {
             self.lines.send_if_there(reader, worker::let_go(id), self.effects);
         }
     }
 
     /// A frame that was handed to a link may have left at once.
-    fn withdraw(&mut self, id: RequestId, attempt: &Attempt) -> bool {
+    fn cancel(&mut self, id: RequestId, attempt: &Attempt) -> bool {
         self.lines.send_if_there(attempt.worker, worker::withdraw(id, attempt.number), self.effects);
         false
     }
 
-    fn settled(
+    fn attempt_finished(
         &mut self,
         id: RequestId,
         _s: &RequestState<Said>,
@@ -133,38 +133,39 @@
         self.lines.at(attempt.worker).attempts.remove(&id);
     }
 
-    fn answer(&mut self, _id: RequestId, s: &RequestState<Said>, answer: Response, _permit: AnswerPermit) {
-        let number = s.asked.number;
+    fn respond(&mut self, _id: RequestId, s: &RequestState<Said>, answer: Response, _permit: ResponsePermit) {
+        let number = s.context.number;
         let frame = match answer {
             Response::Completed(tokens) => client::honoured(number, tokens),
             Response::Rejected(after) => client::turned_back(number, after),
             Response::Failed => client::abandoned(number),
         };
-        self.effects.send(s.asked.client, frame);
-        if let Some(client) = self.clients.get_mut(s.asked.client) {
+        self.effects.send(s.context.client, frame);
+        if let Some(client) = self.clients.get_mut(s.context.client) {
             client.open.remove(&number);
         }
     }
 
-    fn probe(&mut self, nonce: u64, at: WorkerId) {
+    fn check_health(&mut self, nonce: u64, at: WorkerId) {
         self.lines.at(at).probe = Some(nonce);
         self.send(at, worker::probe(nonce));
     }
 
-    fn probed(&mut self, at: WorkerId) {
+    fn health_check_finished(&mut self, at: WorkerId) {
         self.lines.at(at).probe = None;
     }
 
-    fn subscribe(&mut self, version: u64) {
+    fn watch_endpoints(&mut self, version: u64) {
         let connection = *self.list_link.get_or_insert_with(|| {
-            let connection = self.effects.connect(self.config.list, self.config.lifecycle.unheard);
+            let connection =
+                self.effects.connect(self.config.discovery, self.config.lifecycle.connect_timeout);
             self.effects.send(connection, say_router(&self.config.lifecycle.name, self.config.origin));
             connection
         });
         self.effects.send(connection, list::watch(version));
     }
 
-    fn ring(&mut self, at: Micros, timer: Timer) {
+    fn set_timer(&mut self, at: Micros, timer: Timer) {
         self.effects.set_timer(at, key(crate::host::Ring::RequestLifecycle(timer)));
     }
 }
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -42,23 +42,23 @@
     };
     let lifecycle = LifecycleConfig {
         name: "r".into(),
-        module,
+        scheduler: module,
         classes: vec!["a".into(), "b".into()],
-        unheard: 250_000,
-        most_open: 40,
+        connect_timeout: 250_000,
+        max_open_requests: 40,
         tenants: None,
-        part: 1.0,
-        longest_wait: 1_000_000,
+        limits_share: 1.0,
+        max_admission_wait: 1_000_000,
         seed: 5,
     };
     RouterConfig {
         lifecycle,
-        list: LIST,
+        discovery: LIST,
         origin: 7,
-        travel: 10_000,
-        window: 8,
-        most_a_client: 30,
-        most_clients: 4,
+        network_delay: 10_000,
+        stream_window_tokens: 8,
+        max_requests_per_client: 30,
+        max_clients: 4,
     }
 }
 
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -96,23 +96,23 @@
     module.router_count = module.router_count.saturating_mul(r.cores);
     let books = tideroute_lifecycle::LifecycleConfig {
         name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
-        module,
+        scheduler: module,
         classes: r.tracks.iter().map(|t| t.name.clone()).collect(),
-        unheard: r.terms.unheard,
-        most_open: r.terms.most_open.div_ceil(cores),
+        connect_timeout: r.terms.unheard,
+        max_open_requests: r.terms.most_open.div_ceil(cores),
         tenants: tenants(r)?,
-        part: 1.0 / f64::from(r.terms.routers) / f64::from(r.cores),
-        longest_wait: r.terms.longest_wait,
+        limits_share: 1.0 / f64::from(r.terms.routers) / f64::from(r.cores),
+        max_admission_wait: r.terms.longest_wait,
         seed,
     };
     Ok(tideroute_lifecycle::RouterConfig {
         lifecycle: books,
-        list: address(&r.list)?,
+        discovery: address(&r.list)?,
         origin,
-        travel: r.terms.travel,
-        window: r.terms.window,
-        most_a_client: r.terms.most_a_client,
-        most_clients: r.terms.most_clients.div_ceil(cores),
+        network_delay: r.terms.travel,
+        stream_window_tokens: r.terms.window,
+        max_requests_per_client: r.terms.most_a_client,
+        max_clients: r.terms.most_clients.div_ceil(cores),
     })
 }
 
