--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -54,41 +54,39 @@
 
 impl Reason {
     pub fn rule(self) -> Rule {
-        use Reason::*;
         match self {
-            AfterFinalResponse
-            | AfterClientDisconnected
-            | AfterDeadline
-            | AfterStreamBegan
-            | SecondFinalResponse
-            | ClosedWithAttemptInFlight => Rule::Lost,
-            AnotherAttemptInFlight
-            | EarlierAttemptMayHaveRun
-            | OutsideDeduplicationWindow
-            | OutsideDeduplicationScope
-            | RejectedAfterPossibleExecution => Rule::Duplicate,
-            WorkerDraining | WorkerNotListed => Rule::Drain,
-            ClosedWhileHolding => Rule::Pinned,
+            Reason::AfterFinalResponse
+            | Reason::AfterClientDisconnected
+            | Reason::AfterDeadline
+            | Reason::AfterStreamBegan
+            | Reason::SecondFinalResponse
+            | Reason::ClosedWithAttemptInFlight => Rule::Lost,
+            Reason::AnotherAttemptInFlight
+            | Reason::EarlierAttemptMayHaveRun
+            | Reason::OutsideDeduplicationWindow
+            | Reason::OutsideDeduplicationScope
+            | Reason::RejectedAfterPossibleExecution => Rule::Duplicate,
+            Reason::WorkerDraining | Reason::WorkerNotListed => Rule::Drain,
+            Reason::ClosedWithReservedState => Rule::Pinned,
         }
     }
 
     pub fn name(self) -> &'static str {
-        use Reason::*;
         match self {
-            AfterFinalAnswer => "after its final answer",
-            AfterClientLeft => "after its client left",
-            AfterDeadline => "after its deadline",
-            AfterStreamBegan => "after its stream began",
-            SecondFinalAnswer => "a second final answer",
-            AnotherAttemptIsOut => "another attempt is out",
-            EarlierAttemptMayHaveRun => "an earlier attempt may have run",
-            OutsideRepeatWindow => "outside its window for repeats",
-            OutsideRepeatGroup => "outside its group for repeats",
-            RefusedAfterItMayHaveRun => "refused after it may have run",
-            WorkerDrains => "its worker drains",
-            WorkerIsNotListed => "its worker is not listed",
-            ClosedWithAttemptOut => "closed with an attempt out",
-            ClosedWhileHolding => "closed while something is held for it",
+            Reason::AfterFinalResponse => "after its final answer",
+            Reason::AfterClientDisconnected => "after its client left",
+            Reason::AfterDeadline => "after its deadline",
+            Reason::AfterStreamBegan => "after its stream began",
+            Reason::SecondFinalResponse => "a second final answer",
+            Reason::AnotherAttemptInFlight => "another attempt is out",
+            Reason::EarlierAttemptMayHaveRun => "an earlier attempt may have run",
+            Reason::OutsideDeduplicationWindow => "outside its window for repeats",
+            Reason::OutsideDeduplicationScope => "outside its group for repeats",
+            Reason::RejectedAfterPossibleExecution => "refused after it may have run",
+            Reason::WorkerDraining => "its worker drains",
+            Reason::WorkerNotListed => "its worker is not listed",
+            Reason::ClosedWithAttemptInFlight => "closed with an attempt out",
+            Reason::ClosedWithReservedState => "closed while something is held for it",
         }
     }
 }
