--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -227,7 +227,7 @@
 }
 
 impl Watcher for Api {
-    fn figures(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
+    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
         // One that was removed may be told of once more.
         if self.store.get(name).is_ok_and(|there| there.is_some()) {
             self.figures.entry(name.to_string()).or_default().insert(core.to_string(), figures);
--- a/crates/admin/src/program.rs
+++ b/crates/admin/src/program.rs
@@ -147,7 +147,7 @@
     }
 
     fn on_message(&mut self, _now: Micros, letter: &Bytes, _out: &mut Effects) {
-        if let Err(problem) = tideroute_wire::tenant::hear_figures(letter, &mut self.api) {
+        if let Err(problem) = tideroute_wire::tenant::receive_stats(letter, &mut self.api) {
             tracing::error!(%problem, "a core's figures cannot be read");
         }
     }
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -103,7 +103,7 @@
 /// Hands a change to all cores and waits until each was told.
 fn tell(cores: &Mutex<BTreeMap<u32, Mailbox>>, entry: &Entry) {
     let letter: Bytes = match &entry.tenant {
-        None => tenant::gone(&entry.name, entry.version),
+        None => tenant::removed(&entry.name, entry.version),
         Some(t) => {
             let rate = |rate: Rate| (rate.a_second, rate.once);
             let (submissions, tokens) = (t.submissions.map(rate), t.tokens.map(rate));
--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -33,7 +33,7 @@
 impl From<Standing> for Shown {
     fn from(standing: Standing) -> Shown {
         match standing {
-            Standing::There => Shown::There,
+            Standing::Alive => Shown::There,
             Standing::Suspected => Shown::Suspected,
             Standing::Dead => Shown::Dead,
             Standing::Left => Shown::Left,
@@ -74,7 +74,7 @@
 }
 
 impl Ear for Said {
-    fn from(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
         self.own = Some(name.to_string());
         self.claim(name, at, incarnation, standing, 0, true);
     }
@@ -96,13 +96,13 @@
 
     fn ping(&mut self, _number: u32) {}
 
-    fn answer(&mut self, _number: u32) {}
+    fn ack(&mut self, _number: u32) {}
 
-    fn unheard(&mut self, _number: u32) {}
+    fn nack(&mut self, _number: u32) {}
 
-    fn detour(&mut self, _number: u32, _name: &str, _at: Address) {}
+    fn ping_request(&mut self, _number: u32, _name: &str, _at: Address) {}
 
-    fn compare(&mut self, _number: u32, _prints: &[u64]) {}
+    fn digest(&mut self, _number: u32, _prints: &[u64]) {}
 
     fn page(&mut self, number: u32, _page: u32, pages: u32, prints: &[u64], health: u32) {
         if number == self.number {
@@ -130,7 +130,7 @@
             self.number += 1;
             (said.number, said.pages, said.come) = (self.number, u32::MAX, 0);
             let known = said.seen.len();
-            let datagram = self.seal.close(&Saying::new(None, Seal::AROUND).compare(self.number, prints));
+            let datagram = self.seal.close(&Saying::new(None, Seal::AROUND).digest(self.number, prints));
             self.socket.send_to(&datagram, shown(to)).map_err(|e| format!("{}: {e}", shown(to)))?;
             self.listen(&mut said);
             if said.come == 0 {
@@ -154,7 +154,7 @@
             // A wait that ended, or a refusal of a door where nobody is.
             let Ok((length, _)) = self.socket.recv_from(&mut piece) else { continue };
             if let Ok(opened) = self.seal.open(&Bytes::copy_from_slice(&piece[..length])) {
-                let _ = fleet::hear(&opened, said);
+                let _ = fleet::receive(&opened, said);
             }
         }
     }
--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -107,24 +107,24 @@
 }
 
 impl client::Client for Heard {
-    fn taken(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
         self.taken += 1;
         Ok(())
     }
     fn token(&mut self, _number: u64, _index: u32, _text: Bytes) -> Result<(), Malformed> {
         Ok(())
     }
-    fn honoured(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
-    fn turned_back(&mut self, number: u64, _after: u64) -> Result<(), Malformed> {
+    fn rejected(&mut self, number: u64, _after: u64) -> Result<(), Malformed> {
         self.turned_back.push(number);
         Ok(())
     }
-    fn abandoned(&mut self, _number: u64) -> Result<(), Malformed> {
+    fn failed(&mut self, _number: u64) -> Result<(), Malformed> {
         Ok(())
     }
-    fn denied(&mut self, why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
         self.denied = Some(why.to_string());
         Ok(())
     }
@@ -162,7 +162,7 @@
             }
             self.arrived.extend_from_slice(&piece[..got]);
             while let Some(frame) = frame::next(&mut self.arrived).expect("frames") {
-                client::hear_router(&frame, &mut self.heard).expect("a router's words");
+                client::receive_from_router(&frame, &mut self.heard).expect("a router's words");
             }
         }
     }
--- a/crates/command/tests/cuts.rs
+++ b/crates/command/tests/cuts.rs
@@ -31,15 +31,15 @@
         processes.iter().filter_map(|p| Some((p.address?, &p.name[..]))).collect();
     let (mut hellos, mut dials, mut frames) = (BTreeMap::new(), BTreeMap::new(), vec![]);
     for p in &all {
-        let (who, link) = (of(p.process), (p.process, p.link));
-        if p.what == What::Dialled {
+        let (who, link) = (of(p.process), (p.process, p.connection));
+        if p.event == What::Dialled {
             let to = Address::try_from(&p.frame[..]).expect("an address");
             dials.insert(link, at[&to].to_string());
         }
-        if p.what != What::Heard {
+        if p.event != What::Heard {
             continue;
         }
-        if who.role == "worker" && p.place == 0 {
+        if who.role == "worker" && p.position == 0 {
             hellos.extend(tideroute_wire::first(&p.frame).ok().map(|(_, name, ..)| (link, name)));
         } else if let (true, Some(router)) = (who.role == "worker", hellos.get(&link)) {
             let (router, worker) = (router.clone(), who.name.clone());
@@ -50,7 +50,7 @@
         }
     }
     let load = processes.iter().find(|p| p.role == "client").expect("a load").number;
-    let began = all.iter().find(|p| p.process == load && p.what == What::Began).expect("it began").at;
+    let began = all.iter().find(|p| p.process == load && p.event == What::Began).expect("it began").at;
     (began, frames, all)
 }
 
@@ -94,7 +94,7 @@
     let folder = played(&name, &[]);
     let (_, _, all) = heard(&folder.join("day.record.zst"));
     let whats: Vec<_> =
-        all.iter().map(|p| p.what).filter(|w| [What::Halted, What::WentOn].contains(w)).collect();
+        all.iter().map(|p| p.event).filter(|w| [What::Halted, What::WentOn].contains(w)).collect();
     assert_eq!(whats, [What::Halted, What::WentOn]);
     let _ = std::fs::remove_file(std::env::temp_dir().join(&name));
     let _ = std::fs::remove_dir_all(&folder);
@@ -130,7 +130,7 @@
     assert_eq!(count(3500, 4500, &every, &["writer3"], false), 0, "nothing comes back");
     assert!(count(3500, 4500, &every, &["writer3"], true) > 0, "something goes there");
     // A cut that says nothing leaves dials unanswered; clocks that are wrong write nothing down out of order.
-    assert!(all.iter().any(|p| p.what == What::Joined));
-    assert!(all.iter().filter(|p| p.what == What::Unreached && p.at > began).count() > 0);
+    assert!(all.iter().any(|p| p.event == What::Joined));
+    assert!(all.iter().filter(|p| p.event == What::Unreached && p.at > began).count() > 0);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -140,7 +140,7 @@
         effects: &mut Effects,
     ) -> Result<(), Malformed> {
         if self.peers.get(&connection) != Some(&Peer::Unknown) {
-            return list::hear_caller(frame, &mut Caller { list: self, now, connection, effects });
+            return list::receive_from_caller(frame, &mut Caller { list: self, now, connection, effects });
         }
         let peer = match tideroute_wire::first(frame)?.0 {
             Party::Worker => Peer::Worker(None),
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    fn here(
+    fn register(
         &mut self,
         worker: Address,
         kind: u16,
--- a/crates/emulator/src/reading.rs
+++ b/crates/emulator/src/reading.rs
@@ -78,11 +78,11 @@
         let full =
             self.waiting.len() >= bench.terms.reads_waiting && self.running >= bench.terms.reads_at_once;
         if !bench.takes_new() || full || self.reads.contains_key(&id) {
-            effects.send(router, worker::ended(id.1, shot, worker::How::Full));
+            effects.send(router, worker::attempt_ended(id.1, shot, worker::How::Full));
             return false;
         }
         if bench.faults {
-            effects.send(router, worker::ended(id.1, shot, worker::How::Fault));
+            effects.send(router, worker::attempt_ended(id.1, shot, worker::How::Fault));
             return false;
         }
         let serial = bench.serial();
@@ -132,7 +132,7 @@
             effects.set_timer(now + read.step_takes, key(Timer::Read, serial));
         } else {
             let (router, prefix) = (read.router, read.prefix);
-            let done = worker::read_done(id.1, read.shot, read.kept, read.state.len() as u64);
+            let done = worker::prefill_completed(id.1, read.shot, read.kept, read.state.len() as u64);
             self.running -= 1;
             effects.send(router, done);
             if prefix != 0 && !self.kept.contains(&prefix) {
@@ -165,8 +165,10 @@
             *sent = end;
         }
         if done && *sent == read.state.len() {
-            effects
-                .send(*connection, fetch::whole(id, read.state.len() as u64, crc32fast::hash(&read.state)));
+            effects.send(
+                *connection,
+                fetch::complete(id, read.state.len() as u64, crc32fast::hash(&read.state)),
+            );
         }
     }
 
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -218,7 +218,8 @@
         let t = &self.bench.terms;
         let standing = if self.bench.draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let started = if t.warm { 0 } else { self.bench.began };
-        effects.send(connection, list::here(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
+        effects
+            .send(connection, list::register(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
     }
 
     fn call_list(&mut self, effects: &mut Effects) {
@@ -289,14 +290,16 @@
                 self.peers.insert(connection, peer);
                 Ok(())
             }
-            Some(Peer::Router(origin)) => {
-                worker::hear_router(frame, &mut RouterLink { worker: self, now, connection, origin, effects })
-            }
-            Some(Peer::Fetcher) => {
-                fetch::hear_fetcher(frame, &mut FetcherLink { worker: self, now, connection, effects })
-            }
+            Some(Peer::Router(origin)) => worker::receive_from_router(
+                frame,
+                &mut RouterLink { worker: self, now, connection, origin, effects },
+            ),
+            Some(Peer::Fetcher) => fetch::receive_from_fetcher(
+                frame,
+                &mut FetcherLink { worker: self, now, connection, effects },
+            ),
             Some(Peer::Reader(_)) => {
-                fetch::hear_reader(frame, &mut ReaderLink { worker: self, now, effects })
+                fetch::receive_from_source(frame, &mut ReaderLink { worker: self, now, effects })
             }
             Some(Peer::List) => Err(Malformed::Order("a word from the list")),
             None => Ok(()),
@@ -423,7 +426,7 @@
 }
 
 impl worker::Worker for RouterLink<'_> {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         shot: u16,
@@ -438,7 +441,7 @@
         let id = (self.origin, id);
         let RouterLink { worker, now, connection, effects, .. } = self;
         if worker.bench.terms.does == Does::Write {
-            effects.send(*connection, worker::ended(id.1, shot, worker::How::Fault));
+            effects.send(*connection, worker::attempt_ended(id.1, shot, worker::How::Fault));
             return Ok(());
         }
         worker.bench.press(*now, f64::from(prompt_tokens));
@@ -465,7 +468,7 @@
         Ok(())
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         id: u64,
         _prompt_tokens: u32,
@@ -478,7 +481,7 @@
         Ok(())
     }
 
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         shot: u16,
@@ -515,28 +518,29 @@
         Ok(())
     }
 
-    fn let_go(&mut self, id: u64) -> Result<(), Malformed> {
+    fn release(&mut self, id: u64) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.reading.let_go(id);
         self.worker.with_writing(|w, worker| w.let_go(now, id, worker, effects));
         Ok(())
     }
 
-    fn withdraw(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.reading.withdraw(now, id, shot, &mut self.worker.bench, effects);
         self.worker.with_writing(|w, worker| w.withdraw(now, id, shot, worker, effects));
         Ok(())
     }
 
-    fn probe(&mut self, nonce: u64) -> Result<(), Malformed> {
+    fn check_health(&mut self, nonce: u64) -> Result<(), Malformed> {
         let (reads, read_queue) = self.worker.reading.load();
         let (streams, queue) = self.worker.writing.load();
-        self.effects.send(self.connection, worker::probed(nonce, reads, streams, read_queue + queue));
+        self.effects
+            .send(self.connection, worker::health_reported(nonce, reads, streams, read_queue + queue));
         Ok(())
     }
 
-    fn more(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.with_writing(|w, worker| w.more(now, id, shot, tokens, worker, effects));
         Ok(())
@@ -561,7 +565,7 @@
         Ok(())
     }
 
-    fn unfetch(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn cancel_fetch(&mut self, id: Whose) -> Result<(), Malformed> {
         self.worker.reading.unfetch(self.connection, id);
         Ok(())
     }
@@ -580,7 +584,7 @@
         Ok(())
     }
 
-    fn whole(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
+    fn complete(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.whole(now, id, state_bytes, crc, worker, effects));
         Ok(())
--- a/crates/emulator/src/writing.rs
+++ b/crates/emulator/src/writing.rs
@@ -75,7 +75,7 @@
         let free = self.taken() < terms.streams_at_once && self.waiting.is_empty();
         let held =
             free && terms.does != Does::Read && worker.bench.takes_new() && !self.writes.contains_key(&id);
-        effects.send(router, worker::hold_answer(id.1, held));
+        effects.send(router, worker::reservation_answered(id.1, held));
         if held {
             self.insert(router, id, None, 0, most_tokens, Some(reader), 0, worker);
             self.fetch(now, id, worker, effects);
@@ -97,7 +97,7 @@
         effects: &mut Effects,
     ) {
         let terms = &worker.bench.terms;
-        let mut end = |how| effects.send(router, worker::ended(id.1, shot, how));
+        let mut end = |how| effects.send(router, worker::attempt_ended(id.1, shot, how));
         if worker.bench.faults || terms.does == Does::Read {
             self.remove(id);
             return end(worker::How::Fault);
@@ -246,7 +246,7 @@
         let Some(shot) = write.shot else { return };
         match write.state {
             State::Lost => {
-                effects.send(write.router, worker::ended(id.1, shot, worker::How::Stateless));
+                effects.send(write.router, worker::attempt_ended(id.1, shot, worker::How::Stateless));
                 self.remove(id);
                 self.start(now, worker, effects);
             }
@@ -271,7 +271,7 @@
         effects.send(write.router, worker::token(id.1, shot, write.sent, text));
         (write.sent, write.under_way) = (write.sent + 1, write.under_way + 1);
         if write.sent == state::answer_tokens(*crc, write.most_tokens) {
-            effects.send(write.router, worker::finished(id.1, shot, write.sent));
+            effects.send(write.router, worker::completed(id.1, shot, write.sent));
             self.remove(id);
             return self.start(now, worker, effects);
         }
@@ -339,7 +339,7 @@
         let Some(write) = self.remove(id) else { return };
         if let (State::Coming(_), Some(reader)) = (&write.state, write.reader) {
             let connection = worker.reader(reader, effects);
-            effects.send(connection, fetch::unfetch(id));
+            effects.send(connection, fetch::cancel_fetch(id));
         }
         self.start(now, worker, effects);
     }
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -47,7 +47,7 @@
     }
 
     /// A number that is not open was answered a moment ago.
-    fn leave(&mut self, number: u64) -> Result<(), Malformed> {
+    fn cancel(&mut self, number: u64) -> Result<(), Malformed> {
         let client = self.host.clients.get_mut(self.connection).ok_or(Malformed::Hello)?;
         if let Some(id) = client.open.remove(&number) {
             self.host.dropped(self.now, id, self.effects);
@@ -77,14 +77,14 @@
 }
 
 impl worker::Router for WorkerLink<'_> {
-    fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
         let worker = self.worker()?;
         let (lifecycle, mut wires) = self.host.parts(self.effects);
         lifecycle.reservation_answered(self.now, id, worker, held, &mut wires);
         Ok(())
     }
 
-    fn read_done(
+    fn prefill_completed(
         &mut self,
         id: u64,
         attempt: u16,
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    fn finished(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed> {
         if self.is_out(id, attempt)? {
             let s = self.host.lifecycle.requests.get(id).and_then(|s| s.attempt.as_ref());
             if s.is_none_or(|s| s.tokens != tokens || tokens == 0) {
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    fn ended(&mut self, id: u64, attempt: u16, how: worker::How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, attempt: u16, how: worker::How) -> Result<(), Malformed> {
         if self.is_out(id, attempt)? {
             let outcome = match how {
                 worker::How::Full => AttemptOutcome::Rejected,
@@ -150,7 +150,13 @@
         Ok(())
     }
 
-    fn probed(&mut self, nonce: u64, reads: u32, streams: u32, waiting: u32) -> Result<(), Malformed> {
+    fn health_reported(
+        &mut self,
+        nonce: u64,
+        reads: u32,
+        streams: u32,
+        waiting: u32,
+    ) -> Result<(), Malformed> {
         let worker = self.worker()?;
         if self.host.lines.at(worker).probe == Some(nonce) {
             let (lifecycle, mut wires) = self.host.parts(self.effects);
@@ -168,7 +174,7 @@
 }
 
 impl list::Router for ListLink<'_> {
-    fn page(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
+    fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
         if !whole && version <= self.host.lifecycle.endpoint_list_version() {
             return Err(Malformed::Order("a page"));
         }
@@ -177,7 +183,7 @@
         Ok(())
     }
 
-    fn entry(
+    fn endpoint(
         &mut self,
         worker: Address,
         kind: u16,
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -116,7 +116,7 @@
         client.last = Some(number);
         let (key, full) = (client.key, client.open.len() >= self.config.max_requests_per_client);
         if let Some((_, after)) = self.lifecycle.rejection(full) {
-            effects.send(connection, client::turned_back(number, after));
+            effects.send(connection, client::rejected(number, after));
             return Ok(());
         }
         // A key may have been revoked since its Hello.
@@ -126,7 +126,7 @@
         if let Some(client) = self.clients.get_mut(connection) {
             client.open.insert(number, id);
         }
-        effects.send(connection, client::taken(number, id));
+        effects.send(connection, client::accepted(number, id));
         let (lifecycle, mut wires) = self.parts(effects);
         lifecycle.accept(now, s, tenant, &mut wires);
         Ok(())
@@ -150,7 +150,7 @@
             counter!("tideroute_denied_total").increment(1);
             tracing::debug!(connection = connection.0, name, "a client without a tenant's key");
             self.clients.lose(connection);
-            effects.send(connection, client::denied("no tenant has this key"));
+            effects.send(connection, client::unauthorized("no tenant has this key"));
             return effects.close(connection, "no tenant has its key");
         }
         tracing::debug!(connection = connection.0, name, "a client is there");
@@ -200,7 +200,11 @@
         };
         if !crowded {
             let tokens = std::mem::take(&mut attempt.unacknowledged_tokens);
-            self.lines.send_if_there(attempt.worker, worker::more(id, attempt.number, tokens), effects);
+            self.lines.send_if_there(
+                attempt.worker,
+                worker::grant_tokens(id, attempt.number, tokens),
+                effects,
+            );
         }
     }
 
@@ -230,7 +234,7 @@
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(kept) = self.kept.take() {
             let mut listener = crate::hear::ListLink { host: self, now };
-            if let Err(problem) = list::hear_list(&kept, &mut listener) {
+            if let Err(problem) = list::receive_from_list(&kept, &mut listener) {
                 tracing::warn!(%problem, "the list that was kept cannot be read; starts without");
             }
             // The list server may have started anew too: it is asked for all.
@@ -255,9 +259,9 @@
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         let taken = if self.lines.worker_of(connection).is_some() {
             let mut listener = crate::hear::WorkerLink { host: self, now, connection, effects };
-            worker::hear_worker(frame, &mut listener)
+            worker::receive_from_worker(frame, &mut listener)
         } else if self.list_link == Some(connection) {
-            let heard = list::hear_list(frame, &mut crate::hear::ListLink { host: self, now });
+            let heard = list::receive_from_list(frame, &mut crate::hear::ListLink { host: self, now });
             self.lifecycle.discovery_synced(now);
             heard
         } else if self.clients.is_silent(connection) {
@@ -269,7 +273,10 @@
                 _ => Err(Malformed::Range("party")),
             })
         } else if self.clients.knows(connection) {
-            client::hear_client(frame, &mut crate::hear::ClientLink { host: self, now, connection, effects })
+            client::receive_from_client(
+                frame,
+                &mut crate::hear::ClientLink { host: self, now, connection, effects },
+            )
         } else {
             Ok(())
         };
@@ -350,7 +357,7 @@
 
     fn on_message(&mut self, now: Micros, letter: &Bytes, _out: &mut Effects) {
         let Some(tenant_admission) = &mut self.lifecycle.tenant_admission else { return };
-        if let Err(problem) = tideroute_wire::tenant::hear(letter, &mut Ear { tenant_admission, now }) {
+        if let Err(problem) = tideroute_wire::tenant::receive(letter, &mut Ear { tenant_admission, now }) {
             tracing::error!(%problem, "a letter about tenants cannot be read");
         }
         self.lifecycle.scheduling_needed = true;
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -104,7 +104,7 @@
         }
         // By name, so that the same run tells the same.
         changed.sort_unstable_by_key(|(name, _)| *name);
-        changed.chunks(IN_A_LETTER).map(|part| tenant::figures(core, part.iter().copied())).collect()
+        changed.chunks(IN_A_LETTER).map(|part| tenant::stats(core, part.iter().copied())).collect()
     }
 
     fn revoke(&mut self, name: &str) {
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn gone(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
+    fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
         self.tenant_admission.gone(self.now, name, version);
         Ok(())
     }
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -52,7 +52,7 @@
     ) {
         let (said, number) = (&s.context, attempt.number);
         let frame = if attempt.is_prefill {
-            worker::read(
+            worker::prefill(
                 id,
                 number,
                 s.class,
@@ -64,7 +64,7 @@
                 said.prompt.clone(),
             )
         } else {
-            worker::write(
+            worker::decode(
                 id,
                 number,
                 s.class,
@@ -92,7 +92,7 @@
         reader: WorkerId,
         _permit: ReservationPermit,
     ) {
-        let frame = worker::hold(id, s.prompt_tokens, s.context.most_tokens, reader);
+        let frame = worker::reserve(id, s.prompt_tokens, s.context.most_tokens, reader);
         self.lines.at(at).places.insert(id);
         self.send(at, frame);
     }
@@ -100,7 +100,7 @@
     fn cancel_reservation(&mut self, id: RequestId, at: WorkerId, tell: bool) {
         self.lines.at(at).places.remove(&id);
         if tell {
-            self.lines.send_if_there(at, worker::let_go(id), self.effects);
+            self.lines.send_if_there(at, worker::release(id), self.effects);
         }
     }
 
@@ -113,13 +113,13 @@
     ) {
         places.iter().for_each(|&place| self.cancel_reservation(id, place, true));
         if let Some(reader) = state {
-            self.lines.send_if_there(reader, worker::let_go(id), self.effects);
+            self.lines.send_if_there(reader, worker::release(id), self.effects);
         }
     }
 
     /// A frame that was handed to a link may have left at once.
     fn cancel(&mut self, id: RequestId, attempt: &Attempt) -> bool {
-        self.lines.send_if_there(attempt.worker, worker::withdraw(id, attempt.number), self.effects);
+        self.lines.send_if_there(attempt.worker, worker::cancel(id, attempt.number), self.effects);
         false
     }
 
@@ -136,9 +136,9 @@
     fn respond(&mut self, _id: RequestId, s: &RequestState<Said>, answer: Response, _permit: ResponsePermit) {
         let number = s.context.number;
         let frame = match answer {
-            Response::Completed(tokens) => client::honoured(number, tokens),
-            Response::Rejected(after) => client::turned_back(number, after),
-            Response::Failed => client::abandoned(number),
+            Response::Completed(tokens) => client::completed(number, tokens),
+            Response::Rejected(after) => client::rejected(number, after),
+            Response::Failed => client::failed(number),
         };
         self.effects.send(s.context.client, frame);
         if let Some(client) = self.clients.get_mut(s.context.client) {
@@ -148,7 +148,7 @@
 
     fn check_health(&mut self, nonce: u64, at: WorkerId) {
         self.lines.at(at).probe = Some(nonce);
-        self.send(at, worker::probe(nonce));
+        self.send(at, worker::check_health(nonce));
     }
 
     fn health_check_finished(&mut self, at: WorkerId) {
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -82,23 +82,23 @@
 }
 
 impl client::Client for Heard {
-    fn taken(&mut self, number: u64, _id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, number: u64, _id: u64) -> Result<(), Malformed> {
         self.word(number, false)
     }
     fn token(&mut self, number: u64, _index: u32, _text: Bytes) -> Result<(), Malformed> {
         self.word(number, false)
     }
-    fn honoured(&mut self, number: u64, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, number: u64, _tokens: u32) -> Result<(), Malformed> {
         self.word(number, true)
     }
-    fn turned_back(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
         self.word(number, true)
     }
-    fn abandoned(&mut self, number: u64) -> Result<(), Malformed> {
+    fn failed(&mut self, number: u64) -> Result<(), Malformed> {
         self.word(number, true)
     }
 
-    fn denied(&mut self, _why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, _why: &str) -> Result<(), Malformed> {
         Ok(())
     }
 }
@@ -174,7 +174,7 @@
                 }
                 Effect::Close { connection, .. } => drop(self.connections.remove(&connection)),
                 Effect::Send { connection, frame } if connection == ConnectionId(self.client) => {
-                    client::hear_router(&frame, &mut self.heard).expect("a client's word");
+                    client::receive_from_router(&frame, &mut self.heard).expect("a client's word");
                 }
                 Effect::Send { connection, frame } => self.note_attempt(connection, &frame),
                 _ => {}
@@ -186,7 +186,7 @@
     fn note_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
         struct Ear(Option<(u64, u16)>);
         impl worker::Worker for Ear {
-            fn read(
+            fn prefill(
                 &mut self,
                 id: u64,
                 attempt: u16,
@@ -201,10 +201,10 @@
                 self.0 = Some((id, attempt));
                 Ok(())
             }
-            fn hold(&mut self, _: u64, _: u32, _: u32, _: Address) -> Result<(), Malformed> {
+            fn reserve(&mut self, _: u64, _: u32, _: u32, _: Address) -> Result<(), Malformed> {
                 Ok(())
             }
-            fn write(
+            fn decode(
                 &mut self,
                 id: u64,
                 attempt: u16,
@@ -223,21 +223,21 @@
                 self.0 = Some((id, attempt));
                 Ok(())
             }
-            fn let_go(&mut self, _: u64) -> Result<(), Malformed> {
+            fn release(&mut self, _: u64) -> Result<(), Malformed> {
                 Ok(())
             }
-            fn withdraw(&mut self, _: u64, _: u16) -> Result<(), Malformed> {
+            fn cancel(&mut self, _: u64, _: u16) -> Result<(), Malformed> {
                 Ok(())
             }
-            fn probe(&mut self, _: u64) -> Result<(), Malformed> {
+            fn check_health(&mut self, _: u64) -> Result<(), Malformed> {
                 Ok(())
             }
-            fn more(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
+            fn grant_tokens(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
                 Ok(())
             }
         }
         let mut ear = Ear(None);
-        if worker::hear_router(frame, &mut ear).is_ok() {
+        if worker::receive_from_router(frame, &mut ear).is_ok() {
             self.attempts.extend(ear.0.map(|(id, attempt)| (connection, id, attempt)));
         }
     }
@@ -255,19 +255,19 @@
                 let submit = client::submit(self.number, class, 1, 0, tokens, 0, 9, left, 0, prompt);
                 self.hear(ConnectionId(self.client), &submit);
             }
-            3 => self.hear(ConnectionId(self.client), &client::leave(u64::from(which))),
+            3 => self.hear(ConnectionId(self.client), &client::cancel(u64::from(which))),
             4..=9 => {
                 let Some((connection, id, attempt)) = one else { return };
                 let word = match much % 7 {
-                    0 | 1 => worker::read_done(id, attempt, 0, 9),
+                    0 | 1 => worker::prefill_completed(id, attempt, 0, 9),
                     2 | 3 => worker::token(id, attempt, u32::from(much / 7 % 3), text),
-                    4 => worker::finished(id, attempt, u32::from(much / 7 % 4)),
-                    5 => worker::ended(
+                    4 => worker::completed(id, attempt, u32::from(much / 7 % 4)),
+                    5 => worker::attempt_ended(
                         id,
                         attempt,
                         [worker::How::Full, worker::How::Fault][usize::from(much) % 2],
                     ),
-                    _ => worker::hold_answer(id, much % 2 == 0),
+                    _ => worker::reservation_answered(id, much % 2 == 0),
                 };
                 self.hear(connection, &word);
             }
--- a/crates/load-balance-report/src/measure.rs
+++ b/crates/load-balance-report/src/measure.rs
@@ -150,10 +150,10 @@
     }
 
     fn follow(&mut self, passed: &Passed) {
-        let link = (passed.process, passed.link);
+        let link = (passed.process, passed.connection);
         if let Some(&(reads, place)) = self.places.get(&passed.process) {
             let side = usize::from(!reads);
-            match passed.what {
+            match passed.event {
                 What::Began => self.sides[side].there(passed.at, place, true),
                 What::Left | What::Killed => {
                     self.sides[side].there(passed.at, place, false);
@@ -165,25 +165,25 @@
                     ids.into_iter().for_each(|shot| self.ended(passed.at, shot));
                     self.routers.remove(&link);
                 }
-                What::Heard if passed.place == 0 => {
+                What::Heard if passed.position == 0 => {
                     let router = tideroute_wire::first(&passed.frame).is_ok_and(|f| f.0 == Party::Router);
                     self.routers.insert(link, router);
                 }
                 What::Heard | What::Sent if self.routers.get(&link) == Some(&true) => {
                     // What cannot be read is for the check of the rules to tell.
                     let mut ear = Ear { books: self, passed };
-                    let _ = match passed.what {
-                        What::Heard => worker::hear_router(&passed.frame, &mut ear),
-                        _ => worker::hear_worker(&passed.frame, &mut ear),
+                    let _ = match passed.event {
+                        What::Heard => worker::receive_from_router(&passed.frame, &mut ear),
+                        _ => worker::receive_from_worker(&passed.frame, &mut ear),
                     };
                 }
                 _ => {}
             }
         } else if self.clients.contains(&passed.process) {
             let mut ear = Ear { books: self, passed };
-            let _ = match passed.what {
-                What::Sent if passed.place > 0 => client::hear_client(&passed.frame, &mut ear),
-                What::Heard => client::hear_router(&passed.frame, &mut ear),
+            let _ = match passed.event {
+                What::Sent if passed.position > 0 => client::receive_from_client(&passed.frame, &mut ear),
+                What::Heard => client::receive_from_router(&passed.frame, &mut ear),
                 _ => Ok(()),
             };
         }
@@ -192,7 +192,7 @@
     /// A shot comes, with so many tokens of a shared text.
     fn arrived(&mut self, passed: &Passed, id: u64, shared: u32) {
         let Some(&(reads, place)) = self.places.get(&passed.process) else { return };
-        let shot = (passed.process, passed.link, id);
+        let shot = (passed.process, passed.connection, id);
         if self.shots.insert(shot, shared).is_none() {
             self.sides[usize::from(!reads)].arrive(passed.at, place);
             self.arrivals[usize::from(!reads)] += 1;
@@ -251,7 +251,7 @@
 
 impl Ear<'_> {
     fn key(&self, id: u64) -> Shot {
-        (self.passed.process, self.passed.link, id)
+        (self.passed.process, self.passed.connection, id)
     }
 
     fn end(&mut self, id: u64) -> Result<(), Malformed> {
@@ -261,7 +261,7 @@
 }
 
 impl worker::Worker for Ear<'_> {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         _shot: u16,
@@ -277,11 +277,11 @@
         Ok(())
     }
 
-    fn hold(&mut self, _id: u64, _prompt: u32, _most: u32, _reader: Address) -> Result<(), Malformed> {
+    fn reserve(&mut self, _id: u64, _prompt: u32, _most: u32, _reader: Address) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         _shot: u16,
@@ -301,29 +301,29 @@
         Ok(())
     }
 
-    fn let_go(&mut self, _id: u64) -> Result<(), Malformed> {
+    fn release(&mut self, _id: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn withdraw(&mut self, id: u64, _shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, id: u64, _shot: u16) -> Result<(), Malformed> {
         self.end(id)
     }
 
-    fn probe(&mut self, _nonce: u64) -> Result<(), Malformed> {
+    fn check_health(&mut self, _nonce: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn more(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl worker::Router for Ear<'_> {
-    fn hold_answer(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn read_done(&mut self, id: u64, _shot: u16, kept: u32, _bytes: u64) -> Result<(), Malformed> {
+    fn prefill_completed(&mut self, id: u64, _shot: u16, kept: u32, _bytes: u64) -> Result<(), Malformed> {
         if let Some(&shared) = self.books.shots.get(&self.key(id)) {
             self.books.shared += f64::from(shared);
             self.books.kept += f64::from(kept.min(shared));
@@ -335,15 +335,21 @@
         Ok(())
     }
 
-    fn finished(&mut self, id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         self.end(id)
     }
 
-    fn ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
         self.end(id)
     }
 
-    fn probed(&mut self, _nonce: u64, _reads: u32, _streams: u32, _waiting: u32) -> Result<(), Malformed> {
+    fn health_reported(
+        &mut self,
+        _nonce: u64,
+        _reads: u32,
+        _streams: u32,
+        _waiting: u32,
+    ) -> Result<(), Malformed> {
         Ok(())
     }
 }
@@ -372,7 +378,7 @@
         Ok(())
     }
 
-    fn leave(&mut self, number: u64) -> Result<(), Malformed> {
+    fn cancel(&mut self, number: u64) -> Result<(), Malformed> {
         let key = self.key(number);
         self.books.asked.remove(&key);
         Ok(())
@@ -380,7 +386,7 @@
 }
 
 impl client::Client for Ear<'_> {
-    fn taken(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
@@ -395,19 +401,19 @@
         Ok(())
     }
 
-    fn honoured(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn turned_back(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
-        client::Router::leave(self, number)
+    fn rejected(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
+        client::Router::cancel(self, number)
     }
 
-    fn abandoned(&mut self, number: u64) -> Result<(), Malformed> {
-        client::Router::leave(self, number)
+    fn failed(&mut self, number: u64) -> Result<(), Malformed> {
+        client::Router::cancel(self, number)
     }
 
-    fn denied(&mut self, _why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, _why: &str) -> Result<(), Malformed> {
         Ok(())
     }
 }
--- a/crates/membership-checker/src/lib.rs
+++ b/crates/membership-checker/src/lib.rs
@@ -97,7 +97,7 @@
         .collect();
     while let Some(passed) = reader.next_passed()? {
         let Some(&who) = of.get(&passed.process) else { continue };
-        match passed.what {
+        match passed.event {
             What::Began => truth.started(who, passed.at),
             What::Killed => truth.ended(who, passed.at, false),
             What::Left => truth.ended(who, passed.at, true),
--- a/crates/membership-checker/tests/broken.rs
+++ b/crates/membership-checker/tests/broken.rs
@@ -34,7 +34,7 @@
 
     fn note(&mut self, at: u64, n: u32, what: What, word: &str) {
         let frame = Bytes::copy_from_slice(word.as_bytes());
-        self.events.push(Passed { at, process: n + 1, link: 0, what, place: 0, frame });
+        self.events.push(Passed { at, process: n + 1, connection: 0, event: what, position: 0, frame });
     }
 
     /// Takes out what fits.
@@ -105,7 +105,7 @@
     }
     late.breaks("7.0 s at the 99th percentile");
     let mut endless = good();
-    endless.events.retain(|p| p.what != What::Left);
+    endless.events.retain(|p| p.event != What::Left);
     endless.breaks("no router ended in order");
     // What is seen is seen by one life only.
     let mut again = good().with(20 * S, 5, What::Began, "");
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -78,7 +78,7 @@
     /// under its old name counts as new; if its clock was set back, it hears of its former self and outbids it.
     pub fn new(terms: Terms, now: Micros) -> Group {
         let own =
-            Seen { name: terms.name.clone(), at: terms.at, incarnation: now / MS, standing: Standing::There };
+            Seen { name: terms.name.clone(), at: terms.at, incarnation: now / MS, standing: Standing::Alive };
         let mut rng = Rng::new(terms.seed);
         // Routers that start together shall not probe together.
         let spread = |rng: &mut Rng, span: Micros| now + (rng.unit() * span as f64) as Micros;
@@ -139,7 +139,7 @@
             return Ok(());
         }
         self.speaker = None;
-        fleet::hear(said, &mut Hearing { group: self, now, from })
+        fleet::receive(said, &mut Hearing { group: self, now, from })
     }
 
     /// Says goodbye; nothing is heard any more afterwards.
@@ -195,7 +195,7 @@
         self.slept(now);
         while let Some(over) = self.probes.detour_over(now) {
             let saying = self.saying(self.table.find(&over.asker.0));
-            self.say(over.asker.1, saying.unheard(over.number));
+            self.say(over.asker.1, saying.nack(over.number));
         }
         self.probe(now);
         self.end(now);
@@ -249,7 +249,7 @@
     /// right; then news.
     fn saying(&mut self, to: Option<usize>) -> Saying {
         let mut saying = self.own_word();
-        let doubted = to.and_then(|slot| self.table.get(slot)).filter(|e| e.seen.standing != Standing::There);
+        let doubted = to.and_then(|slot| self.table.get(slot)).filter(|e| e.seen.standing != Standing::Alive);
         if let Some(entry) = doubted {
             let (s, by) = (&entry.seen, entry.by);
             saying.claim(&s.name, s.at, s.incarnation, s.standing, by);
@@ -289,7 +289,7 @@
         let Some(at) = self.table.get(slot).map(|e| e.seen.at) else { return };
         let (saying, prints) = (self.saying(Some(slot)), self.table.prints(&self.own));
         let number = self.probes.number();
-        self.say(at, saying.compare(number, prints));
+        self.say(at, saying.digest(number, prints));
     }
 
     /// A word to one that is not there: of the dead one is drawn, of the seeds as well; alone, all seeds.
@@ -320,7 +320,7 @@
         for at in seeds {
             let (saying, prints) = (self.saying(None), self.table.prints(&self.own));
             let number = self.probes.number();
-            self.say(at, saying.compare(number, prints));
+            self.say(at, saying.digest(number, prints));
         }
     }
 
@@ -362,7 +362,7 @@
         for helper in helpers {
             let Some(to) = self.table.get(helper).map(|e| e.seen.at) else { continue };
             let saying = self.saying(Some(helper));
-            self.say(to, saying.detour(number, &name, at));
+            self.say(to, saying.ping_request(number, &name, at));
         }
     }
 
@@ -386,7 +386,7 @@
     fn suspected(&mut self, now: Micros, slot: usize, by: u32, tells: bool) {
         let Some(entry) = self.table.get(slot).filter(|e| e.seen.standing.is_in()) else { return };
         let (at, incarnation, shares) = (entry.seen.at, entry.seen.incarnation, entry.suspected_by.len());
-        if entry.seen.standing == Standing::There {
+        if entry.seen.standing == Standing::Alive {
             self.table.set(slot, at, (incarnation, Standing::Suspected));
             self.table.suspected_since(slot, now);
             self.saw(slot);
@@ -452,7 +452,7 @@
         match seen.standing {
             Standing::Suspected => {
                 if weight.0 > had.0 {
-                    self.table.set(slot, seen.at, (weight.0, Standing::There));
+                    self.table.set(slot, seen.at, (weight.0, Standing::Alive));
                     self.saw(slot);
                 }
                 self.suspected(now, slot, by, !in_page);
@@ -462,13 +462,13 @@
             // otherwise, and is told.
             Standing::Dead if in_page && had.1.is_in() => {
                 if weight.0 > had.0 {
-                    self.table.set(slot, seen.at, (weight.0, Standing::There));
+                    self.table.set(slot, seen.at, (weight.0, Standing::Alive));
                 }
                 self.suspected(now, slot, by, false);
                 self.say_plain(slot);
             }
             Standing::Dead | Standing::Left => self.gone(now, slot, seen.at, weight),
-            Standing::There => {
+            Standing::Alive => {
                 self.table.set(slot, seen.at, weight);
                 if !had.1.is_in() {
                     self.probes.met(slot, &mut self.rng);
@@ -493,7 +493,7 @@
             return;
         }
         let suspected = seen.standing == Standing::Suspected;
-        let slot = self.table.insert(Seen { standing: Standing::There, ..seen });
+        let slot = self.table.insert(Seen { standing: Standing::Alive, ..seen });
         self.probes.met(slot, &mut self.rng);
         if !in_page {
             self.table.tell(slot);
@@ -505,7 +505,7 @@
     }
 
     fn claimed_of_itself(&mut self, now: Micros, seen: &Seen) {
-        let wrong = seen.standing != Standing::There || seen.at != self.own.at;
+        let wrong = seen.standing != Standing::Alive || seen.at != self.own.at;
         if seen.incarnation < self.own.incarnation || self.own.standing == Standing::Left {
             return;
         }
@@ -525,7 +525,7 @@
             );
             tracing::warn!(name = self.own.name, %other, "another process speaks, or spoke, under this name");
         }
-        if seen.standing != Standing::There {
+        if seen.standing != Standing::Alive {
             self.counts.refuted += 1;
             self.worse(1);
         }
@@ -592,7 +592,7 @@
 }
 
 impl Ear for Hearing<'_> {
-    fn from(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
         let group = &mut *self.group;
         let seen = Seen { name: name.to_string(), at, incarnation, standing };
         group.speaker = Some((name.to_string(), at));
@@ -625,26 +625,26 @@
         let back = self.back();
         let slot = self.group.speaker.as_ref().and_then(|(name, _)| self.group.table.find(name));
         let saying = self.group.saying(slot);
-        self.group.say(back, saying.answer(number));
+        self.group.say(back, saying.ack(number));
     }
 
-    fn answer(&mut self, number: u32) {
+    fn ack(&mut self, number: u32) {
         let group = &mut *self.group;
         if let Some(probe) = group.probes.under_way.as_mut().filter(|p| p.number == number) {
             (probe.answered, probe.again_at) = (true, None);
         } else if let Some(detour) = group.probes.detour_answered(number) {
             let slot = group.table.find(&detour.asker.0);
             let saying = group.saying(slot);
-            group.say(detour.asker.1, saying.answer(detour.number));
+            group.say(detour.asker.1, saying.ack(detour.number));
         }
     }
 
-    fn unheard(&mut self, number: u32) {
+    fn nack(&mut self, number: u32) {
         let probe = self.group.probes.under_way.as_mut().filter(|p| p.number == number);
         probe.into_iter().for_each(|p| p.helpers = p.helpers.saturating_sub(1));
     }
 
-    fn detour(&mut self, number: u32, name: &str, at: Address) {
+    fn ping_request(&mut self, number: u32, name: &str, at: Address) {
         let Some(asker) = self.group.speaker.clone() else { return };
         let ours = self.group.probes.number();
         if self.group.probes.detour(ours, asker, number, self.now) {
@@ -654,7 +654,7 @@
         }
     }
 
-    fn compare(&mut self, number: u32, prints: &[u64]) {
+    fn digest(&mut self, number: u32, prints: &[u64]) {
         let back = self.back();
         self.group.compared(back, number, prints, true);
     }
--- a/crates/membership/src/program.rs
+++ b/crates/membership/src/program.rs
@@ -145,7 +145,7 @@
 
 fn saw(seen: &Seen, effects: &mut Effects) {
     let standing = match seen.standing {
-        Standing::There => "there",
+        Standing::Alive => "there",
         Standing::Suspected => "suspected",
         Standing::Dead => "dead",
         Standing::Left => "left",
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -10,7 +10,7 @@
 
 const NOW: u64 = 1_800_000_000_000_000;
 const HERE: Address = [127, 0, 0, 1, 1, 1];
-const STANDINGS: [Standing; 4] = [Standing::There, Standing::Suspected, Standing::Dead, Standing::Left];
+const STANDINGS: [Standing; 4] = [Standing::Alive, Standing::Suspected, Standing::Dead, Standing::Left];
 
 fn group(seed: u64) -> Group {
     Group::new(Terms { name: "own".into(), at: HERE, seeds: vec![], seed }, NOW)
@@ -99,7 +99,7 @@
             .map(|n| Word {
                 name: format!("r{n}"),
                 incarnation: 0,
-                standing: Standing::There,
+                standing: Standing::Alive,
                 in_page: false,
             })
             .collect();
@@ -127,15 +127,15 @@
         let mut saying = Saying::new(None, 0);
         saying.claim("own", HERE, incarnation, standing, 7);
         group.heard(NOW, HERE, &saying.plain()).expect("well said");
-        assert!((group.own().incarnation, Standing::There) > (incarnation, standing));
-        assert_eq!(group.own().standing, Standing::There);
+        assert!((group.own().incarnation, Standing::Alive) > (incarnation, standing));
+        assert_eq!(group.own().standing, Standing::Alive);
     }
     assert!(group.counts().refuted > 100);
     // What no clock can have brought is not believed, or it could never be outbid.
     let before = group.own().incarnation;
     let mut saying = Saying::new(None, 0);
     saying.claim("own", HERE, u64::MAX, Standing::Dead, 7);
-    saying.claim("r1", HERE, u64::MAX, Standing::There, 7);
+    saying.claim("r1", HERE, u64::MAX, Standing::Alive, 7);
     group.heard(NOW, HERE, &saying.plain()).expect("well said");
     assert_eq!((group.own().incarnation, group.counts().future, group.seen().count()), (before, 2, 0));
 }
@@ -147,7 +147,7 @@
     let first = group.own().incarnation;
     for n in 0..100u64 {
         let claimed = group.own().incarnation + 1;
-        let saying = Saying::new(Some(("own", elsewhere, claimed, Standing::There)), 0);
+        let saying = Saying::new(Some(("own", elsewhere, claimed, Standing::Alive)), 0);
         group.heard(NOW + n * 10_000, elsewhere, &saying.ping(n as u32)).expect("well said");
     }
     assert_eq!(group.counts().quarrels, 100);
@@ -169,11 +169,11 @@
         let prints = [rng.unit().to_bits(); PARTS];
         let said = match n % 6 {
             0 => saying.ping(n),
-            1 => saying.answer(n),
-            2 => saying.detour(n, "r3", HERE),
-            3 => saying.compare(n, prints),
+            1 => saying.ack(n),
+            2 => saying.ping_request(n, "r3", HERE),
+            3 => saying.digest(n, prints),
             4 => saying.page(n, 0, 1, Some(prints), 0),
-            _ => saying.unheard(n),
+            _ => saying.nack(n),
         };
         let mut bytes = said.to_vec();
         for _ in 0..below(&mut rng, 4) {
--- a/crates/reactor/src/tap.rs
+++ b/crates/reactor/src/tap.rs
@@ -43,7 +43,14 @@
         }
         let frame = tap::kept(frame, &self.role);
         let at = self.clock.map_or(at, |clock| clock.true_now());
-        let passed = Passed { at, process: self.process, link: connection.0, what, place, frame };
+        let passed = Passed {
+            at,
+            process: self.process,
+            connection: connection.0,
+            event: what,
+            position: place,
+            frame,
+        };
         self.write(&passed);
     }
 
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -126,7 +126,7 @@
                 Deed::Halt(who) => self.world.halt(self.places[who]),
                 Deed::GoOn(who) => self.world.go_on(self.places[who]),
                 Deed::Remove(tenant) => {
-                    let letter = tideroute_wire::tenant::gone(tenant, 1);
+                    let letter = tideroute_wire::tenant::removed(tenant, 1);
                     for router in self.day.router_names() {
                         self.world.tell(self.places[&router], &letter);
                     }
--- a/crates/simulation/src/legs.rs
+++ b/crates/simulation/src/legs.rs
@@ -58,13 +58,13 @@
     while let Some(p) = reader.next_passed()? {
         let role = roles.get(&p.process).map_or("", String::as_str);
         let Some(word) = word(&p, role) else { continue };
-        let heard = p.what == What::Heard;
+        let heard = p.event == What::Heard;
         match (word, role, heard) {
             (Word::Submit(n), "client", false) => {
-                asked.insert((p.process, p.link, n), p.at);
+                asked.insert((p.process, p.connection, n), p.at);
             }
             (Word::Taken(n, id), "client", true) => {
-                let key = (p.process, p.link, n);
+                let key = (p.process, p.connection, n);
                 ids.insert(key, id);
                 ways.entry(id).or_default().asked = asked.remove(&key);
             }
@@ -82,7 +82,7 @@
                 ways.entry(id).or_default().token_sent.insert(index, p.at);
             }
             (Word::ClientToken(n, index), "client", true) if routed => {
-                let id = ids.get(&(p.process, p.link, n)).copied();
+                let id = ids.get(&(p.process, p.connection, n)).copied();
                 arrived(&mut legs, &mut ways, id, index, p.at);
             }
             (Word::WorkerToken(id, index), "client", true) => {
@@ -110,23 +110,23 @@
 }
 
 fn word(p: &Passed, role: &str) -> Option<Word> {
-    if !matches!(p.what, What::Sent | What::Heard) || p.place == 0 {
+    if !matches!(p.event, What::Sent | What::Heard) || p.position == 0 {
         return None;
     }
     let mut ear = Ear(None);
     // A client of a straight day speaks to workers as a router does.
-    let sent = p.what == What::Sent;
+    let sent = p.event == What::Sent;
     let _ = match (role, sent) {
-        ("client", true) => client::hear_client(&p.frame, &mut ear)
+        ("client", true) => client::receive_from_client(&p.frame, &mut ear)
             .ok()
             .filter(|()| ear.0.is_some())
-            .map_or_else(|| worker::hear_router(&p.frame, &mut ear), Ok),
-        ("client", false) => match client::hear_router(&p.frame, &mut ear) {
+            .map_or_else(|| worker::receive_from_router(&p.frame, &mut ear), Ok),
+        ("client", false) => match client::receive_from_router(&p.frame, &mut ear) {
             Ok(()) if ear.0.is_some() => Ok(()),
-            _ => worker::hear_worker(&p.frame, &mut ear),
+            _ => worker::receive_from_worker(&p.frame, &mut ear),
         },
-        ("worker", true) => worker::hear_worker(&p.frame, &mut ear),
-        ("worker", false) => worker::hear_router(&p.frame, &mut ear),
+        ("worker", true) => worker::receive_from_worker(&p.frame, &mut ear),
+        ("worker", false) => worker::receive_from_router(&p.frame, &mut ear),
         _ => Ok(()),
     };
     ear.0
@@ -158,13 +158,13 @@
         self.note(Word::Submit(number))
     }
 
-    fn leave(&mut self, _number: u64) -> Result<(), Malformed> {
+    fn cancel(&mut self, _number: u64) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl client::Client for Ear {
-    fn taken(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
         self.note(Word::Taken(number, id))
     }
 
@@ -172,25 +172,25 @@
         self.note(Word::ClientToken(number, index))
     }
 
-    fn honoured(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn turned_back(&mut self, _number: u64, _after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, _number: u64, _after: Micros) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn abandoned(&mut self, _number: u64) -> Result<(), Malformed> {
+    fn failed(&mut self, _number: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn denied(&mut self, _why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, _why: &str) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl worker::Worker for Ear {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         shot: u16,
@@ -205,11 +205,11 @@
         self.note(Word::Read(id, shot))
     }
 
-    fn hold(&mut self, _id: u64, _prompt: u32, _most: u32, _reader: Address) -> Result<(), Malformed> {
+    fn reserve(&mut self, _id: u64, _prompt: u32, _most: u32, _reader: Address) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         _shot: u16,
@@ -228,29 +228,29 @@
         self.note(Word::Write(id))
     }
 
-    fn let_go(&mut self, _id: u64) -> Result<(), Malformed> {
+    fn release(&mut self, _id: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn withdraw(&mut self, _id: u64, _shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, _id: u64, _shot: u16) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn probe(&mut self, _nonce: u64) -> Result<(), Malformed> {
+    fn check_health(&mut self, _nonce: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn more(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl worker::Router for Ear {
-    fn hold_answer(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn read_done(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
+    fn prefill_completed(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
         self.note(Word::ReadDone(id))
     }
 
@@ -258,15 +258,21 @@
         self.note(Word::WorkerToken(id, index))
     }
 
-    fn finished(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn ended(&mut self, _id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, _id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn probed(&mut self, _nonce: u64, _reads: u32, _streams: u32, _waiting: u32) -> Result<(), Malformed> {
+    fn health_reported(
+        &mut self,
+        _nonce: u64,
+        _reads: u32,
+        _streams: u32,
+        _waiting: u32,
+    ) -> Result<(), Malformed> {
         Ok(())
     }
 }
--- a/crates/simulation/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -205,7 +205,7 @@
         let Some((n, number)) = self.courses.get_mut(&place).and_then(|c| c.out.take()) else { return };
         self.clients[n].out.remove(&number);
         if let Some(connection) = self.clients[n].connection {
-            out.send(connection, client::leave(number));
+            out.send(connection, client::cancel(number));
         }
         self.end(place, |t| &mut t.left);
     }
@@ -241,7 +241,7 @@
     }
 
     fn hear(&mut self, now: Micros, n: usize, frame: &Bytes, out: &mut Effects) -> Result<(), Malformed> {
-        client::hear_router(frame, &mut Ear { load: self, now, n, out })
+        client::receive_from_router(frame, &mut Ear { load: self, now, n, out })
     }
 
     fn honoured(&mut self, now: Micros, place: usize, tokens: u32) {
@@ -307,7 +307,7 @@
 }
 
 impl client::Client for Ear<'_> {
-    fn taken(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
@@ -318,7 +318,7 @@
         Ok(())
     }
 
-    fn honoured(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
         if let Some(place) = self.ended(number) {
             self.count(|p| &p.honoured);
             self.load.honoured(self.now, place, tokens);
@@ -326,7 +326,7 @@
         Ok(())
     }
 
-    fn turned_back(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
         if let Some(place) = self.ended(number) {
             self.count(|p| &p.turned_back);
             self.load.again(self.now, place, true, after, self.out, |t| &mut t.turned_back);
@@ -334,7 +334,7 @@
         Ok(())
     }
 
-    fn abandoned(&mut self, number: u64) -> Result<(), Malformed> {
+    fn failed(&mut self, number: u64) -> Result<(), Malformed> {
         if let Some(place) = self.ended(number) {
             self.count(|p| &p.abandoned);
             self.load.again(self.now, place, false, 0, self.out, |t| &mut t.abandoned);
@@ -342,7 +342,7 @@
         Ok(())
     }
 
-    fn denied(&mut self, why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
         tracing::error!(client = self.n, why, "a router does not take this client");
         self.load.tally.denied += 1;
         Ok(())
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/parts.rs
@@ -46,7 +46,8 @@
             self.over = self.ahead.is_none();
         }
         let process = self.process;
-        let outside = |(at, what)| Passed { at, process, link: 0, what, place: 0, frame: Bytes::new() };
+        let outside =
+            |(at, what)| Passed { at, process, connection: 0, event: what, position: 0, frame: Bytes::new() };
         let own = self.ahead.as_ref().map(|p| p.at);
         if let Some(halt) = self.halts.pop_front_if(|(at, _)| own.is_none_or(|own| *at <= own)) {
             return Ok(Some(outside(halt)));
--- a/crates/simulation/src/straight.rs
+++ b/crates/simulation/src/straight.rs
@@ -81,7 +81,7 @@
             *self.streams.entry(writer).or_default() += 1;
             self.going.insert(id, Going { reader, writer, client: p.client, reads: true });
             self.chooser.note(now, p.client, reader, true);
-            let read = worker::read(
+            let read = worker::prefill(
                 id,
                 0,
                 p.track,
@@ -93,7 +93,8 @@
                 p.prompt,
             );
             effects.send(self.connections[&reader], read);
-            effects.send(self.connections[&writer], worker::hold(id, p.prompt_tokens, p.most_tokens, reader));
+            effects
+                .send(self.connections[&writer], worker::reserve(id, p.prompt_tokens, p.most_tokens, reader));
         }
         if let Some(p) = self.planned.get(self.next) {
             effects.set_timer(self.began + p.at, 0);
@@ -125,17 +126,17 @@
 }
 
 impl worker::Router for Ear<'_> {
-    fn hold_answer(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn read_done(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
+    fn prefill_completed(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
         self.straight.read(self.now, id);
         let (s, effects) = (&self.straight, &mut *self.effects);
         let (Some(going), Some(p)) = (s.going.get(&id), s.planned.get(id as usize - 1)) else {
             return Ok(());
         };
-        let write = worker::write(
+        let write = worker::decode(
             id,
             1,
             p.track,
@@ -158,17 +159,23 @@
         Ok(())
     }
 
-    fn finished(&mut self, id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         self.straight.end(self.now, id, true);
         Ok(())
     }
 
-    fn ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
         self.straight.end(self.now, id, false);
         Ok(())
     }
 
-    fn probed(&mut self, _nonce: u64, _reads: u32, _streams: u32, _waiting: u32) -> Result<(), Malformed> {
+    fn health_reported(
+        &mut self,
+        _nonce: u64,
+        _reads: u32,
+        _streams: u32,
+        _waiting: u32,
+    ) -> Result<(), Malformed> {
         Ok(())
     }
 }
@@ -194,7 +201,7 @@
     fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
-        if let Err(problem) = worker::hear_worker(frame, &mut Ear { straight: self, now, effects }) {
+        if let Err(problem) = worker::receive_from_worker(frame, &mut Ear { straight: self, now, effects }) {
             tracing::error!(%problem, connection = connection.0, "a worker breaks the protocol");
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -244,7 +244,14 @@
     fn note(&mut self, id: NodeId, connection: ConnectionId, what: What, place: u64, frame: &Bytes) {
         let frame = tap::kept(frame, &self.nodes[id.0].role);
         let process = self.nodes[id.0].process;
-        self.passed.push(Passed { at: self.now, process, link: connection.0, what, place, frame });
+        self.passed.push(Passed {
+            at: self.now,
+            process,
+            connection: connection.0,
+            event: what,
+            position: place,
+            frame,
+        });
     }
 
     fn note_end(&mut self, id: NodeId, connection: ConnectionId) {
--- a/crates/simulation/tests/cores.rs
+++ b/crates/simulation/tests/cores.rs
@@ -96,7 +96,7 @@
         processes.into_iter().filter(|p| p.name.starts_with("reader")).map(|p| (p.number, p.name)).collect();
     let mut reads = BTreeMap::<&str, usize>::new();
     while let Some(p) = reader.next_passed().expect("a whole record") {
-        let is_read = p.what == What::Heard && p.frame.first() == Some(&(READ << 3 | 2));
+        let is_read = p.event == What::Heard && p.frame.first() == Some(&(READ << 3 | 2));
         if let Some(name) = readers.get(&p.process).filter(|_| is_read) {
             *reads.entry(name).or_default() += 1;
         }
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -57,7 +57,7 @@
     let (processes, _) = reader.head().expect("a head");
     let of: Vec<_> = processes.iter().filter(|p| p.role == role).map(|p| p.number).collect();
     let is = |p: &&Passed| {
-        p.what == What::Heard && of.contains(&p.process) && p.frame.first() == Some(&(field << 3 | 2))
+        p.event == What::Heard && of.contains(&p.process) && p.frame.first() == Some(&(field << 3 | 2))
     };
     passed(played).iter().filter(is).count()
 }
@@ -125,24 +125,24 @@
         late: usize,
     }
     impl worker::Router for Ear {
-        fn hold_answer(&mut self, id: u64, _held: bool) -> Result<(), Malformed> {
+        fn reservation_answered(&mut self, id: u64, _held: bool) -> Result<(), Malformed> {
             self.late += usize::from(self.read.contains(&id));
             Ok(())
         }
-        fn read_done(&mut self, id: u64, _: u16, _: u32, _: u64) -> Result<(), Malformed> {
+        fn prefill_completed(&mut self, id: u64, _: u16, _: u32, _: u64) -> Result<(), Malformed> {
             self.read.insert(id);
             Ok(())
         }
         fn token(&mut self, _: u64, _: u16, _: u32, _: bytes::Bytes) -> Result<(), Malformed> {
             Ok(())
         }
-        fn finished(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
+        fn completed(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
             Ok(())
         }
-        fn ended(&mut self, _: u64, _: u16, _: worker::How) -> Result<(), Malformed> {
+        fn attempt_ended(&mut self, _: u64, _: u16, _: worker::How) -> Result<(), Malformed> {
             Ok(())
         }
-        fn probed(&mut self, _: u64, _: u32, _: u32, _: u32) -> Result<(), Malformed> {
+        fn health_reported(&mut self, _: u64, _: u32, _: u32, _: u32) -> Result<(), Malformed> {
             Ok(())
         }
     }
@@ -150,10 +150,10 @@
     let (processes, _) = reader.head().expect("a head");
     let routers: Vec<_> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let mut ear = Ear::default();
-    for p in passed(played).iter().filter(|p| p.what == What::Heard && routers.contains(&p.process)) {
+    for p in passed(played).iter().filter(|p| p.event == What::Heard && routers.contains(&p.process)) {
         // Words of clients and of the list are other messages; what does not fit is none of these.
-        if p.link >> 63 == 1 {
-            let _ = worker::hear_worker(&p.frame, &mut ear);
+        if p.connection >> 63 == 1 {
+            let _ = worker::receive_from_worker(&p.frame, &mut ear);
         }
     }
     ear.late
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -78,15 +78,15 @@
     let routers: BTreeSet<u32> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let (mut of_it, mut too_late, mut before) = (BTreeSet::new(), BTreeSet::new(), 0);
     while let Some(p) = reader.next_passed().expect("a whole record") {
-        if !routers.contains(&p.process) || p.place > 0 && p.frame.is_empty() {
+        if !routers.contains(&p.process) || p.position > 0 && p.frame.is_empty() {
             continue;
         }
         let (field, numbers) = frame(&p.frame);
-        match (p.what, field) {
+        match (p.event, field) {
             (What::Heard, HELLO) if p.frame.windows(6).any(|w| w == b"leaves") => {
-                of_it.insert((p.process, p.link));
+                of_it.insert((p.process, p.connection));
             }
-            (What::Sent, TAKEN) if of_it.contains(&(p.process, p.link)) => {
+            (What::Sent, TAKEN) if of_it.contains(&(p.process, p.connection)) => {
                 before += u32::from(p.at <= gone);
                 too_late.extend((p.at > gone).then(|| numbers[1]));
             }
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -150,7 +150,7 @@
 }
 
 fn one(passed: &Passed, talk: Option<Talk>, shots: &mut Shots, report: &mut Report) {
-    match passed.what {
+    match passed.event {
         What::Sent | What::Heard => {
             let Some(talk) = talk else { return };
             if let Err(problem) = talk::hear(passed, talk, shots, report) {
--- a/crates/trace-checker/src/links.rs
+++ b/crates/trace-checker/src/links.rs
@@ -106,13 +106,13 @@
 
     /// Takes one event to the books; tells who talks on its connection, if that is known.
     pub fn follow(&mut self, passed: &Passed, report: &mut Report) -> Option<Talk> {
-        let key = (passed.process, passed.link);
+        let key = (passed.process, passed.connection);
         let address = |from: usize| passed.frame.get(from..from + 6).and_then(|a| Address::try_from(a).ok());
-        match passed.what {
+        match passed.event {
             What::Dialled | What::Unreached | What::Met | What::Accepted => {
                 let role = self.roles.get(&passed.process).map_or("", String::as_str);
                 let end = self.ends.entry(key).or_default();
-                match passed.what {
+                match passed.event {
                     What::Dialled => {
                         (end.dialled, end.to) = (true, address(0));
                         let target = end.to.and_then(|to| self.addresses.get(&to)).map_or("", String::as_str);
@@ -157,8 +157,10 @@
                 let end = self.ends.entry(key).or_default();
                 end.closed = Some(passed.at);
                 if counted(&passed.frame) != Some((end.sent.passed, end.heard.passed)) {
-                    let what =
-                        format!("process {} link {:x} lacks its last frames", passed.process, passed.link);
+                    let what = format!(
+                        "process {} link {:x} lacks its last frames",
+                        passed.process, passed.connection
+                    );
                     report.note(Rule::Record, passed.at, None, what);
                 }
             }
@@ -187,20 +189,20 @@
     }
 
     fn frame(&mut self, passed: &Passed, report: &mut Report) -> Option<Talk> {
-        let (process, link, sent) = (passed.process, passed.link, passed.what == What::Sent);
+        let (process, link, sent) = (passed.process, passed.connection, passed.event == What::Sent);
         let role = self.roles.get(&process).map_or("", String::as_str);
         let end = self.ends.entry((process, link)).or_default();
         let flow = if sent { &mut end.sent } else { &mut end.heard };
-        if passed.place != flow.passed {
+        if passed.position != flow.passed {
             let what = format!("process {process} link {link:x} lacks frame {}", flow.passed);
             report.note(Rule::Record, passed.at, None, what);
             // As many as a record may lack; one that lacks more is no record.
-            let lacking = passed.place.saturating_sub(flow.passed).min(1 << 16);
+            let lacking = passed.position.saturating_sub(flow.passed).min(1 << 16);
             (0..lacking).for_each(|_| flow.push(0));
-            flow.passed = passed.place;
+            flow.passed = passed.position;
         }
         flow.push(sum(tap::common(&passed.frame)));
-        let hello = passed.place == 0 && sent == end.dialled;
+        let hello = passed.position == 0 && sent == end.dialled;
         if hello && !end.dialled {
             let party = tideroute_wire::first(&passed.frame).map(|(party, ..)| party).ok();
             end.between = party.and_then(|party| between(name(party), role));
--- a/crates/trace-checker/src/shots.rs
+++ b/crates/trace-checker/src/shots.rs
@@ -74,7 +74,7 @@
 }
 
 fn number(passed: &Passed, number: u64) -> Number {
-    (passed.process, passed.link, number)
+    (passed.process, passed.connection, number)
 }
 
 impl Shots {
@@ -118,7 +118,7 @@
         asked.filter(|a| {
             if a.answers > 0 {
                 let what =
-                    format!("client link {:x} number {n}: more was sent after the answer", passed.link);
+                    format!("client link {:x} number {n}: more was sent after the answer", passed.connection);
                 report.note(Rule::Lost, passed.at, None, what);
             }
             a.answers == 0
@@ -194,7 +194,7 @@
         report.counts.taken += 1;
         let held = Held {
             number: number(passed, n),
-            client: passed.link,
+            client: passed.connection,
             track,
             at,
             left,
@@ -320,7 +320,7 @@
             held.ran.get_or_insert((passed.at, to));
             held.held.remove(&to);
         }
-        let (link, worker, sent) = (passed.link, to, passed.at);
+        let (link, worker, sent) = (passed.connection, to, passed.at);
         held.out = Some(Out { number: shot, worker, link, sent });
         self.cold.new_goes(passed, id, to, &self.halts, report);
         self.cold.works(passed, id, to, tokens, report);
@@ -356,7 +356,7 @@
                 format!("a word of shot {shot}, which was never sent"),
             );
         }
-        held.out.as_mut().filter(|o| o.number == shot && o.link == passed.link)
+        held.out.as_mut().filter(|o| o.number == shot && o.link == passed.connection)
     }
 
     pub fn read_done(&mut self, passed: &Passed, id: u64, shot: u16, at: Address, report: &mut Report) {
@@ -418,10 +418,10 @@
         match talk.between {
             Between::RouterWorker if talk.dialled => {
                 let release = self.terms.release;
-                let unreached = passed.what == What::Unreached;
+                let unreached = passed.event == What::Unreached;
                 let mine = (passed.process, 0)..=(passed.process, u64::MAX);
                 for ((_, id), held) in self.held.range_mut(mine) {
-                    let mine = |o: &&Out| o.link == passed.link;
+                    let mine = |o: &&Out| o.link == passed.connection;
                     let Some(out) = held.out.as_ref().filter(mine) else {
                         if held.held.contains(&talk.to) {
                             held.look_for_pins(*id, passed.at, release, &self.halts, report);
@@ -439,7 +439,7 @@
             }
             Between::ClientRouter if !talk.dialled => {
                 let mine = (passed.process, 0)..=(passed.process, u64::MAX);
-                for (_, held) in self.held.range_mut(mine).filter(|(_, h)| h.client == passed.link) {
+                for (_, held) in self.held.range_mut(mine).filter(|(_, h)| h.client == passed.connection) {
                     held.over.get_or_insert(passed.at);
                 }
             }
@@ -454,7 +454,7 @@
         for ((_, id), held) in self.held.range_mut(mine) {
             held.look_for_pins(*id, passed.at, release, &self.halts, report);
             // A router that ended in order owes nothing more; one that was killed is excused.
-            if passed.what == What::Left && held.over.is_none() {
+            if passed.event == What::Left && held.over.is_none() {
                 report.note(Rule::Lost, passed.at, Some(*id), "its router left without an answer");
             }
             held.held.clear();
--- a/crates/trace-checker/src/talk.rs
+++ b/crates/trace-checker/src/talk.rs
@@ -16,17 +16,19 @@
     if talk.hello {
         return Ok(());
     }
-    let sent = passed.what == What::Sent;
+    let sent = passed.event == What::Sent;
     // The dialler speaks in what it sent, and in what the acceptor heard.
     let from_dialler = sent == talk.dialled;
     let mut ear = Ear { passed, talk, shots, report };
     match (talk.between, from_dialler) {
-        (Between::ClientRouter, true) => client::hear_client(&passed.frame, &mut ear),
-        (Between::ClientRouter, false) => client::hear_router(&passed.frame, &mut ear),
-        (Between::RouterWorker, true) if talk.dialled => worker::hear_router(&passed.frame, &mut ear),
-        (Between::RouterWorker, false) if talk.dialled => worker::hear_worker(&passed.frame, &mut ear),
-        (Between::RouterList, false) if talk.dialled => list::hear_list(&passed.frame, &mut ear),
-        (Between::WorkerList, true) if talk.dialled => list::hear_caller(&passed.frame, &mut ear),
+        (Between::ClientRouter, true) => client::receive_from_client(&passed.frame, &mut ear),
+        (Between::ClientRouter, false) => client::receive_from_router(&passed.frame, &mut ear),
+        (Between::RouterWorker, true) if talk.dialled => worker::receive_from_router(&passed.frame, &mut ear),
+        (Between::RouterWorker, false) if talk.dialled => {
+            worker::receive_from_worker(&passed.frame, &mut ear)
+        }
+        (Between::RouterList, false) if talk.dialled => list::receive_from_list(&passed.frame, &mut ear),
+        (Between::WorkerList, true) if talk.dialled => list::receive_from_caller(&passed.frame, &mut ear),
         _ => Ok(()),
     }
 }
@@ -67,7 +69,7 @@
         Ok(())
     }
 
-    fn leave(&mut self, number: u64) -> Result<(), Malformed> {
+    fn cancel(&mut self, number: u64) -> Result<(), Malformed> {
         if self.at_client() {
             self.shots.client_leaves(self.passed, number, self.report);
         } else {
@@ -78,7 +80,7 @@
 }
 
 impl client::Client for Ear<'_> {
-    fn taken(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
+    fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
         if self.at_client() {
             self.shots.client_taken(self.passed, number, self.report);
         } else {
@@ -96,19 +98,19 @@
         Ok(())
     }
 
-    fn honoured(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
         self.answer(number, Answer::Honoured(tokens))
     }
 
-    fn turned_back(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, number: u64, _after: Micros) -> Result<(), Malformed> {
         self.answer(number, Answer::TurnedBack)
     }
 
-    fn abandoned(&mut self, number: u64) -> Result<(), Malformed> {
+    fn failed(&mut self, number: u64) -> Result<(), Malformed> {
         self.answer(number, Answer::Abandoned)
     }
 
-    fn denied(&mut self, _why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, _why: &str) -> Result<(), Malformed> {
         Ok(())
     }
 }
@@ -133,7 +135,7 @@
 }
 
 impl worker::Worker for Ear<'_> {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         shot: u16,
@@ -150,7 +152,7 @@
         Ok(())
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         id: u64,
         _prompt_tokens: u32,
@@ -161,7 +163,7 @@
         Ok(())
     }
 
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         shot: u16,
@@ -182,33 +184,33 @@
         Ok(())
     }
 
-    fn let_go(&mut self, id: u64) -> Result<(), Malformed> {
+    fn release(&mut self, id: u64) -> Result<(), Malformed> {
         self.shots.lets_go(self.passed, id, self.talk.to, self.report);
         Ok(())
     }
 
-    fn withdraw(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
         self.shots.withdraws(self.passed, id, shot, self.report);
         Ok(())
     }
 
-    fn probe(&mut self, nonce: u64) -> Result<(), Malformed> {
+    fn check_health(&mut self, nonce: u64) -> Result<(), Malformed> {
         self.shots.probes(self.passed, nonce);
         Ok(())
     }
 
-    fn more(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl worker::Router for Ear<'_> {
-    fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, id: u64, held: bool) -> Result<(), Malformed> {
         self.shots.hold_answered(self.passed, id, self.talk.to, held, self.report);
         Ok(())
     }
 
-    fn read_done(&mut self, id: u64, shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
+    fn prefill_completed(&mut self, id: u64, shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
         self.shots.read_done(self.passed, id, shot, self.talk.to, self.report);
         Ok(())
     }
@@ -218,29 +220,35 @@
         Ok(())
     }
 
-    fn finished(&mut self, id: u64, shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, id: u64, shot: u16, _tokens: u32) -> Result<(), Malformed> {
         self.shots.ended(self.passed, id, shot, false, self.report);
         Ok(())
     }
 
-    fn ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed> {
         self.shots.ended(self.passed, id, shot, how != How::Fault, self.report);
         Ok(())
     }
 
-    fn probed(&mut self, nonce: u64, _reads: u32, _streams: u32, _waiting: u32) -> Result<(), Malformed> {
+    fn health_reported(
+        &mut self,
+        nonce: u64,
+        _reads: u32,
+        _streams: u32,
+        _waiting: u32,
+    ) -> Result<(), Malformed> {
         self.shots.probe_answered(self.passed, nonce, self.report);
         Ok(())
     }
 }
 
 impl list::Router for Ear<'_> {
-    fn page(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
+    fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
         self.shots.cold.page(self.passed, version, whole);
         Ok(())
     }
 
-    fn entry(
+    fn endpoint(
         &mut self,
         worker: Address,
         _kind: u16,
@@ -260,7 +268,7 @@
         Err(Malformed::Order("Watch from a worker"))
     }
 
-    fn here(
+    fn register(
         &mut self,
         worker: Address,
         _kind: u16,
--- a/crates/trace-checker/tests/broken.rs
+++ b/crates/trace-checker/tests/broken.rs
@@ -90,15 +90,22 @@
         ] {
             book.connect(from, to, party);
         }
-        book.say(4, true, list::here(address(READER), 0, 1.0, EndpointStatus::Serving, 0, 0, 0));
-        book.say(5, true, list::here(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, 0));
+        book.say(4, true, list::register(address(READER), 0, 1.0, EndpointStatus::Serving, 0, 0, 0));
+        book.say(5, true, list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, 0));
         book.say(3, true, list::watch(0));
         book.page(&[(READER, EndpointStatus::Serving, 0), (WRITER, EndpointStatus::Serving, 0)]);
         book
     }
 
     fn note(&mut self, process: u32, link: u64, what: What, place: u64, frame: Bytes) {
-        self.passed.push(Passed { at: self.now, process, link, what, place, frame });
+        self.passed.push(Passed {
+            at: self.now,
+            process,
+            connection: link,
+            event: what,
+            position: place,
+            frame,
+        });
     }
 
     fn connect(&mut self, from: u32, to: u32, party: Party) {
@@ -142,17 +149,17 @@
     fn submit(&mut self, number: u64, track: u8, left_ms: u64) {
         let prompt = Bytes::from_static(b"text");
         self.say(0, true, client::submit(number, track, 1, 0, 100, 0, 20, left_ms * MS, 0, prompt));
-        self.say(0, false, client::taken(number, ID + number - 1));
+        self.say(0, false, client::accepted(number, ID + number - 1));
     }
 
     fn read(&mut self, id: u64, shot: u16) {
-        self.say(1, true, worker::read(id, shot, 0, 1, 0, 100, 0, 0, Bytes::new()));
+        self.say(1, true, worker::prefill(id, shot, 0, 1, 0, 100, 0, 0, Bytes::new()));
     }
 
     /// A send to the writer on line 2, or to the other one on line 6.
     fn write(&mut self, line: usize, id: u64, shot: u16, most: u32) {
         let reader = Some(address(READER));
-        self.say(line, true, worker::write(id, shot, 0, 100, most, 0, 0, reader, 8, 1, 0, 0, Bytes::new()));
+        self.say(line, true, worker::decode(id, shot, 0, 100, most, 0, 0, reader, 8, 1, 0, 0, Bytes::new()));
     }
 
     fn stream(&mut self, number: u64, id: u64, shot: u16) {
@@ -161,8 +168,8 @@
             self.say(2, false, worker::token(id, shot, index, text.clone()));
             self.say(0, false, client::token(number, index, text));
         }
-        self.say(2, false, worker::finished(id, shot, 2));
-        self.say(0, false, client::honoured(number, 2));
+        self.say(2, false, worker::completed(id, shot, 2));
+        self.say(0, false, client::completed(number, 2));
     }
 
     /// A submission all the way, every kind of message in it.
@@ -170,9 +177,9 @@
         let id = ID + number - 1;
         self.pass(10).submit(number, track, 4000);
         self.read(id, 0);
-        self.say(2, true, worker::hold(id, 100, 20, address(READER)));
-        self.pass(5).say(2, false, worker::hold_answer(id, true));
-        self.pass(50).say(1, false, worker::read_done(id, 0, 0, 1600));
+        self.say(2, true, worker::reserve(id, 100, 20, address(READER)));
+        self.pass(5).say(2, false, worker::reservation_answered(id, true));
+        self.pass(50).say(1, false, worker::prefill_completed(id, 0, 0, 1600));
         self.pass(1).write(2, id, 1, 20);
         self.pass(20).stream(number, id, 1);
     }
@@ -225,21 +232,21 @@
     book.whole(2, 1);
     // One that is turned back, one abandoned, one left, and a shot called back; a probe and its answer.
     book.pass(10).submit(3, 0, 1000);
-    book.pass(5).say(0, false, client::turned_back(3, 500 * MS));
+    book.pass(5).say(0, false, client::rejected(3, 500 * MS));
     book.submit(4, 1, 1000);
     book.read(ID + 3, 0);
-    book.pass(20).say(1, false, worker::read_done(ID + 3, 0, 0, 1600));
+    book.pass(20).say(1, false, worker::prefill_completed(ID + 3, 0, 0, 1600));
     book.write(2, ID + 3, 1, 20);
-    book.pass(5).say(2, false, worker::ended(ID + 3, 1, worker::How::Fault));
-    book.say(1, true, worker::let_go(ID + 3));
-    book.say(0, false, client::abandoned(4));
+    book.pass(5).say(2, false, worker::attempt_ended(ID + 3, 1, worker::How::Fault));
+    book.say(1, true, worker::release(ID + 3));
+    book.say(0, false, client::failed(4));
     book.submit(5, 0, 1000);
     book.read(ID + 4, 0);
-    book.pass(5).say(0, true, client::leave(5));
-    book.say(1, true, worker::withdraw(ID + 4, 0));
-    book.say(1, true, worker::probe(9));
-    book.say(1, false, worker::probed(9, 0, 0, 0));
-    book.say(2, true, worker::more(ID, 1, 2));
+    book.pass(5).say(0, true, client::cancel(5));
+    book.say(1, true, worker::cancel(ID + 4, 0));
+    book.say(1, true, worker::check_health(9));
+    book.say(1, false, worker::health_reported(9, 0, 0, 0));
+    book.say(2, true, worker::grant_tokens(ID, 1, 2));
     book
 }
 
@@ -265,15 +272,15 @@
 fn rule_1_late_answers_second_answers_and_shots_after_the_end() {
     let mut book = Book::new();
     book.pass(10).submit(1, 0, 1000);
-    book.pass(1001).say(0, false, client::turned_back(1, 0));
+    book.pass(1001).say(0, false, client::rejected(1, 0));
     broke(&book.check(), Rule::Lost, Some(ID));
     let mut book = Book::new();
     book.whole(1, 0);
-    book.say(0, false, client::abandoned(1));
+    book.say(0, false, client::failed(1));
     assert!(book.check().broken.iter().any(|b| b.rule == Rule::Lost && b.submission == Some(ID)));
     let mut book = Book::new();
     book.pass(10).submit(1, 0, 1000);
-    book.say(0, false, client::turned_back(1, 0));
+    book.say(0, false, client::rejected(1, 0));
     book.read(ID, 0);
     broke(&book.check(), Rule::Lost, Some(ID));
 }
@@ -284,13 +291,13 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 1, 4000);
         book.write(2, ID, 0, 20);
-        book.pass(10).say(2, false, worker::ended(ID, 0, worker::How::Fault));
+        book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::How::Fault));
         if again {
             book.write(2, ID, 1, 20);
-            book.pass(10).say(2, false, worker::ended(ID, 1, worker::How::Fault));
-            book.say(0, false, client::abandoned(1));
+            book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::How::Fault));
+            book.say(0, false, client::failed(1));
         } else {
-            book.say(0, false, client::turned_back(1, 0));
+            book.say(0, false, client::rejected(1, 0));
         }
         broke(&book.check(), Rule::Twice, Some(ID));
     }
@@ -298,10 +305,10 @@
     let mut book = Book::new();
     book.pass(10).submit(1, 1, 4000);
     book.write(2, ID, 0, 20);
-    book.pass(10).say(2, false, worker::ended(ID, 0, worker::How::Full));
+    book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::How::Full));
     book.write(2, ID, 1, 20);
-    book.pass(10).say(2, false, worker::ended(ID, 1, worker::How::Stateless));
-    book.say(0, false, client::turned_back(1, 0));
+    book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::How::Stateless));
+    book.say(0, false, client::rejected(1, 0));
     assert!(book.check().kept());
 }
 
@@ -311,10 +318,10 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 2, 9000);
         book.write(2, ID, 0, 20);
-        book.pass(wait).say(2, false, worker::ended(ID, 0, worker::How::Fault));
+        book.pass(wait).say(2, false, worker::attempt_ended(ID, 0, worker::How::Fault));
         book.write(line, ID, 1, 20);
-        book.pass(10).say(line, false, worker::ended(ID, 1, worker::How::Fault));
-        book.say(0, false, client::abandoned(1));
+        book.pass(10).say(line, false, worker::attempt_ended(ID, 1, worker::How::Fault));
+        book.say(0, false, client::failed(1));
         let report = book.check();
         if kept {
             assert!(report.kept(), "{:?}", report.broken);
@@ -330,7 +337,7 @@
     book.pass(10).submit(1, 0, 4000);
     book.read(ID, 0);
     book.read(ID, 1);
-    book.say(0, false, client::turned_back(1, 0));
+    book.say(0, false, client::rejected(1, 0));
     broke(&book.check(), Rule::Twice, Some(ID));
 }
 
@@ -343,16 +350,16 @@
         book.page(&[(WRITER, EndpointStatus::Draining, 0)]);
         book.pass(wait);
         if place {
-            book.say(2, true, worker::hold(ID, 100, 20, address(READER)));
-            book.say(2, false, worker::hold_answer(ID, false));
+            book.say(2, true, worker::reserve(ID, 100, 20, address(READER)));
+            book.say(2, false, worker::reservation_answered(ID, false));
         }
-        book.say(1, false, worker::read_done(ID, 0, 0, 1600));
+        book.say(1, false, worker::prefill_completed(ID, 0, 0, 1600));
         if !place {
             book.write(2, ID, 1, 20);
             book.stream(1, ID, 1);
         } else {
-            book.say(1, true, worker::let_go(ID));
-            book.say(0, false, client::turned_back(1, 0));
+            book.say(1, true, worker::release(ID));
+            book.say(0, false, client::rejected(1, 0));
         }
         let report = book.check();
         if kept {
@@ -369,7 +376,7 @@
     for (tokens, told, kept) in [(480, true, true), (560, true, false), (560, false, true)] {
         let mut book = Book::new();
         let started = book.now;
-        book.say(5, true, list::here(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, started));
+        book.say(5, true, list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, started));
         if told {
             book.page(&[(WRITER, EndpointStatus::Serving, started)]);
         }
@@ -391,9 +398,9 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 0, 4000);
         book.read(ID, 0);
-        book.pass(50).say(1, false, worker::read_done(ID, 0, 0, 1600));
-        book.say(0, false, client::turned_back(1, 0));
-        book.pass(wait).say(1, true, worker::let_go(ID));
+        book.pass(50).say(1, false, worker::prefill_completed(ID, 0, 0, 1600));
+        book.say(0, false, client::rejected(1, 0));
+        book.pass(wait).say(1, true, worker::release(ID));
         let report = book.check();
         if kept {
             assert!(report.kept(), "{:?}", report.broken);
@@ -411,7 +418,7 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 0, 1000);
         book.read(ID, 0);
-        book.pass(5).say(1, false, worker::read_done(ID, 0, 0, 1600));
+        book.pass(5).say(1, false, worker::prefill_completed(ID, 0, 0, 1600));
         let (process, ms) = halted.unwrap_or((ROUTER, 0));
         if halted.is_some() {
             book.note(process, 0, What::Halted, 0, Bytes::new());
@@ -421,8 +428,8 @@
             book.note(process, 0, What::WentOn, 0, Bytes::new());
         }
         // Its state waits at the reader for 1,990 ms, and its answer is 995 ms late.
-        book.pass(1990 - ms).say(1, true, worker::let_go(ID));
-        book.say(0, false, client::turned_back(1, 0));
+        book.pass(1990 - ms).say(1, true, worker::release(ID));
+        book.say(0, false, client::rejected(1, 0));
         book.check()
     };
     assert!(late(Some((ROUTER, 1900))).kept(), "{:?}", late(Some((ROUTER, 1900))).broken);
@@ -439,12 +446,12 @@
     for (process, origin) in [(OTHER, u128::from(ROUTER)), (ROUTER, 99)] {
         let mut book = clean();
         book.connect(process, LIST, Party::Client);
-        let hello = |p: &&mut Passed| p.link == 7 && matches!(p.what, What::Sent | What::Heard);
+        let hello = |p: &&mut Passed| p.connection == 7 && matches!(p.event, What::Sent | What::Heard);
         book.passed.iter_mut().filter(hello).for_each(|p| p.frame = say_router("it", origin));
         if process == OTHER {
             // It is a worker in the other tests.
             book.passed.iter_mut().filter(|p| p.process == OTHER).for_each(|p| p.process = SECOND);
-            book.passed.retain(|p| p.link == 7 || p.process != SECOND);
+            book.passed.retain(|p| p.connection == 7 || p.process != SECOND);
         }
         let report = book.check();
         let told = report.broken.iter().any(|b| b.what.contains("have one origin"));
@@ -461,16 +468,16 @@
         book.close_all();
         let dialler = [127, 0, 0, 1, 9, 2];
         let joined = [before, dialler, address(WRITER), behind].concat();
-        for p in book.passed.iter_mut().filter(|p| p.link == 2) {
-            match p.what {
+        for p in book.passed.iter_mut().filter(|p| p.connection == 2) {
+            match p.event {
                 What::Met => p.frame = Bytes::from([before, dialler].concat()),
                 What::Accepted => p.frame = Bytes::from([behind, address(WRITER)].concat()),
-                What::Heard if changed && p.place == 2 => p.frame = Bytes::from_static(b"else"),
+                What::Heard if changed && p.position == 2 => p.frame = Bytes::from_static(b"else"),
                 _ => {}
             }
         }
         let mut tell = book.passed[0].clone();
-        (tell.what, tell.link, tell.frame) = (What::Joined, 0, joined.into());
+        (tell.event, tell.connection, tell.frame) = (What::Joined, 0, joined.into());
         let at = if late { book.passed.len() - 1 } else { 0 };
         tell.at = book.passed[at].at;
         if told {
@@ -502,12 +509,12 @@
         if late {
             book.note(LIST, 0, What::Joined, 0, joined.into());
         }
-        for (place, frame) in [hello, worker::probe(9)].into_iter().enumerate() {
+        for (place, frame) in [hello, worker::check_health(9)].into_iter().enumerate() {
             book.note(ROUTER, 51, What::Sent, place as u64, frame.clone());
             book.note(WRITER, 52, What::Heard, place as u64, frame);
         }
-        book.note(WRITER, 52, What::Sent, 0, worker::probed(9, 0, 0, 0));
-        book.note(ROUTER, 51, What::Heard, 0, worker::probed(9, 0, 0, 0));
+        book.note(WRITER, 52, What::Sent, 0, worker::health_reported(9, 0, 0, 0));
+        book.note(ROUTER, 51, What::Heard, 0, worker::health_reported(9, 0, 0, 0));
         book.note(ROUTER, 51, What::Closed, 0, counts(2, 1));
         book.note(WRITER, 52, What::Closed, 0, counts(1, 2));
         book.check()
@@ -528,8 +535,8 @@
     let mut book = clean();
     book.close_all();
     // A kind: who recorded it, on which connection's conversation, and the first byte, which names the message.
-    let kind = |p: &Passed| (p.what == What::Sent, p.process, p.frame.first().copied());
-    let speaks = |p: &Passed| matches!(p.what, What::Sent | What::Heard);
+    let kind = |p: &Passed| (p.event == What::Sent, p.process, p.frame.first().copied());
+    let speaks = |p: &Passed| matches!(p.event, What::Sent | What::Heard);
     let mut kinds: Vec<_> = book.passed.iter().filter(|p| speaks(p)).map(kind).collect();
     kinds.sort_unstable();
     kinds.dedup();
@@ -545,7 +552,7 @@
     for at in 0..book.passed.len() {
         let mut left = book.passed.clone();
         let gone = left.remove(at);
-        let matters = !matches!(gone.what, What::Began | What::Closed);
+        let matters = !matches!(gone.event, What::Began | What::Closed);
         assert!(!matters || !check_events(&left).kept(), "without {gone:?} it passes");
     }
 }
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -21,25 +21,25 @@
         mark: u64,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    fn leave(&mut self, number: u64) -> Result<(), Malformed>;
+    fn cancel(&mut self, number: u64) -> Result<(), Malformed>;
 }
 
 /// What a client hears from a router.
 pub trait Client {
-    fn taken(&mut self, number: u64, id: u64) -> Result<(), Malformed>;
+    fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed>;
     fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed>;
-    fn honoured(&mut self, number: u64, tokens: u32) -> Result<(), Malformed>;
-    fn turned_back(&mut self, number: u64, after: Micros) -> Result<(), Malformed>;
-    fn abandoned(&mut self, number: u64) -> Result<(), Malformed>;
+    fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed>;
+    fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed>;
+    fn failed(&mut self, number: u64) -> Result<(), Malformed>;
     /// Its Hello was not taken: the connection ends.
-    fn denied(&mut self, why: &str) -> Result<(), Malformed>;
+    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed>;
 }
 
 /// Takes one frame from a client and makes the call that it stands for.
-pub fn hear_client(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
+pub fn receive_from_client(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     match FromClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         from_client::Said::Hello(_) => Err(Malformed::Hello),
-        from_client::Said::Leave(l) => router.leave(l.number),
+        from_client::Said::Leave(l) => router.cancel(l.number),
         from_client::Said::Submit(s) => router.submit(
             s.number,
             crate::small("track", s.track)?,
@@ -56,14 +56,14 @@
 }
 
 /// Takes one frame from a router and makes the call that it stands for.
-pub fn hear_router(frame: &Bytes, client: &mut impl Client) -> Result<(), Malformed> {
+pub fn receive_from_router(frame: &Bytes, client: &mut impl Client) -> Result<(), Malformed> {
     match ToClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
-        to_client::Said::Taken(t) => client.taken(t.number, t.id),
+        to_client::Said::Taken(t) => client.accepted(t.number, t.id),
         to_client::Said::Token(t) => client.token(t.number, t.index, t.text),
-        to_client::Said::Honoured(h) => client.honoured(h.number, h.tokens),
-        to_client::Said::TurnedBack(t) => client.turned_back(t.number, t.after_us),
-        to_client::Said::Abandoned(a) => client.abandoned(a.number),
-        to_client::Said::Denied(d) => client.denied(&d.why),
+        to_client::Said::Honoured(h) => client.completed(h.number, h.tokens),
+        to_client::Said::TurnedBack(t) => client.rejected(t.number, t.after_us),
+        to_client::Said::Abandoned(a) => client.failed(a.number),
+        to_client::Said::Denied(d) => client.unauthorized(&d.why),
     }
 }
 
@@ -94,11 +94,11 @@
     from_client(from_client::Said::Submit(submit))
 }
 
-pub fn leave(number: u64) -> Bytes {
+pub fn cancel(number: u64) -> Bytes {
     from_client(from_client::Said::Leave(made::Leave { number }))
 }
 
-pub fn taken(number: u64, id: u64) -> Bytes {
+pub fn accepted(number: u64, id: u64) -> Bytes {
     to_client(to_client::Said::Taken(made::Taken { number, id }))
 }
 
@@ -106,19 +106,19 @@
     to_client(to_client::Said::Token(made::Token { number, index, text }))
 }
 
-pub fn honoured(number: u64, tokens: u32) -> Bytes {
+pub fn completed(number: u64, tokens: u32) -> Bytes {
     to_client(to_client::Said::Honoured(made::Honoured { number, tokens }))
 }
 
-pub fn turned_back(number: u64, after: Micros) -> Bytes {
+pub fn rejected(number: u64, after: Micros) -> Bytes {
     to_client(to_client::Said::TurnedBack(made::TurnedBack { number, after_us: after }))
 }
 
-pub fn abandoned(number: u64) -> Bytes {
+pub fn failed(number: u64) -> Bytes {
     to_client(to_client::Said::Abandoned(made::Abandoned { number }))
 }
 
-pub fn denied(why: &str) -> Bytes {
+pub fn unauthorized(why: &str) -> Bytes {
     to_client(to_client::Said::Denied(made::Denied { why: why.to_string() }))
 }
 
--- a/crates/wire/src/fetch.rs
+++ b/crates/wire/src/fetch.rs
@@ -11,31 +11,31 @@
 pub trait Reader {
     fn fetch(&mut self, id: Whose) -> Result<(), Malformed>;
     fn fetched(&mut self, id: Whose) -> Result<(), Malformed>;
-    fn unfetch(&mut self, id: Whose) -> Result<(), Malformed>;
+    fn cancel_fetch(&mut self, id: Whose) -> Result<(), Malformed>;
 }
 
 /// What a fetcher hears from a reader.
 pub trait Fetcher {
     fn chunk(&mut self, id: Whose, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed>;
-    fn whole(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed>;
+    fn complete(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed>;
     fn missing(&mut self, id: Whose) -> Result<(), Malformed>;
 }
 
 /// Takes one frame from a fetcher and makes the call that it stands for.
-pub fn hear_fetcher(frame: &Bytes, reader: &mut impl Reader) -> Result<(), Malformed> {
+pub fn receive_from_fetcher(frame: &Bytes, reader: &mut impl Reader) -> Result<(), Malformed> {
     match FromFetcher::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         from_fetcher::Said::Hello(_) => Err(Malformed::Hello),
         from_fetcher::Said::Fetch(f) => reader.fetch((origin(&f.origin)?, f.id)),
         from_fetcher::Said::Fetched(f) => reader.fetched((origin(&f.origin)?, f.id)),
-        from_fetcher::Said::Unfetch(f) => reader.unfetch((origin(&f.origin)?, f.id)),
+        from_fetcher::Said::Unfetch(f) => reader.cancel_fetch((origin(&f.origin)?, f.id)),
     }
 }
 
 /// Takes one frame from a reader and makes the call that it stands for.
-pub fn hear_reader(frame: &Bytes, fetcher: &mut impl Fetcher) -> Result<(), Malformed> {
+pub fn receive_from_source(frame: &Bytes, fetcher: &mut impl Fetcher) -> Result<(), Malformed> {
     match ToFetcher::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_fetcher::Said::Chunk(c) => fetcher.chunk((origin(&c.origin)?, c.id), c.offset, c.part, c.crc),
-        to_fetcher::Said::Whole(w) => fetcher.whole((origin(&w.origin)?, w.id), w.state_bytes, w.crc),
+        to_fetcher::Said::Whole(w) => fetcher.complete((origin(&w.origin)?, w.id), w.state_bytes, w.crc),
         to_fetcher::Said::Missing(m) => fetcher.missing((origin(&m.origin)?, m.id)),
     }
 }
@@ -48,7 +48,7 @@
     from_fetcher(from_fetcher::Said::Fetched(made::Fetched { id, origin: bytes_of_origin(whose) }))
 }
 
-pub fn unfetch((whose, id): Whose) -> Bytes {
+pub fn cancel_fetch((whose, id): Whose) -> Bytes {
     from_fetcher(from_fetcher::Said::Unfetch(made::Unfetch { id, origin: bytes_of_origin(whose) }))
 }
 
@@ -56,7 +56,7 @@
     to_fetcher(to_fetcher::Said::Chunk(made::Chunk { id, offset, part, crc, origin: bytes_of_origin(whose) }))
 }
 
-pub fn whole((whose, id): Whose, state_bytes: u64, crc: u32) -> Bytes {
+pub fn complete((whose, id): Whose, state_bytes: u64, crc: u32) -> Bytes {
     to_fetcher(to_fetcher::Said::Whole(made::Whole { id, state_bytes, crc, origin: bytes_of_origin(whose) }))
 }
 
--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/fleet.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Standing {
-    There,
+    Alive,
     Suspected,
     Dead,
     Left,
@@ -33,7 +33,7 @@
 
 /// What a router hears in a datagram: first who speaks, then each claim, then what was said, if anything was.
 pub trait Ear {
-    fn from(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing);
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing);
     /// `in_page`: part of a full exchange, and not news.
     fn claim(
         &mut self,
@@ -45,10 +45,10 @@
         in_page: bool,
     );
     fn ping(&mut self, number: u32);
-    fn answer(&mut self, number: u32);
-    fn unheard(&mut self, number: u32);
-    fn detour(&mut self, number: u32, name: &str, at: Address);
-    fn compare(&mut self, number: u32, prints: &[u64]);
+    fn ack(&mut self, number: u32);
+    fn nack(&mut self, number: u32);
+    fn ping_request(&mut self, number: u32, name: &str, at: Address);
+    fn digest(&mut self, number: u32, prints: &[u64]);
     fn page(&mut self, number: u32, page: u32, pages: u32, prints: &[u64], health: u32);
 }
 
@@ -56,7 +56,7 @@
 
 fn checked(claim: &Claim) -> Result<Checked<'_>, Malformed> {
     let standing = match claim::Standing::try_from(claim.standing) {
-        Ok(claim::Standing::There) => Standing::There,
+        Ok(claim::Standing::There) => Standing::Alive,
         Ok(claim::Standing::Suspected) => Standing::Suspected,
         Ok(claim::Standing::Dead) => Standing::Dead,
         Ok(claim::Standing::Left) => Standing::Left,
@@ -74,7 +74,7 @@
 
 /// Takes a datagram and makes the calls that it stands for; all of it is checked first, so that it is taken whole
 /// or not at all.
-pub fn hear(datagram: &Bytes, ear: &mut impl Ear) -> Result<(), Malformed> {
+pub fn receive(datagram: &Bytes, ear: &mut impl Ear) -> Result<(), Malformed> {
     let heard = Datagram::decode(datagram.clone())?;
     let from = heard.from.as_ref().map(checked).transpose()?;
     let claims = heard.claims.iter().map(checked).collect::<Result<Vec<_>, _>>()?;
@@ -87,7 +87,7 @@
         _ => None,
     };
     if let Some((name, at, incarnation, standing, _)) = from {
-        ear.from(name, at, incarnation, standing);
+        ear.sender(name, at, incarnation, standing);
     }
     let in_page = matches!(heard.said, Some(datagram::Said::Page(_)));
     for (name, at, incarnation, standing, by) in claims {
@@ -95,12 +95,12 @@
     }
     match &heard.said {
         Some(datagram::Said::Ping(p)) => ear.ping(p.number),
-        Some(datagram::Said::Answer(p)) => ear.answer(p.number),
-        Some(datagram::Said::Unheard(p)) => ear.unheard(p.number),
+        Some(datagram::Said::Answer(p)) => ear.ack(p.number),
+        Some(datagram::Said::Unheard(p)) => ear.nack(p.number),
         Some(datagram::Said::Detour(d)) => {
-            to.into_iter().for_each(|(name, at, ..)| ear.detour(d.number, name, at));
+            to.into_iter().for_each(|(name, at, ..)| ear.ping_request(d.number, name, at));
         }
-        Some(datagram::Said::Compare(c)) => ear.compare(c.number, &c.prints),
+        Some(datagram::Said::Compare(c)) => ear.digest(c.number, &c.prints),
         Some(datagram::Said::Page(p)) => ear.page(p.number, p.page, p.pages, &p.prints, p.health),
         None => {}
     }
@@ -109,7 +109,7 @@
 
 fn claim(name: &str, at: Address, incarnation: u64, standing: Standing, by: u32) -> Claim {
     let standing = match standing {
-        Standing::There => claim::Standing::There,
+        Standing::Alive => claim::Standing::There,
         Standing::Suspected => claim::Standing::Suspected,
         Standing::Dead => claim::Standing::Dead,
         Standing::Left => claim::Standing::Left,
@@ -163,20 +163,20 @@
         self.say(datagram::Said::Ping(Ping { number }))
     }
 
-    pub fn answer(self, number: u32) -> Bytes {
+    pub fn ack(self, number: u32) -> Bytes {
         self.say(datagram::Said::Answer(Ping { number }))
     }
 
-    pub fn unheard(self, number: u32) -> Bytes {
+    pub fn nack(self, number: u32) -> Bytes {
         self.say(datagram::Said::Unheard(Ping { number }))
     }
 
-    pub fn detour(self, number: u32, name: &str, at: Address) -> Bytes {
-        let to = Some(claim(name, at, 0, Standing::There, 0));
+    pub fn ping_request(self, number: u32, name: &str, at: Address) -> Bytes {
+        let to = Some(claim(name, at, 0, Standing::Alive, 0));
         self.say(datagram::Said::Detour(Detour { number, to }))
     }
 
-    pub fn compare(self, number: u32, prints: [u64; PARTS]) -> Bytes {
+    pub fn digest(self, number: u32, prints: [u64; PARTS]) -> Bytes {
         self.say(datagram::Said::Compare(Compare { number, prints: prints.to_vec() }))
     }
 
--- a/crates/wire/src/list.rs
+++ b/crates/wire/src/list.rs
@@ -16,7 +16,7 @@
 /// What the list hears from routers and workers after their Hello.
 pub trait List {
     fn watch(&mut self, have: u64) -> Result<(), Malformed>;
-    fn here(
+    fn register(
         &mut self,
         worker: Address,
         kind: u16,
@@ -30,8 +30,8 @@
 
 /// What a router hears from the list: a page, then its entries.
 pub trait Router {
-    fn page(&mut self, version: u64, whole: bool) -> Result<(), Malformed>;
-    fn entry(
+    fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed>;
+    fn endpoint(
         &mut self,
         worker: Address,
         kind: u16,
@@ -57,13 +57,13 @@
 }
 
 /// Takes one frame from a router or worker and makes the call that it stands for.
-pub fn hear_caller(frame: &Bytes, list: &mut impl List) -> Result<(), Malformed> {
+pub fn receive_from_caller(frame: &Bytes, list: &mut impl List) -> Result<(), Malformed> {
     match ToList::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_list::Said::Hello(_) => Err(Malformed::Hello),
         to_list::Said::Watch(w) => list.watch(w.have),
         to_list::Said::Here(h) => {
             let l = h.listing.ok_or(Malformed::Empty)?;
-            list.here(
+            list.register(
                 address("worker", &l.worker)?,
                 crate::small("kind", l.kind)?,
                 size(l.size)?,
@@ -78,7 +78,7 @@
 
 /// Takes one frame from the list and makes the calls that it stands for. All entries are checked first, so
 /// that a page is taken whole or not at all.
-pub fn hear_list(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
+pub fn receive_from_list(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     let from_list::Said::Page(page) = FromList::decode(frame.clone())?.said.ok_or(Malformed::Empty)?;
     let mut entries = Vec::with_capacity(page.listings.len());
     for l in &page.listings {
@@ -93,9 +93,9 @@
             zone,
         ));
     }
-    router.page(page.version, page.whole)?;
+    router.begin_update(page.version, page.whole)?;
     for ((worker, kind, size, standing, cell, zone), l) in entries.into_iter().zip(&page.listings) {
-        router.entry(worker, kind, size, standing, cell, zone, l.started_us)?;
+        router.endpoint(worker, kind, size, standing, cell, zone, l.started_us)?;
     }
     Ok(())
 }
@@ -104,7 +104,7 @@
     ToList { said: Some(to_list::Said::Watch(made::Watch { have })) }.encode_to_vec().into()
 }
 
-pub fn here(
+pub fn register(
     worker: Address,
     kind: u16,
     size: f64,
--- a/crates/wire/src/tap.rs
+++ b/crates/wire/src/tap.rs
@@ -54,10 +54,10 @@
 pub struct Passed {
     pub at: Micros,
     pub process: u32,
-    pub link: u64,
-    pub what: What,
+    pub connection: u64,
+    pub event: What,
     /// Which frame of its direction on the connection it is, from 0.
-    pub place: u64,
+    pub position: u64,
     pub frame: Bytes,
 }
 
@@ -83,7 +83,7 @@
 }
 
 pub fn write(to: &mut impl Write, passed: &Passed) -> io::Result<()> {
-    let what = match passed.what {
+    let what = match passed.event {
         What::Dialled => event::What::Dialled,
         What::Met => event::What::Met,
         What::Unreached => event::What::Unreached,
@@ -102,9 +102,9 @@
     let event = Event {
         at_us: passed.at,
         process: passed.process,
-        link: passed.link,
+        link: passed.connection,
         what: what.into(),
-        place: passed.place,
+        place: passed.position,
         frame: passed.frame.clone(),
     };
     put(to, &event.encode_to_vec())
@@ -224,7 +224,7 @@
             _ => return Err(self.fault(Malformed::Range("what"))),
         };
         let (at, process, link, place) = (e.at_us, e.process, e.link, e.place);
-        Ok(Some(Passed { at, process, link, what, place, frame: e.frame }))
+        Ok(Some(Passed { at, process, connection: link, event: what, position: place, frame: e.frame }))
     }
 }
 
--- a/crates/wire/src/tenant.rs
+++ b/crates/wire/src/tenant.rs
@@ -22,10 +22,10 @@
         in_flight: Option<u32>,
         waiting: u32,
     ) -> Result<(), Malformed>;
-    fn gone(&mut self, name: &str, version: u64) -> Result<(), Malformed>;
+    fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed>;
 }
 
-pub fn hear(letter: &Bytes, core: &mut impl Core) -> Result<(), Malformed> {
+pub fn receive(letter: &Bytes, core: &mut impl Core) -> Result<(), Malformed> {
     match TenantLetter::decode(letter.clone())?.said.ok_or(Malformed::Empty)? {
         tenant_letter::Said::Set(s) => {
             let keys = s.keys.iter().map(|key| key.as_ref().try_into());
@@ -34,7 +34,7 @@
             let tokens = s.tokens.map(|rate| (rate, s.tokens_once));
             core.set(&s.name, s.version, keys, s.weight, submissions, tokens, s.in_flight, s.waiting)
         }
-        tenant_letter::Said::Gone(g) => core.gone(&g.name, g.version),
+        tenant_letter::Said::Gone(g) => core.removed(&g.name, g.version),
     }
 }
 
@@ -62,7 +62,7 @@
     }))
 }
 
-pub fn gone(name: &str, version: u64) -> Bytes {
+pub fn removed(name: &str, version: u64) -> Bytes {
     letter(tenant_letter::Said::Gone(made::TenantGone { name: name.to_string(), version }))
 }
 
@@ -76,20 +76,20 @@
 
 /// What the administration hears from cores.
 pub trait Watcher {
-    fn figures(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed>;
+    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed>;
 }
 
-pub fn hear_figures(letter: &Bytes, watcher: &mut impl Watcher) -> Result<(), Malformed> {
+pub fn receive_stats(letter: &Bytes, watcher: &mut impl Watcher) -> Result<(), Malformed> {
     let told = made::TenantFigures::decode(letter.clone())?;
     for f in &told.of {
         let sums = [f.asked, f.let_in, f.turned_back, f.in_time, f.late, f.waited_us];
-        watcher.figures(&told.core, &f.name, (sums, [f.waiting, f.in_flight]))?;
+        watcher.stats(&told.core, &f.name, (sums, [f.waiting, f.in_flight]))?;
     }
     Ok(())
 }
 
 /// Figures of some tenants at one core.
-pub fn figures<'a>(core: &str, of: impl Iterator<Item = (&'a str, Figures)>) -> Bytes {
+pub fn stats<'a>(core: &str, of: impl Iterator<Item = (&'a str, Figures)>) -> Bytes {
     let figure = |(name, (sums, now)): (&str, Figures)| made::TenantFigure {
         name: name.to_string(),
         asked: sums[0],
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -19,7 +19,7 @@
 
 /// What a worker hears from a router after its Hello.
 pub trait Worker {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         shot: u16,
@@ -31,14 +31,14 @@
         left: Micros,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    fn hold(
+    fn reserve(
         &mut self,
         id: u64,
         prompt_tokens: u32,
         most_tokens: u32,
         reader: Address,
     ) -> Result<(), Malformed>;
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         shot: u16,
@@ -54,28 +54,40 @@
         prefix_tokens: u32,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    fn let_go(&mut self, id: u64) -> Result<(), Malformed>;
-    fn withdraw(&mut self, id: u64, shot: u16) -> Result<(), Malformed>;
-    fn probe(&mut self, nonce: u64) -> Result<(), Malformed>;
-    fn more(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
+    fn release(&mut self, id: u64) -> Result<(), Malformed>;
+    fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed>;
+    fn check_health(&mut self, nonce: u64) -> Result<(), Malformed>;
+    fn grant_tokens(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
 }
 
 /// What a router hears from a worker.
 pub trait Router {
-    fn hold_answer(&mut self, id: u64, held: bool) -> Result<(), Malformed>;
-    fn read_done(&mut self, id: u64, shot: u16, kept_tokens: u32, state_bytes: u64) -> Result<(), Malformed>;
+    fn reservation_answered(&mut self, id: u64, held: bool) -> Result<(), Malformed>;
+    fn prefill_completed(
+        &mut self,
+        id: u64,
+        shot: u16,
+        kept_tokens: u32,
+        state_bytes: u64,
+    ) -> Result<(), Malformed>;
     fn token(&mut self, id: u64, shot: u16, index: u32, text: Bytes) -> Result<(), Malformed>;
-    fn finished(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
-    fn ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed>;
-    fn probed(&mut self, nonce: u64, reads: u32, streams: u32, waiting: u32) -> Result<(), Malformed>;
+    fn completed(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
+    fn attempt_ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed>;
+    fn health_reported(
+        &mut self,
+        nonce: u64,
+        reads: u32,
+        streams: u32,
+        waiting: u32,
+    ) -> Result<(), Malformed>;
 }
 
 /// Takes one frame from a router and makes the call that it stands for.
-pub fn hear_router(frame: &Bytes, worker: &mut impl Worker) -> Result<(), Malformed> {
+pub fn receive_from_router(frame: &Bytes, worker: &mut impl Worker) -> Result<(), Malformed> {
     let shot = |shot| crate::small("shot", shot);
     match ToWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_worker::Said::Hello(_) => Err(Malformed::Hello),
-        to_worker::Said::Read(r) => worker.read(
+        to_worker::Said::Read(r) => worker.prefill(
             r.id,
             shot(r.shot)?,
             crate::small("track", r.track)?,
@@ -87,9 +99,9 @@
             r.prompt,
         ),
         to_worker::Said::Hold(h) => {
-            worker.hold(h.id, h.prompt_tokens, h.most_tokens, address("reader", &h.reader)?)
+            worker.reserve(h.id, h.prompt_tokens, h.most_tokens, address("reader", &h.reader)?)
         }
-        to_worker::Said::Write(w) => worker.write(
+        to_worker::Said::Write(w) => worker.decode(
             w.id,
             shot(w.shot)?,
             crate::small("track", w.track)?,
@@ -104,21 +116,23 @@
             w.prefix_tokens,
             w.prompt,
         ),
-        to_worker::Said::LetGo(l) => worker.let_go(l.id),
-        to_worker::Said::Withdraw(w) => worker.withdraw(w.id, shot(w.shot)?),
-        to_worker::Said::Probe(p) => worker.probe(p.nonce),
-        to_worker::Said::More(m) => worker.more(m.id, shot(m.shot)?, m.tokens),
+        to_worker::Said::LetGo(l) => worker.release(l.id),
+        to_worker::Said::Withdraw(w) => worker.cancel(w.id, shot(w.shot)?),
+        to_worker::Said::Probe(p) => worker.check_health(p.nonce),
+        to_worker::Said::More(m) => worker.grant_tokens(m.id, shot(m.shot)?, m.tokens),
     }
 }
 
 /// Takes one frame from a worker and makes the call that it stands for.
-pub fn hear_worker(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
+pub fn receive_from_worker(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     let shot = |shot| crate::small("shot", shot);
     match FromWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
-        from_worker::Said::HoldAnswer(h) => router.hold_answer(h.id, h.held),
-        from_worker::Said::ReadDone(r) => router.read_done(r.id, shot(r.shot)?, r.kept_tokens, r.state_bytes),
+        from_worker::Said::HoldAnswer(h) => router.reservation_answered(h.id, h.held),
+        from_worker::Said::ReadDone(r) => {
+            router.prefill_completed(r.id, shot(r.shot)?, r.kept_tokens, r.state_bytes)
+        }
         from_worker::Said::Token(t) => router.token(t.id, shot(t.shot)?, t.index, t.text),
-        from_worker::Said::Finished(f) => router.finished(f.id, shot(f.shot)?, f.tokens),
+        from_worker::Said::Finished(f) => router.completed(f.id, shot(f.shot)?, f.tokens),
         from_worker::Said::Ended(e) => {
             let how = match ended::How::try_from(e.how) {
                 Ok(ended::How::Full) => How::Full,
@@ -126,13 +140,13 @@
                 Ok(ended::How::Fault) => How::Fault,
                 _ => return Err(Malformed::Range("how")),
             };
-            router.ended(e.id, shot(e.shot)?, how)
+            router.attempt_ended(e.id, shot(e.shot)?, how)
         }
-        from_worker::Said::Probed(p) => router.probed(p.nonce, p.reads, p.streams, p.waiting),
+        from_worker::Said::Probed(p) => router.health_reported(p.nonce, p.reads, p.streams, p.waiting),
     }
 }
 
-pub fn read(
+pub fn prefill(
     id: u64,
     shot: u16,
     track: u8,
@@ -156,12 +170,12 @@
     }))
 }
 
-pub fn hold(id: u64, prompt_tokens: u32, most_tokens: u32, reader: Address) -> Bytes {
+pub fn reserve(id: u64, prompt_tokens: u32, most_tokens: u32, reader: Address) -> Bytes {
     let reader = bytes_of(Some(reader));
     to_worker(to_worker::Said::Hold(made::Hold { id, prompt_tokens, most_tokens, reader }))
 }
 
-pub fn write(
+pub fn decode(
     id: u64,
     shot: u16,
     track: u8,
@@ -193,27 +207,27 @@
     }))
 }
 
-pub fn let_go(id: u64) -> Bytes {
+pub fn release(id: u64) -> Bytes {
     to_worker(to_worker::Said::LetGo(made::LetGo { id }))
 }
 
-pub fn withdraw(id: u64, shot: u16) -> Bytes {
+pub fn cancel(id: u64, shot: u16) -> Bytes {
     to_worker(to_worker::Said::Withdraw(made::Withdraw { id, shot: shot.into() }))
 }
 
-pub fn probe(nonce: u64) -> Bytes {
+pub fn check_health(nonce: u64) -> Bytes {
     to_worker(to_worker::Said::Probe(made::Probe { nonce }))
 }
 
-pub fn more(id: u64, shot: u16, tokens: u32) -> Bytes {
+pub fn grant_tokens(id: u64, shot: u16, tokens: u32) -> Bytes {
     to_worker(to_worker::Said::More(made::More { id, shot: shot.into(), tokens }))
 }
 
-pub fn hold_answer(id: u64, held: bool) -> Bytes {
+pub fn reservation_answered(id: u64, held: bool) -> Bytes {
     from_worker(from_worker::Said::HoldAnswer(made::HoldAnswer { id, held }))
 }
 
-pub fn read_done(id: u64, shot: u16, kept_tokens: u32, state_bytes: u64) -> Bytes {
+pub fn prefill_completed(id: u64, shot: u16, kept_tokens: u32, state_bytes: u64) -> Bytes {
     from_worker(from_worker::Said::ReadDone(made::ReadDone {
         id,
         shot: shot.into(),
@@ -226,11 +240,11 @@
     from_worker(from_worker::Said::Token(made::ShotToken { id, shot: shot.into(), index, text }))
 }
 
-pub fn finished(id: u64, shot: u16, tokens: u32) -> Bytes {
+pub fn completed(id: u64, shot: u16, tokens: u32) -> Bytes {
     from_worker(from_worker::Said::Finished(made::Finished { id, shot: shot.into(), tokens }))
 }
 
-pub fn ended(id: u64, shot: u16, how: How) -> Bytes {
+pub fn attempt_ended(id: u64, shot: u16, how: How) -> Bytes {
     let how = match how {
         How::Full => ended::How::Full,
         How::Stateless => ended::How::Stateless,
@@ -239,7 +253,7 @@
     from_worker(from_worker::Said::Ended(made::Ended { id, shot: shot.into(), how: how.into() }))
 }
 
-pub fn probed(nonce: u64, reads: u32, streams: u32, waiting: u32) -> Bytes {
+pub fn health_reported(nonce: u64, reads: u32, streams: u32, waiting: u32) -> Bytes {
     from_worker(from_worker::Said::Probed(made::Probed { nonce, reads, streams, waiting }))
 }
 
