--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use tideroute_membership::{part_of, Seal};
 use tideroute_simulation::convert;
-use tideroute_wire::fleet::{self, Ear, Saying, Standing, LARGEST, PARTS};
+use tideroute_wire::gossip::{self, GossipHandler, GossipMessage, MemberStatus, LARGEST, PARTS};
 use tideroute_wire::Address;
 
 use crate::{serve, Ended};
@@ -30,13 +30,13 @@
     Left,
 }
 
-impl From<Standing> for Shown {
-    fn from(standing: Standing) -> Shown {
+impl From<MemberStatus> for Shown {
+    fn from(standing: MemberStatus) -> Shown {
         match standing {
-            Standing::Alive => Shown::There,
-            Standing::Suspected => Shown::Suspected,
-            Standing::Dead => Shown::Dead,
-            Standing::Left => Shown::Left,
+            MemberStatus::Alive => Shown::There,
+            MemberStatus::Suspected => Shown::Suspected,
+            MemberStatus::Dead => Shown::Dead,
+            MemberStatus::Left => Shown::Left,
         }
     }
 }
@@ -73,8 +73,8 @@
     come: u32,
 }
 
-impl Ear for Said {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
+impl GossipHandler for Said {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: MemberStatus) {
         self.own = Some(name.to_string());
         self.claim(name, at, incarnation, standing, 0, true);
     }
@@ -84,7 +84,7 @@
         name: &str,
         at: Address,
         incarnation: u64,
-        standing: Standing,
+        standing: MemberStatus,
         _by: u32,
         in_page: bool,
     ) {
@@ -130,7 +130,8 @@
             self.number += 1;
             (said.number, said.pages, said.come) = (self.number, u32::MAX, 0);
             let known = said.seen.len();
-            let datagram = self.seal.close(&Saying::new(None, Seal::AROUND).digest(self.number, prints));
+            let datagram =
+                self.seal.close(&GossipMessage::new(None, Seal::AROUND).digest(self.number, prints));
             self.socket.send_to(&datagram, shown(to)).map_err(|e| format!("{}: {e}", shown(to)))?;
             self.listen(&mut said);
             if said.come == 0 {
@@ -154,7 +155,7 @@
             // A wait that ended, or a refusal of a door where nobody is.
             let Ok((length, _)) = self.socket.recv_from(&mut piece) else { continue };
             if let Ok(opened) = self.seal.open(&Bytes::copy_from_slice(&piece[..length])) {
-                let _ = fleet::receive(&opened, said);
+                let _ = gossip::receive(&opened, said);
             }
         }
     }
--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -16,8 +16,8 @@
 use tideroute_simulation::convert;
 use tideroute_simulation::load::Load;
 use tideroute_simulation::straight::Straight;
+use tideroute_wire::capture::CapturedProcess;
 use tideroute_wire::event_loop::EventHandler;
-use tideroute_wire::tap::Who;
 use tideroute_wire::{Address, Micros};
 
 use crate::{Ended, Run};
@@ -81,7 +81,7 @@
 ) -> Result<Reactor, String> {
     if let Some(path) = &run.tap {
         let address = addresses.first().and_then(|a| convert::address(&a.to_string()).ok());
-        let who = Who { number: run.process, name: name.into(), role: role.into(), address };
+        let who = CapturedProcess { number: run.process, name: name.into(), role: role.into(), address };
         let tap = Tap::begin(path, &who).map_err(|e| format!("{}: {e}", path.display()))?;
         reactor.tap(tap);
     }
--- a/crates/command/tests/cuts.rs
+++ b/crates/command/tests/cuts.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use tideroute_wire::tap::{Passed, Reader, What};
+use tideroute_wire::capture::{CaptureEvent, CapturedFrame, Reader};
 use tideroute_wire::Address;
 
 /// Microseconds in a millisecond.
@@ -21,7 +21,7 @@
 }
 
 /// All that routers and workers heard of each other after their Hellos, from the load's beginning on.
-fn heard(record: &Path) -> (u64, Vec<Frame>, Vec<Passed>) {
+fn heard(record: &Path) -> (u64, Vec<Frame>, Vec<CapturedFrame>) {
     let file = std::fs::File::open(record).expect("a record");
     let mut reader = Reader::new(zstd::Decoder::new(file).expect("compressed"));
     let (processes, _) = reader.head().expect("a head");
@@ -32,11 +32,11 @@
     let (mut hellos, mut dials, mut frames) = (BTreeMap::new(), BTreeMap::new(), vec![]);
     for p in &all {
         let (who, link) = (of(p.process), (p.process, p.connection));
-        if p.event == What::Dialled {
+        if p.event == CaptureEvent::Connecting {
             let to = Address::try_from(&p.frame[..]).expect("an address");
             dials.insert(link, at[&to].to_string());
         }
-        if p.event != What::Heard {
+        if p.event != CaptureEvent::Received {
             continue;
         }
         if who.role == "worker" && p.position == 0 {
@@ -50,7 +50,11 @@
         }
     }
     let load = processes.iter().find(|p| p.role == "client").expect("a load").number;
-    let began = all.iter().find(|p| p.process == load && p.event == What::Began).expect("it began").at;
+    let began = all
+        .iter()
+        .find(|p| p.process == load && p.event == CaptureEvent::ProcessStarted)
+        .expect("it began")
+        .at;
     (began, frames, all)
 }
 
@@ -93,9 +97,12 @@
     std::fs::write(std::env::temp_dir().join(&name), text).expect("it is written");
     let folder = played(&name, &[]);
     let (_, _, all) = heard(&folder.join("day.record.zst"));
-    let whats: Vec<_> =
-        all.iter().map(|p| p.event).filter(|w| [What::Halted, What::WentOn].contains(w)).collect();
-    assert_eq!(whats, [What::Halted, What::WentOn]);
+    let whats: Vec<_> = all
+        .iter()
+        .map(|p| p.event)
+        .filter(|w| [CaptureEvent::ProcessPaused, CaptureEvent::ProcessResumed].contains(w))
+        .collect();
+    assert_eq!(whats, [CaptureEvent::ProcessPaused, CaptureEvent::ProcessResumed]);
     let _ = std::fs::remove_file(std::env::temp_dir().join(&name));
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -130,7 +137,7 @@
     assert_eq!(count(3500, 4500, &every, &["writer3"], false), 0, "nothing comes back");
     assert!(count(3500, 4500, &every, &["writer3"], true) > 0, "something goes there");
     // A cut that says nothing leaves dials unanswered; clocks that are wrong write nothing down out of order.
-    assert!(all.iter().any(|p| p.event == What::Joined));
-    assert!(all.iter().filter(|p| p.event == What::Unreached && p.at > began).count() > 0);
+    assert!(all.iter().any(|p| p.event == CaptureEvent::Joined));
+    assert!(all.iter().filter(|p| p.event == CaptureEvent::ConnectFailed && p.at > began).count() > 0);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
+use tideroute_wire::endpoint_list::{self, EndpointStatus, Page};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::list::{self, EndpointStatus, Page};
 use tideroute_wire::{Address, Malformed, Micros, Party};
 
 /// Changes that a router may have missed and still be told one by one.
@@ -140,7 +140,10 @@
         effects: &mut Effects,
     ) -> Result<(), Malformed> {
         if self.peers.get(&connection) != Some(&Peer::Unknown) {
-            return list::receive_from_caller(frame, &mut Caller { list: self, now, connection, effects });
+            return endpoint_list::receive_from_caller(
+                frame,
+                &mut Caller { list: self, now, connection, effects },
+            );
         }
         let peer = match tideroute_wire::first(frame)?.0 {
             Party::Worker => Peer::Worker(None),
@@ -159,7 +162,7 @@
     effects: &'a mut Effects,
 }
 
-impl list::List for Caller<'_> {
+impl endpoint_list::List for Caller<'_> {
     fn watch(&mut self, have: u64) -> Result<(), Malformed> {
         if self.list.peers.get(&self.connection) != Some(&Peer::Router) {
             return Err(Malformed::Order("Watch"));
--- a/crates/emulator/src/reading.rs
+++ b/crates/emulator/src/reading.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
-use tideroute_wire::{fetch, worker, Micros, Whose};
+use tideroute_wire::{state_transfer, worker, GlobalRequestId, Micros};
 
 use crate::state;
 use crate::worker::{key, Bench, Timer};
@@ -43,9 +43,9 @@
 
 #[derive(Default)]
 pub struct Reading {
-    reads: BTreeMap<Whose, Read>,
-    by_serial: BTreeMap<u64, Whose>,
-    waiting: VecDeque<Whose>,
+    reads: BTreeMap<GlobalRequestId, Read>,
+    by_serial: BTreeMap<u64, GlobalRequestId>,
+    waiting: VecDeque<GlobalRequestId>,
     running: usize,
     kept: VecDeque<u64>,
     crowded: BTreeSet<ConnectionId>,
@@ -66,7 +66,7 @@
         &mut self,
         now: Micros,
         router: ConnectionId,
-        id: Whose,
+        id: GlobalRequestId,
         shot: u16,
         prefix: u64,
         prompt_tokens: u32,
@@ -78,11 +78,11 @@
         let full =
             self.waiting.len() >= bench.terms.reads_waiting && self.running >= bench.terms.reads_at_once;
         if !bench.takes_new() || full || self.reads.contains_key(&id) {
-            effects.send(router, worker::attempt_ended(id.1, shot, worker::How::Full));
+            effects.send(router, worker::attempt_ended(id.1, shot, worker::AttemptFailure::Rejected));
             return false;
         }
         if bench.faults {
-            effects.send(router, worker::attempt_ended(id.1, shot, worker::How::Fault));
+            effects.send(router, worker::attempt_ended(id.1, shot, worker::AttemptFailure::ServerError));
             return false;
         }
         let serial = bench.serial();
@@ -148,7 +148,7 @@
     }
 
     /// Sends the fetcher what there is and it has not got, unless it is not taking any.
-    fn pump(&mut self, id: Whose, bench: &Bench, effects: &mut Effects) {
+    fn pump(&mut self, id: GlobalRequestId, bench: &Bench, effects: &mut Effects) {
         let Some(read) = self.reads.get_mut(&id) else { return };
         let (there, done) = (read.there(), read.done());
         let Some((connection, sent)) = read.fetcher.as_mut() else { return };
@@ -161,13 +161,13 @@
                 broken[0] ^= 1;
                 part = broken.freeze();
             }
-            effects.send(*connection, fetch::chunk(id, *sent as u64, part, crc));
+            effects.send(*connection, state_transfer::chunk(id, *sent as u64, part, crc));
             *sent = end;
         }
         if done && *sent == read.state.len() {
             effects.send(
                 *connection,
-                fetch::complete(id, read.state.len() as u64, crc32fast::hash(&read.state)),
+                state_transfer::complete(id, read.state.len() as u64, crc32fast::hash(&read.state)),
             );
         }
     }
@@ -176,7 +176,7 @@
     pub fn fetch(
         &mut self,
         connection: ConnectionId,
-        id: Whose,
+        id: GlobalRequestId,
         bench: &Bench,
         effects: &mut Effects,
     ) -> bool {
@@ -186,7 +186,7 @@
         true
     }
 
-    pub fn unfetch(&mut self, connection: ConnectionId, id: Whose) {
+    pub fn unfetch(&mut self, connection: ConnectionId, id: GlobalRequestId) {
         if let Some(read) = self.reads.get_mut(&id) {
             read.fetcher.take_if(|(l, _)| *l == connection);
         }
@@ -210,13 +210,20 @@
     }
 
     /// Lets go of a state that waits.
-    pub fn let_go(&mut self, id: Whose) {
+    pub fn let_go(&mut self, id: GlobalRequestId) {
         if self.reads.get(&id).is_some_and(Read::done) {
             self.remove(id);
         }
     }
 
-    pub fn withdraw(&mut self, now: Micros, id: Whose, shot: u16, bench: &mut Bench, effects: &mut Effects) {
+    pub fn withdraw(
+        &mut self,
+        now: Micros,
+        id: GlobalRequestId,
+        shot: u16,
+        bench: &mut Bench,
+        effects: &mut Effects,
+    ) {
         if self.reads.get(&id).is_some_and(|r| r.shot == shot) {
             self.remove(id);
             self.start(now, bench, effects);
@@ -236,7 +243,7 @@
         self.start(now, bench, effects);
     }
 
-    fn remove(&mut self, id: Whose) {
+    fn remove(&mut self, id: GlobalRequestId) {
         let Some(read) = self.reads.remove(&id) else { return };
         self.by_serial.remove(&read.serial);
         match read.steps {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -3,9 +3,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
+use tideroute_wire::endpoint_list::EndpointStatus;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::list::EndpointStatus;
-use tideroute_wire::{fetch, list, say_hello, worker, Address, Malformed, Micros, Origin, Party, Whose};
+use tideroute_wire::{
+    endpoint_list, say_hello, state_transfer, worker, Address, GlobalRequestId, Malformed, Micros, Origin,
+    Party,
+};
 
 use crate::reading::Reading;
 use crate::writing::Writing;
@@ -178,7 +181,7 @@
     pub(crate) writing: Writing,
     peers: BTreeMap<ConnectionId, Peer>,
     readers: BTreeMap<Address, ConnectionId>,
-    early: VecDeque<(u64, ConnectionId, Whose)>,
+    early: VecDeque<(u64, ConnectionId, GlobalRequestId)>,
     list: Option<ConnectionId>,
     silent: bool,
     stopping: bool,
@@ -218,8 +221,10 @@
         let t = &self.bench.terms;
         let standing = if self.bench.draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let started = if t.warm { 0 } else { self.bench.began };
-        effects
-            .send(connection, list::register(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
+        effects.send(
+            connection,
+            endpoint_list::register(t.address, t.kind, t.size, standing, t.cell, t.zone, started),
+        );
     }
 
     fn call_list(&mut self, effects: &mut Effects) {
@@ -260,12 +265,12 @@
     }
 
     /// A fetch for a read that is not here yet waits for it a little while.
-    fn fetch(&mut self, now: Micros, connection: ConnectionId, id: Whose, effects: &mut Effects) {
+    fn fetch(&mut self, now: Micros, connection: ConnectionId, id: GlobalRequestId, effects: &mut Effects) {
         if self.reading.fetch(connection, id, &self.bench, effects) {
             return;
         }
         if self.early.len() >= EARLY_FETCHES {
-            return effects.send(connection, fetch::missing(id));
+            return effects.send(connection, state_transfer::missing(id));
         }
         let serial = self.bench.serial();
         self.early.push_back((serial, connection, id));
@@ -294,12 +299,12 @@
                 frame,
                 &mut RouterLink { worker: self, now, connection, origin, effects },
             ),
-            Some(Peer::Fetcher) => fetch::receive_from_fetcher(
+            Some(Peer::Fetcher) => state_transfer::receive_from_fetcher(
                 frame,
                 &mut FetcherLink { worker: self, now, connection, effects },
             ),
             Some(Peer::Reader(_)) => {
-                fetch::receive_from_source(frame, &mut ReaderLink { worker: self, now, effects })
+                state_transfer::receive_from_source(frame, &mut ReaderLink { worker: self, now, effects })
             }
             Some(Peer::List) => Err(Malformed::Order("a word from the list")),
             None => Ok(()),
@@ -391,7 +396,7 @@
             self.with_writing(|w, worker| w.rang(now, what, worker, effects));
         } else if let Some(at) = self.early.iter().position(|(serial, ..)| *serial == what) {
             if let Some((_, connection, id)) = self.early.remove(at) {
-                effects.send(connection, fetch::missing(id));
+                effects.send(connection, state_transfer::missing(id));
             }
         }
     }
@@ -441,7 +446,7 @@
         let id = (self.origin, id);
         let RouterLink { worker, now, connection, effects, .. } = self;
         if worker.bench.terms.does == Does::Write {
-            effects.send(*connection, worker::attempt_ended(id.1, shot, worker::How::Fault));
+            effects.send(*connection, worker::attempt_ended(id.1, shot, worker::AttemptFailure::ServerError));
             return Ok(());
         }
         worker.bench.press(*now, f64::from(prompt_tokens));
@@ -458,7 +463,7 @@
             effects,
         );
         if taken {
-            let early = |(_, _, wanted): &(u64, ConnectionId, Whose)| *wanted == id;
+            let early = |(_, _, wanted): &(u64, ConnectionId, GlobalRequestId)| *wanted == id;
             if let Some(at) = worker.early.iter().position(early) {
                 if let Some((_, fetcher, _)) = worker.early.remove(at) {
                     worker.reading.fetch(fetcher, id, &worker.bench, effects);
@@ -554,18 +559,18 @@
     effects: &'a mut Effects,
 }
 
-impl fetch::Reader for FetcherLink<'_> {
-    fn fetch(&mut self, id: Whose) -> Result<(), Malformed> {
+impl state_transfer::Reader for FetcherLink<'_> {
+    fn fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.fetch(self.now, self.connection, id, self.effects);
         Ok(())
     }
 
-    fn fetched(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn fetched(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.reading.let_go(id);
         Ok(())
     }
 
-    fn cancel_fetch(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn cancel_fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.reading.unfetch(self.connection, id);
         Ok(())
     }
@@ -577,20 +582,20 @@
     effects: &'a mut Effects,
 }
 
-impl fetch::Fetcher for ReaderLink<'_> {
-    fn chunk(&mut self, id: Whose, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
+impl state_transfer::Fetcher for ReaderLink<'_> {
+    fn chunk(&mut self, id: GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.chunk(now, id, offset, &part, crc, worker, effects));
         Ok(())
     }
 
-    fn complete(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
+    fn complete(&mut self, id: GlobalRequestId, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.whole(now, id, state_bytes, crc, worker, effects));
         Ok(())
     }
 
-    fn missing(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn missing(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.missing(now, id, worker, effects));
         Ok(())
--- a/crates/emulator/src/writing.rs
+++ b/crates/emulator/src/writing.rs
@@ -4,7 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
-use tideroute_wire::{fetch, worker, Address, Micros, Whose};
+use tideroute_wire::{state_transfer, worker, Address, GlobalRequestId, Micros};
 
 use crate::state;
 use crate::worker::{key, Does, Timer, Worker};
@@ -41,9 +41,9 @@
 
 #[derive(Default)]
 pub struct Writing {
-    writes: BTreeMap<Whose, Write>,
-    by_serial: BTreeMap<u64, Whose>,
-    waiting: VecDeque<Whose>,
+    writes: BTreeMap<GlobalRequestId, Write>,
+    by_serial: BTreeMap<u64, GlobalRequestId>,
+    waiting: VecDeque<GlobalRequestId>,
 }
 
 impl Writing {
@@ -65,7 +65,7 @@
         &mut self,
         now: Micros,
         router: ConnectionId,
-        id: Whose,
+        id: GlobalRequestId,
         most_tokens: u32,
         reader: Address,
         worker: &mut Worker,
@@ -86,7 +86,7 @@
         &mut self,
         now: Micros,
         router: ConnectionId,
-        id: Whose,
+        id: GlobalRequestId,
         shot: u16,
         prompt_tokens: u32,
         most_tokens: u32,
@@ -100,7 +100,7 @@
         let mut end = |how| effects.send(router, worker::attempt_ended(id.1, shot, how));
         if worker.bench.faults || terms.does == Does::Read {
             self.remove(id);
-            return end(worker::How::Fault);
+            return end(worker::AttemptFailure::ServerError);
         }
         if let Some(write) = self.writes.get_mut(&id).filter(|w| w.shot.is_none() && w.router == router) {
             (write.shot, write.window) = (Some(shot), window.max(1));
@@ -108,10 +108,10 @@
         }
         let full = self.taken() >= terms.streams_at_once && self.waiting.len() >= terms.streams_waiting;
         if !worker.bench.takes_new() || full || self.writes.contains_key(&id) {
-            return end(worker::How::Full);
+            return end(worker::AttemptFailure::Rejected);
         }
         if reader.is_none() && terms.does != Does::Both {
-            return end(worker::How::Stateless);
+            return end(worker::AttemptFailure::StateMissing);
         }
         let bytes_a_token = terms.state_bytes_a_token;
         self.insert(router, id, Some(shot), prompt_tokens, most_tokens, reader, window.max(1), worker);
@@ -128,7 +128,7 @@
     fn insert(
         &mut self,
         router: ConnectionId,
-        id: Whose,
+        id: GlobalRequestId,
         shot: Option<u16>,
         prompt_tokens: u32,
         most_tokens: u32,
@@ -172,12 +172,12 @@
         }
     }
 
-    fn fetch(&mut self, _now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
+    fn fetch(&mut self, _now: Micros, id: GlobalRequestId, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         let Some(reader) = write.reader else { return };
         write.state = State::Coming(BytesMut::new());
         let connection = worker.reader(reader, effects);
-        effects.send(connection, fetch::fetch(id));
+        effects.send(connection, state_transfer::fetch(id));
     }
 
     /// A mixed worker has read a prompt itself.
@@ -193,7 +193,7 @@
     pub fn chunk(
         &mut self,
         now: Micros,
-        id: Whose,
+        id: GlobalRequestId,
         offset: u64,
         part: &Bytes,
         crc: u32,
@@ -212,7 +212,7 @@
     pub fn whole(
         &mut self,
         now: Micros,
-        id: Whose,
+        id: GlobalRequestId,
         state_bytes: u64,
         crc: u32,
         worker: &mut Worker,
@@ -226,13 +226,13 @@
         write.state = State::Here(crc);
         if let Some(reader) = write.reader {
             let connection = worker.reader(reader, effects);
-            effects.send(connection, fetch::fetched(id));
+            effects.send(connection, state_transfer::fetched(id));
         }
         self.go_on(now, id, worker, effects);
     }
 
     /// The state will not come.
-    pub fn missing(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
+    pub fn missing(&mut self, now: Micros, id: GlobalRequestId, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         if matches!(write.state, State::Coming(_)) {
             write.state = State::Lost;
@@ -241,12 +241,15 @@
     }
 
     /// Takes the next step of an answer whose send and state are both here.
-    fn go_on(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
+    fn go_on(&mut self, now: Micros, id: GlobalRequestId, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.writes.get_mut(&id) else { return };
         let Some(shot) = write.shot else { return };
         match write.state {
             State::Lost => {
-                effects.send(write.router, worker::attempt_ended(id.1, shot, worker::How::Stateless));
+                effects.send(
+                    write.router,
+                    worker::attempt_ended(id.1, shot, worker::AttemptFailure::StateMissing),
+                );
                 self.remove(id);
                 self.start(now, worker, effects);
             }
@@ -283,7 +286,7 @@
     pub fn more(
         &mut self,
         now: Micros,
-        id: Whose,
+        id: GlobalRequestId,
         shot: u16,
         tokens: u32,
         worker: &mut Worker,
@@ -298,7 +301,7 @@
     }
 
     /// Lets go of a place that no send has taken.
-    pub fn let_go(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
+    pub fn let_go(&mut self, now: Micros, id: GlobalRequestId, worker: &mut Worker, effects: &mut Effects) {
         if self.writes.get(&id).is_some_and(|w| w.shot.is_none()) {
             self.give_up(now, id, worker, effects);
         }
@@ -307,7 +310,7 @@
     pub fn withdraw(
         &mut self,
         now: Micros,
-        id: Whose,
+        id: GlobalRequestId,
         shot: u16,
         worker: &mut Worker,
         effects: &mut Effects,
@@ -335,16 +338,16 @@
         ids.into_iter().for_each(|id| self.missing(now, id, worker, effects));
     }
 
-    fn give_up(&mut self, now: Micros, id: Whose, worker: &mut Worker, effects: &mut Effects) {
+    fn give_up(&mut self, now: Micros, id: GlobalRequestId, worker: &mut Worker, effects: &mut Effects) {
         let Some(write) = self.remove(id) else { return };
         if let (State::Coming(_), Some(reader)) = (&write.state, write.reader) {
             let connection = worker.reader(reader, effects);
-            effects.send(connection, fetch::cancel_fetch(id));
+            effects.send(connection, state_transfer::cancel_fetch(id));
         }
         self.start(now, worker, effects);
     }
 
-    fn remove(&mut self, id: Whose) -> Option<Write> {
+    fn remove(&mut self, id: GlobalRequestId) -> Option<Write> {
         let write = self.writes.remove(&id)?;
         self.by_serial.remove(&write.serial);
         if write.waits {
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/reload.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
 use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
+use tideroute_wire::endpoint_list::{EndpointStatus, Page};
 use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
-use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, Party};
 
 const LIST: [u8; 6] = [10, 0, 0, 1, 0, 1];
--- a/crates/lifecycle/src/hear.rs
+++ b/crates/lifecycle/src/hear.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, TenthMillis};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
-use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
+use tideroute_wire::{client, endpoint_list, worker, Address, Malformed, Micros};
 
 use crate::host::Host;
 use crate::lifecycle::MICROS_PER_TENTH_MILLI;
@@ -138,12 +138,12 @@
         Ok(())
     }
 
-    fn attempt_ended(&mut self, id: u64, attempt: u16, how: worker::How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, attempt: u16, how: worker::AttemptFailure) -> Result<(), Malformed> {
         if self.is_out(id, attempt)? {
             let outcome = match how {
-                worker::How::Full => AttemptOutcome::Rejected,
-                worker::How::Stateless => AttemptOutcome::StateMissing,
-                worker::How::Fault => AttemptOutcome::ServerError,
+                worker::AttemptFailure::Rejected => AttemptOutcome::Rejected,
+                worker::AttemptFailure::StateMissing => AttemptOutcome::StateMissing,
+                worker::AttemptFailure::ServerError => AttemptOutcome::ServerError,
             };
             self.host.settle(self.now, id, attempt, outcome, self.effects);
         }
@@ -173,7 +173,7 @@
     pub now: Micros,
 }
 
-impl list::Router for ListLink<'_> {
+impl endpoint_list::Router for ListLink<'_> {
     fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
         if !whole && version <= self.host.lifecycle.endpoint_list_version() {
             return Err(Malformed::Order("a page"));
@@ -188,15 +188,15 @@
         worker: Address,
         kind: u16,
         size: f64,
-        status: list::EndpointStatus,
+        status: endpoint_list::EndpointStatus,
         cell: u16,
         zone: u8,
         started: Micros,
     ) -> Result<(), Malformed> {
         let status = match status {
-            list::EndpointStatus::Removed => EndpointStatus::Removed,
-            list::EndpointStatus::Serving => EndpointStatus::Serving,
-            list::EndpointStatus::Draining => EndpointStatus::Draining,
+            endpoint_list::EndpointStatus::Removed => EndpointStatus::Removed,
+            endpoint_list::EndpointStatus::Serving => EndpointStatus::Serving,
+            endpoint_list::EndpointStatus::Draining => EndpointStatus::Draining,
         };
         let started = (started / MICROS_PER_TENTH_MILLI) as TenthMillis;
         self.host.lifecycle.endpoint_updated(
--- a/crates/lifecycle/src/host.rs
+++ b/crates/lifecycle/src/host.rs
@@ -5,7 +5,7 @@
 use metrics::counter;
 use tideroute::types::{AttemptOutcome, EndpointStatus, RequestId};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::{client, list, worker, Malformed, Micros, Party};
+use tideroute_wire::{client, endpoint_list, worker, Malformed, Micros, Party};
 
 use crate::clients::Clients;
 use crate::config::RouterConfig;
@@ -210,11 +210,11 @@
 
     /// The list as it stands, as a page that `new` takes again.
     fn list_to_keep(&self) -> Bytes {
-        let mut page = list::Page::new(self.lifecycle.endpoint_list_version(), true);
+        let mut page = endpoint_list::Page::new(self.lifecycle.endpoint_list_version(), true);
         for l in self.lifecycle.endpoints().filter(|l| l.status != EndpointStatus::Removed) {
             let status = match l.status {
-                EndpointStatus::Serving => list::EndpointStatus::Serving,
-                _ => list::EndpointStatus::Draining,
+                EndpointStatus::Serving => endpoint_list::EndpointStatus::Serving,
+                _ => endpoint_list::EndpointStatus::Draining,
             };
             page.add(
                 l.worker,
@@ -234,7 +234,7 @@
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(kept) = self.kept.take() {
             let mut listener = crate::hear::ListLink { host: self, now };
-            if let Err(problem) = list::receive_from_list(&kept, &mut listener) {
+            if let Err(problem) = endpoint_list::receive_from_list(&kept, &mut listener) {
                 tracing::warn!(%problem, "the list that was kept cannot be read; starts without");
             }
             // The list server may have started anew too: it is asked for all.
@@ -261,7 +261,8 @@
             let mut listener = crate::hear::WorkerLink { host: self, now, connection, effects };
             worker::receive_from_worker(frame, &mut listener)
         } else if self.list_link == Some(connection) {
-            let heard = list::receive_from_list(frame, &mut crate::hear::ListLink { host: self, now });
+            let heard =
+                endpoint_list::receive_from_list(frame, &mut crate::hear::ListLink { host: self, now });
             self.lifecycle.discovery_synced(now);
             heard
         } else if self.clients.is_silent(connection) {
--- a/crates/lifecycle/src/wires.rs
+++ b/crates/lifecycle/src/wires.rs
@@ -3,7 +3,7 @@
 use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_invariants::{AttemptPermit, ReservationPermit, ResponsePermit};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
-use tideroute_wire::{client, list, say_router, worker, Micros};
+use tideroute_wire::{client, endpoint_list, say_router, worker, Micros};
 
 use crate::clients::Clients;
 use crate::config::RouterConfig;
@@ -162,7 +162,7 @@
             self.effects.send(connection, say_router(&self.config.lifecycle.name, self.config.origin));
             connection
         });
-        self.effects.send(connection, list::watch(version));
+        self.effects.send(connection, endpoint_list::watch(version));
     }
 
     fn set_timer(&mut self, at: Micros, timer: Timer) {
--- a/crates/lifecycle/tests/noise.rs
+++ b/crates/lifecycle/tests/noise.rs
@@ -7,8 +7,8 @@
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
 use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
+use tideroute_wire::endpoint_list::{EndpointStatus, Page};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
-use tideroute_wire::list::{EndpointStatus, Page};
 use tideroute_wire::{client, say_hello, worker, Address, Malformed, Micros, Party};
 
 const LIST: Address = [10, 0, 0, 1, 1, 1];
@@ -265,7 +265,8 @@
                     5 => worker::attempt_ended(
                         id,
                         attempt,
-                        [worker::How::Full, worker::How::Fault][usize::from(much) % 2],
+                        [worker::AttemptFailure::Rejected, worker::AttemptFailure::ServerError]
+                            [usize::from(much) % 2],
                     ),
                     _ => worker::reservation_answered(id, much % 2 == 0),
                 };
--- a/crates/load-balance-report/src/measure.rs
+++ b/crates/load-balance-report/src/measure.rs
@@ -7,8 +7,8 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use tideroute_trace_checker::Terms;
-use tideroute_wire::tap::{Passed, Reader, TapError, What};
-use tideroute_wire::worker::How;
+use tideroute_wire::capture::{CaptureError, CaptureEvent, CapturedFrame, Reader};
+use tideroute_wire::worker::AttemptFailure;
 use tideroute_wire::{client, worker, Address, Malformed, Micros, Party};
 
 use crate::workers::Workers;
@@ -21,7 +21,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SpreadError {
     #[error("the record cannot be read: {0}")]
-    Record(#[from] TapError),
+    Record(#[from] CaptureError),
     #[error("the record's terms cannot be read: {0}")]
     Terms(#[from] serde_json::Error),
 }
@@ -149,31 +149,31 @@
         }
     }
 
-    fn follow(&mut self, passed: &Passed) {
+    fn follow(&mut self, passed: &CapturedFrame) {
         let link = (passed.process, passed.connection);
         if let Some(&(reads, place)) = self.places.get(&passed.process) {
             let side = usize::from(!reads);
             match passed.event {
-                What::Began => self.sides[side].there(passed.at, place, true),
-                What::Left | What::Killed => {
+                CaptureEvent::ProcessStarted => self.sides[side].there(passed.at, place, true),
+                CaptureEvent::ProcessExited | CaptureEvent::ProcessKilled => {
                     self.sides[side].there(passed.at, place, false);
                     self.shots.retain(|(process, ..), _| *process != passed.process);
                 }
-                What::Closed => {
+                CaptureEvent::Closed => {
                     let all = (link.0, link.1, 0)..=(link.0, link.1, u64::MAX);
                     let ids: Vec<_> = self.shots.range(all).map(|(shot, _)| *shot).collect();
                     ids.into_iter().for_each(|shot| self.ended(passed.at, shot));
                     self.routers.remove(&link);
                 }
-                What::Heard if passed.position == 0 => {
+                CaptureEvent::Received if passed.position == 0 => {
                     let router = tideroute_wire::first(&passed.frame).is_ok_and(|f| f.0 == Party::Router);
                     self.routers.insert(link, router);
                 }
-                What::Heard | What::Sent if self.routers.get(&link) == Some(&true) => {
+                CaptureEvent::Received | CaptureEvent::Sent if self.routers.get(&link) == Some(&true) => {
                     // What cannot be read is for the check of the rules to tell.
                     let mut ear = Ear { books: self, passed };
                     let _ = match passed.event {
-                        What::Heard => worker::receive_from_router(&passed.frame, &mut ear),
+                        CaptureEvent::Received => worker::receive_from_router(&passed.frame, &mut ear),
                         _ => worker::receive_from_worker(&passed.frame, &mut ear),
                     };
                 }
@@ -182,15 +182,17 @@
         } else if self.clients.contains(&passed.process) {
             let mut ear = Ear { books: self, passed };
             let _ = match passed.event {
-                What::Sent if passed.position > 0 => client::receive_from_client(&passed.frame, &mut ear),
-                What::Heard => client::receive_from_router(&passed.frame, &mut ear),
+                CaptureEvent::Sent if passed.position > 0 => {
+                    client::receive_from_client(&passed.frame, &mut ear)
+                }
+                CaptureEvent::Received => client::receive_from_router(&passed.frame, &mut ear),
                 _ => Ok(()),
             };
         }
     }
 
     /// A shot comes, with so many tokens of a shared text.
-    fn arrived(&mut self, passed: &Passed, id: u64, shared: u32) {
+    fn arrived(&mut self, passed: &CapturedFrame, id: u64, shared: u32) {
         let Some(&(reads, place)) = self.places.get(&passed.process) else { return };
         let shot = (passed.process, passed.connection, id);
         if self.shots.insert(shot, shared).is_none() {
@@ -246,7 +248,7 @@
 
 struct Ear<'a> {
     books: &'a mut Books,
-    passed: &'a Passed,
+    passed: &'a CapturedFrame,
 }
 
 impl Ear<'_> {
@@ -339,7 +341,7 @@
         self.end(id)
     }
 
-    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: AttemptFailure) -> Result<(), Malformed> {
         self.end(id)
     }
 
--- a/crates/membership-checker/src/lib.rs
+++ b/crates/membership-checker/src/lib.rs
@@ -13,7 +13,7 @@
 use std::io::Read;
 
 use serde::{Deserialize, Serialize};
-use tideroute_wire::tap::{Reader, TapError, What};
+use tideroute_wire::capture::{CaptureError, CaptureEvent, Reader};
 use tideroute_wire::Micros;
 
 pub use judge::{KNOWN, MEETS};
@@ -78,7 +78,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     #[error("the record cannot be read: {0}")]
-    Record(#[from] TapError),
+    Record(#[from] CaptureError),
     #[error("the record's terms cannot be read: {0}")]
     Terms(#[from] serde_json::Error),
 }
@@ -98,12 +98,12 @@
     while let Some(passed) = reader.next_passed()? {
         let Some(&who) = of.get(&passed.process) else { continue };
         match passed.event {
-            What::Began => truth.started(who, passed.at),
-            What::Killed => truth.ended(who, passed.at, false),
-            What::Left => truth.ended(who, passed.at, true),
-            What::Halted => truth.halted(who, passed.at),
-            What::WentOn => truth.went_on(who, passed.at),
-            What::Saw => {
+            CaptureEvent::ProcessStarted => truth.started(who, passed.at),
+            CaptureEvent::ProcessKilled => truth.ended(who, passed.at, false),
+            CaptureEvent::ProcessExited => truth.ended(who, passed.at, true),
+            CaptureEvent::ProcessPaused => truth.halted(who, passed.at),
+            CaptureEvent::ProcessResumed => truth.went_on(who, passed.at),
+            CaptureEvent::Observed => {
                 report.sightings += 1;
                 if let Err(why) = truth.saw(who, passed.at, &passed.frame) {
                     report.note(passed.at, why);
--- a/crates/membership/src/group.rs
+++ b/crates/membership/src/group.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute::rng::Rng;
-use tideroute_wire::fleet::{self, Ear, Saying, Standing, PARTS};
+use tideroute_wire::gossip::{self, GossipHandler, GossipMessage, MemberStatus, PARTS};
 use tideroute_wire::{Address, Malformed, Micros};
 
 use crate::probes::{below, some, Probe, Probes};
@@ -77,8 +77,12 @@
     /// A router that starts now. Its first incarnation is the time in milliseconds, so that one that comes back
     /// under its old name counts as new; if its clock was set back, it hears of its former self and outbids it.
     pub fn new(terms: Terms, now: Micros) -> Group {
-        let own =
-            Seen { name: terms.name.clone(), at: terms.at, incarnation: now / MS, standing: Standing::Alive };
+        let own = Seen {
+            name: terms.name.clone(),
+            at: terms.at,
+            incarnation: now / MS,
+            standing: MemberStatus::Alive,
+        };
         let mut rng = Rng::new(terms.seed);
         // Routers that start together shall not probe together.
         let spread = |rng: &mut Rng, span: Micros| now + (rng.unit() * span as f64) as Micros;
@@ -139,13 +143,13 @@
             return Ok(());
         }
         self.speaker = None;
-        fleet::receive(said, &mut Hearing { group: self, now, from })
+        gossip::receive(said, &mut Hearing { group: self, now, from })
     }
 
     /// Says goodbye; nothing is heard any more afterwards.
     pub fn leave(&mut self, now: Micros) {
-        if self.own.standing != Standing::Left {
-            self.own.standing = Standing::Left;
+        if self.own.standing != MemberStatus::Left {
+            self.own.standing = MemberStatus::Left;
             self.goodbye();
             self.goodbye_at = Some(now + LEAVING);
         }
@@ -227,7 +231,7 @@
         self.probes.under_way = None;
         let suspected: Vec<_> = self.table.ends.iter().copied().collect();
         for (until, slot) in suspected {
-            if self.table.get(slot).is_some_and(|e| e.seen.standing == Standing::Suspected) {
+            if self.table.get(slot).is_some_and(|e| e.seen.standing == MemberStatus::Suspected) {
                 self.table.end_at(slot, Some(until + by));
             }
         }
@@ -240,16 +244,17 @@
     // What is said.
 
     /// A datagram with nothing in it but who speaks.
-    fn own_word(&self) -> Saying {
+    fn own_word(&self) -> GossipMessage {
         let own = &self.own;
-        Saying::new(Some((&own.name, own.at, own.incarnation, own.standing)), Seal::AROUND)
+        GossipMessage::new(Some((&own.name, own.at, own.incarnation, own.standing)), Seal::AROUND)
     }
 
     /// A datagram's beginning: to one that is not seen as there, what is said of it first, so that it can set that
     /// right; then news.
-    fn saying(&mut self, to: Option<usize>) -> Saying {
+    fn saying(&mut self, to: Option<usize>) -> GossipMessage {
         let mut saying = self.own_word();
-        let doubted = to.and_then(|slot| self.table.get(slot)).filter(|e| e.seen.standing != Standing::Alive);
+        let doubted =
+            to.and_then(|slot| self.table.get(slot)).filter(|e| e.seen.standing != MemberStatus::Alive);
         if let Some(entry) = doubted {
             let (s, by) = (&entry.seen, entry.by);
             saying.claim(&s.name, s.at, s.incarnation, s.standing, by);
@@ -299,7 +304,7 @@
         let dead: Vec<_> = self
             .table
             .iter()
-            .filter(|(_, e)| e.seen.standing == Standing::Dead)
+            .filter(|(_, e)| e.seen.standing == MemberStatus::Dead)
             .map(|(slot, _)| slot)
             .collect();
         if !dead.is_empty() {
@@ -386,8 +391,8 @@
     fn suspected(&mut self, now: Micros, slot: usize, by: u32, tells: bool) {
         let Some(entry) = self.table.get(slot).filter(|e| e.seen.standing.is_in()) else { return };
         let (at, incarnation, shares) = (entry.seen.at, entry.seen.incarnation, entry.suspected_by.len());
-        if entry.seen.standing == Standing::Alive {
-            self.table.set(slot, at, (incarnation, Standing::Suspected));
+        if entry.seen.standing == MemberStatus::Alive {
+            self.table.set(slot, at, (incarnation, MemberStatus::Suspected));
             self.table.suspected_since(slot, now);
             self.saw(slot);
         } else if shares > SHARED_BY {
@@ -409,13 +414,13 @@
     fn end(&mut self, now: Micros) {
         while let Some((_, slot)) = self.table.ends.first().copied().filter(|(at, _)| *at <= now) {
             let Some(entry) = self.table.get(slot) else { break };
-            if entry.seen.standing != Standing::Suspected {
+            if entry.seen.standing != MemberStatus::Suspected {
                 self.table.forget(slot);
                 continue;
             }
             let (at, incarnation) = (entry.seen.at, entry.seen.incarnation);
             self.counts.declared += 1;
-            self.gone(now, slot, at, (incarnation, Standing::Dead));
+            self.gone(now, slot, at, (incarnation, MemberStatus::Dead));
         }
     }
 
@@ -450,9 +455,9 @@
             return;
         }
         match seen.standing {
-            Standing::Suspected => {
+            MemberStatus::Suspected => {
                 if weight.0 > had.0 {
-                    self.table.set(slot, seen.at, (weight.0, Standing::Alive));
+                    self.table.set(slot, seen.at, (weight.0, MemberStatus::Alive));
                     self.saw(slot);
                 }
                 self.suspected(now, slot, by, !in_page);
@@ -460,15 +465,15 @@
             _ if weight == had => {}
             // In a full exchange a death may be old, of before a split healed: the one that it tells of may say
             // otherwise, and is told.
-            Standing::Dead if in_page && had.1.is_in() => {
+            MemberStatus::Dead if in_page && had.1.is_in() => {
                 if weight.0 > had.0 {
-                    self.table.set(slot, seen.at, (weight.0, Standing::Alive));
+                    self.table.set(slot, seen.at, (weight.0, MemberStatus::Alive));
                 }
                 self.suspected(now, slot, by, false);
                 self.say_plain(slot);
             }
-            Standing::Dead | Standing::Left => self.gone(now, slot, seen.at, weight),
-            Standing::Alive => {
+            MemberStatus::Dead | MemberStatus::Left => self.gone(now, slot, seen.at, weight),
+            MemberStatus::Alive => {
                 self.table.set(slot, seen.at, weight);
                 if !had.1.is_in() {
                     self.probes.met(slot, &mut self.rng);
@@ -492,8 +497,8 @@
             self.counts.unkept += 1;
             return;
         }
-        let suspected = seen.standing == Standing::Suspected;
-        let slot = self.table.insert(Seen { standing: Standing::Alive, ..seen });
+        let suspected = seen.standing == MemberStatus::Suspected;
+        let slot = self.table.insert(Seen { standing: MemberStatus::Alive, ..seen });
         self.probes.met(slot, &mut self.rng);
         if !in_page {
             self.table.tell(slot);
@@ -505,8 +510,8 @@
     }
 
     fn claimed_of_itself(&mut self, now: Micros, seen: &Seen) {
-        let wrong = seen.standing != Standing::Alive || seen.at != self.own.at;
-        if seen.incarnation < self.own.incarnation || self.own.standing == Standing::Left {
+        let wrong = seen.standing != MemberStatus::Alive || seen.at != self.own.at;
+        if seen.incarnation < self.own.incarnation || self.own.standing == MemberStatus::Left {
             return;
         }
         // Its own word, come round.
@@ -525,7 +530,7 @@
             );
             tracing::warn!(name = self.own.name, %other, "another process speaks, or spoke, under this name");
         }
-        if seen.standing != Standing::Alive {
+        if seen.standing != MemberStatus::Alive {
             self.counts.refuted += 1;
             self.worse(1);
         }
@@ -591,8 +596,8 @@
     }
 }
 
-impl Ear for Hearing<'_> {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing) {
+impl GossipHandler for Hearing<'_> {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: MemberStatus) {
         let group = &mut *self.group;
         let seen = Seen { name: name.to_string(), at, incarnation, standing };
         group.speaker = Some((name.to_string(), at));
@@ -613,7 +618,7 @@
         name: &str,
         at: Address,
         incarnation: u64,
-        standing: Standing,
+        standing: MemberStatus,
         by: u32,
         in_page: bool,
     ) {
--- a/crates/membership/src/program.rs
+++ b/crates/membership/src/program.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use metrics::{counter, gauge};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::fleet::{Standing, LARGEST};
+use tideroute_wire::gossip::{MemberStatus, LARGEST};
 use tideroute_wire::{Address, Micros};
 
 use crate::group::{Act, Counts, Group};
@@ -145,10 +145,10 @@
 
 fn saw(seen: &Seen, effects: &mut Effects) {
     let standing = match seen.standing {
-        Standing::Alive => "there",
-        Standing::Suspected => "suspected",
-        Standing::Dead => "dead",
-        Standing::Left => "left",
+        MemberStatus::Alive => "there",
+        MemberStatus::Suspected => "suspected",
+        MemberStatus::Dead => "dead",
+        MemberStatus::Left => "left",
     };
     tracing::info!(name = seen.name, incarnation = seen.incarnation, standing, "saw a router of the fleet");
     counter!("tideroute_fleet_seen_total", "standing" => standing).increment(1);
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use slab::Slab;
-use tideroute_wire::fleet::{Standing, PARTS};
+use tideroute_wire::gossip::{MemberStatus, PARTS};
 use tideroute_wire::{Address, Micros};
 
 /// One of the others, as it is seen.
@@ -13,11 +13,11 @@
     pub name: String,
     pub at: Address,
     pub incarnation: u64,
-    pub standing: Standing,
+    pub standing: MemberStatus,
 }
 
 /// Order among claims on one router: a later incarnation counts more; of one, the graver word.
-pub type Weight = (u64, Standing);
+pub type Weight = (u64, MemberStatus);
 
 #[derive(Debug)]
 pub struct Entry {
@@ -130,7 +130,7 @@
         let fresh = print(&entry.seen);
         self.prints[entry.part] ^= entry.print ^ fresh;
         entry.print = fresh;
-        if weight.1 != Standing::Suspected {
+        if weight.1 != MemberStatus::Suspected {
             entry.suspected_by.clear();
         }
         self.place(slot);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -5,12 +5,13 @@
 use bytes::Bytes;
 use tideroute::rng::Rng;
 use tideroute_membership::{Act, Group, Terms};
-use tideroute_wire::fleet::{Saying, Standing, PARTS};
+use tideroute_wire::gossip::{GossipMessage, MemberStatus, PARTS};
 use tideroute_wire::Address;
 
 const NOW: u64 = 1_800_000_000_000_000;
 const HERE: Address = [127, 0, 0, 1, 1, 1];
-const STANDINGS: [Standing; 4] = [Standing::Alive, Standing::Suspected, Standing::Dead, Standing::Left];
+const STANDINGS: [MemberStatus; 4] =
+    [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Dead, MemberStatus::Left];
 
 fn group(seed: u64) -> Group {
     Group::new(Terms { name: "own".into(), at: HERE, seeds: vec![], seed }, NOW)
@@ -24,7 +25,7 @@
 struct Word {
     name: String,
     incarnation: u64,
-    standing: Standing,
+    standing: MemberStatus,
     in_page: bool,
 }
 
@@ -39,7 +40,7 @@
     }
 
     fn said(&self) -> Bytes {
-        let mut saying = Saying::new(None, 0);
+        let mut saying = GossipMessage::new(None, 0);
         assert!(saying.claim(&self.name, HERE, self.incarnation, self.standing, 7));
         if self.in_page {
             saying.page(1, 0, 1, None, 0)
@@ -49,13 +50,13 @@
     }
 }
 
-fn view(group: &Group) -> BTreeMap<String, (u64, Standing)> {
+fn view(group: &Group) -> BTreeMap<String, (u64, MemberStatus)> {
     group.seen().map(|s| (s.name.clone(), (s.incarnation, s.standing))).collect()
 }
 
 /// What the words come to by the rules as the design note states them, each a line.
-fn plain(words: &[Word]) -> BTreeMap<String, (u64, Standing)> {
-    let mut known: BTreeMap<String, (u64, Standing)> = BTreeMap::new();
+fn plain(words: &[Word]) -> BTreeMap<String, (u64, MemberStatus)> {
+    let mut known: BTreeMap<String, (u64, MemberStatus)> = BTreeMap::new();
     for w in words {
         let Some(had) = known.get(&w.name).copied() else {
             if w.standing.is_in() {
@@ -64,8 +65,8 @@
             continue;
         };
         // In a page a death is no more than a suspicion of one that is in.
-        let doubted = w.in_page && w.standing == Standing::Dead && had.1.is_in();
-        let standing = if doubted { Standing::Suspected } else { w.standing };
+        let doubted = w.in_page && w.standing == MemberStatus::Dead && had.1.is_in();
+        let standing = if doubted { MemberStatus::Suspected } else { w.standing };
         if (w.incarnation, standing) > had {
             known.insert(w.name.clone(), (w.incarnation, standing));
         }
@@ -99,7 +100,7 @@
             .map(|n| Word {
                 name: format!("r{n}"),
                 incarnation: 0,
-                standing: Standing::Alive,
+                standing: MemberStatus::Alive,
                 in_page: false,
             })
             .collect();
@@ -124,18 +125,18 @@
     for _ in 0..1_000 {
         let incarnation = group.own().incarnation - 2 + below(&mut rng, 5) as u64;
         let standing = STANDINGS[1 + below(&mut rng, 3)];
-        let mut saying = Saying::new(None, 0);
+        let mut saying = GossipMessage::new(None, 0);
         saying.claim("own", HERE, incarnation, standing, 7);
         group.heard(NOW, HERE, &saying.plain()).expect("well said");
-        assert!((group.own().incarnation, Standing::Alive) > (incarnation, standing));
-        assert_eq!(group.own().standing, Standing::Alive);
+        assert!((group.own().incarnation, MemberStatus::Alive) > (incarnation, standing));
+        assert_eq!(group.own().standing, MemberStatus::Alive);
     }
     assert!(group.counts().refuted > 100);
     // What no clock can have brought is not believed, or it could never be outbid.
     let before = group.own().incarnation;
-    let mut saying = Saying::new(None, 0);
-    saying.claim("own", HERE, u64::MAX, Standing::Dead, 7);
-    saying.claim("r1", HERE, u64::MAX, Standing::Alive, 7);
+    let mut saying = GossipMessage::new(None, 0);
+    saying.claim("own", HERE, u64::MAX, MemberStatus::Dead, 7);
+    saying.claim("r1", HERE, u64::MAX, MemberStatus::Alive, 7);
     group.heard(NOW, HERE, &saying.plain()).expect("well said");
     assert_eq!((group.own().incarnation, group.counts().future, group.seen().count()), (before, 2, 0));
 }
@@ -147,7 +148,7 @@
     let first = group.own().incarnation;
     for n in 0..100u64 {
         let claimed = group.own().incarnation + 1;
-        let saying = Saying::new(Some(("own", elsewhere, claimed, Standing::Alive)), 0);
+        let saying = GossipMessage::new(Some(("own", elsewhere, claimed, MemberStatus::Alive)), 0);
         group.heard(NOW + n * 10_000, elsewhere, &saying.ping(n as u32)).expect("well said");
     }
     assert_eq!(group.counts().quarrels, 100);
@@ -161,7 +162,7 @@
     let (mut group, mut heard, mut refused, mut most) = (group(1), 0, 0, 0);
     for n in 0..30_000 {
         let own = format!("r{}", below(&mut rng, 40));
-        let mut saying = Saying::new(Some((&own, HERE, 5, STANDINGS[below(&mut rng, 4)])), 0);
+        let mut saying = GossipMessage::new(Some((&own, HERE, 5, STANDINGS[below(&mut rng, 4)])), 0);
         for _ in 0..below(&mut rng, 4) {
             let w = Word::drawn(&mut rng, 40);
             saying.claim(&w.name, HERE, w.incarnation, w.standing, 3);
@@ -193,7 +194,7 @@
         while let Some(act) = group.next(now) {
             acts += 1;
             if let Act::Say { said, .. } = act {
-                assert!(said.len() <= tideroute_wire::fleet::LARGEST);
+                assert!(said.len() <= tideroute_wire::gossip::LARGEST);
             }
         }
         most = most.max(acts);
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -13,8 +13,8 @@
 use polling::{Event, Events, PollMode, Poller};
 use slab::Slab;
 use socket2::{Domain, Protocol, Socket, Type};
+use tideroute_wire::capture::{counts, CaptureEvent};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::tap::{counts, What};
 use tideroute_wire::{Address, Micros};
 
 use crate::clock::{Clock, Warp};
@@ -270,12 +270,12 @@
     /// Drives the program until it is done.
     pub fn run(&mut self, program: &mut impl EventHandler) -> Result<Ended, ReactorError> {
         let (mut effects, mut events, mut due) = (Effects::default(), Events::new(), Vec::new());
-        self.note_process(What::Began);
+        self.note_process(CaptureEvent::ProcessStarted);
         program.on_start(self.clock.now(), &mut effects);
         loop {
             self.settle(program, &mut effects);
             if self.vanished {
-                self.note_process(What::Killed);
+                self.note_process(CaptureEvent::ProcessKilled);
                 self.reset_all();
                 return Ok(Ended::Vanished);
             }
@@ -285,7 +285,7 @@
                     Last::Came => continue,
                     Last::Unknown => {}
                     Last::Nobody => {
-                        self.note_process(What::Left);
+                        self.note_process(CaptureEvent::ProcessExited);
                         return Ok(Ended::Done);
                     }
                 }
@@ -387,7 +387,7 @@
         self.clock.now()
     }
 
-    fn note(&mut self, connection: ConnectionId, what: What, frame: &Bytes) {
+    fn note(&mut self, connection: ConnectionId, what: CaptureEvent, frame: &Bytes) {
         let now = self.clock.now();
         if let Some(tap) = self.tap.as_mut() {
             tap.note(now, connection, what, 0, frame);
@@ -398,12 +398,12 @@
     fn note_end(&mut self, place: usize) {
         let conn = &self.conns[place];
         let (connection, counts) = (conn.connection, counts(conn.sent, conn.heard));
-        self.note(connection, What::Closed, &counts);
+        self.note(connection, CaptureEvent::Closed, &counts);
     }
 
     /// Notes the beginning or end of the process itself.
-    fn note_process(&mut self, what: What) {
-        if what == What::Left {
+    fn note_process(&mut self, what: CaptureEvent) {
+        if what == CaptureEvent::ProcessExited {
             let open: Vec<_> =
                 self.conns.iter().filter(|(_, c)| c.stage == Stage::Open).map(|(p, _)| p).collect();
             open.into_iter().for_each(|place| self.note_end(place));
@@ -568,7 +568,7 @@
             let number = self.conns[place].heard;
             self.conns[place].heard += 1;
             if let Some(tap) = self.tap.as_mut() {
-                tap.note(now, connection, What::Heard, number, &frame);
+                tap.note(now, connection, CaptureEvent::Received, number, &frame);
             }
             program.on_data(now, connection, &frame, effects);
             self.carry_out(effects);
@@ -590,7 +590,7 @@
         let connection = conn.connection;
         let ends = [conn.stream.peer_addr().ok(), conn.stream.local_addr().ok()];
         if let Some(tap) = self.tap.as_mut() {
-            tap.met(now, connection, What::Met, ends);
+            tap.met(now, connection, CaptureEvent::Connected, ends);
         }
         self.news.push_back(News::Opened(connection));
         self.dirty.push(place);
--- a/crates/reactor/src/reactor/acts.rs
+++ b/crates/reactor/src/reactor/acts.rs
@@ -7,8 +7,8 @@
 use metrics::counter;
 use polling::Event;
 use socket2::SockRef;
+use tideroute_wire::capture::CaptureEvent;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects};
-use tideroute_wire::tap::What;
 
 use super::{add, News, Reactor, Ring, CONNS, TICK};
 use crate::conn::{Conn, Stage, MOST};
@@ -20,7 +20,7 @@
             match act {
                 Effect::Connect { connection, to, timeout: within } => {
                     let until = self.now() + within;
-                    self.note(connection, What::Dialled, &Bytes::copy_from_slice(&to));
+                    self.note(connection, CaptureEvent::Connecting, &Bytes::copy_from_slice(&to));
                     let to = self.ways.get(&to).copied().unwrap_or(to);
                     match Conn::dial(connection, to, until) {
                         Ok(mut conn) => {
@@ -31,7 +31,7 @@
                         Err(problem) => {
                             let loss = dial_loss(&problem);
                             tracing::debug!(connection = connection.0, %problem, ?loss, "a dial failed at once");
-                            self.note(connection, What::Unreached, &Bytes::new());
+                            self.note(connection, CaptureEvent::ConnectFailed, &Bytes::new());
                             self.news.push_back(News::Lost(connection, loss));
                         }
                     }
@@ -67,7 +67,9 @@
                     let sent = self.datagrams.get(door).is_some_and(|d| d.send(to, &bytes));
                     counter!("tideroute_datagrams_total", "sent" => sent.to_string()).increment(1);
                 }
-                Effect::AnnotateCapture { bytes } => self.note(ConnectionId(0), What::Saw, &bytes),
+                Effect::AnnotateCapture { bytes } => {
+                    self.note(ConnectionId(0), CaptureEvent::Observed, &bytes)
+                }
                 Effect::Crash => self.vanished = true,
             }
         }
@@ -105,7 +107,7 @@
         }
         conn.put(frame);
         if let Some(tap) = self.tap.as_mut() {
-            tap.note(now, connection, What::Sent, conn.sent, frame);
+            tap.note(now, connection, CaptureEvent::Sent, conn.sent, frame);
         }
         conn.sent += 1;
         if conn.waiting() > MOST {
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use metrics::counter;
 use socket2::Socket;
+use tideroute_wire::capture::CaptureEvent;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
-use tideroute_wire::tap::What;
 use tideroute_wire::Micros;
 
 use super::{News, Reactor, Ring, TICK};
@@ -32,7 +32,7 @@
             return;
         }
         if let Stage::Dialling { .. } = self.conns[place].stage {
-            self.note(connection, What::Unreached, &Bytes::new());
+            self.note(connection, CaptureEvent::ConnectFailed, &Bytes::new());
         } else {
             self.note_end(place);
         }
@@ -96,7 +96,7 @@
             match loss {
                 DisconnectReason::Reset => self.note_end(place),
                 DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
-                    self.note(connection, What::Unreached, &Bytes::new())
+                    self.note(connection, CaptureEvent::ConnectFailed, &Bytes::new())
                 }
             }
             self.news.push_back(News::Lost(connection, loss));
--- a/crates/reactor/src/reactor/doors.rs
+++ b/crates/reactor/src/reactor/doors.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use polling::{Event, PollMode};
+use tideroute_wire::capture::CaptureEvent;
 use tideroute_wire::event_loop::{ConnectionId, Effects, EventHandler, ListenerState};
-use tideroute_wire::tap::What;
 use tideroute_wire::Micros;
 
 use super::{add, Reactor, Ring, TICK};
@@ -112,7 +112,7 @@
             self.connections += 1;
             let (now, ends) = (self.clock.now(), [stream.peer_addr().ok(), stream.local_addr().ok()]);
             if let Some(tap) = self.tap.as_mut() {
-                tap.met(now, connection, What::Accepted, ends);
+                tap.met(now, connection, CaptureEvent::Accepted, ends);
             }
             let mut conn = Conn::new(connection, stream, Stage::Open);
             conn.raw = self.raw;
--- a/crates/reactor/src/tap.rs
+++ b/crates/reactor/src/tap.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 
 use bytes::Bytes;
+use tideroute_wire::capture::{self, CaptureEvent, CapturedFrame, CapturedProcess};
 use tideroute_wire::event_loop::ConnectionId;
-use tideroute_wire::tap::{self, Passed, What, Who};
 use tideroute_wire::{Address, Micros};
 
 use crate::clock::Clock;
@@ -23,9 +23,9 @@
 
 impl Tap {
     /// Begins the record of one process; what the file held is gone.
-    pub fn begin(path: &Path, who: &Who) -> io::Result<Tap> {
+    pub fn begin(path: &Path, who: &CapturedProcess) -> io::Result<Tap> {
         let mut file = BufWriter::with_capacity(1 << 18, File::create(path)?);
-        tap::write_head(&mut file, std::slice::from_ref(who), "")?;
+        capture::write_head(&mut file, std::slice::from_ref(who), "")?;
         Ok(Tap { file, process: who.number, role: who.role.clone(), clock: None })
     }
 
@@ -33,17 +33,25 @@
         &mut self,
         at: Micros,
         connection: ConnectionId,
-        what: What,
+        what: CaptureEvent,
         place: u64,
         frame: &Bytes,
     ) {
         // What a relay passes on is written down by those who speak.
-        if self.role == "relay" && !matches!(what, What::Joined | What::Began | What::Left | What::Killed) {
+        if self.role == "relay"
+            && !matches!(
+                what,
+                CaptureEvent::Joined
+                    | CaptureEvent::ProcessStarted
+                    | CaptureEvent::ProcessExited
+                    | CaptureEvent::ProcessKilled
+            )
+        {
             return;
         }
-        let frame = tap::kept(frame, &self.role);
+        let frame = capture::kept(frame, &self.role);
         let at = self.clock.map_or(at, |clock| clock.true_now());
-        let passed = Passed {
+        let passed = CapturedFrame {
             at,
             process: self.process,
             connection: connection.0,
@@ -56,7 +64,7 @@
 
     /// A relay has joined two connections: each one's ends, where it was taken or went to first.
     pub(crate) fn joined(&mut self, at: Micros, ends: [Option<SocketAddr>; 4]) {
-        self.met(at, ConnectionId(0), What::Joined, ends);
+        self.met(at, ConnectionId(0), CaptureEvent::Joined, ends);
     }
 
     /// Two ends of one connection are known to belong together by both ends' addresses.
@@ -64,15 +72,15 @@
         &mut self,
         at: Micros,
         connection: ConnectionId,
-        what: What,
+        what: CaptureEvent,
         ends: [Option<SocketAddr>; N],
     ) {
         let ends: Vec<u8> = ends.into_iter().flat_map(|end| end.map_or([0; 6], bytes_of)).collect();
         self.note(at, connection, what, 0, &ends.into());
     }
 
-    fn write(&mut self, passed: &Passed) {
-        if let Err(problem) = tap::write(&mut self.file, passed) {
+    fn write(&mut self, passed: &CapturedFrame) {
+        if let Err(problem) = capture::write(&mut self.file, passed) {
             tracing::error!(%problem, "the record of what passed is incomplete");
         }
     }
--- a/crates/simulation/src/crowd.rs
+++ b/crates/simulation/src/crowd.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tideroute_membership::{Act, Group, Seal, Seen, Terms};
-use tideroute_wire::fleet::Standing;
+use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::{Address, Micros};
 
 /// When a crowd begins: any time will do that leaves clocks room to be set back.
@@ -220,7 +220,7 @@
 
     /// Deaths declared of routers that were up all the time, from a moment on.
     pub fn falsely_dead(&self, since: Micros) -> Vec<&Sighting> {
-        let dead = |s: &&Sighting| s.at >= since && s.seen.standing == Standing::Dead;
+        let dead = |s: &&Sighting| s.at >= since && s.seen.standing == MemberStatus::Dead;
         self.sightings.iter().filter(dead).filter(|s| self.is_up(number(s.seen.at))).collect()
     }
 
@@ -312,7 +312,7 @@
     }
 
     fn say(&mut self, n: usize, to: Address, datagram: &Bytes) {
-        assert!(datagram.len() <= tideroute_wire::fleet::LARGEST, "{} bytes", datagram.len());
+        assert!(datagram.len() <= tideroute_wire::gossip::LARGEST, "{} bytes", datagram.len());
         self.nodes[n].bytes += datagram.len() as u64;
         self.nodes[n].said += 1;
         let target = number(to);
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -13,7 +13,7 @@
 use tideroute_membership_checker::Report as Views;
 use tideroute_reactor::clock::Clock;
 use tideroute_trace_checker::{CheckError, Report};
-use tideroute_wire::tap::TapError;
+use tideroute_wire::capture::CaptureError;
 use tideroute_wire::Micros;
 
 use crate::convert::address;
@@ -50,7 +50,7 @@
     #[error("{0}")]
     Printed(#[from] Problems),
     #[error("the record could not be merged: {0}")]
-    Record(#[from] TapError),
+    Record(#[from] CaptureError),
     #[error(transparent)]
     Check(#[from] CheckError),
     #[error(transparent)]
--- a/crates/simulation/src/legs.rs
+++ b/crates/simulation/src/legs.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use hdrhistogram::Histogram;
-use tideroute_wire::tap::{Passed, Reader, TapError, What};
-use tideroute_wire::worker::{self, How};
+use tideroute_wire::capture::{CaptureError, CaptureEvent, CapturedFrame, Reader};
+use tideroute_wire::worker::{self, AttemptFailure};
 use tideroute_wire::{client, Address, Malformed, Micros};
 
 /// Microseconds: the longest way that is told apart.
@@ -44,7 +44,7 @@
 }
 
 /// Reads the ways from a record; `routed` tells whether a router stands between client and workers.
-pub fn legs(record: impl Read, routed: bool) -> Result<Legs, TapError> {
+pub fn legs(record: impl Read, routed: bool) -> Result<Legs, CaptureError> {
     let mut reader = Reader::new(record);
     let (processes, _) = reader.head()?;
     let roles: BTreeMap<u32, String> = processes.into_iter().map(|p| (p.number, p.role)).collect();
@@ -58,7 +58,7 @@
     while let Some(p) = reader.next_passed()? {
         let role = roles.get(&p.process).map_or("", String::as_str);
         let Some(word) = word(&p, role) else { continue };
-        let heard = p.event == What::Heard;
+        let heard = p.event == CaptureEvent::Received;
         match (word, role, heard) {
             (Word::Submit(n), "client", false) => {
                 asked.insert((p.process, p.connection, n), p.at);
@@ -109,13 +109,13 @@
     }
 }
 
-fn word(p: &Passed, role: &str) -> Option<Word> {
-    if !matches!(p.event, What::Sent | What::Heard) || p.position == 0 {
+fn word(p: &CapturedFrame, role: &str) -> Option<Word> {
+    if !matches!(p.event, CaptureEvent::Sent | CaptureEvent::Received) || p.position == 0 {
         return None;
     }
     let mut ear = Ear(None);
     // A client of a straight day speaks to workers as a router does.
-    let sent = p.event == What::Sent;
+    let sent = p.event == CaptureEvent::Sent;
     let _ = match (role, sent) {
         ("client", true) => client::receive_from_client(&p.frame, &mut ear)
             .ok()
@@ -262,7 +262,7 @@
         Ok(())
     }
 
-    fn attempt_ended(&mut self, _id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, _id: u64, _shot: u16, _how: AttemptFailure) -> Result<(), Malformed> {
         Ok(())
     }
 
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -10,7 +10,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use tideroute_reactor::clock::Clock;
-use tideroute_wire::tap::{What, Who};
+use tideroute_wire::capture::{CaptureEvent, CapturedProcess};
 use tideroute_wire::{Address, Micros};
 
 use crate::parts::Part;
@@ -84,13 +84,13 @@
             let name = if core > 0 { format!("{}/{core}", recipe.name) } else { recipe.name.clone() };
             let path = if core > 0 { path.with_extension(format!("part.{core}")) } else { path.clone() };
             let number = number + core * NUMBERS_A_CORE;
-            let who = Who { number, name, role: recipe.role.clone(), address: recipe.address };
+            let who = CapturedProcess { number, name, role: recipe.role.clone(), address: recipe.address };
             self.parts.push(Part { who, path, killed: None, halts: vec![] });
         }
         if recipe.member {
             let (name, path) = (recipe.name.clone(), path.with_extension("part.member"));
             let number = number + recipe.cores * NUMBERS_A_CORE;
-            let who = Who { number, name, role: "member".into(), address: None };
+            let who = CapturedProcess { number, name, role: "member".into(), address: None };
             self.parts.push(Part { who, path, killed: None, halts: vec![] });
         }
         self.running.insert(recipe.name.clone(), Running { child, parts: first..self.parts.len() });
@@ -120,11 +120,15 @@
 
     /// Halts a process or lets it go on, and notes it if it changes something.
     pub fn halt(&mut self, name: &str, halt: bool) {
-        let (signal, what) = if halt { (Signal::STOP, What::Halted) } else { (Signal::CONT, What::WentOn) };
+        let (signal, what) = if halt {
+            (Signal::STOP, CaptureEvent::ProcessPaused)
+        } else {
+            (Signal::CONT, CaptureEvent::ProcessResumed)
+        };
         let now = self.clock.now();
         if let Some(parts) = self.running.get(name).map(|r| r.parts.clone()) {
             for part in &mut self.parts[parts] {
-                let halted = part.halts.last().is_some_and(|(_, last)| *last == What::Halted);
+                let halted = part.halts.last().is_some_and(|(_, last)| *last == CaptureEvent::ProcessPaused);
                 if halted != halt {
                     part.halts.push((now, what));
                 }
--- a/crates/simulation/src/straight.rs
+++ b/crates/simulation/src/straight.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tideroute_config_language::kinds::Load as Record;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::worker::{self, How};
+use tideroute_wire::worker::{self, AttemptFailure};
 use tideroute_wire::{say_router, Address, Malformed, Micros};
 
 use crate::choosers::{Chooser, Way};
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: How) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, id: u64, _shot: u16, _how: AttemptFailure) -> Result<(), Malformed> {
         self.straight.end(self.now, id, false);
         Ok(())
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
 use bytes::Bytes;
+use tideroute_wire::capture::{self, counts, CaptureEvent, CapturedFrame, CapturedProcess};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
-use tideroute_wire::tap::{self, counts, Passed, What, Who};
 use tideroute_wire::{Address, Micros};
 
 /// A node of the world: a place where a program can run, die and be started again.
@@ -93,8 +93,8 @@
     nodes: Vec<Node>,
     ends: HashMap<(NodeId, ConnectionId), End>,
     listens: BTreeMap<Address, NodeId>,
-    processes: Vec<Who>,
-    passed: Vec<Passed>,
+    processes: Vec<CapturedProcess>,
+    passed: Vec<CapturedFrame>,
     events: u64,
 }
 
@@ -165,9 +165,14 @@
         let node = &mut self.nodes[id.0];
         (node.life, node.process) = (node.life + 1, number);
         node.program = Some(program);
-        let who = Who { number, name: node.name.clone(), role: node.role.clone(), address: node.address };
+        let who = CapturedProcess {
+            number,
+            name: node.name.clone(),
+            role: node.role.clone(),
+            address: node.address,
+        };
         self.processes.push(who);
-        self.note(id, ConnectionId(0), What::Began, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), CaptureEvent::ProcessStarted, 0, &Bytes::new());
         self.call(id, |program, now, effects| program.on_start(now, effects));
     }
 
@@ -176,7 +181,7 @@
         if self.nodes[id.0].program.take().is_none() {
             return;
         }
-        self.note(id, ConnectionId(0), What::Killed, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), CaptureEvent::ProcessKilled, 0, &Bytes::new());
         let mut connections: Vec<_> =
             self.ends.keys().filter(|(n, _)| *n == id).map(|(_, connection)| *connection).collect();
         connections.sort_unstable();
@@ -188,12 +193,12 @@
     /// Nothing happens at the place until it goes on; what comes meanwhile waits.
     pub fn halt(&mut self, id: NodeId) {
         self.nodes[id.0].halted = true;
-        self.note(id, ConnectionId(0), What::Halted, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), CaptureEvent::ProcessPaused, 0, &Bytes::new());
     }
 
     pub fn go_on(&mut self, id: NodeId) {
         self.nodes[id.0].halted = false;
-        self.note(id, ConnectionId(0), What::WentOn, 0, &Bytes::new());
+        self.note(id, ConnectionId(0), CaptureEvent::ProcessResumed, 0, &Bytes::new());
         for mut due in std::mem::take(&mut self.nodes[id.0].missed) {
             due.at = self.now;
             self.due.push(due);
@@ -236,15 +241,15 @@
             connections.into_iter().for_each(|connection| self.note_end(id, connection));
         }
         let mut bytes = Vec::new();
-        tap::write_head(&mut bytes, &self.processes, terms)?;
-        self.passed.iter().try_for_each(|passed| tap::write(&mut bytes, passed))?;
+        capture::write_head(&mut bytes, &self.processes, terms)?;
+        self.passed.iter().try_for_each(|passed| capture::write(&mut bytes, passed))?;
         Ok(bytes)
     }
 
-    fn note(&mut self, id: NodeId, connection: ConnectionId, what: What, place: u64, frame: &Bytes) {
-        let frame = tap::kept(frame, &self.nodes[id.0].role);
+    fn note(&mut self, id: NodeId, connection: ConnectionId, what: CaptureEvent, place: u64, frame: &Bytes) {
+        let frame = capture::kept(frame, &self.nodes[id.0].role);
         let process = self.nodes[id.0].process;
-        self.passed.push(Passed {
+        self.passed.push(CapturedFrame {
             at: self.now,
             process,
             connection: connection.0,
@@ -258,13 +263,13 @@
         let Some(end) = self.ends.get(&(id, connection)) else { return };
         let (counts, met, there) = (counts(end.sent, end.heard), end.met, end.peer.is_some());
         if connection.is_outbound() && !met && !there {
-            return self.note(id, connection, What::Unreached, 0, &Bytes::new());
+            return self.note(id, connection, CaptureEvent::ConnectFailed, 0, &Bytes::new());
         }
         if connection.is_outbound() && !met {
             // Ended before it was known to be there: what was sent on it arrives all the same.
-            self.note_met(id, connection, What::Met);
+            self.note_met(id, connection, CaptureEvent::Connected);
         }
-        self.note(id, connection, What::Closed, 0, &counts);
+        self.note(id, connection, CaptureEvent::Closed, 0, &counts);
     }
 
     fn later(&mut self, at: Micros, node: NodeId, life: u32, event: Event) {
@@ -285,11 +290,11 @@
         match event {
             Event::Ring(key) => self.call(node, |program, now, effects| program.on_timer(now, key, effects)),
             Event::Accept(connection) => {
-                self.note_met(node, connection, What::Accepted);
+                self.note_met(node, connection, CaptureEvent::Accepted);
                 self.call(node, |program, now, effects| program.on_accepted(now, connection, 0, effects));
             }
             Event::Opened(connection) => {
-                self.note_met(node, connection, What::Met);
+                self.note_met(node, connection, CaptureEvent::Connected);
                 self.ends.get_mut(&(node, connection)).into_iter().for_each(|end| end.met = true);
                 self.call(node, |program, now, effects| program.on_connected(now, connection, effects));
             }
@@ -311,7 +316,7 @@
                 match loss {
                     DisconnectReason::Reset => self.note_end(node, connection),
                     DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
-                        self.note(node, connection, What::Unreached, 0, &Bytes::new())
+                        self.note(node, connection, CaptureEvent::ConnectFailed, 0, &Bytes::new())
                     }
                 }
                 self.call(node, |program, now, effects| {
@@ -325,12 +330,12 @@
         let Some(end) = self.ends.get_mut(&(node, connection)) else { return };
         let place = end.heard;
         end.heard += 1;
-        self.note(node, connection, What::Heard, place, frame);
+        self.note(node, connection, CaptureEvent::Received, place, frame);
         self.call(node, |program, now, effects| program.on_data(now, connection, frame, effects));
     }
 
     /// Both ends' addresses; a node without one gets one from its link, so that pairs stay apart.
-    fn note_met(&mut self, node: NodeId, connection: ConnectionId, what: What) {
+    fn note_met(&mut self, node: NodeId, connection: ConnectionId, what: CaptureEvent) {
         let Some((peer, peer_link)) = self.ends.get(&(node, connection)).and_then(|e| e.peer) else { return };
         let dialler = |n: NodeId, connection: ConnectionId| {
             let (number, connection) = (self.nodes[n.0].process as u16, connection.0 as u32);
@@ -339,7 +344,7 @@
         };
         let listener = |n: NodeId| Bytes::copy_from_slice(&self.nodes[n.0].address.unwrap_or_default());
         let (other, own) = match what {
-            What::Met => (listener(peer), dialler(node, connection)),
+            CaptureEvent::Connected => (listener(peer), dialler(node, connection)),
             _ => (dialler(peer, peer_link), listener(node)),
         };
         self.note(node, connection, what, 0, &Bytes::from([other, own].concat()));
@@ -369,7 +374,7 @@
                 self.note_end(id, connection);
                 self.sever(id, connection);
             }
-            self.note(id, ConnectionId(0), What::Left, 0, &Bytes::new());
+            self.note(id, ConnectionId(0), CaptureEvent::ProcessExited, 0, &Bytes::new());
             self.nodes[id.0].program = None;
         }
     }
@@ -385,7 +390,7 @@
                 end.sent += 1;
                 end.last = end.last.max(now + self.delay);
                 let (at, peer) = (end.last, end.peer);
-                self.note(id, connection, What::Sent, place, &frame);
+                self.note(id, connection, CaptureEvent::Sent, place, &frame);
                 if let Some((node, peer_link)) = peer {
                     if !self.nodes[id.0].dark && !self.nodes[node.0].dark {
                         let life = self.ends.get(&(node, peer_link)).map_or(0, |e| e.life);
@@ -423,7 +428,7 @@
     }
 
     fn dial(&mut self, id: NodeId, connection: ConnectionId, to: Address, within: Micros) {
-        self.note(id, connection, What::Dialled, 0, &Bytes::copy_from_slice(&to));
+        self.note(id, connection, CaptureEvent::Connecting, 0, &Bytes::copy_from_slice(&to));
         let there = self.listens.get(&to).copied();
         let dark = |n: NodeId| self.nodes[n.0].dark;
         let life = self.nodes[id.0].life;
--- a/crates/simulation/tests/cores.rs
+++ b/crates/simulation/tests/cores.rs
@@ -5,7 +5,7 @@
 
 use tideroute_config_language::kinds::Day;
 use tideroute_simulation::fleet::{play, Virtual};
-use tideroute_wire::tap::{Reader, What};
+use tideroute_wire::capture::{CaptureEvent, Reader};
 
 /// The field of a frame that asks a reader for a read.
 const READ: u8 = 2;
@@ -96,7 +96,7 @@
         processes.into_iter().filter(|p| p.name.starts_with("reader")).map(|p| (p.number, p.name)).collect();
     let mut reads = BTreeMap::<&str, usize>::new();
     while let Some(p) = reader.next_passed().expect("a whole record") {
-        let is_read = p.event == What::Heard && p.frame.first() == Some(&(READ << 3 | 2));
+        let is_read = p.event == CaptureEvent::Received && p.frame.first() == Some(&(READ << 3 | 2));
         if let Some(name) = readers.get(&p.process).filter(|_| is_read) {
             *reads.entry(name).or_default() += 1;
         }
--- a/crates/simulation/tests/crowd.rs
+++ b/crates/simulation/tests/crowd.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tideroute_simulation::crowd::{name, Crowd, Network, CALM};
-use tideroute_wire::fleet::Standing;
+use tideroute_wire::gossip::MemberStatus;
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
@@ -23,7 +23,7 @@
 fn known_dead(crowd: &Crowd, n: usize, since: u64) -> Vec<u64> {
     let mut first = BTreeMap::new();
     for s in &crowd.sightings {
-        if s.at >= since && s.seen.name == name(n) && s.seen.standing == Standing::Dead {
+        if s.at >= since && s.seen.name == name(n) && s.seen.standing == MemberStatus::Dead {
             first.entry(s.viewer).or_insert(s.at - since);
         }
     }
@@ -124,7 +124,7 @@
     let of_it = |s: &&tideroute_simulation::crowd::Sighting| s.at >= at && s.seen.name == name(33);
     let seen: Vec<_> = c.sightings.iter().filter(of_it).map(|s| s.seen.standing).collect();
     assert_eq!(seen.len(), 59);
-    assert!(seen.iter().all(|s| *s == Standing::Left), "{seen:?}");
+    assert!(seen.iter().all(|s| *s == MemberStatus::Left), "{seen:?}");
 }
 
 #[test]
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 
 use tideroute_config_language::kinds::Day;
 use tideroute_simulation::fleet::{play, Virtual};
-use tideroute_wire::tap::{Passed, Reader, What};
+use tideroute_wire::capture::{CaptureEvent, CapturedFrame, Reader};
 
 /// A small day with a place for its troubles.
 fn day(troubles: &str, rate: u32, more: &str) -> Day {
@@ -45,7 +45,7 @@
     assert!(played.fallen.is_empty(), "{:?}", played.fallen);
 }
 
-fn passed(played: &Virtual) -> Vec<Passed> {
+fn passed(played: &Virtual) -> Vec<CapturedFrame> {
     let mut reader = Reader::new(played.record.as_slice());
     reader.head().expect("a head");
     std::iter::from_fn(|| reader.next_passed().expect("a whole record")).collect()
@@ -56,8 +56,10 @@
     let mut reader = Reader::new(played.record.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let of: Vec<_> = processes.iter().filter(|p| p.role == role).map(|p| p.number).collect();
-    let is = |p: &&Passed| {
-        p.event == What::Heard && of.contains(&p.process) && p.frame.first() == Some(&(field << 3 | 2))
+    let is = |p: &&CapturedFrame| {
+        p.event == CaptureEvent::Received
+            && of.contains(&p.process)
+            && p.frame.first() == Some(&(field << 3 | 2))
     };
     passed(played).iter().filter(is).count()
 }
@@ -139,7 +141,7 @@
         fn completed(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
             Ok(())
         }
-        fn attempt_ended(&mut self, _: u64, _: u16, _: worker::How) -> Result<(), Malformed> {
+        fn attempt_ended(&mut self, _: u64, _: u16, _: worker::AttemptFailure) -> Result<(), Malformed> {
             Ok(())
         }
         fn health_reported(&mut self, _: u64, _: u32, _: u32, _: u32) -> Result<(), Malformed> {
@@ -150,7 +152,9 @@
     let (processes, _) = reader.head().expect("a head");
     let routers: Vec<_> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let mut ear = Ear::default();
-    for p in passed(played).iter().filter(|p| p.event == What::Heard && routers.contains(&p.process)) {
+    for p in
+        passed(played).iter().filter(|p| p.event == CaptureEvent::Received && routers.contains(&p.process))
+    {
         // Words of clients and of the list are other messages; what does not fit is none of these.
         if p.connection >> 63 == 1 {
             let _ = worker::receive_from_worker(&p.frame, &mut ear);
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -4,7 +4,7 @@
 
 use tideroute_config_language::kinds::Day;
 use tideroute_simulation::fleet::{play, Virtual};
-use tideroute_wire::tap::{Reader, What};
+use tideroute_wire::capture::{CaptureEvent, Reader};
 
 fn day(name: &str) -> Day {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
@@ -83,15 +83,15 @@
         }
         let (field, numbers) = frame(&p.frame);
         match (p.event, field) {
-            (What::Heard, HELLO) if p.frame.windows(6).any(|w| w == b"leaves") => {
+            (CaptureEvent::Received, HELLO) if p.frame.windows(6).any(|w| w == b"leaves") => {
                 of_it.insert((p.process, p.connection));
             }
-            (What::Sent, TAKEN) if of_it.contains(&(p.process, p.connection)) => {
+            (CaptureEvent::Sent, TAKEN) if of_it.contains(&(p.process, p.connection)) => {
                 before += u32::from(p.at <= gone);
                 too_late.extend((p.at > gone).then(|| numbers[1]));
             }
             // A client's Token has the field of a worker's Read; ids of submissions are far above its numbers.
-            (What::Sent, READ | WRITE) => {
+            (CaptureEvent::Sent, READ | WRITE) => {
                 assert!(!too_late.contains(&numbers[0]), "let in after the removal: {:x}", numbers[0]);
             }
             _ => {}
--- a/crates/trace-checker/src/cold.rs
+++ b/crates/trace-checker/src/cold.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use tideroute_wire::list::EndpointStatus;
-use tideroute_wire::tap::Passed;
+use tideroute_wire::capture::CapturedFrame;
+use tideroute_wire::endpoint_list::EndpointStatus;
 use tideroute_wire::{Address, Micros};
 
 use crate::halts::Halts;
@@ -58,7 +58,7 @@
     }
 
     /// A whole page: those that it does not name are gone.
-    pub fn page(&mut self, passed: &Passed, version: u64, whole: bool) {
+    pub fn page(&mut self, passed: &CapturedFrame, version: u64, whole: bool) {
         self.version = version;
         let mine = |(router, _): &(u32, Address)| *router == passed.process;
         for (_, told) in self.told.iter_mut().filter(|(key, _)| whole && mine(key)) {
@@ -68,7 +68,13 @@
         }
     }
 
-    pub fn entry(&mut self, passed: &Passed, worker: Address, standing: EndpointStatus, started: Micros) {
+    pub fn entry(
+        &mut self,
+        passed: &CapturedFrame,
+        worker: Address,
+        standing: EndpointStatus,
+        started: Micros,
+    ) {
         let told = self.told.get(&(passed.process, worker));
         // Told twice that it drains, the first time counts.
         let before =
@@ -94,7 +100,14 @@
     }
 
     /// Something new goes to a worker: rule 3.
-    pub fn new_goes(&self, passed: &Passed, id: u64, worker: Address, halts: &Halts, report: &mut Report) {
+    pub fn new_goes(
+        &self,
+        passed: &CapturedFrame,
+        id: u64,
+        worker: Address,
+        halts: &Halts,
+        report: &mut Report,
+    ) {
         let told = self.told.get(&(passed.process, worker)).filter(|t| t.standing != EndpointStatus::Serving);
         let home = self.homes.get(&passed.process);
         let first = home.and_then(|&home| self.first.get(&(home, worker))).and_then(|(_, first)| *first);
@@ -112,7 +125,14 @@
     }
 
     /// Work goes to a worker: rule 4.
-    pub fn works(&mut self, passed: &Passed, id: u64, worker: Address, tokens: f64, report: &mut Report) {
+    pub fn works(
+        &mut self,
+        passed: &CapturedFrame,
+        id: u64,
+        worker: Address,
+        tokens: f64,
+        report: &mut Report,
+    ) {
         let Some(able) = self.terms.worker(worker) else {
             let what = format!("a shot went to {}, which the terms do not name", shown(worker));
             return report.note(Rule::Record, passed.at, Some(id), what);
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::io::Read;
 
-use tideroute_wire::tap::{Passed, Reader, TapError, What};
+use tideroute_wire::capture::{CaptureError, CaptureEvent, CapturedFrame, Reader};
 use tideroute_wire::Micros;
 
 use links::{Links, Talk};
@@ -110,7 +110,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     #[error("the record cannot be read: {0}")]
-    Record(#[from] TapError),
+    Record(#[from] CaptureError),
     #[error("the record's terms cannot be read: {0}")]
     Terms(#[from] serde_json::Error),
 }
@@ -149,19 +149,24 @@
     Ok(report)
 }
 
-fn one(passed: &Passed, talk: Option<Talk>, shots: &mut Shots, report: &mut Report) {
+fn one(passed: &CapturedFrame, talk: Option<Talk>, shots: &mut Shots, report: &mut Report) {
     match passed.event {
-        What::Sent | What::Heard => {
+        CaptureEvent::Sent | CaptureEvent::Received => {
             let Some(talk) = talk else { return };
             if let Err(problem) = talk::hear(passed, talk, shots, report) {
                 let what = format!("a frame cannot be read: {problem}");
                 report.note(Rule::Record, passed.at, None, what);
             }
         }
-        What::Closed | What::Unreached => shots.closed(passed, talk, report),
-        What::Killed | What::Left => shots.process_ended(passed, report),
-        What::Halted => shots.halts.begin(passed.process, passed.at),
-        What::WentOn => shots.halts.end(passed.process, passed.at),
-        What::Dialled | What::Met | What::Accepted | What::Began | What::Joined | What::Saw => {}
+        CaptureEvent::Closed | CaptureEvent::ConnectFailed => shots.closed(passed, talk, report),
+        CaptureEvent::ProcessKilled | CaptureEvent::ProcessExited => shots.process_ended(passed, report),
+        CaptureEvent::ProcessPaused => shots.halts.begin(passed.process, passed.at),
+        CaptureEvent::ProcessResumed => shots.halts.end(passed.process, passed.at),
+        CaptureEvent::Connecting
+        | CaptureEvent::Connected
+        | CaptureEvent::Accepted
+        | CaptureEvent::ProcessStarted
+        | CaptureEvent::Joined
+        | CaptureEvent::Observed => {}
     }
 }
--- a/crates/trace-checker/src/links.rs
+++ b/crates/trace-checker/src/links.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use tideroute_wire::tap::{self, counted, Passed, What, Who};
+use tideroute_wire::capture::{self, counted, CaptureEvent, CapturedFrame, CapturedProcess};
 use tideroute_wire::{Address, Micros, Origin, Party};
 
 use crate::{Report, Rule};
@@ -90,7 +90,7 @@
 }
 
 impl Links {
-    pub fn new(processes: &[Who]) -> Links {
+    pub fn new(processes: &[CapturedProcess]) -> Links {
         Links {
             roles: processes.iter().map(|p| (p.number, p.role.clone())).collect(),
             addresses: processes.iter().filter_map(|p| Some((p.address?, p.role.clone()))).collect(),
@@ -105,15 +105,18 @@
     }
 
     /// Takes one event to the books; tells who talks on its connection, if that is known.
-    pub fn follow(&mut self, passed: &Passed, report: &mut Report) -> Option<Talk> {
+    pub fn follow(&mut self, passed: &CapturedFrame, report: &mut Report) -> Option<Talk> {
         let key = (passed.process, passed.connection);
         let address = |from: usize| passed.frame.get(from..from + 6).and_then(|a| Address::try_from(a).ok());
         match passed.event {
-            What::Dialled | What::Unreached | What::Met | What::Accepted => {
+            CaptureEvent::Connecting
+            | CaptureEvent::ConnectFailed
+            | CaptureEvent::Connected
+            | CaptureEvent::Accepted => {
                 let role = self.roles.get(&passed.process).map_or("", String::as_str);
                 let end = self.ends.entry(key).or_default();
                 match passed.event {
-                    What::Dialled => {
+                    CaptureEvent::Connecting => {
                         (end.dialled, end.to) = (true, address(0));
                         let target = end.to.and_then(|to| self.addresses.get(&to)).map_or("", String::as_str);
                         end.between = between(role, target);
@@ -122,8 +125,8 @@
                             report.note(Rule::Record, passed.at, None, what);
                         }
                     }
-                    What::Unreached => (end.unreached, end.closed) = (true, Some(passed.at)),
-                    What::Met => (end.ends, end.met) = (address(0).zip(address(6)), passed.at),
+                    CaptureEvent::ConnectFailed => (end.unreached, end.closed) = (true, Some(passed.at)),
+                    CaptureEvent::Connected => (end.ends, end.met) = (address(0).zip(address(6)), passed.at),
                     _ => {
                         (end.ends, end.to, end.met) = (address(6).zip(address(0)), address(6), passed.at);
                     }
@@ -134,7 +137,7 @@
                     self.meet(key, fresh.map_or(ends, |(before, _)| before), report);
                 }
             }
-            What::Joined => {
+            CaptureEvent::Joined => {
                 let before = address(0).zip(address(6));
                 if let Some((before, behind)) = before.zip(address(12).zip(address(18))) {
                     // The end behind may have said so first; one of long ago had the same port.
@@ -153,7 +156,7 @@
                 }
                 return None;
             }
-            What::Closed => {
+            CaptureEvent::Closed => {
                 let end = self.ends.entry(key).or_default();
                 end.closed = Some(passed.at);
                 if counted(&passed.frame) != Some((end.sent.passed, end.heard.passed)) {
@@ -164,8 +167,8 @@
                     report.note(Rule::Record, passed.at, None, what);
                 }
             }
-            What::Sent | What::Heard => return self.frame(passed, report),
-            What::Killed => {
+            CaptureEvent::Sent | CaptureEvent::Received => return self.frame(passed, report),
+            CaptureEvent::ProcessKilled => {
                 self.killed.insert(passed.process, passed.at);
                 let mine = self.ends.range((passed.process, 0)..=(passed.process, u64::MAX));
                 let keys: Vec<_> = mine.map(|(key, _)| *key).collect();
@@ -175,7 +178,11 @@
                 }
                 return None;
             }
-            What::Began | What::Saw | What::Left | What::Halted | What::WentOn => return None,
+            CaptureEvent::ProcessStarted
+            | CaptureEvent::Observed
+            | CaptureEvent::ProcessExited
+            | CaptureEvent::ProcessPaused
+            | CaptureEvent::ProcessResumed => return None,
         }
         let end = self.ends.get(&key)?;
         let talk = end.between.zip(end.to).map(|(between, to)| Talk {
@@ -188,8 +195,8 @@
         talk
     }
 
-    fn frame(&mut self, passed: &Passed, report: &mut Report) -> Option<Talk> {
-        let (process, link, sent) = (passed.process, passed.connection, passed.event == What::Sent);
+    fn frame(&mut self, passed: &CapturedFrame, report: &mut Report) -> Option<Talk> {
+        let (process, link, sent) = (passed.process, passed.connection, passed.event == CaptureEvent::Sent);
         let role = self.roles.get(&process).map_or("", String::as_str);
         let end = self.ends.entry((process, link)).or_default();
         let flow = if sent { &mut end.sent } else { &mut end.heard };
@@ -201,7 +208,7 @@
             (0..lacking).for_each(|_| flow.push(0));
             flow.passed = passed.position;
         }
-        flow.push(sum(tap::common(&passed.frame)));
+        flow.push(sum(capture::common(&passed.frame)));
         let hello = passed.position == 0 && sent == end.dialled;
         if hello && !end.dialled {
             let party = tideroute_wire::first(&passed.frame).map(|(party, ..)| party).ok();
@@ -226,7 +233,7 @@
     }
 
     /// Ids are told apart by what their routers say of themselves: each its own, and always the same.
-    fn origin(&mut self, passed: &Passed, report: &mut Report) {
+    fn origin(&mut self, passed: &CapturedFrame, report: &mut Report) {
         let Ok(origin) = tideroute_wire::origin_of(&passed.frame) else {
             return report.note(Rule::Record, passed.at, None, "a router says no origin");
         };
--- a/crates/trace-checker/src/shots.rs
+++ b/crates/trace-checker/src/shots.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use tideroute_wire::tap::{Passed, What};
+use tideroute_wire::capture::{CaptureEvent, CapturedFrame};
 use tideroute_wire::{Address, Micros};
 
 use crate::cold::{shown, Cold};
@@ -73,7 +73,7 @@
     ended: BTreeSet<u32>,
 }
 
-fn number(passed: &Passed, number: u64) -> Number {
+fn number(passed: &CapturedFrame, number: u64) -> Number {
     (passed.process, passed.connection, number)
 }
 
@@ -95,7 +95,7 @@
 
     // What a client says and hears.
 
-    pub fn client_submits(&mut self, passed: &Passed, n: u64, left: Micros, report: &mut Report) {
+    pub fn client_submits(&mut self, passed: &CapturedFrame, n: u64, left: Micros, report: &mut Report) {
         report.counts.submitted += 1;
         let asked = Asked { until: passed.at + left, sent_at: passed.at, ..Asked::default() };
         if self.asked.insert(number(passed, n), asked).is_some() {
@@ -103,14 +103,14 @@
         }
     }
 
-    pub fn client_leaves(&mut self, passed: &Passed, n: u64, report: &mut Report) {
+    pub fn client_leaves(&mut self, passed: &CapturedFrame, n: u64, report: &mut Report) {
         match self.asked.get_mut(&number(passed, n)) {
             Some(asked) => asked.left = true,
             None => report.note(Rule::Record, passed.at, None, format!("leaves {n}, which it never sent")),
         }
     }
 
-    fn asked(&mut self, passed: &Passed, n: u64, report: &mut Report) -> Option<&mut Asked> {
+    fn asked(&mut self, passed: &CapturedFrame, n: u64, report: &mut Report) -> Option<&mut Asked> {
         let asked = self.asked.get_mut(&number(passed, n));
         if asked.is_none() {
             report.note(Rule::Record, passed.at, None, format!("a client hears of {n}, which it never sent"));
@@ -125,14 +125,14 @@
         })
     }
 
-    pub fn client_taken(&mut self, passed: &Passed, n: u64, report: &mut Report) {
+    pub fn client_taken(&mut self, passed: &CapturedFrame, n: u64, report: &mut Report) {
         let Some(asked) = self.asked(passed, n, report) else { return };
         if std::mem::replace(&mut asked.taken, true) {
             report.note(Rule::Lost, passed.at, None, format!("number {n} was taken twice"));
         }
     }
 
-    pub fn client_token(&mut self, passed: &Passed, n: u64, index: u32, report: &mut Report) {
+    pub fn client_token(&mut self, passed: &CapturedFrame, n: u64, index: u32, report: &mut Report) {
         let Some(asked) = self.asked(passed, n, report) else { return };
         let expected = asked.tokens;
         asked.tokens += 1;
@@ -143,7 +143,7 @@
         }
     }
 
-    pub fn client_answered(&mut self, passed: &Passed, n: u64, answer: Answer, report: &mut Report) {
+    pub fn client_answered(&mut self, passed: &CapturedFrame, n: u64, answer: Answer, report: &mut Report) {
         let Some(asked) = self.asked(passed, n, report) else { return };
         asked.answers += 1;
         let (taken, tokens) = (asked.taken, asked.tokens);
@@ -171,7 +171,14 @@
 
     // What a router hears from and says to clients.
 
-    pub fn router_is_asked(&mut self, passed: &Passed, n: u64, track: u8, left: Micros, report: &mut Report) {
+    pub fn router_is_asked(
+        &mut self,
+        passed: &CapturedFrame,
+        n: u64,
+        track: u8,
+        left: Micros,
+        report: &mut Report,
+    ) {
         if usize::from(track) >= self.terms.tracks.len() {
             let what = format!("number {n} is of track {track}, which the terms do not name");
             return report.note(Rule::Record, passed.at, None, what);
@@ -179,14 +186,14 @@
         self.coming.insert(number(passed, n), (track, passed.at, left));
     }
 
-    pub fn router_is_left(&mut self, passed: &Passed, n: u64) {
+    pub fn router_is_left(&mut self, passed: &CapturedFrame, n: u64) {
         let id = self.ids.get(&number(passed, n));
         if let Some(held) = id.and_then(|&id| self.held.get_mut(&(passed.process, id))) {
             held.over.get_or_insert(passed.at);
         }
     }
 
-    pub fn router_takes(&mut self, passed: &Passed, n: u64, id: u64, report: &mut Report) {
+    pub fn router_takes(&mut self, passed: &CapturedFrame, n: u64, id: u64, report: &mut Report) {
         let Some((track, at, left)) = self.coming.remove(&number(passed, n)) else {
             let what = format!("a router takes number {n}, which it never heard of");
             return report.note(Rule::Record, passed.at, Some(id), what);
@@ -212,7 +219,7 @@
         }
     }
 
-    pub fn router_relays(&mut self, passed: &Passed, n: u64, report: &mut Report) {
+    pub fn router_relays(&mut self, passed: &CapturedFrame, n: u64, report: &mut Report) {
         let id = self.ids.get(&number(passed, n)).copied();
         let Some(held) = id.and_then(|id| self.held.get_mut(&(passed.process, id))) else {
             return report.note(Rule::Record, passed.at, id, format!("a token for number {n}, never taken"));
@@ -223,7 +230,7 @@
         }
     }
 
-    pub fn router_answers(&mut self, passed: &Passed, n: u64, answer: Answer, report: &mut Report) {
+    pub fn router_answers(&mut self, passed: &CapturedFrame, n: u64, answer: Answer, report: &mut Report) {
         let key = number(passed, n);
         if self.answered.insert(key, passed.at).is_some() {
             report.note(Rule::Lost, passed.at, self.ids.get(&key).copied(), "a second answer was sent");
@@ -258,7 +265,7 @@
     // What a router sends to and hears from workers.
 
     /// The submission, with anything pinned until now told first.
-    fn book(&mut self, passed: &Passed, id: u64, report: &mut Report) -> Option<&mut Held> {
+    fn book(&mut self, passed: &CapturedFrame, id: u64, report: &mut Report) -> Option<&mut Held> {
         let release = self.terms.release;
         let Some(held) = self.held.get_mut(&(passed.process, id)) else {
             report.note(Rule::Record, passed.at, Some(id), "a shot of a submission that was never taken");
@@ -270,7 +277,7 @@
 
     pub fn sends(
         &mut self,
-        passed: &Passed,
+        passed: &CapturedFrame,
         id: u64,
         shot: u16,
         to: Address,
@@ -326,7 +333,7 @@
         self.cold.works(passed, id, to, tokens, report);
     }
 
-    pub fn holds(&mut self, passed: &Passed, id: u64, at: Address, report: &mut Report) {
+    pub fn holds(&mut self, passed: &CapturedFrame, id: u64, at: Address, report: &mut Report) {
         report.counts.places += 1;
         if let Some(held) = self.book(passed, id, report) {
             held.held.insert(at);
@@ -335,7 +342,14 @@
         self.cold.new_goes(passed, id, at, &self.halts, report);
     }
 
-    pub fn hold_answered(&mut self, passed: &Passed, id: u64, at: Address, yes: bool, report: &mut Report) {
+    pub fn hold_answered(
+        &mut self,
+        passed: &CapturedFrame,
+        id: u64,
+        at: Address,
+        yes: bool,
+        report: &mut Report,
+    ) {
         // After the end nothing is expected of it: it was let go of while the answer was under way.
         if !self.held.contains_key(&(passed.process, id)) {
             return report.note(Rule::Record, passed.at, Some(id), "an answer on a place never asked for");
@@ -347,7 +361,12 @@
     }
 
     /// The shot, if it is the one that is out; a word of one called back is none of a fault.
-    fn out<'a>(held: &'a mut Held, shot: u16, passed: &Passed, report: &mut Report) -> Option<&'a mut Out> {
+    fn out<'a>(
+        held: &'a mut Held,
+        shot: u16,
+        passed: &CapturedFrame,
+        report: &mut Report,
+    ) -> Option<&'a mut Out> {
         if shot >= held.shots {
             report.note(
                 Rule::Record,
@@ -359,7 +378,14 @@
         held.out.as_mut().filter(|o| o.number == shot && o.link == passed.connection)
     }
 
-    pub fn read_done(&mut self, passed: &Passed, id: u64, shot: u16, at: Address, report: &mut Report) {
+    pub fn read_done(
+        &mut self,
+        passed: &CapturedFrame,
+        id: u64,
+        shot: u16,
+        at: Address,
+        report: &mut Report,
+    ) {
         let Some(held) = self.book(passed, id, report) else { return };
         if Self::out(held, shot, passed, report).is_some() {
             held.out = None;
@@ -368,14 +394,21 @@
         }
     }
 
-    pub fn streams(&mut self, passed: &Passed, id: u64, shot: u16, index: u32, report: &mut Report) {
+    pub fn streams(&mut self, passed: &CapturedFrame, id: u64, shot: u16, index: u32, report: &mut Report) {
         let Some(held) = self.book(passed, id, report) else { return };
         if Self::out(held, shot, passed, report).is_some() && index == 0 {
             held.held.clear();
         }
     }
 
-    pub fn ended(&mut self, passed: &Passed, id: u64, shot: u16, never_ran: bool, report: &mut Report) {
+    pub fn ended(
+        &mut self,
+        passed: &CapturedFrame,
+        id: u64,
+        shot: u16,
+        never_ran: bool,
+        report: &mut Report,
+    ) {
         let Some(held) = self.book(passed, id, report) else { return };
         let Some(out) = Self::out(held, shot, passed, report) else { return };
         // What this shot alone may have done, it has not.
@@ -387,7 +420,7 @@
         held.since = passed.at;
     }
 
-    pub fn withdraws(&mut self, passed: &Passed, id: u64, shot: u16, report: &mut Report) {
+    pub fn withdraws(&mut self, passed: &CapturedFrame, id: u64, shot: u16, report: &mut Report) {
         let Some(held) = self.book(passed, id, report) else { return };
         if Self::out(held, shot, passed, report).is_some() {
             held.out = None;
@@ -395,17 +428,17 @@
         }
     }
 
-    pub fn lets_go(&mut self, passed: &Passed, id: u64, at: Address, report: &mut Report) {
+    pub fn lets_go(&mut self, passed: &CapturedFrame, id: u64, at: Address, report: &mut Report) {
         if let Some(held) = self.book(passed, id, report) {
             held.held.remove(&at);
         }
     }
 
-    pub fn probes(&mut self, passed: &Passed, nonce: u64) {
+    pub fn probes(&mut self, passed: &CapturedFrame, nonce: u64) {
         self.probes.insert((passed.process, nonce));
     }
 
-    pub fn probe_answered(&mut self, passed: &Passed, nonce: u64, report: &mut Report) {
+    pub fn probe_answered(&mut self, passed: &CapturedFrame, nonce: u64, report: &mut Report) {
         if !self.probes.remove(&(passed.process, nonce)) {
             report.note(Rule::Record, passed.at, None, "an answer to a probe that was never sent");
         }
@@ -413,12 +446,12 @@
 
     // Ends of connections and processes.
 
-    pub fn closed(&mut self, passed: &Passed, talk: Option<Talk>, report: &mut Report) {
+    pub fn closed(&mut self, passed: &CapturedFrame, talk: Option<Talk>, report: &mut Report) {
         let Some(talk) = talk else { return };
         match talk.between {
             Between::RouterWorker if talk.dialled => {
                 let release = self.terms.release;
-                let unreached = passed.event == What::Unreached;
+                let unreached = passed.event == CaptureEvent::ConnectFailed;
                 let mine = (passed.process, 0)..=(passed.process, u64::MAX);
                 for ((_, id), held) in self.held.range_mut(mine) {
                     let mine = |o: &&Out| o.link == passed.connection;
@@ -447,14 +480,14 @@
         }
     }
 
-    pub fn process_ended(&mut self, passed: &Passed, report: &mut Report) {
+    pub fn process_ended(&mut self, passed: &CapturedFrame, report: &mut Report) {
         self.ended.insert(passed.process);
         let release = self.terms.release;
         let mine = (passed.process, 0)..=(passed.process, u64::MAX);
         for ((_, id), held) in self.held.range_mut(mine) {
             held.look_for_pins(*id, passed.at, release, &self.halts, report);
             // A router that ended in order owes nothing more; one that was killed is excused.
-            if passed.event == What::Left && held.over.is_none() {
+            if passed.event == CaptureEvent::ProcessExited && held.over.is_none() {
                 report.note(Rule::Lost, passed.at, Some(*id), "its router left without an answer");
             }
             held.held.clear();
--- a/crates/trace-checker/src/talk.rs
+++ b/crates/trace-checker/src/talk.rs
@@ -1,10 +1,10 @@
 //! Frames as calls on the books, from either side of a connection.
 
 use bytes::Bytes;
-use tideroute_wire::list::EndpointStatus;
-use tideroute_wire::tap::{Passed, What};
-use tideroute_wire::worker::How;
-use tideroute_wire::{client, list, worker, Address, Malformed, Micros};
+use tideroute_wire::capture::{CaptureEvent, CapturedFrame};
+use tideroute_wire::endpoint_list::EndpointStatus;
+use tideroute_wire::worker::AttemptFailure;
+use tideroute_wire::{client, endpoint_list, worker, Address, Malformed, Micros};
 
 use crate::links::{Between, Talk};
 use crate::shots::Shots;
@@ -12,11 +12,16 @@
 
 /// Reads one frame and books what it says. What a router and a client said to each other is booked on both
 /// sides, the rest where the router saw it; a worker's own start is what it told the list.
-pub fn hear(passed: &Passed, talk: Talk, shots: &mut Shots, report: &mut Report) -> Result<(), Malformed> {
+pub fn hear(
+    passed: &CapturedFrame,
+    talk: Talk,
+    shots: &mut Shots,
+    report: &mut Report,
+) -> Result<(), Malformed> {
     if talk.hello {
         return Ok(());
     }
-    let sent = passed.event == What::Sent;
+    let sent = passed.event == CaptureEvent::Sent;
     // The dialler speaks in what it sent, and in what the acceptor heard.
     let from_dialler = sent == talk.dialled;
     let mut ear = Ear { passed, talk, shots, report };
@@ -27,14 +32,18 @@
         (Between::RouterWorker, false) if talk.dialled => {
             worker::receive_from_worker(&passed.frame, &mut ear)
         }
-        (Between::RouterList, false) if talk.dialled => list::receive_from_list(&passed.frame, &mut ear),
-        (Between::WorkerList, true) if talk.dialled => list::receive_from_caller(&passed.frame, &mut ear),
+        (Between::RouterList, false) if talk.dialled => {
+            endpoint_list::receive_from_list(&passed.frame, &mut ear)
+        }
+        (Between::WorkerList, true) if talk.dialled => {
+            endpoint_list::receive_from_caller(&passed.frame, &mut ear)
+        }
         _ => Ok(()),
     }
 }
 
 struct Ear<'a> {
-    passed: &'a Passed,
+    passed: &'a CapturedFrame,
     talk: Talk,
     shots: &'a mut Shots,
     report: &'a mut Report,
@@ -225,8 +234,8 @@
         Ok(())
     }
 
-    fn attempt_ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed> {
-        self.shots.ended(self.passed, id, shot, how != How::Fault, self.report);
+    fn attempt_ended(&mut self, id: u64, shot: u16, how: AttemptFailure) -> Result<(), Malformed> {
+        self.shots.ended(self.passed, id, shot, how != AttemptFailure::ServerError, self.report);
         Ok(())
     }
 
@@ -242,7 +251,7 @@
     }
 }
 
-impl list::Router for Ear<'_> {
+impl endpoint_list::Router for Ear<'_> {
     fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed> {
         self.shots.cold.page(self.passed, version, whole);
         Ok(())
@@ -263,7 +272,7 @@
     }
 }
 
-impl list::List for Ear<'_> {
+impl endpoint_list::List for Ear<'_> {
     fn watch(&mut self, _have: u64) -> Result<(), Malformed> {
         Err(Malformed::Order("Watch from a worker"))
     }
--- a/crates/trace-checker/tests/broken.rs
+++ b/crates/trace-checker/tests/broken.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use tideroute_trace_checker::{check, Group, Repeat, Report, Rule, Terms, TrackTerms, WorkerTerms};
-use tideroute_wire::list::{EndpointStatus, Page};
-use tideroute_wire::tap::{self, counts, Passed, What, Who};
-use tideroute_wire::{client, list, say_hello, say_router, worker, Address, Party};
+use tideroute_wire::capture::{self, counts, CaptureEvent, CapturedFrame, CapturedProcess};
+use tideroute_wire::endpoint_list::{EndpointStatus, Page};
+use tideroute_wire::{client, endpoint_list, say_hello, say_router, worker, Address, Party};
 
 const CLIENT: u32 = 1;
 const ROUTER: u32 = 2;
@@ -68,7 +68,7 @@
 /// A record being written.
 struct Book {
     now: u64,
-    passed: Vec<Passed>,
+    passed: Vec<CapturedFrame>,
     lines: Vec<Line>,
 }
 
@@ -77,7 +77,7 @@
     fn new() -> Book {
         let mut book = Book { now: 1_000_000 * MS, passed: vec![], lines: vec![] };
         for process in [CLIENT, ROUTER, READER, WRITER, LIST, OTHER] {
-            book.note(process, 0, What::Began, 0, Bytes::new());
+            book.note(process, 0, CaptureEvent::ProcessStarted, 0, Bytes::new());
         }
         for (from, to, party) in [
             (CLIENT, ROUTER, Party::Client),
@@ -90,15 +90,15 @@
         ] {
             book.connect(from, to, party);
         }
-        book.say(4, true, list::register(address(READER), 0, 1.0, EndpointStatus::Serving, 0, 0, 0));
-        book.say(5, true, list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, 0));
-        book.say(3, true, list::watch(0));
+        book.say(4, true, endpoint_list::register(address(READER), 0, 1.0, EndpointStatus::Serving, 0, 0, 0));
+        book.say(5, true, endpoint_list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, 0));
+        book.say(3, true, endpoint_list::watch(0));
         book.page(&[(READER, EndpointStatus::Serving, 0), (WRITER, EndpointStatus::Serving, 0)]);
         book
     }
 
-    fn note(&mut self, process: u32, link: u64, what: What, place: u64, frame: Bytes) {
-        self.passed.push(Passed {
+    fn note(&mut self, process: u32, link: u64, what: CaptureEvent, place: u64, frame: Bytes) {
+        self.passed.push(CapturedFrame {
             at: self.now,
             process,
             connection: link,
@@ -111,9 +111,9 @@
     fn connect(&mut self, from: u32, to: u32, party: Party) {
         let link = self.lines.len() as u64;
         let (dialler, taker) = ([127, 0, 0, 1, 9, link as u8], address(to));
-        self.note(from, link, What::Dialled, 0, Bytes::copy_from_slice(&taker));
-        self.note(to, link, What::Accepted, 0, Bytes::from([dialler, taker].concat()));
-        self.note(from, link, What::Met, 0, Bytes::from([taker, dialler].concat()));
+        self.note(from, link, CaptureEvent::Connecting, 0, Bytes::copy_from_slice(&taker));
+        self.note(to, link, CaptureEvent::Accepted, 0, Bytes::from([dialler, taker].concat()));
+        self.note(from, link, CaptureEvent::Connected, 0, Bytes::from([taker, dialler].concat()));
         self.lines.push(Line { from, to, link, said: [0, 0] });
         let hello = match party {
             Party::Router => say_router("somebody", u128::from(from)),
@@ -129,8 +129,8 @@
         let place = said[way];
         said[way] += 1;
         let (speaker, listener) = if by_dialler { (from, to) } else { (to, from) };
-        self.note(speaker, link, What::Sent, place, frame.clone());
-        self.note(listener, link, What::Heard, place, frame);
+        self.note(speaker, link, CaptureEvent::Sent, place, frame.clone());
+        self.note(listener, link, CaptureEvent::Received, place, frame);
     }
 
     fn page(&mut self, entries: &[(u32, EndpointStatus, u64)]) {
@@ -187,8 +187,8 @@
     fn close_all(&mut self) {
         for line in 0..self.lines.len() {
             let Line { from, to, link, said } = self.lines[line];
-            self.note(from, link, What::Closed, 0, counts(said[1], said[0]));
-            self.note(to, link, What::Closed, 0, counts(said[0], said[1]));
+            self.note(from, link, CaptureEvent::Closed, 0, counts(said[1], said[0]));
+            self.note(to, link, CaptureEvent::Closed, 0, counts(said[0], said[1]));
         }
     }
 
@@ -198,14 +198,14 @@
     }
 }
 
-fn check_events(passed: &[Passed]) -> Report {
+fn check_events(passed: &[CapturedFrame]) -> Report {
     let role = |process| match process {
         CLIENT => "client",
         ROUTER | SECOND => "router",
         LIST => "list",
         _ => "worker",
     };
-    let who = |number: u32| Who {
+    let who = |number: u32| CapturedProcess {
         number,
         name: format!("p{number}"),
         role: role(number).into(),
@@ -213,8 +213,8 @@
     };
     let mut record = Vec::new();
     let processes: Vec<_> = (1..=7).map(who).collect();
-    tap::write_head(&mut record, &processes, &serde_json::to_string(&terms()).unwrap()).unwrap();
-    passed.iter().for_each(|p| tap::write(&mut record, p).unwrap());
+    capture::write_head(&mut record, &processes, &serde_json::to_string(&terms()).unwrap()).unwrap();
+    passed.iter().for_each(|p| capture::write(&mut record, p).unwrap());
     check(record.as_slice()).unwrap()
 }
 
@@ -237,7 +237,7 @@
     book.read(ID + 3, 0);
     book.pass(20).say(1, false, worker::prefill_completed(ID + 3, 0, 0, 1600));
     book.write(2, ID + 3, 1, 20);
-    book.pass(5).say(2, false, worker::attempt_ended(ID + 3, 1, worker::How::Fault));
+    book.pass(5).say(2, false, worker::attempt_ended(ID + 3, 1, worker::AttemptFailure::ServerError));
     book.say(1, true, worker::release(ID + 3));
     book.say(0, false, client::failed(4));
     book.submit(5, 0, 1000);
@@ -291,10 +291,10 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 1, 4000);
         book.write(2, ID, 0, 20);
-        book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::How::Fault));
+        book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::AttemptFailure::ServerError));
         if again {
             book.write(2, ID, 1, 20);
-            book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::How::Fault));
+            book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::AttemptFailure::ServerError));
             book.say(0, false, client::failed(1));
         } else {
             book.say(0, false, client::rejected(1, 0));
@@ -305,9 +305,9 @@
     let mut book = Book::new();
     book.pass(10).submit(1, 1, 4000);
     book.write(2, ID, 0, 20);
-    book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::How::Full));
+    book.pass(10).say(2, false, worker::attempt_ended(ID, 0, worker::AttemptFailure::Rejected));
     book.write(2, ID, 1, 20);
-    book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::How::Stateless));
+    book.pass(10).say(2, false, worker::attempt_ended(ID, 1, worker::AttemptFailure::StateMissing));
     book.say(0, false, client::rejected(1, 0));
     assert!(book.check().kept());
 }
@@ -318,9 +318,9 @@
         let mut book = Book::new();
         book.pass(10).submit(1, 2, 9000);
         book.write(2, ID, 0, 20);
-        book.pass(wait).say(2, false, worker::attempt_ended(ID, 0, worker::How::Fault));
+        book.pass(wait).say(2, false, worker::attempt_ended(ID, 0, worker::AttemptFailure::ServerError));
         book.write(line, ID, 1, 20);
-        book.pass(10).say(line, false, worker::attempt_ended(ID, 1, worker::How::Fault));
+        book.pass(10).say(line, false, worker::attempt_ended(ID, 1, worker::AttemptFailure::ServerError));
         book.say(0, false, client::failed(1));
         let report = book.check();
         if kept {
@@ -376,7 +376,11 @@
     for (tokens, told, kept) in [(480, true, true), (560, true, false), (560, false, true)] {
         let mut book = Book::new();
         let started = book.now;
-        book.say(5, true, list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, started));
+        book.say(
+            5,
+            true,
+            endpoint_list::register(address(WRITER), 1, 1.0, EndpointStatus::Serving, 0, 0, started),
+        );
         if told {
             book.page(&[(WRITER, EndpointStatus::Serving, started)]);
         }
@@ -421,11 +425,11 @@
         book.pass(5).say(1, false, worker::prefill_completed(ID, 0, 0, 1600));
         let (process, ms) = halted.unwrap_or((ROUTER, 0));
         if halted.is_some() {
-            book.note(process, 0, What::Halted, 0, Bytes::new());
+            book.note(process, 0, CaptureEvent::ProcessPaused, 0, Bytes::new());
         }
         book.pass(ms);
         if halted.is_some() {
-            book.note(process, 0, What::WentOn, 0, Bytes::new());
+            book.note(process, 0, CaptureEvent::ProcessResumed, 0, Bytes::new());
         }
         // Its state waits at the reader for 1,990 ms, and its answer is 995 ms late.
         book.pass(1990 - ms).say(1, true, worker::release(ID));
@@ -446,7 +450,9 @@
     for (process, origin) in [(OTHER, u128::from(ROUTER)), (ROUTER, 99)] {
         let mut book = clean();
         book.connect(process, LIST, Party::Client);
-        let hello = |p: &&mut Passed| p.connection == 7 && matches!(p.event, What::Sent | What::Heard);
+        let hello = |p: &&mut CapturedFrame| {
+            p.connection == 7 && matches!(p.event, CaptureEvent::Sent | CaptureEvent::Received)
+        };
         book.passed.iter_mut().filter(hello).for_each(|p| p.frame = say_router("it", origin));
         if process == OTHER {
             // It is a worker in the other tests.
@@ -470,14 +476,14 @@
         let joined = [before, dialler, address(WRITER), behind].concat();
         for p in book.passed.iter_mut().filter(|p| p.connection == 2) {
             match p.event {
-                What::Met => p.frame = Bytes::from([before, dialler].concat()),
-                What::Accepted => p.frame = Bytes::from([behind, address(WRITER)].concat()),
-                What::Heard if changed && p.position == 2 => p.frame = Bytes::from_static(b"else"),
+                CaptureEvent::Connected => p.frame = Bytes::from([before, dialler].concat()),
+                CaptureEvent::Accepted => p.frame = Bytes::from([behind, address(WRITER)].concat()),
+                CaptureEvent::Received if changed && p.position == 2 => p.frame = Bytes::from_static(b"else"),
                 _ => {}
             }
         }
         let mut tell = book.passed[0].clone();
-        (tell.event, tell.connection, tell.frame) = (What::Joined, 0, joined.into());
+        (tell.event, tell.connection, tell.frame) = (CaptureEvent::Joined, 0, joined.into());
         let at = if late { book.passed.len() - 1 } else { 0 };
         tell.at = book.passed[at].at;
         if told {
@@ -491,32 +497,38 @@
         let old = Bytes::from([[127, 0, 0, 9, 7, 7], [127, 0, 0, 1, 7, 7], address(WRITER), behind].concat());
         let ends = Bytes::from([behind, address(WRITER)].concat());
         // One through the relay, of which it told first, and one that it never told of.
-        book.note(LIST, 0, What::Joined, 0, old);
+        book.note(LIST, 0, CaptureEvent::Joined, 0, old);
         for link in [50, 49] {
-            book.note(WRITER, link, What::Accepted, 0, ends.clone());
-            book.note(WRITER, link, What::Closed, 0, counts(0, 0));
+            book.note(WRITER, link, CaptureEvent::Accepted, 0, ends.clone());
+            book.note(WRITER, link, CaptureEvent::Closed, 0, counts(0, 0));
             book.pass(10);
         }
         book.pass(10_000);
         let joined = [before, [127, 0, 0, 1, 9, 9], address(WRITER), behind].concat();
         if !late {
-            book.note(LIST, 0, What::Joined, 0, joined.clone().into());
+            book.note(LIST, 0, CaptureEvent::Joined, 0, joined.clone().into());
         }
         let hello = say_router("somebody", u128::from(ROUTER));
-        book.note(ROUTER, 51, What::Dialled, 0, Bytes::copy_from_slice(&address(WRITER)));
-        book.note(ROUTER, 51, What::Met, 0, Bytes::from([before, [127, 0, 0, 1, 9, 9]].concat()));
-        book.note(WRITER, 52, What::Accepted, 0, ends);
+        book.note(ROUTER, 51, CaptureEvent::Connecting, 0, Bytes::copy_from_slice(&address(WRITER)));
+        book.note(
+            ROUTER,
+            51,
+            CaptureEvent::Connected,
+            0,
+            Bytes::from([before, [127, 0, 0, 1, 9, 9]].concat()),
+        );
+        book.note(WRITER, 52, CaptureEvent::Accepted, 0, ends);
         if late {
-            book.note(LIST, 0, What::Joined, 0, joined.into());
+            book.note(LIST, 0, CaptureEvent::Joined, 0, joined.into());
         }
         for (place, frame) in [hello, worker::check_health(9)].into_iter().enumerate() {
-            book.note(ROUTER, 51, What::Sent, place as u64, frame.clone());
-            book.note(WRITER, 52, What::Heard, place as u64, frame);
+            book.note(ROUTER, 51, CaptureEvent::Sent, place as u64, frame.clone());
+            book.note(WRITER, 52, CaptureEvent::Received, place as u64, frame);
         }
-        book.note(WRITER, 52, What::Sent, 0, worker::health_reported(9, 0, 0, 0));
-        book.note(ROUTER, 51, What::Heard, 0, worker::health_reported(9, 0, 0, 0));
-        book.note(ROUTER, 51, What::Closed, 0, counts(2, 1));
-        book.note(WRITER, 52, What::Closed, 0, counts(1, 2));
+        book.note(WRITER, 52, CaptureEvent::Sent, 0, worker::health_reported(9, 0, 0, 0));
+        book.note(ROUTER, 51, CaptureEvent::Received, 0, worker::health_reported(9, 0, 0, 0));
+        book.note(ROUTER, 51, CaptureEvent::Closed, 0, counts(2, 1));
+        book.note(WRITER, 52, CaptureEvent::Closed, 0, counts(1, 2));
         book.check()
     };
     for late in [false, true] {
@@ -535,15 +547,18 @@
     let mut book = clean();
     book.close_all();
     // A kind: who recorded it, on which connection's conversation, and the first byte, which names the message.
-    let kind = |p: &Passed| (p.event == What::Sent, p.process, p.frame.first().copied());
-    let speaks = |p: &Passed| matches!(p.event, What::Sent | What::Heard);
+    let kind = |p: &CapturedFrame| (p.event == CaptureEvent::Sent, p.process, p.frame.first().copied());
+    let speaks = |p: &CapturedFrame| matches!(p.event, CaptureEvent::Sent | CaptureEvent::Received);
     let mut kinds: Vec<_> = book.passed.iter().filter(|p| speaks(p)).map(kind).collect();
     kinds.sort_unstable();
     kinds.dedup();
     assert!(kinds.len() > 30, "only {} kinds", kinds.len());
     for taken in kinds {
-        let both = |p: &Passed| speaks(p) && p.frame.first().copied() == taken.2;
-        for gone in [&|p: &Passed| speaks(p) && kind(p) == taken as _, &both as &dyn Fn(&Passed) -> bool] {
+        let both = |p: &CapturedFrame| speaks(p) && p.frame.first().copied() == taken.2;
+        for gone in [
+            &|p: &CapturedFrame| speaks(p) && kind(p) == taken as _,
+            &both as &dyn Fn(&CapturedFrame) -> bool,
+        ] {
             let left: Vec<_> = book.passed.iter().filter(|p| !gone(p)).cloned().collect();
             assert!(left.len() < book.passed.len());
             assert!(!check_events(&left).kept(), "without {taken:?} it passes");
@@ -552,7 +567,7 @@
     for at in 0..book.passed.len() {
         let mut left = book.passed.clone();
         let gone = left.remove(at);
-        let matters = !matches!(gone.event, What::Began | What::Closed);
+        let matters = !matches!(gone.event, CaptureEvent::ProcessStarted | CaptureEvent::Closed);
         assert!(!matters || !check_events(&left).kept(), "without {gone:?} it passes");
     }
 }
--- a/crates/wire/src/tap.rs
+++ b/crates/wire/src/capture.rs
@@ -11,7 +11,7 @@
 
 /// One process of a record.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Who {
+pub struct CapturedProcess {
     pub number: u32,
     pub name: String,
     /// `client`, `router`, `worker` or `list`.
@@ -20,49 +20,49 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum What {
+pub enum CaptureEvent {
     /// A connection to the address that the frame holds is asked for by the process.
-    Dialled,
+    Connecting,
     /// It is there: the frame holds the other end's address, then this one's.
-    Met,
+    Connected,
     /// It never was: what was sent on it did not arrive.
-    Unreached,
+    ConnectFailed,
     /// One was taken; the frame as with `Met`.
     Accepted,
     /// The frame holds how many frames were sent and how many heard ([`counts`]).
     Closed,
     Sent,
-    Heard,
-    Began,
+    Received,
+    ProcessStarted,
     /// The process ended by itself, in order.
-    Left,
+    ProcessExited,
     /// It was killed from outside.
-    Killed,
+    ProcessKilled,
     /// A relay has joined two connections: the frame holds where the first was taken and where it comes from,
     /// then where the second went and where it goes out.
     Joined,
     /// The process was halted from outside.
-    Halted,
+    ProcessPaused,
     /// It was let go on.
-    WentOn,
+    ProcessResumed,
     /// The process saw something, which the frame tells.
-    Saw,
+    Observed,
 }
 
 /// One thing that passed.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Passed {
+pub struct CapturedFrame {
     pub at: Micros,
     pub process: u32,
     pub connection: u64,
-    pub event: What,
+    pub event: CaptureEvent,
     /// Which frame of its direction on the connection it is, from 0.
     pub position: u64,
     pub frame: Bytes,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum TapError {
+pub enum CaptureError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error("byte {at}: {problem}")]
@@ -71,7 +71,7 @@
     CutOff { at: u64 },
 }
 
-pub fn write_head(to: &mut impl Write, processes: &[Who], terms: &str) -> io::Result<()> {
+pub fn write_head(to: &mut impl Write, processes: &[CapturedProcess], terms: &str) -> io::Result<()> {
     let processes = processes.iter().map(|w| Process {
         number: w.number,
         name: w.name.clone(),
@@ -82,22 +82,22 @@
     put(to, &head.encode_to_vec())
 }
 
-pub fn write(to: &mut impl Write, passed: &Passed) -> io::Result<()> {
+pub fn write(to: &mut impl Write, passed: &CapturedFrame) -> io::Result<()> {
     let what = match passed.event {
-        What::Dialled => event::What::Dialled,
-        What::Met => event::What::Met,
-        What::Unreached => event::What::Unreached,
-        What::Accepted => event::What::Accepted,
-        What::Closed => event::What::Closed,
-        What::Sent => event::What::Sent,
-        What::Heard => event::What::Heard,
-        What::Began => event::What::Began,
-        What::Left => event::What::Left,
-        What::Killed => event::What::Killed,
-        What::Joined => event::What::Joined,
-        What::Halted => event::What::Halted,
-        What::WentOn => event::What::WentOn,
-        What::Saw => event::What::Saw,
+        CaptureEvent::Connecting => event::What::Dialled,
+        CaptureEvent::Connected => event::What::Met,
+        CaptureEvent::ConnectFailed => event::What::Unreached,
+        CaptureEvent::Accepted => event::What::Accepted,
+        CaptureEvent::Closed => event::What::Closed,
+        CaptureEvent::Sent => event::What::Sent,
+        CaptureEvent::Received => event::What::Heard,
+        CaptureEvent::ProcessStarted => event::What::Began,
+        CaptureEvent::ProcessExited => event::What::Left,
+        CaptureEvent::ProcessKilled => event::What::Killed,
+        CaptureEvent::Joined => event::What::Joined,
+        CaptureEvent::ProcessPaused => event::What::Halted,
+        CaptureEvent::ProcessResumed => event::What::WentOn,
+        CaptureEvent::Observed => event::What::Saw,
     };
     let event = Event {
         at_us: passed.at,
@@ -166,11 +166,11 @@
         Reader { from, arrived: BytesMut::new(), at: 0 }
     }
 
-    fn frame(&mut self) -> Result<Option<Bytes>, TapError> {
+    fn frame(&mut self) -> Result<Option<Bytes>, CaptureError> {
         loop {
             let before = self.arrived.len();
             let next = frame::next(&mut self.arrived);
-            if let Some(frame) = next.map_err(|problem| TapError::Malformed { at: self.at, problem })? {
+            if let Some(frame) = next.map_err(|problem| CaptureError::Malformed { at: self.at, problem })? {
                 self.at += (before - self.arrived.remaining()) as u64;
                 return Ok(Some(frame));
             }
@@ -180,51 +180,58 @@
                 return Ok(None);
             }
             if got == 0 {
-                return Err(TapError::CutOff { at: self.at });
+                return Err(CaptureError::CutOff { at: self.at });
             }
             self.arrived.extend_from_slice(&piece[..got]);
         }
     }
 
-    fn fault(&self, problem: impl Into<Malformed>) -> TapError {
-        TapError::Malformed { at: self.at, problem: problem.into() }
+    fn fault(&self, problem: impl Into<Malformed>) -> CaptureError {
+        CaptureError::Malformed { at: self.at, problem: problem.into() }
     }
 
     /// The processes and the terms; the first thing to read.
-    pub fn head(&mut self) -> Result<(Vec<Who>, String), TapError> {
+    pub fn head(&mut self) -> Result<(Vec<CapturedProcess>, String), CaptureError> {
         let frame = self.frame()?.ok_or_else(|| self.fault(Malformed::Empty))?;
         let head = Head::decode(frame).map_err(|e| self.fault(e))?;
         let mut processes = vec![];
         for p in head.processes {
             let address = address_if_any("address", &p.address).map_err(|e| self.fault(e))?;
-            processes.push(Who { number: p.number, name: p.name, role: p.role, address });
+            processes.push(CapturedProcess { number: p.number, name: p.name, role: p.role, address });
         }
         Ok((processes, head.terms))
     }
 
     /// The next event; None at the end.
-    pub fn next_passed(&mut self) -> Result<Option<Passed>, TapError> {
+    pub fn next_passed(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
         let Some(frame) = self.frame()? else { return Ok(None) };
         let e = Event::decode(frame).map_err(|e| self.fault(e))?;
         let what = match event::What::try_from(e.what) {
-            Ok(event::What::Dialled) => What::Dialled,
-            Ok(event::What::Met) => What::Met,
-            Ok(event::What::Unreached) => What::Unreached,
-            Ok(event::What::Accepted) => What::Accepted,
-            Ok(event::What::Closed) => What::Closed,
-            Ok(event::What::Sent) => What::Sent,
-            Ok(event::What::Heard) => What::Heard,
-            Ok(event::What::Began) => What::Began,
-            Ok(event::What::Left) => What::Left,
-            Ok(event::What::Killed) => What::Killed,
-            Ok(event::What::Joined) => What::Joined,
-            Ok(event::What::Halted) => What::Halted,
-            Ok(event::What::WentOn) => What::WentOn,
-            Ok(event::What::Saw) => What::Saw,
+            Ok(event::What::Dialled) => CaptureEvent::Connecting,
+            Ok(event::What::Met) => CaptureEvent::Connected,
+            Ok(event::What::Unreached) => CaptureEvent::ConnectFailed,
+            Ok(event::What::Accepted) => CaptureEvent::Accepted,
+            Ok(event::What::Closed) => CaptureEvent::Closed,
+            Ok(event::What::Sent) => CaptureEvent::Sent,
+            Ok(event::What::Heard) => CaptureEvent::Received,
+            Ok(event::What::Began) => CaptureEvent::ProcessStarted,
+            Ok(event::What::Left) => CaptureEvent::ProcessExited,
+            Ok(event::What::Killed) => CaptureEvent::ProcessKilled,
+            Ok(event::What::Joined) => CaptureEvent::Joined,
+            Ok(event::What::Halted) => CaptureEvent::ProcessPaused,
+            Ok(event::What::WentOn) => CaptureEvent::ProcessResumed,
+            Ok(event::What::Saw) => CaptureEvent::Observed,
             _ => return Err(self.fault(Malformed::Range("what"))),
         };
         let (at, process, link, place) = (e.at_us, e.process, e.link, e.place);
-        Ok(Some(Passed { at, process, connection: link, event: what, position: place, frame: e.frame }))
+        Ok(Some(CapturedFrame {
+            at,
+            process,
+            connection: link,
+            event: what,
+            position: place,
+            frame: e.frame,
+        }))
     }
 }
 
@@ -235,13 +242,13 @@
     /// The list of 100 workers was once cut at a router, and the check could not read it.
     #[test]
     fn a_list_of_many_workers_is_kept_whole_and_chunks_of_states_are_not() {
-        let mut page = crate::list::Page::new(1, true);
+        let mut page = crate::endpoint_list::Page::new(1, true);
         (0..200u8).for_each(|n| {
             page.add(
                 [127, 0, 0, n, 1, 1],
                 0,
                 1.0,
-                crate::list::EndpointStatus::Serving,
+                crate::endpoint_list::EndpointStatus::Serving,
                 0,
                 0,
                 1_700_000_000_000_000,
@@ -252,7 +259,7 @@
         for role in ["router", "list", "client"] {
             assert_eq!(kept(&frame, role), frame);
         }
-        let chunk = crate::fetch::chunk((1, 2), 0, vec![7; 16 << 10].into(), 3);
+        let chunk = crate::state_transfer::chunk((1, 2), 0, vec![7; 16 << 10].into(), 3);
         assert_eq!(kept(&chunk, "worker").len(), START);
         // What one end cut and the other kept is the same to who compares them.
         assert_eq!(common(&kept(&frame, "worker")), common(&frame));
--- a/crates/wire/src/fleet.rs
+++ b/crates/wire/src/gossip.rs
@@ -17,30 +17,30 @@
 const SAID: usize = 16 + 9 * PARTS;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub enum Standing {
+pub enum MemberStatus {
     Alive,
     Suspected,
     Dead,
     Left,
 }
 
-impl Standing {
+impl MemberStatus {
     /// It takes part, as far as is known; a suspicion alone takes nobody out.
     pub fn is_in(self) -> bool {
-        self <= Standing::Suspected
+        self <= MemberStatus::Suspected
     }
 }
 
 /// What a router hears in a datagram: first who speaks, then each claim, then what was said, if anything was.
-pub trait Ear {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing);
+pub trait GossipHandler {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: MemberStatus);
     /// `in_page`: part of a full exchange, and not news.
     fn claim(
         &mut self,
         name: &str,
         at: Address,
         incarnation: u64,
-        standing: Standing,
+        standing: MemberStatus,
         by: u32,
         in_page: bool,
     );
@@ -52,14 +52,14 @@
     fn page(&mut self, number: u32, page: u32, pages: u32, prints: &[u64], health: u32);
 }
 
-type Checked<'a> = (&'a str, Address, u64, Standing, u32);
+type Checked<'a> = (&'a str, Address, u64, MemberStatus, u32);
 
 fn checked(claim: &Claim) -> Result<Checked<'_>, Malformed> {
     let standing = match claim::Standing::try_from(claim.standing) {
-        Ok(claim::Standing::There) => Standing::Alive,
-        Ok(claim::Standing::Suspected) => Standing::Suspected,
-        Ok(claim::Standing::Dead) => Standing::Dead,
-        Ok(claim::Standing::Left) => Standing::Left,
+        Ok(claim::Standing::There) => MemberStatus::Alive,
+        Ok(claim::Standing::Suspected) => MemberStatus::Suspected,
+        Ok(claim::Standing::Dead) => MemberStatus::Dead,
+        Ok(claim::Standing::Left) => MemberStatus::Left,
         _ => return Err(Malformed::Range("standing")),
     };
     if claim.name.is_empty() || claim.name.len() > LONGEST_NAME {
@@ -74,7 +74,7 @@
 
 /// Takes a datagram and makes the calls that it stands for; all of it is checked first, so that it is taken whole
 /// or not at all.
-pub fn receive(datagram: &Bytes, ear: &mut impl Ear) -> Result<(), Malformed> {
+pub fn receive(datagram: &Bytes, ear: &mut impl GossipHandler) -> Result<(), Malformed> {
     let heard = Datagram::decode(datagram.clone())?;
     let from = heard.from.as_ref().map(checked).transpose()?;
     let claims = heard.claims.iter().map(checked).collect::<Result<Vec<_>, _>>()?;
@@ -107,33 +107,43 @@
     Ok(())
 }
 
-fn claim(name: &str, at: Address, incarnation: u64, standing: Standing, by: u32) -> Claim {
+fn claim(name: &str, at: Address, incarnation: u64, standing: MemberStatus, by: u32) -> Claim {
     let standing = match standing {
-        Standing::Alive => claim::Standing::There,
-        Standing::Suspected => claim::Standing::Suspected,
-        Standing::Dead => claim::Standing::Dead,
-        Standing::Left => claim::Standing::Left,
+        MemberStatus::Alive => claim::Standing::There,
+        MemberStatus::Suspected => claim::Standing::Suspected,
+        MemberStatus::Dead => claim::Standing::Dead,
+        MemberStatus::Left => claim::Standing::Left,
     };
     let address = Bytes::copy_from_slice(&at);
     Claim { name: name.to_string(), address, incarnation, standing: standing.into(), by }
 }
 
 /// A datagram that is filled claim by claim and then said.
-pub struct Saying {
+pub struct GossipMessage {
     datagram: Datagram,
     left: usize,
 }
 
-impl Saying {
+impl GossipMessage {
     /// From a router, or from one that only looks. `around` bytes are kept free for the seal.
-    pub fn new(from: Option<(&str, Address, u64, Standing)>, around: usize) -> Saying {
+    pub fn new(from: Option<(&str, Address, u64, MemberStatus)>, around: usize) -> GossipMessage {
         let from = from.map(|(name, at, incarnation, standing)| claim(name, at, incarnation, standing, 0));
         let taken = from.as_ref().map_or(0, Message::encoded_len) + around + SAID;
-        Saying { datagram: Datagram { from, ..Datagram::default() }, left: LARGEST.saturating_sub(taken) }
+        GossipMessage {
+            datagram: Datagram { from, ..Datagram::default() },
+            left: LARGEST.saturating_sub(taken),
+        }
     }
 
     /// Whether the claim found room.
-    pub fn claim(&mut self, name: &str, at: Address, incarnation: u64, standing: Standing, by: u32) -> bool {
+    pub fn claim(
+        &mut self,
+        name: &str,
+        at: Address,
+        incarnation: u64,
+        standing: MemberStatus,
+        by: u32,
+    ) -> bool {
         let claim = claim(name, at, incarnation, standing, by);
         // A tag and a length of two bytes at most.
         let length = claim.encoded_len() + 3;
@@ -172,7 +182,7 @@
     }
 
     pub fn ping_request(self, number: u32, name: &str, at: Address) -> Bytes {
-        let to = Some(claim(name, at, 0, Standing::Alive, 0));
+        let to = Some(claim(name, at, 0, MemberStatus::Alive, 0));
         self.say(datagram::Said::Detour(Detour { number, to }))
     }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,15 +3,15 @@
 //! Each side of a conversation has a module with a trait, whose calls are what that side may hear, a function
 //! `hear` that takes one frame apart and makes the one call, and one function for each message that it may
 //! say. Messages have no types outside this package. [`frame`] cuts a stream of bytes into frames, [`event_loop`] is
-//! what a program sees of its connections, whichever loop drives it, and [`tap`] the record of what passed.
+//! what a program sees of its connections, whichever loop drives it, and [`capture`] the record of what passed.
 
+pub mod capture;
 pub mod client;
+pub mod endpoint_list;
 pub mod event_loop;
-pub mod fetch;
-pub mod fleet;
 pub mod frame;
-pub mod list;
-pub mod tap;
+pub mod gossip;
+pub mod state_transfer;
 pub mod tenant;
 pub mod worker;
 
@@ -44,7 +44,7 @@
 pub type Origin = u128;
 
 /// A submission wherever those of several routers meet: whose it is, and its router's own id of it.
-pub type Whose = (Origin, u64);
+pub type GlobalRequestId = (Origin, u64);
 
 /// Who opened a connection, as its Hello says.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
--- a/crates/wire/src/fetch.rs
+++ b/crates/wire/src/state_transfer.rs
@@ -5,20 +5,20 @@
 use prost::Message;
 
 use crate::made::{self, from_fetcher, to_fetcher, FromFetcher, ToFetcher};
-use crate::{bytes_of_origin, origin, Malformed, Whose};
+use crate::{bytes_of_origin, origin, GlobalRequestId, Malformed};
 
 /// What a reader hears from a fetcher after its Hello.
 pub trait Reader {
-    fn fetch(&mut self, id: Whose) -> Result<(), Malformed>;
-    fn fetched(&mut self, id: Whose) -> Result<(), Malformed>;
-    fn cancel_fetch(&mut self, id: Whose) -> Result<(), Malformed>;
+    fn fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed>;
+    fn fetched(&mut self, id: GlobalRequestId) -> Result<(), Malformed>;
+    fn cancel_fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed>;
 }
 
 /// What a fetcher hears from a reader.
 pub trait Fetcher {
-    fn chunk(&mut self, id: Whose, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed>;
-    fn complete(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed>;
-    fn missing(&mut self, id: Whose) -> Result<(), Malformed>;
+    fn chunk(&mut self, id: GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed>;
+    fn complete(&mut self, id: GlobalRequestId, state_bytes: u64, crc: u32) -> Result<(), Malformed>;
+    fn missing(&mut self, id: GlobalRequestId) -> Result<(), Malformed>;
 }
 
 /// Takes one frame from a fetcher and makes the call that it stands for.
@@ -40,27 +40,27 @@
     }
 }
 
-pub fn fetch((whose, id): Whose) -> Bytes {
+pub fn fetch((whose, id): GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Fetch(made::Fetch { id, origin: bytes_of_origin(whose) }))
 }
 
-pub fn fetched((whose, id): Whose) -> Bytes {
+pub fn fetched((whose, id): GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Fetched(made::Fetched { id, origin: bytes_of_origin(whose) }))
 }
 
-pub fn cancel_fetch((whose, id): Whose) -> Bytes {
+pub fn cancel_fetch((whose, id): GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Unfetch(made::Unfetch { id, origin: bytes_of_origin(whose) }))
 }
 
-pub fn chunk((whose, id): Whose, offset: u64, part: Bytes, crc: u32) -> Bytes {
+pub fn chunk((whose, id): GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Bytes {
     to_fetcher(to_fetcher::Said::Chunk(made::Chunk { id, offset, part, crc, origin: bytes_of_origin(whose) }))
 }
 
-pub fn complete((whose, id): Whose, state_bytes: u64, crc: u32) -> Bytes {
+pub fn complete((whose, id): GlobalRequestId, state_bytes: u64, crc: u32) -> Bytes {
     to_fetcher(to_fetcher::Said::Whole(made::Whole { id, state_bytes, crc, origin: bytes_of_origin(whose) }))
 }
 
-pub fn missing((whose, id): Whose) -> Bytes {
+pub fn missing((whose, id): GlobalRequestId) -> Bytes {
     to_fetcher(to_fetcher::Said::Missing(made::Missing { id, origin: bytes_of_origin(whose) }))
 }
 
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -8,13 +8,13 @@
 
 /// Why a shot ended before it was answered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum How {
+pub enum AttemptFailure {
     /// Slots and queue are full, or the worker drains: it never ran.
-    Full,
+    Rejected,
     /// There was no state to fetch: it never ran.
-    Stateless,
+    StateMissing,
     /// It may have run.
-    Fault,
+    ServerError,
 }
 
 /// What a worker hears from a router after its Hello.
@@ -72,7 +72,7 @@
     ) -> Result<(), Malformed>;
     fn token(&mut self, id: u64, shot: u16, index: u32, text: Bytes) -> Result<(), Malformed>;
     fn completed(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
-    fn attempt_ended(&mut self, id: u64, shot: u16, how: How) -> Result<(), Malformed>;
+    fn attempt_ended(&mut self, id: u64, shot: u16, how: AttemptFailure) -> Result<(), Malformed>;
     fn health_reported(
         &mut self,
         nonce: u64,
@@ -135,9 +135,9 @@
         from_worker::Said::Finished(f) => router.completed(f.id, shot(f.shot)?, f.tokens),
         from_worker::Said::Ended(e) => {
             let how = match ended::How::try_from(e.how) {
-                Ok(ended::How::Full) => How::Full,
-                Ok(ended::How::Stateless) => How::Stateless,
-                Ok(ended::How::Fault) => How::Fault,
+                Ok(ended::How::Full) => AttemptFailure::Rejected,
+                Ok(ended::How::Stateless) => AttemptFailure::StateMissing,
+                Ok(ended::How::Fault) => AttemptFailure::ServerError,
                 _ => return Err(Malformed::Range("how")),
             };
             router.attempt_ended(e.id, shot(e.shot)?, how)
@@ -244,11 +244,11 @@
     from_worker(from_worker::Said::Finished(made::Finished { id, shot: shot.into(), tokens }))
 }
 
-pub fn attempt_ended(id: u64, shot: u16, how: How) -> Bytes {
+pub fn attempt_ended(id: u64, shot: u16, how: AttemptFailure) -> Bytes {
     let how = match how {
-        How::Full => ended::How::Full,
-        How::Stateless => ended::How::Stateless,
-        How::Fault => ended::How::Fault,
+        AttemptFailure::Rejected => ended::How::Full,
+        AttemptFailure::StateMissing => ended::How::Stateless,
+        AttemptFailure::ServerError => ended::How::Fault,
     };
     from_worker(from_worker::Said::Ended(made::Ended { id, shot: shot.into(), how: how.into() }))
 }
