--- /dev/null
+++ b/crates/command/tests/stored_data.rs
@@ -0,0 +1,111 @@
+//! Stored data of earlier versions is read as it was: a capture of a day, a store of tenants and its snapshot, and the
+//! files of `days/`. The files under `tests/stored` were written by version 0.2.0 before its packages were renamed.
+
+use std::fs::File;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+
+use tideroute_tenant_store::{Entry, Key, Rate, Store, Tenant};
+
+fn stored(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
+}
+
+fn tideroute(arguments: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_tideroute")).args(arguments).output().expect("the program runs")
+}
+
+fn path_text(path: &Path) -> &str {
+    path.to_str().expect("a path in UTF-8")
+}
+
+fn key(number: usize) -> Key {
+    Key { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
+}
+
+/// What the stored files hold: two tenants, of which one was changed and the other removed.
+fn expected_history() -> Vec<Entry> {
+    let rate = Some(Rate { a_second: 10.5, once: 5.0 });
+    let harbour = Tenant {
+        weight: 1.5,
+        submissions: rate,
+        tokens: None,
+        in_flight: Some(3),
+        waiting: 9,
+        keys: vec![key(0), key(1)],
+    };
+    let lagoon = Tenant { weight: 0.25, keys: vec![], ..harbour.clone() };
+    let changed = Tenant {
+        weight: 2.0,
+        submissions: None,
+        tokens: Some(Rate { a_second: 1_000.0, once: 2_000.0 }),
+        in_flight: None,
+        keys: vec![key(0)],
+        ..harbour.clone()
+    };
+    let entry = |name: &str, version: u64, by: &str, tenant: Option<Tenant>| Entry {
+        name: name.to_string(),
+        version,
+        at: version,
+        by: by.to_string(),
+        tenant,
+    };
+    vec![
+        entry("harbour", 1, "ann", Some(harbour)),
+        entry("lagoon", 2, "bo", Some(lagoon)),
+        entry("harbour", 3, "ann", Some(changed)),
+        entry("lagoon", 4, "cy", None),
+    ]
+}
+
+#[test]
+fn a_stored_capture_is_judged_as_when_it_was_written() {
+    let capture = stored("day.record.zst");
+    let judged = tideroute(&["rules", path_text(&capture)]);
+    assert!(judged.status.success(), "{judged:?}");
+    let expected = std::fs::read_to_string(stored("rules.txt")).expect("a stored judgement");
+    assert_eq!(String::from_utf8_lossy(&judged.stdout), expected);
+    let measured = tideroute(&["spread", path_text(&capture), "--json"]);
+    assert!(measured.status.success(), "{measured:?}");
+    let expected = std::fs::read_to_string(stored("spread.json")).expect("stored figures");
+    assert_eq!(String::from_utf8_lossy(&measured.stdout), expected);
+}
+
+#[test]
+fn a_stored_store_of_tenants_holds_every_change() {
+    let path = std::env::temp_dir().join(format!("tideroute-stored-tenants-{}.db", std::process::id()));
+    let compressed = File::open(stored("tenants.db.zst")).expect("the stored store");
+    let bytes = zstd::decode_all(compressed).expect("it is whole");
+    std::fs::write(&path, bytes).expect("a file");
+    let store = Store::open(&path).expect("it opens");
+    assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
+    drop(store);
+    let _ = std::fs::remove_file(&path);
+}
+
+#[test]
+fn a_stored_snapshot_of_tenants_is_restored() {
+    let path = std::env::temp_dir().join(format!("tideroute-stored-snapshot-{}.db", std::process::id()));
+    let store = Store::open(&path).expect("it opens");
+    let snapshot = File::open(stored("tenants.snapshot")).expect("the stored snapshot");
+    assert_eq!(store.restore(snapshot).expect("it is restored"), expected_history().len());
+    assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
+    let harbour = store.get("harbour").expect("it is read").expect("it is there");
+    assert_eq!(harbour.tenant, expected_history()[2].tenant);
+    assert!(store.get("lagoon").expect("it is read").is_none());
+    drop(store);
+    let _ = std::fs::remove_file(&path);
+}
+
+#[test]
+fn every_scenario_file_is_valid() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days");
+    let entries = std::fs::read_dir(folder).expect("a folder");
+    let mut files: Vec<_> = entries.map(|entry| entry.expect("an entry").path()).collect();
+    files.sort();
+    assert!(files.len() >= 18, "{files:?}");
+    for file in files {
+        let checked = tideroute(&["check", path_text(&file)]);
+        assert!(checked.status.success(), "{}: {checked:?}", file.display());
+    }
+}
