--- a/crates/command/src/cores.rs
+++ b/crates/command/src/cores.rs
@@ -11,7 +11,7 @@
 use metrics::counter;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use tideroute_config_language::kinds::Router;
-use tideroute_lifecycle::Host;
+use tideroute_lifecycle::ProtobufRouter;
 use tideroute_reactor::{Ended as Loop, Reactor, ReactorError};
 use tideroute_simulation::convert;
 use tideroute_simulation::processes::NUMBERS_A_CORE;
@@ -165,9 +165,9 @@
         terms.lifecycle.tenants = Some(admin.join(n, reactor.mailbox())?);
         reactor.publish_to(admin.figures());
     }
-    let mut host = Host::new(terms, kept.map(bytes::Bytes::from), now);
+    let mut router = ProtobufRouter::new(terms, kept.map(bytes::Bytes::from), now);
     tracing::info!(name, listen = %listen, "the router is there");
-    reactor.run(&mut host).map_err(|e| e.to_string())
+    reactor.run(&mut router).map_err(|e| e.to_string())
 }
 
 #[cfg(test)]
--- a/crates/lifecycle/benches/reload.rs
+++ b/crates/lifecycle/benches/endpoint_list_update.rs
@@ -1,16 +1,16 @@
-//! How long a router's loop stands still for a whole list of 1,200 workers, one in ten of them changed, with 6,000
-//! submissions open: decoding, books, the module, the page that is kept. `cargo bench -p tideroute-lifecycle`.
+//! How long a full snapshot of 1,200 endpoints, one in ten of them changed, blocks a router's event loop with 6,000
+//! requests open: decoding, lifecycle, scheduler, the list that is persisted. `cargo bench -p tideroute-lifecycle`.
 
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig as Module};
-use tideroute_lifecycle::{Host, LifecycleConfig, RouterConfig};
+use tideroute::types::{Idempotency, RequestClass, Role, SchedulerConfig};
+use tideroute_lifecycle::{LifecycleConfig, ProtobufRouter, RouterConfig};
 use tideroute_wire::endpoint_list::{EndpointStatus, Page};
 use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
 use tideroute_wire::{client, say_hello, Party};
 
-const LIST: [u8; 6] = [10, 0, 0, 1, 0, 1];
+const DISCOVERY: [u8; 6] = [10, 0, 0, 1, 0, 1];
 const WORKERS: u16 = 1_200;
 const OPEN: u64 = 6_000;
 const ROUNDS: u16 = 40;
@@ -22,7 +22,7 @@
         ttft_objective_per_1000_tokens: 400,
         priority_weight: 1.0,
     };
-    let module = Module {
+    let scheduler = SchedulerConfig {
         router_count: 3,
         classes: vec![class],
         role_by_kind: vec![Role::Prefill, Role::Decode],
@@ -39,11 +39,11 @@
         endpoint_watch_enabled: true,
         retry_after_enabled: true,
         max_retry_after: 10_000,
-        ..Module::default()
+        ..SchedulerConfig::default()
     };
     let lifecycle = LifecycleConfig {
         name: "r".into(),
-        scheduler: module,
+        scheduler,
         classes: vec!["query".into()],
         connect_timeout: 250_000,
         max_open_requests: 10_000,
@@ -54,7 +54,7 @@
     };
     RouterConfig {
         lifecycle,
-        discovery: LIST,
+        discovery: DISCOVERY,
         origin: 7,
         network_delay: 10_000,
         stream_window_tokens: 8,
@@ -63,50 +63,54 @@
     }
 }
 
-fn page(round: u16) -> Bytes {
-    let mut page = Page::new(u64::from(round) + 1, true);
+fn snapshot(round: u16) -> Bytes {
+    let mut snapshot = Page::new(u64::from(round) + 1, true);
     for n in 0..WORKERS {
         let status = if n % 10 == round % 10 { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let worker = [10, 1, (n >> 8) as u8, n as u8, 1, 1];
-        page.add(worker, u16::from(!n.is_multiple_of(3)), 4.0, status, n / 9, (n / 27 % 3) as u8, 0);
+        snapshot.add(worker, u16::from(!n.is_multiple_of(3)), 4.0, status, n / 9, (n / 27 % 3) as u8, 0);
     }
-    page.frame()
+    snapshot.frame()
 }
 
 fn main() {
-    let (mut now, mut effects, client) = (1_000_000_000, Effects::default(), ConnectionId(0));
-    let mut host = Host::new(config(), None, now);
-    host.on_start(now, &mut effects);
-    let list = effects.take().into_iter().find_map(|act| match act {
-        Effect::Connect { connection, to: LIST, .. } => Some(connection),
+    let mut now = 1_000_000_000;
+    let mut effects = Effects::default();
+    let client = ConnectionId(0);
+    let mut router = ProtobufRouter::new(config(), None, now);
+    router.on_start(now, &mut effects);
+    let discovery = effects.take().into_iter().find_map(|effect| match effect {
+        Effect::Connect { connection, to: DISCOVERY, .. } => Some(connection),
         _ => None,
     });
-    let list = list.expect("it dials the list");
-    host.on_data(now, list, &page(0), &mut effects);
-    host.on_accepted(now, client, 0, &mut effects);
-    host.on_data(now, client, &say_hello(Party::Client, "c"), &mut effects);
+    let discovery = discovery.expect("a connection to discovery");
+    router.on_data(now, discovery, &snapshot(0), &mut effects);
+    router.on_accepted(now, client, 0, &mut effects);
+    router.on_data(now, client, &say_hello(Party::Client, "c"), &mut effects);
     for n in 1..=OPEN {
         let submit =
             client::submit(n, 0, n, n % 20, 300, 100, 20, 60_000_000, 7, Bytes::from_static(b"text"));
-        host.on_data(now, client, &submit, &mut effects);
-        host.on_iteration(now, &mut effects);
+        router.on_data(now, client, &submit, &mut effects);
+        router.on_iteration(now, &mut effects);
         effects.take();
     }
-    let (mut longest, mut sum) = (Duration::ZERO, Duration::ZERO);
+    let mut longest = Duration::ZERO;
+    let mut sum = Duration::ZERO;
     for round in 1..=ROUNDS {
         now += 50_000;
-        let page = page(round);
+        let snapshot = snapshot(round);
         let began = Instant::now();
-        host.on_data(now, list, &page, &mut effects);
-        host.on_iteration(now, &mut effects);
+        router.on_data(now, discovery, &snapshot, &mut effects);
+        router.on_iteration(now, &mut effects);
         let took = began.elapsed();
         effects.take();
-        (longest, sum) = (longest.max(took), sum + took);
+        longest = longest.max(took);
+        sum += took;
     }
     let ms = |time: Duration| time.as_secs_f64() * 1e3;
     println!(
-        "{WORKERS} workers, {} open: a whole list takes {:.2} ms on average, {:.2} ms at most",
-        host.open(),
+        "{WORKERS} workers, {} open: a full snapshot takes {:.2} ms on average, {:.2} ms at most",
+        router.open(),
         ms(sum) / f64::from(ROUNDS),
         ms(longest)
     );
--- a/crates/lifecycle/src/config.rs
+++ b/crates/lifecycle/src/config.rs
@@ -1,44 +1,28 @@
-//! What a router is told when it starts.
+//! Configuration of the request lifecycle.
 
-use tideroute_wire::{Address, Micros, Origin};
+use tideroute_wire::Micros;
 
 use crate::tenant_admission::TenantConfig;
 
-/// What the books work under, whichever protocol they serve.
+/// Configuration of a [`RequestLifecycle`](crate::RequestLifecycle), whichever protocol it serves.
 #[derive(Clone, Debug)]
 pub struct LifecycleConfig {
-    /// How it names itself to workers and the list.
+    /// The router's name, as workers and discovery see it; also the `core` label of its metrics.
     pub name: String,
-    /// What the decision module works under.
+    /// Configuration of the scheduler.
     pub scheduler: tideroute::types::SchedulerConfig,
-    /// Names of the tracks, for figures and logs.
+    /// Names of the request classes, in the scheduler's order, for metrics and logs.
     pub classes: Vec<String>,
-    /// A connection or a probe that takes longer has failed.
+    /// Microseconds after which a connection attempt or a health check has failed.
     pub connect_timeout: Micros,
-    /// Submissions open at once; what comes beyond is turned back before the module hears of it.
+    /// Maximum number of open requests; requests beyond it are rejected before the scheduler sees them.
     pub max_open_requests: usize,
-    /// Who may use it, at first; None where anybody may.
+    /// The tenants at start; `None` where no tenant is configured and every client is served.
     pub tenants: Option<Vec<TenantConfig>>,
-    /// This instance's part of each tenant's limits.
+    /// This instance's fraction of each tenant's limits.
     pub limits_share: f64,
-    /// How long a tenant's submission may wait to be let in.
+    /// Microseconds that a tenant's request may wait for admission.
     pub max_admission_wait: Micros,
-    /// Where the module's chance and the ids start.
+    /// Seed of the scheduler's random number generator and base of the request ids.
     pub seed: u64,
 }
-
-#[derive(Clone, Debug)]
-pub struct RouterConfig {
-    pub lifecycle: LifecycleConfig,
-    pub discovery: Address,
-    /// What tells its ids from those of every other router and start.
-    pub origin: Origin,
-    /// What an answer needs on its way to the client: cut-offs are kept so much earlier.
-    pub network_delay: Micros,
-    /// Tokens of one stream that may be under way before its client has taken them.
-    pub stream_window_tokens: u32,
-    /// Submissions open at once from one client.
-    pub max_requests_per_client: usize,
-    /// Clients connected at once; one more is sent away.
-    pub max_clients: usize,
-}
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -1,88 +1,94 @@
 //! When the processes of workers started, on this router's own clock.
 //!
-//! Discovery tells starts in Unix time, as the wall clock of another machine showed it. Wall clocks may be stepped, by
-//! an hour and more, so such a time is only believed where it agrees with what this router saw itself: a start that
-//! is told now, and was not when discovery was last heard, lies between the two, give or take how late lists may be.
-//! Anything else is taken for a start of this moment, which errs towards a colder worker than there is.
+//! Discovery reports start times in Unix time, as the wall clock of another machine showed it. Wall clocks may be
+//! stepped by an hour and more, so a reported time is believed only where it agrees with what this router saw itself: a
+//! start that is reported now, and was not at the last synchronisation with discovery, lies between the two, give or
+//! take the lag of the list. Any other time is replaced by the current one, which errs towards treating the worker as
+//! colder than it is.
 
 use std::collections::HashMap;
 
 use tideroute::types::WorkerId;
 use tideroute_wire::Micros;
 
-/// Microseconds by which a list may lag behind the fleet: by then whatever discovery has to tell counts as told.
+/// Microseconds by which the endpoint list may lag behind the fleet: after that, discovery has reported every start.
 const LIST_LAG: Micros = 6_000_000;
-/// Microseconds by which two machines' clocks differ that are in step.
+/// Microseconds by which the clocks of two machines differ that are in step.
 const CLOCK_SKEW: Micros = 50_000;
-/// Microseconds for which the start of a worker that was removed is remembered, should it be listed again.
+/// Microseconds for which a removed worker's start time is remembered, in case the worker is listed again.
 const REMEMBERED: Micros = 600_000_000;
 
-/// A start as it was told, and when that was on this router's clock.
+/// A worker's last known start.
 struct Start {
-    told: Micros,
-    began: Micros,
-    removed: Option<Micros>,
+    /// As discovery reported it, in Unix time.
+    reported_at: Micros,
+    /// On this router's clock.
+    started_at: Micros,
+    /// When the worker was removed from the list.
+    removed_at: Option<Micros>,
 }
 
-/// What an entry of the list says of its worker's process.
+/// What an entry of the endpoint list says of its worker's process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Incarnation {
-    /// When it started, on this router's clock; 0 for long ago.
+    /// When the process started, in microseconds on this router's clock; 0 for long ago.
     pub started_at: Micros,
-    /// It is another process than the one that was listed before: connections opened before then led to that one.
+    /// Set if the process replaced the one listed before: connections opened before this time led to the old process.
     pub replaced_before: Option<Micros>,
 }
 
+/// The start times of all listed workers.
 #[derive(Default)]
 pub struct EndpointIncarnations {
-    known: HashMap<WorkerId, Start>,
-    /// When discovery was last heard; by then it had told all that it knew.
-    heard: Option<Micros>,
+    starts: HashMap<WorkerId, Start>,
+    /// The last synchronisation with discovery.
+    synced_at: Option<Micros>,
 }
 
 impl EndpointIncarnations {
-    /// Discovery has been heard, and what it told has been taken.
+    /// An update from discovery has been applied in full.
     pub fn discovery_synced(&mut self, now: Micros) {
-        self.heard = Some(now);
+        self.synced_at = Some(now);
     }
 
-    /// A worker is listed with the Unix time of its start.
-    pub fn observe(&mut self, now: Micros, worker: WorkerId, told: Micros) -> Incarnation {
-        if let Some(known) = self.known.get_mut(&worker).filter(|known| known.told == told) {
-            known.removed = None;
-            return Incarnation { started_at: known.began, replaced_before: None };
+    /// A worker is listed with the Unix time of its start, in microseconds; 0 where it is not known.
+    pub fn observe(&mut self, now: Micros, worker: WorkerId, reported_at: Micros) -> Incarnation {
+        if let Some(known) = self.starts.get_mut(&worker).filter(|known| known.reported_at == reported_at) {
+            known.removed_at = None;
+            return Incarnation { started_at: known.started_at, replaced_before: None };
         }
-        let earliest = self.heard.map_or(0, |heard| heard.saturating_sub(LIST_LAG));
-        let agrees = told == 0 || (earliest..=now + CLOCK_SKEW).contains(&told);
-        let began = if agrees { told.min(now) } else { now };
-        if !agrees {
+        let earliest = self.synced_at.map_or(0, |synced_at| synced_at.saturating_sub(LIST_LAG));
+        let is_plausible = reported_at == 0 || (earliest..=now + CLOCK_SKEW).contains(&reported_at);
+        let started_at = if is_plausible { reported_at.min(now) } else { now };
+        if !is_plausible {
             tracing::warn!(
                 ?worker,
-                told,
+                reported_at,
                 now,
-                "a start that does not agree with this router's clock: taken for now"
+                "start time of a worker does not agree with this router's clock; the current time is used instead"
             );
         }
-        let before = self.known.insert(worker, Start { told, began, removed: None });
-        // Only connections older than any time at which it may have started are surely dead.
-        let replaces_until = before.map(|_| if agrees { began } else { earliest });
-        Incarnation { started_at: began, replaced_before: replaces_until }
+        let previous = self.starts.insert(worker, Start { reported_at, started_at, removed_at: None });
+        // Only connections older than any time at which the process may have started are surely dead.
+        let replaced_before = previous.map(|_| if is_plausible { started_at } else { earliest });
+        Incarnation { started_at, replaced_before }
     }
 
-    /// The Unix time of a worker's start as it was told.
+    /// The Unix time of a worker's start, in microseconds, as discovery reported it; 0 where it is not known.
     pub fn reported_start_time(&self, worker: WorkerId) -> Micros {
-        self.known.get(&worker).map_or(0, |known| known.told)
+        self.starts.get(&worker).map_or(0, |known| known.reported_at)
     }
 
     /// A worker is removed from the list.
     pub fn removed(&mut self, now: Micros, worker: WorkerId) {
-        if let Some(known) = self.known.get_mut(&worker) {
-            known.removed.get_or_insert(now);
+        if let Some(known) = self.starts.get_mut(&worker) {
+            known.removed_at.get_or_insert(now);
         }
     }
 
     /// Forgets workers that were removed long ago.
     pub fn forget_removed(&mut self, now: Micros) {
-        self.known.retain(|_, known| known.removed.is_none_or(|removed| now < removed + REMEMBERED));
+        self.starts
+            .retain(|_, known| known.removed_at.is_none_or(|removed_at| now < removed_at + REMEMBERED));
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,32 +1,37 @@
-//! The router between its connections and the decision module. [`Host`] is a
-//! [`EventHandler`](tideroute_wire::link::Program): it is told what happened on links, keeps submissions, shots and
-//! workers as plain data, hands the module what happened, and carries out what the module decides. It has no
-//! socket and no clock, so several can run in one process, in virtual time.
+//! The lifecycle of requests in one router, from admission to the final response, without sockets and without a
+//! clock: several routers can run in one process, in virtual time.
 //!
-//! The books ([`RequestLifecycle`]) know no protocol: they speak through [`Transport`], which the host here has for the protobuf
-//! links and `crates/gateway` for HTTP.
+//! [`RequestLifecycle`] owns the open requests, their attempts and the endpoint list. It feeds events to the
+//! [scheduler](tideroute::scheduler::Scheduler) and executes the scheduler's actions. It knows no protocol: it speaks
+//! to workers, clients and discovery through [`Transport`]. Two protocols implement it: the HTTP gateway in
+//! `crates/gateway`, and [`ProtobufRouter`] here for this project's own protocol.
 //!
-//! It decides nothing. What it must know beyond the module's terms (how long a dial may take, how many
-//! submissions may be open) stands in its own [`RouterConfig`], which the operator gives.
+//! Nothing here decides where or when a request runs. Limits that the scheduler does not know, such as the timeout of
+//! a connection or the number of open requests, are set by the operator in [`LifecycleConfig`] and [`RouterConfig`].
+
+#![warn(missing_docs)]
 
-mod actions;
-mod clients;
 mod config;
+mod endpoint_directory;
 mod endpoint_incarnations;
-mod hear;
-mod host;
+mod health_checks;
 mod lifecycle;
-mod lines;
 mod loop_lag;
+mod protobuf_router;
+mod request_state;
 mod request_table;
+mod response;
 mod tenant_admission;
 mod transport;
-mod wires;
+mod units;
+mod worker_address;
 
-pub use config::{LifecycleConfig, RouterConfig};
+pub use config::LifecycleConfig;
 pub use endpoint_incarnations::{EndpointIncarnations, Incarnation};
-pub use host::Host;
-pub use lifecycle::{shown, RequestLifecycle};
-pub use request_table::{short, Attempt, RequestState, RequestTable};
+pub use lifecycle::RequestLifecycle;
+pub use protobuf_router::{ProtobufRouter, RouterConfig};
+pub use request_state::{Attempt, RequestState};
+pub use request_table::{short, RequestTable};
+pub use response::Response;
 pub use tenant_admission::TenantConfig;
-pub use transport::{Response, Timer, Transport};
+pub use transport::{Timer, Transport};
--- /dev/null
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -0,0 +1,151 @@
+//! Admission of new requests: capacity limits, tenant admission, and the hand-over to the scheduler.
+
+use metrics::counter;
+use tideroute::types::{Idempotency, NewRequest, RequestId};
+use tideroute_admission::{Asked, Figures, Tenant, Terms, Ticket, Verdict};
+use tideroute_invariants::RequestRecord;
+use tideroute_wire::Micros;
+
+use super::RequestLifecycle;
+use crate::config::LifecycleConfig;
+use crate::request_state::RequestState;
+use crate::response::Response;
+use crate::tenant_admission::{TenantAdmission, TenantConfig};
+use crate::transport::{Timer, Transport};
+use crate::units::{to_micros, to_tenth_millis};
+
+/// One part in so many of the open requests may wait for tenant admission.
+const WAITING_PART: usize = 4;
+
+/// Tenant admission as configured; `None` where no tenants are.
+pub(super) fn tenant_admission(config: &LifecycleConfig, now: Micros) -> Option<TenantAdmission> {
+    let tenants = config.tenants.as_ref()?;
+    let admission_config = Terms {
+        longest_wait: config.max_admission_wait,
+        most_waiting: (config.max_open_requests / WAITING_PART).max(1),
+        longest_advice: to_micros(config.scheduler.max_retry_after),
+    };
+    Some(TenantAdmission::new(tenants, config.limits_share, admission_config, now))
+}
+
+impl<Context> RequestLifecycle<Context> {
+    /// Why no further request can be accepted, and the Retry-After in microseconds; `None` if one can. `full_client`
+    /// says that the client has reached its own limit.
+    pub fn rejection(&self, full_client: bool) -> Option<(&'static str, Micros)> {
+        let is_full = full_client || self.requests.len() >= self.config.max_open_requests;
+        if !is_full && !self.shutting_down {
+            return None;
+        }
+        let reason = if is_full { "full" } else { "stopping" };
+        counter!("tideroute_untaken_total", "why" => reason).increment(1);
+        let retry_after = if is_full { self.retry_after() } else { 0 };
+        Some((reason, retry_after))
+    }
+
+    /// The Retry-After, in microseconds, of a client that is rejected for lack of capacity; 0 where the configuration
+    /// allows none.
+    pub fn retry_after(&self) -> Micros {
+        if self.config.scheduler.retry_after_enabled {
+            to_micros(self.config.scheduler.max_retry_after)
+        } else {
+            0
+        }
+    }
+
+    /// Accepts a new request under the table's next id, and returns the id. Where tenants are configured, the request
+    /// may wait until tenant admission admits it, and is rejected at once if it has no tenant.
+    pub fn accept(
+        &mut self,
+        now: Micros,
+        request: RequestState<Context>,
+        tenant: Option<Tenant>,
+        transport: &mut impl Transport<Context = Context>,
+    ) -> RequestId {
+        let class = self.config.scheduler.classes.get(usize::from(request.class));
+        let idempotency = class.map_or(Idempotency::NonIdempotent, |class| class.idempotency);
+        let priority_weight = class.map_or(0.0, |class| class.priority_weight);
+        let deadline = request.deadline;
+        let tokens = request.prompt_tokens;
+        let record = RequestRecord::new(idempotency, to_tenth_millis(deadline));
+        let id = self.requests.insert(RequestState { record, ..request });
+        counter!("tideroute_taken_total").increment(1);
+        transport.set_timer(deadline, Timer::Deadline(id));
+        self.scheduling_needed = true;
+        let Some(tenant_admission) = &mut self.tenant_admission else {
+            self.admit_to_scheduler(now, id);
+            return id;
+        };
+        match tenant {
+            Some(tenant) => {
+                let asked = Asked { ticket: Ticket(id), tenant, tokens, priority_weight, deadline };
+                tenant_admission.shares.asked(now, asked);
+            }
+            None => self.respond(now, id, Response::Rejected(0), transport),
+        }
+        id
+    }
+
+    /// The scheduler sees the request from now on.
+    fn admit_to_scheduler(&mut self, now: Micros, id: RequestId) {
+        let Some(request) = self.requests.get(id).filter(|request| !request.finished) else { return };
+        let new_request = NewRequest {
+            id,
+            class: request.class,
+            session: request.session,
+            prefix: request.prefix,
+            prompt_tokens: f64::from(request.prompt_tokens),
+            remaining_time: to_tenth_millis(request.deadline.saturating_sub(now)),
+        };
+        self.scheduler.request_arrived(to_tenth_millis(now), new_request);
+        self.scheduling_needed = true;
+    }
+
+    /// Executes the verdicts of tenant admission.
+    pub(super) fn run_admission(&mut self, now: Micros, transport: &mut impl Transport<Context = Context>) {
+        while let Some(verdict) = self.next_verdict(now) {
+            match verdict {
+                Verdict::Let(Ticket(id)) => self.admit_to_scheduler(now, id),
+                Verdict::TurnBack { ticket: Ticket(id), after } => {
+                    counter!("tideroute_untaken_total", "why" => "share").increment(1);
+                    let retry_after = if self.config.scheduler.retry_after_enabled { after } else { 0 };
+                    self.respond(now, id, Response::Rejected(retry_after), transport);
+                }
+                Verdict::Wake { at } => transport.set_timer(at, Timer::Admission),
+            }
+        }
+    }
+
+    fn next_verdict(&mut self, now: Micros) -> Option<Verdict> {
+        self.tenant_admission.as_mut()?.shares.decide(now)
+    }
+
+    /// Whether clients must present a tenant's key.
+    pub(crate) fn has_tenants(&self) -> bool {
+        self.tenant_admission.is_some()
+    }
+
+    /// The tenant of a key, by the key's BLAKE3 hash.
+    pub(crate) fn tenant_for_key(&self, key_hash: &[u8; 32]) -> Option<Tenant> {
+        self.tenant_admission.as_ref()?.tenant_for_key(key_hash)
+    }
+
+    /// Adds or changes a tenant, where tenants are configured.
+    pub(crate) fn upsert_tenant(&mut self, now: Micros, config: TenantConfig) {
+        if let Some(tenant_admission) = &mut self.tenant_admission {
+            tenant_admission.upsert(now, config);
+        }
+    }
+
+    /// Removes a tenant, where tenants are configured.
+    pub(crate) fn remove_tenant(&mut self, now: Micros, name: &str, version: u64) {
+        if let Some(tenant_admission) = &mut self.tenant_admission {
+            tenant_admission.remove(now, name, version);
+        }
+    }
+
+    /// The tenants' statistics that changed since the last call, sorted by name; `None` without tenants.
+    pub(crate) fn take_changed_tenant_figures(&mut self) -> Option<Vec<(&str, Figures)>> {
+        let tenant_admission = self.tenant_admission.as_mut()?;
+        Some(tenant_admission.take_changed_figures())
+    }
+}
--- /dev/null
+++ b/crates/lifecycle/src/protobuf_router/clients.rs
@@ -0,0 +1,61 @@
+//! The connected clients.
+
+use std::collections::{BTreeMap, HashMap};
+
+use tideroute::types::RequestId;
+use tideroute_wire::event_loop::ConnectionId;
+
+/// A client that has said Hello.
+#[derive(Default)]
+pub(super) struct Client {
+    /// Its open requests by its own numbers, in order, so that a disconnect has the same effects in the same order in
+    /// equal runs.
+    pub open_requests: BTreeMap<u64, RequestId>,
+    /// The highest number that it has used: each must be higher than the last.
+    pub last_number: Option<u64>,
+    /// It does not read what it is sent. Until it does, workers get no credit for more tokens of its streams.
+    pub has_backpressure: bool,
+    /// The hash of the key that it presented, where tenants are configured.
+    pub key_hash: Option<[u8; 32]>,
+}
+
+/// All client connections, with those that have not said Hello.
+#[derive(Default)]
+pub(super) struct Clients {
+    /// `None` until the client has said Hello.
+    connections: HashMap<ConnectionId, Option<Client>>,
+}
+
+impl Clients {
+    pub fn accepted(&mut self, connection: ConnectionId) {
+        self.connections.insert(connection, None);
+    }
+
+    /// Whether the connection is a client's, or was accepted and may become one's.
+    pub fn contains(&self, connection: ConnectionId) -> bool {
+        self.connections.contains_key(&connection)
+    }
+
+    /// The client has said Hello.
+    pub fn greeted(&mut self, connection: ConnectionId, key_hash: Option<[u8; 32]>) {
+        self.connections.insert(connection, Some(Client { key_hash, ..Client::default() }));
+    }
+
+    /// Whether the connection was accepted and no Hello has arrived on it.
+    pub fn awaits_hello(&self, connection: ConnectionId) -> bool {
+        matches!(self.connections.get(&connection), Some(None))
+    }
+
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Client> {
+        self.connections.get_mut(&connection)?.as_mut()
+    }
+
+    /// Forgets a connection, and returns its client if one has said Hello on it.
+    pub fn remove(&mut self, connection: ConnectionId) -> Option<Client> {
+        self.connections.remove(&connection)?
+    }
+
+    pub fn len(&self) -> usize {
+        self.connections.len()
+    }
+}
--- /dev/null
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -0,0 +1,68 @@
+//! Changes of tenants, which the administration sends, and the tenants' statistics, which it receives.
+
+use tideroute_admission::{Figures, Limits, Rate};
+use tideroute_wire::event_loop::Effects;
+use tideroute_wire::{tenant, Malformed, Micros};
+
+use super::request_context::RequestContext;
+use super::state::RouterState;
+use super::timers::RouterTimer;
+use crate::lifecycle::RequestLifecycle;
+use crate::tenant_admission::TenantConfig;
+
+/// Microseconds between two publications of tenants' statistics: often enough for a person who watches them.
+const FIGURES_INTERVAL: Micros = 1_000_000;
+
+/// Tenants whose statistics one message holds at most.
+const TENANTS_PER_MESSAGE: usize = 500;
+
+/// Handles one message of the administration.
+pub(super) struct TenantEvents<'a> {
+    pub lifecycle: &'a mut RequestLifecycle<RequestContext>,
+    pub now: Micros,
+}
+
+impl tenant::Core for TenantEvents<'_> {
+    fn set(
+        &mut self,
+        name: &str,
+        version: u64,
+        keys: Vec<[u8; 32]>,
+        weight: f64,
+        requests: Option<tenant::Rate>,
+        tokens: Option<tenant::Rate>,
+        in_flight: Option<u32>,
+        waiting: u32,
+    ) -> Result<(), Malformed> {
+        let limits =
+            Limits { requests: requests.map(rate), tokens: tokens.map(rate), in_flight, weight, waiting };
+        let config = TenantConfig { name: name.to_string(), version, keys, limits };
+        self.lifecycle.upsert_tenant(self.now, config);
+        Ok(())
+    }
+
+    fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
+        self.lifecycle.remove_tenant(self.now, name, version);
+        Ok(())
+    }
+}
+
+fn rate((a_second, burst): tenant::Rate) -> Rate {
+    Rate { a_second, burst }
+}
+
+/// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
+pub(super) fn publish_figures(state: &mut RouterState, now: Micros, effects: &mut Effects) {
+    let Some(changed) = state.lifecycle.take_changed_tenant_figures() else { return };
+    for chunk in changed.chunks(TENANTS_PER_MESSAGE) {
+        let figures = chunk.iter().map(|(name, figures)| (*name, wire_figures(figures)));
+        effects.publish(tenant::stats(&state.config.lifecycle.name, figures));
+    }
+    effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
+}
+
+fn wire_figures(figures: &Figures) -> tenant::Figures {
+    let sums =
+        [figures.asked, figures.let_in, figures.rejected, figures.in_time, figures.late, figures.waited];
+    (sums, [figures.waiting, figures.in_flight])
+}
--- a/crates/lifecycle/src/request_table.rs
+++ b/crates/lifecycle/src/request_table.rs
@@ -1,158 +1,83 @@
-//! What the host knows of each open submission.
+//! The open requests by id.
 
 use std::collections::BTreeMap;
 
-use tideroute::types::{Idempotency, RequestId, WorkerId};
-use tideroute_invariants::RequestRecord;
-use tideroute_wire::Micros;
-
-/// Bits of an id that count submissions; those above tell routers and their starts apart.
-const COUNTED: u32 = 40;
-
-/// A submission as the client handed it over, and what is out for it.
-pub struct RequestState<A> {
-    /// What the protocol keeps of it.
-    pub context: A,
-    pub class: u8,
-    pub session: u64,
-    pub prefix: u64,
-    pub prompt_tokens: u32,
-    pub arrived_at: Micros,
-    pub deadline: Micros,
-    pub attempts: u16,
-    pub attempt: Option<Attempt>,
-    /// The reader where its state waits.
-    pub state_holder: Option<WorkerId>,
-    /// Writers asked for a place that have not said no, the last one last.
-    pub reservations: Vec<WorkerId>,
-    /// When its first token came.
-    pub first_token_at: Option<Micros>,
-    /// The final answer was given, or nobody waits for one.
-    pub finished: bool,
-    /// What may be done for it.
-    pub record: RequestRecord,
-}
-
-impl<A> RequestState<A> {
-    /// One that has just come.
-    pub fn new(asked: A, class: u8, (session, prefix): (u64, u64), prompt_tokens: u32) -> RequestState<A> {
-        RequestState {
-            context: asked,
-            class,
-            session,
-            prefix,
-            prompt_tokens,
-            arrived_at: 0,
-            deadline: 0,
-            attempts: 0,
-            attempt: None,
-            state_holder: None,
-            reservations: vec![],
-            first_token_at: None,
-            finished: false,
-            // The books put the request's own in its place as they take it.
-            record: RequestRecord::new(Idempotency::NonIdempotent, 0),
-        }
-    }
-
-    /// It came then and its client waits so long.
-    pub fn with_deadline(self, came: Micros, left: Micros) -> RequestState<A> {
-        RequestState { arrived_at: came, deadline: came + left, ..self }
-    }
-
-    pub fn is_current_attempt(&self, number: u16) -> bool {
-        self.attempt.as_ref().is_some_and(|s| s.number == number)
-    }
+use tideroute::types::RequestId;
 
-    pub fn is_streaming(&self) -> bool {
-        self.attempt.as_ref().is_some_and(|s| s.streaming)
-    }
+use crate::request_state::RequestState;
 
-    pub fn holds_nothing(&self) -> bool {
-        self.attempt.is_none() && self.state_holder.is_none() && self.reservations.is_empty()
-    }
-}
-
-/// The shot that is out.
-pub struct Attempt {
-    pub number: u16,
-    pub worker: WorkerId,
-    pub is_prefill: bool,
-    pub streaming: bool,
-    /// Tokens relayed, and those of them that the worker has not been told of.
-    pub tokens: u32,
-    pub unacknowledged_tokens: u32,
-}
-
-impl Attempt {
-    /// One that goes out now.
-    pub fn new(number: u16, worker: WorkerId, reading: bool) -> Attempt {
-        Attempt { number, worker, is_prefill: reading, streaming: false, tokens: 0, unacknowledged_tokens: 0 }
-    }
-}
+/// Bits of an id that count requests; the bits above hold the seed, which tells routers and their starts apart.
+const COUNTER_BITS: u32 = 40;
 
-/// What a timer's key keeps of an id.
+/// The counter part of an id, small enough for a timer's key. [`RequestTable::expand_id`] restores the id.
 pub fn short(id: RequestId) -> u64 {
-    id & ((1 << COUNTED) - 1)
+    id & ((1 << COUNTER_BITS) - 1)
 }
 
-/// All open submissions by id. Ids count up from a base that tells starts apart in logs;
-/// where those of several routers meet, what a router's Hello says stands before them.
-pub struct RequestTable<A> {
+/// All open requests by id, in order of arrival. Ids count up from a base that tells starts of the router apart in
+/// logs; they are unique within one start only. Between routers, the origin that a router's Hello names completes them.
+pub struct RequestTable<Context> {
     base: u64,
     count: u64,
-    open: BTreeMap<RequestId, RequestState<A>>,
+    open: BTreeMap<RequestId, RequestState<Context>>,
 }
 
-impl<A> RequestTable<A> {
+impl<Context> RequestTable<Context> {
+    /// An empty table whose ids start at the seed.
     pub fn new(seed: u64) -> Self {
-        RequestTable { base: seed << COUNTED, count: 0, open: BTreeMap::new() }
+        RequestTable { base: seed << COUNTER_BITS, count: 0, open: BTreeMap::new() }
     }
 
-    /// The id that the next submission will have.
+    /// The id that the next request will have.
     pub fn next_id(&self) -> RequestId {
         self.base | (self.count + 1)
     }
 
-    pub fn insert(&mut self, request: RequestState<A>) -> RequestId {
+    /// Adds a request under the next id.
+    pub fn insert(&mut self, request: RequestState<Context>) -> RequestId {
         let id = self.next_id();
         self.count += 1;
         self.open.insert(id, request);
         id
     }
 
-    /// The id again, of which a timer's key kept what [`short`] gives.
+    /// The id whose counter part, as [`short`] gives it, is `short`.
     pub fn expand_id(&self, short: u64) -> RequestId {
         self.base | short
     }
 
-    pub fn get(&self, id: RequestId) -> Option<&RequestState<A>> {
+    /// An open request.
+    pub fn get(&self, id: RequestId) -> Option<&RequestState<Context>> {
         self.open.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState<A>> {
+    /// An open request, to change it.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState<Context>> {
         self.open.get_mut(&id)
     }
 
+    /// Forgets a request.
     pub fn remove(&mut self, id: RequestId) {
         self.open.remove(&id);
     }
 
-    /// All that are open, in the order in which they came.
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &RequestState<A>)> {
-        self.open.iter().map(|(id, s)| (*id, s))
+    /// All open requests, in order of arrival.
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &RequestState<Context>)> {
+        self.open.iter().map(|(id, request)| (*id, request))
     }
 
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
+    /// Number of open requests.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether any is open whose client still waits or whose shot is still out.
+    /// Whether every open request has had its final response, or has lost its client.
     pub fn all_finished(&self) -> bool {
-        self.open.values().all(|s| s.finished)
+        self.open.values().all(|request| request.finished)
     }
 }
--- /dev/null
+++ b/crates/lifecycle/src/response.rs
@@ -0,0 +1,35 @@
+//! The final response to a request.
+
+use tideroute_invariants::FinalResponse;
+use tideroute_wire::Micros;
+
+/// The final response to a client.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Response {
+    /// A worker's complete response, with the number of tokens relayed.
+    Completed(u32),
+    /// The request did not run and may be sent again, after so many microseconds; 0 gives no Retry-After.
+    Rejected(Micros),
+    /// Nothing is promised: the request may have run.
+    Failed,
+}
+
+impl Response {
+    /// The kind of response that the invariants rule on.
+    pub(crate) fn kind(self) -> FinalResponse {
+        match self {
+            Response::Completed(_) => FinalResponse::Completed,
+            Response::Rejected(_) => FinalResponse::Rejected,
+            Response::Failed => FinalResponse::Failed,
+        }
+    }
+
+    /// The `outcome` label of the response metrics.
+    pub(crate) fn metric_label(self) -> &'static str {
+        match self {
+            Response::Completed(_) => "honoured",
+            Response::Rejected(_) => "turned back",
+            Response::Failed => "abandoned",
+        }
+    }
+}
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -1,152 +1,127 @@
-//! Whose submissions come in. Where there are tenants, a client's Hello must show the key of one, and the module
-//! hears of a submission only once [`tideroute_admission`] lets it in; the host carries out both verdicts.
+//! Tenants and their limits. Where tenants are configured, a client must present a key of one of them, and the
+//! scheduler sees a request only once [`tideroute_admission`] admits it.
 
 use std::collections::HashMap;
 
-use bytes::Bytes;
-use tideroute_admission::{Figures, Limits, Rate, Shares, Tenant};
-use tideroute_wire::{tenant, Malformed, Micros};
+use tideroute_admission::{Figures, Limits, Rate, Shares, Tenant, Terms};
+use tideroute_wire::Micros;
 
-/// Tenants whose figures one letter tells.
-const IN_A_LETTER: usize = 500;
-
-/// One tenant, as the operator names it.
+/// One tenant, as the operator configures it.
 #[derive(Clone, Debug)]
 pub struct TenantConfig {
+    /// Unique name of the tenant.
     pub name: String,
-    /// The change that made it so; an older one is not heeded. 0 where none is counted.
+    /// Version of this configuration; an older one is ignored. 0 where versions are not counted.
     pub version: u64,
-    /// BLAKE3 of its keys; the keys themselves are nowhere.
+    /// BLAKE3 hashes of the tenant's keys; the keys themselves are stored nowhere.
     pub keys: Vec<[u8; 32]>,
-    /// For all routers and cores together.
+    /// Limits over all routers and cores together.
     pub limits: Limits,
 }
 
-struct Known {
+struct TenantEntry {
     tenant: Tenant,
-    /// As they were told last.
-    told: Figures,
+    /// The statistics as they were last reported.
+    reported: Figures,
     version: u64,
     keys: Vec<[u8; 32]>,
 }
 
+/// The known tenants and the admission queue.
 pub(crate) struct TenantAdmission {
     pub shares: Shares,
-    /// This instance's part of all limits: what all instances let in stays within them with no word between.
-    part: f64,
-    by_key: HashMap<[u8; 32], Tenant>,
-    by_name: HashMap<String, Known>,
-    numbers: u32,
+    /// This instance's fraction of all limits, so that all instances together keep them without coordination.
+    limits_share: f64,
+    by_key_hash: HashMap<[u8; 32], Tenant>,
+    by_name: HashMap<String, TenantEntry>,
+    last_tenant_number: u32,
 }
 
 impl TenantAdmission {
-    pub fn new(
-        tenants: &[TenantConfig],
-        part: f64,
-        config: tideroute_admission::Terms,
-        now: Micros,
-    ) -> TenantAdmission {
-        let shares = Shares::new(config);
-        let (by_key, by_name) = (HashMap::new(), HashMap::new());
-        let mut tenant_admission = TenantAdmission { shares, part, by_key, by_name, numbers: 0 };
-        tenants.iter().for_each(|t| tenant_admission.set(now, t.clone()));
+    pub fn new(tenants: &[TenantConfig], limits_share: f64, config: Terms, now: Micros) -> TenantAdmission {
+        let mut tenant_admission = TenantAdmission {
+            shares: Shares::new(config),
+            limits_share,
+            by_key_hash: HashMap::new(),
+            by_name: HashMap::new(),
+            last_tenant_number: 0,
+        };
+        for tenant in tenants {
+            tenant_admission.upsert(now, tenant.clone());
+        }
         tenant_admission
     }
 
-    /// A tenant is there, or is another than it was.
-    pub fn set(&mut self, now: Micros, config: TenantConfig) {
-        if self.by_name.get(&config.name).is_some_and(|known| known.version > config.version) {
+    /// Adds a tenant or replaces its configuration, unless the known version is newer.
+    pub fn upsert(&mut self, now: Micros, config: TenantConfig) {
+        let known = self.by_name.get(&config.name);
+        if known.is_some_and(|known| known.version > config.version) {
             return;
         }
-        let (tenant, told) = match self.by_name.get(&config.name) {
-            Some(known) => (known.tenant, known.told),
+        let (tenant, reported) = match known {
+            Some(known) => (known.tenant, known.reported),
             None => {
-                self.numbers += 1;
-                (Tenant(self.numbers), Figures::default())
+                self.last_tenant_number += 1;
+                (Tenant(self.last_tenant_number), Figures::default())
             }
         };
-        self.revoke(&config.name);
-        self.by_key.extend(config.keys.iter().map(|key| (*key, tenant)));
-        let part = |rate: Rate| Rate {
-            a_second: rate.a_second * self.part,
-            burst: (rate.burst * self.part).max(1.0),
-        };
-        let limits = Limits {
-            requests: config.limits.requests.map(part),
-            tokens: config.limits.tokens.map(part),
-            in_flight: config.limits.in_flight.map(|most| (f64::from(most) * self.part).ceil() as u32),
-            ..config.limits
+        self.revoke_keys(&config.name);
+        self.by_key_hash.extend(config.keys.iter().map(|key| (*key, tenant)));
+        self.shares.tenant(now, tenant, self.share_of(config.limits));
+        let entry = TenantEntry { tenant, reported, version: config.version, keys: config.keys };
+        self.by_name.insert(config.name, entry);
+    }
+
+    /// This instance's part of a tenant's limits.
+    fn share_of(&self, limits: Limits) -> Limits {
+        let share_of_rate = |rate: Rate| Rate {
+            a_second: rate.a_second * self.limits_share,
+            burst: (rate.burst * self.limits_share).max(1.0),
         };
-        self.shares.tenant(now, tenant, limits);
-        self.by_name.insert(config.name, Known { tenant, told, version: config.version, keys: config.keys });
+        let share_of_count = |count: u32| (f64::from(count) * self.limits_share).ceil() as u32;
+        Limits {
+            requests: limits.requests.map(share_of_rate),
+            tokens: limits.tokens.map(share_of_rate),
+            in_flight: limits.in_flight.map(share_of_count),
+            ..limits
+        }
     }
 
-    /// A tenant is removed: its keys are dead, what waits is turned back, what is in flight runs to its end.
-    pub fn gone(&mut self, now: Micros, name: &str, version: u64) {
+    /// Removes a tenant, unless the known version is newer: its keys are revoked, its waiting requests are rejected, and
+    /// its requests in flight complete.
+    pub fn remove(&mut self, now: Micros, name: &str, version: u64) {
         if self.by_name.get(name).is_none_or(|known| known.version > version) {
             return;
         }
-        self.revoke(name);
+        self.revoke_keys(name);
         if let Some(known) = self.by_name.remove(name) {
             self.shares.removed(now, known.tenant);
         }
     }
 
-    /// Figures of tenants that changed since they were told last, in letters of so many.
-    pub fn news(&mut self, core: &str) -> Vec<Bytes> {
+    /// The statistics that changed since the last call, sorted by tenant name so that equal runs report equally.
+    pub fn take_changed_figures(&mut self) -> Vec<(&str, Figures)> {
         let mut changed = vec![];
         for (name, known) in &mut self.by_name {
-            let now = self.shares.figures(known.tenant).unwrap_or_default();
-            if now != std::mem::replace(&mut known.told, now) {
-                let sums = [now.asked, now.let_in, now.rejected, now.in_time, now.late, now.waited];
-                changed.push((name.as_str(), (sums, [now.waiting, now.in_flight])));
+            let figures = self.shares.figures(known.tenant).unwrap_or_default();
+            if figures != known.reported {
+                known.reported = figures;
+                changed.push((name.as_str(), figures));
             }
         }
-        // By name, so that the same run tells the same.
         changed.sort_unstable_by_key(|(name, _)| *name);
-        changed.chunks(IN_A_LETTER).map(|part| tenant::stats(core, part.iter().copied())).collect()
+        changed
     }
 
-    fn revoke(&mut self, name: &str) {
+    fn revoke_keys(&mut self, name: &str) {
         let Some(known) = self.by_name.get(name) else { return };
         for key in &known.keys {
-            self.by_key.remove(key);
+            self.by_key_hash.remove(key);
         }
     }
 
-    /// The tenant of a key's hash. Hashes are looked up, so that how long it takes tells nothing of a key.
-    pub fn of(&self, hash: &[u8; 32]) -> Option<Tenant> {
-        self.by_key.get(hash).copied()
-    }
-}
-
-/// Takes a letter apart for the tenancy.
-pub(crate) struct Ear<'a> {
-    pub tenant_admission: &'a mut TenantAdmission,
-    pub now: Micros,
-}
-
-impl tenant::Core for Ear<'_> {
-    fn set(
-        &mut self,
-        name: &str,
-        version: u64,
-        keys: Vec<[u8; 32]>,
-        weight: f64,
-        requests: Option<tenant::Rate>,
-        tokens: Option<tenant::Rate>,
-        in_flight: Option<u32>,
-        waiting: u32,
-    ) -> Result<(), Malformed> {
-        let rate = |(a_second, burst)| Rate { a_second, burst };
-        let (requests, tokens) = (requests.map(rate), tokens.map(rate));
-        let limits = Limits { requests, tokens, in_flight, weight, waiting };
-        self.tenant_admission.set(self.now, TenantConfig { name: name.to_string(), version, keys, limits });
-        Ok(())
-    }
-
-    fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
-        self.tenant_admission.gone(self.now, name, version);
-        Ok(())
+    /// The tenant of a key, by the key's hash. The time that a lookup by hash takes tells nothing about a key.
+    pub fn tenant_for_key(&self, key_hash: &[u8; 32]) -> Option<Tenant> {
+        self.by_key_hash.get(key_hash).copied()
     }
 }
--- a/crates/lifecycle/src/transport.rs
+++ b/crates/lifecycle/src/transport.rs
@@ -1,94 +1,90 @@
-//! What the books need of a protocol, and no more: words to workers, clients and the list, and timers.
+//! What the lifecycle needs of a protocol: messages to workers, clients and discovery, and timers.
 
 use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_invariants::{AttemptPermit, ClosePermit, ReservationPermit, ResponsePermit};
 use tideroute_wire::Micros;
 
-use crate::request_table::{Attempt, RequestState};
+use crate::request_state::{Attempt, RequestState};
+use crate::response::Response;
 
-/// A final answer to a client.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Response {
-    /// With the tokens that were relayed.
-    Completed(u32),
-    /// With how long the client should stay away; 0 for no advice.
-    Rejected(Micros),
-    Failed,
-}
-
-/// What a timer of the books is for. It goes back to [`RequestLifecycle::rang`](crate::Books::rang).
+/// What a timer of the lifecycle is for. When it fires, it goes back to
+/// [`RequestLifecycle::timer_fired`](crate::RequestLifecycle::timer_fired).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Timer {
-    /// The module asked to be woken.
+    /// The scheduler asked to be woken.
     SchedulerWake,
-    /// A client's time is up.
+    /// The deadline of a request.
     Deadline(RequestId),
-    /// A probe, by its nonce, has not been answered.
+    /// The timeout of a health check, by its nonce.
     HealthCheck(u64),
-    /// A verdict on what waits to be let in may be due.
+    /// Tenant admission may have a verdict on a waiting request.
     Admission,
 }
 
-/// One protocol's way of carrying out what the books say. None of the calls may come back into the books.
+/// A protocol's side of the lifecycle. Implementations carry out each call and never call back into the lifecycle.
 pub trait Transport {
-    /// What the protocol keeps of a submission beside the books.
+    /// What the protocol stores with each request.
     type Context;
 
-    /// The shot that the submission has out goes to its worker, which may take so long.
+    /// Sends a request's attempt to its worker. The worker may take `remaining_time` microseconds.
     fn dispatch(
         &mut self,
         id: RequestId,
-        s: &RequestState<Self::Context>,
+        request: &RequestState<Self::Context>,
         attempt: &Attempt,
-        left: Micros,
+        remaining_time: Micros,
         permit: AttemptPermit,
     );
-    /// A place is asked for while the reader reads.
+    /// Asks a decode worker for a reservation while `prefill_worker` prefills.
     fn reserve(
         &mut self,
         id: RequestId,
-        s: &RequestState<Self::Context>,
-        at: WorkerId,
-        reader: WorkerId,
+        request: &RequestState<Self::Context>,
+        decode_worker: WorkerId,
+        prefill_worker: WorkerId,
         permit: ReservationPermit,
     );
-    /// A place is no longer wanted because another or a shot took its turn; with `tell` nobody else says so.
-    fn cancel_reservation(&mut self, id: RequestId, at: WorkerId, tell: bool);
-    /// All that is held for the submission is let go.
+    /// Ends a reservation because another reservation or an attempt took its place. With `notify_worker` the worker
+    /// must be told; else it knows already.
+    fn cancel_reservation(&mut self, id: RequestId, decode_worker: WorkerId, notify_worker: bool);
+    /// Releases all that is held for a request: its decode reservations and the KV state at its prefill worker.
     fn release(
         &mut self,
         id: RequestId,
-        s: &RequestState<Self::Context>,
-        places: &[WorkerId],
-        state: Option<WorkerId>,
+        request: &RequestState<Self::Context>,
+        reservations: &[WorkerId],
+        state_holder: Option<WorkerId>,
     );
-    /// Nobody waits for the shot any more. Whether it never left comes back: then it has not run.
+    /// Cancels an attempt. Returns whether it was never sent, and so cannot have run.
     fn cancel(&mut self, id: RequestId, attempt: &Attempt) -> bool;
-    /// Takes a shot back that has not left yet; whether it had not. One that has left goes on.
+    /// Cancels an attempt only if it has not been sent yet, and returns whether that was so. A sent attempt goes on.
     fn cancel_if_unsent(&mut self, _id: RequestId, _attempt: &Attempt) -> bool {
         false
     }
-    /// The shot has ended, whoever ended it.
+    /// An attempt has ended, at the worker, at the client or by cancellation.
     fn attempt_finished(
         &mut self,
         id: RequestId,
-        s: &RequestState<Self::Context>,
+        request: &RequestState<Self::Context>,
         attempt: &Attempt,
         outcome: AttemptOutcome,
     );
+    /// Sends the final response to the client.
     fn respond(
         &mut self,
         id: RequestId,
-        s: &RequestState<Self::Context>,
-        answer: Response,
+        request: &RequestState<Self::Context>,
+        response: Response,
         permit: ResponsePermit,
     );
-    /// The submission is over, nothing is out for it, and the books forget it.
+    /// The request is finished, nothing is in flight or reserved for it, and the lifecycle forgets it.
     fn request_closed(&mut self, _id: RequestId, _permit: ClosePermit) {}
-    fn check_health(&mut self, nonce: u64, at: WorkerId);
-    /// The probe of a worker was answered or given up.
-    fn health_check_finished(&mut self, at: WorkerId);
-    /// The list is asked for all changes after that version.
+    /// Sends a health check to a worker.
+    fn check_health(&mut self, nonce: u64, worker: WorkerId);
+    /// The health check of a worker was answered, or it timed out.
+    fn health_check_finished(&mut self, worker: WorkerId);
+    /// Asks discovery for all changes of the endpoint list after a version.
     fn watch_endpoints(&mut self, version: u64);
+    /// Sets a timer for a time on the router's clock. Timers are never cancelled.
     fn set_timer(&mut self, at: Micros, timer: Timer);
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use tideroute_config_language::kinds::Day;
 use tideroute_emulator::{List, Worker};
-use tideroute_lifecycle::Host;
+use tideroute_lifecycle::ProtobufRouter;
 use tideroute_trace_checker::{CheckError, Report};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::Micros;
@@ -170,9 +170,12 @@
             router.cores = 1;
             let seed = day.seed << 16 | self.starts;
             let kept = self.places.get(name).and_then(|&place| self.world.kept(place));
-            let host =
-                Host::new(convert::router(&router, 0, seed, u128::from(seed)).map_err(bad)?, kept, now);
-            ("router", &ports.routers[n], Box::new(host))
+            let router = ProtobufRouter::new(
+                convert::router(&router, 0, seed, u128::from(seed)).map_err(bad)?,
+                kept,
+                now,
+            );
+            ("router", &ports.routers[n], Box::new(router))
         } else {
             let mut all = day.workers().enumerate();
             let (place, (_, group, n)) = all.find(|(_, (w, ..))| w == name).ok_or_else(missing)?;
