--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use bytes::Fields;
 use tideroute::scheduler::Scheduler;
 use tideroute::types::{Action, AttemptOutcome, Endpoint, EndpointStatus, NewRequest, TenthMillis};
-use tideroute_settings::{to_tenth_millis, Report};
+use tideroute_settings::{to_tenth_millis, Report, Settings};
 
 /// Each router, and what a probe brings it of a worker's load.
 type Routers = BTreeMap<u16, (Scheduler, Option<Report>)>;
@@ -66,8 +66,8 @@
     if code == 10 {
         let salt = f.u64("salt")?;
         let length = f.u32("config length")? as usize;
-        let (terms, report) = tideroute_settings::read(f.bytes(length, "config")?)?;
-        routers.insert(who, (Scheduler::new(terms, salt, now), report));
+        let settings = Settings::parse(f.bytes(length, "config")?).map_err(|e| e.to_string())?;
+        routers.insert(who, (Scheduler::new(settings.scheduler, salt, now), settings.report));
         return Ok(who);
     }
     if code == 100 {
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/file.rs
@@ -26,7 +26,7 @@
     #[error("{field}: expected {expected}, found {found}")]
     Field { field: &'static str, expected: &'static str, found: String },
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(tideroute_settings::SettingsError),
     #[error("known: {0}")]
     Known(list::Unreadable),
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as a router is told them: what is not known is passed over, what is wrong is named by its key.
+//! Settings become the scheduler's configuration: unknown keys are ignored, and an error names the key of a wrong value.
 
 use serde_json::{json, Value};
 use tideroute::types::{Idempotency, Role};
@@ -29,55 +29,62 @@
 }
 
 #[test]
-fn what_is_told_becomes_terms_and_what_is_not_known_is_passed_over() {
-    let terms = tideroute_settings::terms(&settings()).expect("sound");
-    assert_eq!((terms.router_count, terms.max_attempts, terms.state_release_timeout), (3, 6, 10_000));
-    assert_eq!(terms.role_by_kind, [Role::Prefill, Role::Decode]);
+fn settings_become_the_configuration_and_unknown_keys_are_ignored() {
+    let config = tideroute_settings::terms(&settings()).expect("sound");
+    assert_eq!((config.router_count, config.max_attempts, config.state_release_timeout), (3, 6, 10_000));
+    assert_eq!(config.role_by_kind, [Role::Prefill, Role::Decode]);
     assert!(
-        terms.reservations_enabled
-            && terms.endpoint_watch_enabled
-            && terms.health_checks_enabled
-            && terms.cancellation_enabled
-            && !terms.decode_workers_prefill
+        config.reservations_enabled
+            && config.endpoint_watch_enabled
+            && config.health_checks_enabled
+            && config.cancellation_enabled
+            && !config.decode_workers_prefill
     );
-    assert_eq!((terms.retry_after_enabled, terms.max_retry_after), (true, 5_000));
-    assert_eq!(terms.classes[1].idempotency, Idempotency::NonIdempotent);
-    assert_eq!(terms.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
-    let bare = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
-    assert!(!bare.reservations_enabled, "a switch that is not there is off");
-    // Without advice nobody needs the longest.
-    let mut quiet = with("/caps/max_retry_after_ms", None);
-    quiet["caps"]["retry_after"] = false.into();
-    assert_eq!(tideroute_settings::terms(&quiet).expect("sound").max_retry_after, 0);
+    assert_eq!((config.retry_after_enabled, config.max_retry_after), (true, 5_000));
+    assert_eq!(config.classes[1].idempotency, Idempotency::NonIdempotent);
+    assert_eq!(config.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
+    let without_switch = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
+    assert!(!without_switch.reservations_enabled, "a missing switch is off");
+    // Without Retry-After its maximum is not needed.
+    let mut without_retry_after = with("/caps/max_retry_after_ms", None);
+    without_retry_after["caps"]["retry_after"] = false.into();
+    assert_eq!(tideroute_settings::terms(&without_retry_after).expect("sound").max_retry_after, 0);
 }
 
 #[test]
-fn repeats_of_a_keyed_class_are_sent_so_early_that_they_arrive_in_its_window() {
-    let window = |ttl: f64, dial: Option<f64>| {
+fn deduplication_window_leaves_time_for_a_retry_to_connect_and_arrive() {
+    let window = |key_ttl_ms: f64, connect_timeout_ms: Option<f64>| {
         let mut root = settings();
         root["classes"][0]["idempotency"] = "token".into();
         root["classes"][0]["dedup_scope"] = "zone".into();
-        root["classes"][0]["key_ttl_ms"] = ttl.into();
-        dial.into_iter().for_each(|ms| root["caps"]["dial_timeout_ms"] = ms.into());
+        root["classes"][0]["key_ttl_ms"] = key_ttl_ms.into();
+        if let Some(ms) = connect_timeout_ms {
+            root["caps"]["dial_timeout_ms"] = ms.into();
+        }
         match tideroute_settings::terms(&root).expect("sound").classes[0].idempotency {
             Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!(
-        [(500.0, Some(250.0)), (200.0, Some(250.0)), (500.0, None)].map(|(t, d)| window(t, d)),
+        [(500.0, Some(250.0)), (200.0, Some(250.0)), (500.0, None)]
+            .map(|(key_ttl_ms, connect_timeout_ms)| window(key_ttl_ms, connect_timeout_ms)),
         [1_500, 0, 4_000]
     );
 }
 
 #[test]
-fn readers_are_asked_where_a_probe_says_how_much_waits() {
-    let load = |how: &str, columns: Value, meaning: &str| {
-        let mut root = with("/report", Some(json!({"how": how, "columns": columns})));
+fn load_reports_are_enabled_where_health_checks_report_waiting_work() {
+    let load = |source: &str, columns: Value, meaning: &str| {
+        let mut root = with("/report", Some(json!({"how": source, "columns": columns})));
         root["family_info"]["report_x1"] = meaning.into();
         let report = tideroute_settings::report(&root).expect("sound");
-        let terms = tideroute_settings::terms(&root).expect("sound");
-        (terms.load_reports_enabled, terms.load_in_tokens, report.map(|r| (r.column, r.amount(1.5))))
+        let config = tideroute_settings::terms(&root).expect("sound");
+        (
+            config.load_reports_enabled,
+            config.load_in_tokens,
+            report.map(|report| (report.column, report.amount(1.5))),
+        )
     };
     let tokens = "thousands of prompt tokens waiting to be read or fetched";
     assert_eq!(
@@ -89,18 +96,19 @@
     assert_eq!(load("probe", both, "share of memory"), (true, false, Some((0, Some(1.5)))));
     assert_eq!(load("probe", json!(["recent_ms", "x1"]), "share of memory"), (false, false, None));
     assert_eq!(load("answers", json!(["x1"]), tokens), (false, false, None));
-    let mut unprobed = with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
-    unprobed["caps"]["probing"] = false.into();
-    assert!(!tideroute_settings::terms(&unprobed).expect("sound").load_reports_enabled);
+    let mut without_health_checks =
+        with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
+    without_health_checks["caps"]["probing"] = false.into();
+    assert!(!tideroute_settings::terms(&without_health_checks).expect("sound").load_reports_enabled);
     assert_eq!(tideroute_settings::report(&with("/report", Some(json!({"how": "probe"})))), Ok(None));
     let report = tideroute_settings::report(&with("/report", Some(json!({"how": "probe", "columns": "x1"}))));
-    assert!(report.expect_err("no list of columns").contains("report.columns"));
+    assert!(report.expect_err("no list of columns").to_string().contains("report.columns"));
     let attempts = tideroute_settings::Report { name: "outstanding".into(), column: 0, tokens: false };
-    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|v| attempts.amount(v)), [None; 3]);
+    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|value| attempts.amount(value)), [None; 3]);
 }
 
 #[test]
-fn what_is_missing_wrong_or_contradicts_itself_is_named_by_its_key() {
+fn missing_wrong_and_contradictory_values_are_refused_by_their_key() {
     let cases: [(&str, Option<Value>, &str); 27] = [
         ("/balancers", None, "balancers"),
         ("/balancers", Some(json!(-1)), "balancers"),
@@ -135,11 +143,11 @@
         ("/invariants/cold_share", None, "invariants.cold_share"),
     ];
     for (path, value, named) in cases {
-        let problem = tideroute_settings::terms(&with(path, value.clone())).expect_err(path);
-        assert!(problem.contains(named), "{path} as {value:?}: {problem}");
+        let error = tideroute_settings::terms(&with(path, value.clone())).expect_err(path).to_string();
+        assert!(error.contains(named), "{path} as {value:?}: {error}");
     }
-    // A fleet of writers that read is none to complain of.
-    let mut alone = with("/family_info/writers_read", Some(json!(true)));
-    alone["family_info"]["kind_role"] = json!(["write", "write"]);
-    assert!(tideroute_settings::terms(&alone).is_ok());
+    // Decode workers that prefill need no other kind.
+    let mut decode_only = with("/family_info/writers_read", Some(json!(true)));
+    decode_only["family_info"]["kind_role"] = json!(["write", "write"]);
+    assert!(tideroute_settings::terms(&decode_only).is_ok());
 }
