--- a/crates/bench-adapter/tests/frames.rs
+++ b/crates/bench-adapter/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The adapter run as a process: framing, isolation, and what it says of input that it cannot read.
+//! The adapter run as a process: framing, isolation of instances, and errors of input that can't be read.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    // The adapter may stop reading early; what it then leaves unread is of no interest.
+    // The adapter may stop reading early, which breaks the pipe.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("ends")
 }
@@ -26,9 +26,9 @@
     frame
 }
 
-fn enlist(who: u16, settings: &str) -> Vec<u8> {
+fn start_instance(instance: u16, settings: &str) -> Vec<u8> {
     let mut record = vec![10];
-    record.extend(who.to_le_bytes());
+    record.extend(instance.to_le_bytes());
     record.extend(7u64.to_le_bytes());
     record.extend((settings.len() as u32).to_le_bytes());
     record.extend(settings.as_bytes());
@@ -42,9 +42,9 @@
                  "pin_limit_ms": 500.0},
  "invariants": {"cold_share": 0.3, "fall_ms": 2000.0, "fall_multiple": 2.5, "ramp_time_ms": 14000.0}}"#;
 
-fn list(who: u16, kind: u8, workers: &[(u16, u8)]) -> Vec<u8> {
+fn endpoint_list(instance: u16, kind: u8, workers: &[(u16, u8)]) -> Vec<u8> {
     let mut record = vec![20];
-    record.extend(who.to_le_bytes());
+    record.extend(instance.to_le_bytes());
     record.extend(1u64.to_le_bytes());
     record.push(kind);
     record.extend((workers.len() as u32).to_le_bytes());
@@ -58,9 +58,9 @@
     record
 }
 
-fn request(who: u16, id: u64) -> Vec<u8> {
+fn request(instance: u16, id: u64) -> Vec<u8> {
     let mut record = vec![30];
-    record.extend(who.to_le_bytes());
+    record.extend(instance.to_le_bytes());
     record.extend(id.to_le_bytes());
     record.extend([0; 5]);
     record.extend(3u64.to_le_bytes());
@@ -71,24 +71,25 @@
     record
 }
 
-fn complaint(input: &[u8]) -> String {
+fn error_of(input: &[u8]) -> String {
     let output = run(input);
-    let said = String::from_utf8(output.stderr).expect("plain text");
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
-    said
+    let error = String::from_utf8(output.stderr).expect("plain text");
+    assert_eq!(output.status.code(), Some(1), "{error}");
+    assert_eq!(error.lines().count(), 1, "{error}");
+    error
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn empty_batch_gets_an_empty_reply_and_end_of_input_is_success() {
     let output = run(&frame(&[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn a_request_is_sent_to_a_reader_with_a_place_at_a_writer() {
-    let output = run(&frame(&[enlist(0, SETTINGS), list(0, 2, &[(0, 1), (1, 2)]), request(0, 5)]));
+fn request_is_dispatched_to_a_prefill_worker_with_a_reservation_at_a_decode_worker() {
+    let output =
+        run(&frame(&[start_instance(0, SETTINGS), endpoint_list(0, 2, &[(0, 1), (1, 2)]), request(0, 5)]));
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let reply = &output.stdout[12..];
     assert_eq!((reply[0], reply[3], &reply[11..17]), (20, 5, &[10, 0, 0, 1, 136, 19][..]));
@@ -96,39 +97,49 @@
 }
 
 #[test]
-fn a_killed_instance_forgets_everything_and_touches_no_other() {
-    let killed = vec![100, 0, 0];
-    let mut both: Vec<_> =
-        (0..2).flat_map(|who| [enlist(who, SETTINGS), list(who, 2, &[(0, 1), (1, 2)])]).collect();
-    both.extend([killed, enlist(0, SETTINGS), list(0, 2, &[]), request(0, 5), request(1, 6)]);
+fn stopped_instance_forgets_its_endpoints_and_affects_no_other() {
+    let stop_first = vec![100, 0, 0];
+    let mut both: Vec<_> = (0..2)
+        .flat_map(|instance| {
+            [start_instance(instance, SETTINGS), endpoint_list(instance, 2, &[(0, 1), (1, 2)])]
+        })
+        .collect();
+    both.extend([
+        stop_first,
+        start_instance(0, SETTINGS),
+        endpoint_list(0, 2, &[]),
+        request(0, 5),
+        request(1, 6),
+    ]);
     let output = run(&frame(&both));
     assert!(output.status.success());
-    // The first instance knows of no worker any more; the second still does.
-    let sends = output.stdout.windows(3).filter(|w| *w == [20, 0, 0]).count();
-    assert_eq!((sends, output.stdout.windows(4).filter(|w| *w == [20, 1, 0, 6]).count()), (0, 1));
+    // The first instance knows no endpoint any more; the second still does.
+    let dispatches = output.stdout.windows(3).filter(|w| *w == [20, 0, 0]).count();
+    assert_eq!((dispatches, output.stdout.windows(4).filter(|w| *w == [20, 1, 0, 6]).count()), (0, 1));
 }
 
 #[test]
-fn a_full_list_replaces_the_old_one() {
-    let lists = [list(0, 2, &[(0, 1), (1, 2)]), list(0, 1, &[(0, 3), (1, 2)])];
-    let output = run(&frame(&[enlist(0, SETTINGS), lists[0].clone(), lists[1].clone(), request(0, 5)]));
+fn full_endpoint_list_replaces_the_old_one() {
+    let lists = [endpoint_list(0, 2, &[(0, 1), (1, 2)]), endpoint_list(0, 1, &[(0, 3), (1, 2)])];
+    let output =
+        run(&frame(&[start_instance(0, SETTINGS), lists[0].clone(), lists[1].clone(), request(0, 5)]));
     assert_eq!(&output.stdout[12 + 11..12 + 17], [10, 0, 0, 3, 136, 19]);
 }
 
 #[test]
-fn what_cannot_be_read_is_named_in_one_line() {
-    let whole = frame(&[enlist(0, SETTINGS), list(0, 2, &[(0, 1), (1, 2)])]);
-    assert!(complaint(&whole[..11]).contains("cut off"));
-    assert!(complaint(&whole[..whole.len() - 1]).contains("cut off"));
-    assert!(complaint(&frame(&[vec![99, 0, 0]])).contains("event code 99"));
-    assert!(complaint(&frame(&[request(4, 1)])).contains("instance 4 was never enlisted"));
-    assert!(complaint(&frame(&[enlist(0, "{")])).contains("do not parse"));
-    let lacking = SETTINGS.replace("fall_ms", "x");
-    assert!(complaint(&frame(&[enlist(0, &lacking)])).contains("invariants.fall_ms"));
-    let mut overrun = list(0, 2, &[]);
+fn unreadable_input_is_named_in_one_line() {
+    let valid = frame(&[start_instance(0, SETTINGS), endpoint_list(0, 2, &[(0, 1), (1, 2)])]);
+    assert!(error_of(&valid[..11]).contains("cut off"));
+    assert!(error_of(&valid[..valid.len() - 1]).contains("cut off"));
+    assert!(error_of(&frame(&[vec![99, 0, 0]])).contains("event code 99"));
+    assert!(error_of(&frame(&[request(4, 1)])).contains("instance 4 was never enlisted"));
+    assert!(error_of(&frame(&[start_instance(0, "{")])).contains("do not parse"));
+    let without_a_key = SETTINGS.replace("fall_ms", "x");
+    assert!(error_of(&frame(&[start_instance(0, &without_a_key)])).contains("invariants.fall_ms"));
+    let mut overrun = endpoint_list(0, 2, &[]);
     overrun[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(complaint(&frame(&[enlist(0, SETTINGS), overrun])).contains("bytes"));
+    assert!(error_of(&frame(&[start_instance(0, SETTINGS), overrun])).contains("bytes"));
     let mut huge = frame(&[]);
     huge[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(complaint(&huge).contains("cut off"));
+    assert!(error_of(&huge).contains("cut off"));
 }
