--- a/crates/lifecycle/benches/endpoint_list_update.rs
+++ b/crates/lifecycle/benches/endpoint_list_update.rs
@@ -15,14 +15,14 @@
 const OPEN: u64 = 6_000;
 const ROUNDS: u16 = 40;
 
-fn config() -> RouterConfig {
+fn scheduler_config() -> SchedulerConfig {
     let class = RequestClass {
         idempotency: Idempotency::Idempotent,
         ttft_objective: 600_000,
         ttft_objective_per_1000_tokens: 400,
         priority_weight: 1.0,
     };
-    let scheduler = SchedulerConfig {
+    SchedulerConfig {
         router_count: 3,
         classes: vec![class],
         role_by_kind: vec![Role::Prefill, Role::Decode],
@@ -40,10 +40,13 @@
         retry_after_enabled: true,
         max_retry_after: 10_000,
         ..SchedulerConfig::default()
-    };
+    }
+}
+
+fn config() -> RouterConfig {
     let lifecycle = LifecycleConfig {
         name: "r".into(),
-        scheduler,
+        scheduler: scheduler_config(),
         classes: vec!["query".into()],
         connect_timeout: 250_000,
         max_open_requests: 10_000,
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -11,6 +11,8 @@
 use tideroute::types::WorkerId;
 use tideroute_wire::Micros;
 
+use crate::worker_address::WorkerAddress;
+
 /// Microseconds by which the endpoint list may lag behind the fleet: after that, discovery has reported every start.
 const LIST_LAG: Micros = 6_000_000;
 /// Microseconds by which the clocks of two machines differ that are in step.
@@ -62,7 +64,7 @@
         let started_at = if is_plausible { reported_at.min(now) } else { now };
         if !is_plausible {
             tracing::warn!(
-                ?worker,
+                worker = %WorkerAddress(worker),
                 reported_at,
                 now,
                 "start time of a worker does not agree with this router's clock; the current time is used instead"
--- a/crates/lifecycle/src/protobuf_router/timers.rs
+++ b/crates/lifecycle/src/protobuf_router/timers.rs
@@ -6,6 +6,9 @@
 use crate::request_table::short;
 use crate::transport::Timer;
 
+#[cfg(test)]
+mod tests;
+
 /// The kind of a timer is in the top byte of its key, its payload below.
 const KIND_SHIFT: u32 = 56;
 const PAYLOAD_MASK: u64 = (1 << KIND_SHIFT) - 1;
@@ -18,7 +21,7 @@
 const TENANT_FIGURES: u64 = 5;
 
 /// What a timer is for.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum RouterTimer {
     Lifecycle(Timer),
     /// A connection must have said Hello by now.
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -56,6 +56,85 @@
     }
 }
 
+/// Reads the request and the number of the attempt that a frame to a worker dispatches, if it dispatches one.
+struct DispatchReader(Option<(u64, u16)>);
+
+impl worker::Worker for DispatchReader {
+    fn prefill(
+        &mut self,
+        id: u64,
+        attempt: u16,
+        _: u8,
+        _: u64,
+        _: u64,
+        _: u32,
+        _: u32,
+        _: Micros,
+        _: Bytes,
+    ) -> Result<(), Malformed> {
+        self.0 = Some((id, attempt));
+        Ok(())
+    }
+    fn reserve(&mut self, _: u64, _: u32, _: u32, _: Address) -> Result<(), Malformed> {
+        Ok(())
+    }
+    fn decode(
+        &mut self,
+        id: u64,
+        attempt: u16,
+        _: u8,
+        _: u32,
+        _: u32,
+        _: Micros,
+        _: u64,
+        _: Option<Address>,
+        _: u32,
+        _: u64,
+        _: u64,
+        _: u32,
+        _: Bytes,
+    ) -> Result<(), Malformed> {
+        self.0 = Some((id, attempt));
+        Ok(())
+    }
+    fn release(&mut self, _: u64) -> Result<(), Malformed> {
+        Ok(())
+    }
+    fn cancel(&mut self, _: u64, _: u16) -> Result<(), Malformed> {
+        Ok(())
+    }
+    fn check_health(&mut self, _: u64) -> Result<(), Malformed> {
+        Ok(())
+    }
+    fn grant_tokens(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
+        Ok(())
+    }
+}
+
+#[derive(Clone, Copy)]
+struct DispatchedAttempt {
+    /// The worker's connection.
+    connection: ConnectionId,
+    /// The request.
+    id: u64,
+    number: u16,
+}
+
+/// A worker's message about an attempt, whether it fits the attempt's state or not.
+fn worker_message(attempt: DispatchedAttempt, value: u16) -> Bytes {
+    let DispatchedAttempt { id, number, .. } = attempt;
+    match value % 7 {
+        0 | 1 => worker::prefill_completed(id, number, 0, 9),
+        2 | 3 => worker::token(id, number, u32::from(value / 7 % 3), Bytes::from_static(b"word")),
+        4 => worker::completed(id, number, u32::from(value / 7 % 4)),
+        5 => {
+            let failures = [worker::AttemptFailure::Rejected, worker::AttemptFailure::ServerError];
+            worker::attempt_ended(id, number, failures[usize::from(value) % 2])
+        }
+        _ => worker::reservation_answered(id, value.is_multiple_of(2)),
+    }
+}
+
 struct World {
     router: ProtobufRouter,
     effects: Effects,
@@ -63,8 +142,8 @@
     connections: BTreeMap<ConnectionId, Address>,
     timers: BTreeSet<(Micros, u64)>,
     responses: ResponseChecker,
-    /// Every attempt that was dispatched: the worker's connection, the request and the attempt's number.
-    attempts: Vec<(ConnectionId, u64, u16)>,
+    /// Every attempt that was dispatched.
+    attempts: Vec<DispatchedAttempt>,
     /// The client's last request number.
     number: u64,
     /// Number of the client's connection.
@@ -138,126 +217,64 @@
 
     /// Notes the attempt of a frame to a worker, if it dispatches one.
     fn note_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
-        struct DispatchReader(Option<(u64, u16)>);
-        impl worker::Worker for DispatchReader {
-            fn prefill(
-                &mut self,
-                id: u64,
-                attempt: u16,
-                _: u8,
-                _: u64,
-                _: u64,
-                _: u32,
-                _: u32,
-                _: Micros,
-                _: Bytes,
-            ) -> Result<(), Malformed> {
-                self.0 = Some((id, attempt));
-                Ok(())
-            }
-            fn reserve(&mut self, _: u64, _: u32, _: u32, _: Address) -> Result<(), Malformed> {
-                Ok(())
-            }
-            fn decode(
-                &mut self,
-                id: u64,
-                attempt: u16,
-                _: u8,
-                _: u32,
-                _: u32,
-                _: Micros,
-                _: u64,
-                _: Option<Address>,
-                _: u32,
-                _: u64,
-                _: u64,
-                _: u32,
-                _: Bytes,
-            ) -> Result<(), Malformed> {
-                self.0 = Some((id, attempt));
-                Ok(())
-            }
-            fn release(&mut self, _: u64) -> Result<(), Malformed> {
-                Ok(())
-            }
-            fn cancel(&mut self, _: u64, _: u16) -> Result<(), Malformed> {
-                Ok(())
-            }
-            fn check_health(&mut self, _: u64) -> Result<(), Malformed> {
-                Ok(())
-            }
-            fn grant_tokens(&mut self, _: u64, _: u16, _: u32) -> Result<(), Malformed> {
-                Ok(())
-            }
-        }
         let mut reader = DispatchReader(None);
         if worker::receive_from_router(frame, &mut reader).is_ok() {
-            self.attempts.extend(reader.0.map(|(id, attempt)| (connection, id, attempt)));
+            let attempt = reader.0.map(|(id, number)| DispatchedAttempt { connection, id, number });
+            self.attempts.extend(attempt);
         }
     }
 
+    /// One generated event. `which` picks what it concerns, and `value` its contents.
     fn step(&mut self, (event, which, value): (u8, u8, u16)) {
-        let attempt =
-            (!self.attempts.is_empty()).then(|| self.attempts[usize::from(which) % self.attempts.len()]);
-        let text = Bytes::from_static(b"word");
+        let client = ConnectionId(self.client);
+        let attempt = self.pick_attempt(which);
         match event % 14 {
-            0..=2 => {
-                self.number += 1;
-                let prompt = Bytes::from_static(b"prompt");
-                let tokens = u32::from(value);
-                let remaining_time = Micros::from(value) * 100;
-                let class = which % 2;
-                let submit =
-                    client::submit(self.number, class, 1, 0, tokens, 0, 9, remaining_time, 0, prompt);
-                self.receive(ConnectionId(self.client), &submit);
-            }
-            3 => self.receive(ConnectionId(self.client), &client::cancel(u64::from(which))),
+            0..=2 => self.submit(which % 2, value),
+            3 => self.receive(client, &client::cancel(u64::from(which))),
             4..=9 => {
-                let Some((connection, id, attempt)) = attempt else { return };
-                let message = match value % 7 {
-                    0 | 1 => worker::prefill_completed(id, attempt, 0, 9),
-                    2 | 3 => worker::token(id, attempt, u32::from(value / 7 % 3), text),
-                    4 => worker::completed(id, attempt, u32::from(value / 7 % 4)),
-                    5 => worker::attempt_ended(
-                        id,
-                        attempt,
-                        [worker::AttemptFailure::Rejected, worker::AttemptFailure::ServerError]
-                            [usize::from(value) % 2],
-                    ),
-                    _ => worker::reservation_answered(id, value % 2 == 0),
-                };
-                self.receive(connection, &message);
-            }
-            10 => {
-                let Some((&connection, _)) =
-                    self.connections.iter().nth(usize::from(which) % self.connections.len().max(1))
-                else {
-                    return;
-                };
-                self.connections.remove(&connection);
-                let reason =
-                    [DisconnectReason::Reset, DisconnectReason::ConnectFailed][usize::from(value) % 2];
-                self.router.on_disconnect(self.now, connection, reason, &mut self.effects);
-                self.run_iteration();
+                let Some(attempt) = attempt else { return };
+                self.receive(attempt.connection, &worker_message(attempt, value));
             }
+            10 => self.disconnect(which, value),
             11 => {
                 let garbage = Bytes::from(value.to_le_bytes().repeat(usize::from(which) % 9));
-                let connection = attempt.map_or(ConnectionId(self.client), |(connection, ..)| connection);
-                self.receive(if which % 2 == 0 { connection } else { ConnectionId(self.client) }, &garbage);
+                let worker = attempt.map_or(client, |attempt| attempt.connection);
+                self.receive(if which % 2 == 0 { worker } else { client }, &garbage);
             }
             12 => {
-                self.router.on_backpressure(
-                    self.now,
-                    ConnectionId(self.client),
-                    which % 2 == 0,
-                    &mut self.effects,
-                );
+                self.router.on_backpressure(self.now, client, which % 2 == 0, &mut self.effects);
                 self.run_iteration();
             }
             _ => self.advance(Micros::from(value) * 10),
         }
     }
 
+    /// Any attempt that was dispatched, also one that has ended.
+    fn pick_attempt(&self, which: u8) -> Option<DispatchedAttempt> {
+        let index = usize::from(which) % self.attempts.len().max(1);
+        self.attempts.get(index).copied()
+    }
+
+    fn submit(&mut self, class: u8, value: u16) {
+        self.number += 1;
+        let prompt = Bytes::from_static(b"prompt");
+        let tokens = u32::from(value);
+        let remaining_time = Micros::from(value) * 100;
+        let submit = client::submit(self.number, class, 1, 0, tokens, 0, 9, remaining_time, 0, prompt);
+        self.receive(ConnectionId(self.client), &submit);
+    }
+
+    /// Ends one of the connections that the router opened.
+    fn disconnect(&mut self, which: u8, value: u16) {
+        let index = usize::from(which) % self.connections.len().max(1);
+        let Some(&connection) = self.connections.keys().nth(index) else { return };
+        self.connections.remove(&connection);
+        let reasons = [DisconnectReason::Reset, DisconnectReason::ConnectFailed];
+        let reason = reasons[usize::from(value) % 2];
+        self.router.on_disconnect(self.now, connection, reason, &mut self.effects);
+        self.run_iteration();
+    }
+
     fn advance(&mut self, duration: Micros) {
         let until = self.now + duration;
         while let Some(&(at, key)) = self.timers.first().filter(|(at, _)| *at <= until) {
--- a/crates/lifecycle/tests/support/mod.rs
+++ b/crates/lifecycle/tests/support/mod.rs
@@ -6,14 +6,14 @@
 
 pub const DISCOVERY: Address = [10, 0, 0, 1, 1, 1];
 
-pub fn config() -> RouterConfig {
+fn scheduler_config() -> SchedulerConfig {
     let class = |idempotency| RequestClass {
         idempotency,
         ttft_objective: 10_000,
         ttft_objective_per_1000_tokens: 400,
         priority_weight: 1.0,
     };
-    let scheduler = SchedulerConfig {
+    SchedulerConfig {
         router_count: 2,
         classes: vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)],
         role_by_kind: vec![Role::Prefill, Role::Decode],
@@ -32,10 +32,13 @@
         retry_after_enabled: true,
         max_retry_after: 10_000,
         ..SchedulerConfig::default()
-    };
+    }
+}
+
+pub fn config() -> RouterConfig {
     let lifecycle = LifecycleConfig {
         name: "r".into(),
-        scheduler,
+        scheduler: scheduler_config(),
         classes: vec!["a".into(), "b".into()],
         connect_timeout: 250_000,
         max_open_requests: 40,
