--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -6,7 +6,7 @@
 use crate::error::SettingsError;
 use crate::keys::{self, class, deduplication_scope, family, idempotency};
 use crate::units::to_tenth_millis;
-use crate::values::{list, number, unknown_word, value, word};
+use crate::values::{list, number, string, unknown_value, value};
 
 /// Milliseconds within which a request that was sent has arrived in full, even in pieces: a round trip between zones and
 /// some more.
@@ -84,7 +84,7 @@
     class_settings: &Value,
     connect_timeout_ms: f64,
 ) -> Result<Idempotency, SettingsError> {
-    match word(class_settings, class::IDEMPOTENCY)? {
+    match string(class_settings, class::IDEMPOTENCY)? {
         idempotency::IDEMPOTENT => Ok(Idempotency::Idempotent),
         idempotency::NON_IDEMPOTENT => Ok(Idempotency::NonIdempotent),
         idempotency::WITH_KEY => {
@@ -96,16 +96,16 @@
             let window = to_tenth_millis(window_ms.max(0.0));
             Ok(Idempotency::IdempotentWithKey { scope, window })
         }
-        other => Err(unknown_word(class::IDEMPOTENCY, other)),
+        other => Err(unknown_value(class::IDEMPOTENCY, other)),
     }
 }
 
 fn scope_of(class_settings: &Value) -> Result<DeduplicationScope, SettingsError> {
-    match word(class_settings, class::DEDUPLICATION_SCOPE)? {
+    match string(class_settings, class::DEDUPLICATION_SCOPE)? {
         deduplication_scope::ALL => Ok(DeduplicationScope::All),
         deduplication_scope::ZONE => Ok(DeduplicationScope::Zone),
         deduplication_scope::CELL => Ok(DeduplicationScope::Cell),
-        other => Err(unknown_word(class::DEDUPLICATION_SCOPE, other)),
+        other => Err(unknown_value(class::DEDUPLICATION_SCOPE, other)),
     }
 }
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -52,7 +52,7 @@
     NotANumberPerClass(&'static str),
     /// A string that is none of the key's values.
     #[error("{key} {found:?} in the settings is unknown")]
-    UnknownWord {
+    UnknownValue {
         /// The key.
         key: &'static str,
         /// Its value.
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the operators' settings, as paths from the root of the JSON object, and the words that they take.
+//! The keys of the operators' settings, as paths from the root of the JSON object, and the values that they take.
 
 /// Number of routers that share the fleet.
 pub const ROUTERS: &str = "balancers";
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -8,7 +8,7 @@
 use crate::keys::{self, capabilities, discovery, family, invariants};
 use crate::load_report::report;
 use crate::units::to_tenth_millis;
-use crate::values::{flag, number, time_over_zero, unknown_word, value, word};
+use crate::values::{flag, number, string, time_over_zero, unknown_value, value};
 use crate::workers::roles_by_kind;
 
 /// The configuration of the scheduler, from settings that are parsed already.
@@ -65,9 +65,9 @@
 }
 
 fn endpoint_watch_enabled(root: &Value) -> Result<bool, SettingsError> {
-    match word(root, keys::DISCOVERY)? {
+    match string(root, keys::DISCOVERY)? {
         discovery::AUTOMATIC => Ok(false),
         discovery::SUBSCRIBE => Ok(true),
-        other => Err(unknown_word(keys::DISCOVERY, other)),
+        other => Err(unknown_value(keys::DISCOVERY, other)),
     }
 }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -34,11 +34,11 @@
 }
 
 /// A string.
-pub fn word<'a>(root: &'a Value, key: &'static str) -> Result<&'a str, SettingsError> {
+pub fn string<'a>(root: &'a Value, key: &'static str) -> Result<&'a str, SettingsError> {
     value(root, key)?.as_str().ok_or(SettingsError::NotAString(key))
 }
 
 /// The error of a string that is none of the key's values.
-pub fn unknown_word(key: &'static str, found: &str) -> SettingsError {
-    SettingsError::UnknownWord { key, found: found.to_string() }
+pub fn unknown_value(key: &'static str, found: &str) -> SettingsError {
+    SettingsError::UnknownValue { key, found: found.to_string() }
 }
