--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,33 +1,37 @@
-//! Which tenant's submission is let through to the decision module, when, and which is turned back instead: by the
-//! tenant's limits (submissions and prompt tokens a second, submissions in flight), and by its share of what the
-//! routers can do at this moment, which nobody tells and which is inferred from what is answered in time.
+//! Admission control for tenants: decides which request is admitted to the scheduler, when, and which is rejected. It
+//! keeps each tenant's limits (requests and prompt tokens per second, requests in flight) and shares the capacity of
+//! the workers fairly among tenants. Nothing reports that capacity: it is inferred from response times.
 //!
-//! [`Shares`] has no I/O and no clock. Calls tell it what happened; after them [`Shares::decide`] is pulled until
-//! it gives None. The same calls give the same verdicts. Limits hold for one instance: a router of N cores gives
-//! each an Nth, and several routers each their part, so that no limit depends on agreement; a tenant whose
-//! traffic all comes to one of them has that one's part until [`Shares::portion`] is told otherwise.
+//! [`AdmissionControl`] is sans-I/O and reads no clock: callers report events together with the time, and call
+//! [`AdmissionControl::next_verdict`] until it returns `None`. Equal calls give equal verdicts.
 //!
-//! Reasons and the ways weighed: `docs/tenancy.md`.
+//! Limits hold for one instance. A router with N cores gives each core one Nth of a limit, and several routers split it
+//! likewise, so that no limit needs coordination; a tenant whose traffic all reaches one instance has only that
+//! instance's part.
+//!
+//! `docs/tenancy.md` gives the reasons and the alternatives that were considered.
+
+#![warn(missing_docs)]
 
-mod capacity;
-mod rate;
-mod shares;
-mod sketch;
+mod admission_control;
+mod concurrency_limit;
+mod config;
+mod count_min_sketch;
+mod rate_limit;
+mod request;
 mod tenant;
+mod tenant_schedule;
+mod verdict;
+mod wait_queue;
 
-pub use capacity::Capacity;
-pub use rate::Rate;
-pub use shares::{Asked, Known, Shares, Terms, Verdict};
-pub use sketch::Sketch;
-pub use tenant::{Figures, Limits};
+pub use admission_control::AdmissionControl;
+pub use concurrency_limit::ConcurrencyLimit;
+pub use config::AdmissionConfig;
+pub use count_min_sketch::CountMinSketch;
+pub use rate_limit::RateLimit;
+pub use request::{AdmissionRequest, ResponseTiming, Tenant, Ticket};
+pub use tenant::{Limits, TenantStats};
+pub use verdict::Verdict;
 
-/// Microseconds on the caller's clock, or a length of time.
+/// Microseconds: a moment on the caller's clock, or a duration.
 pub type Micros = u64;
-
-/// A tenant, by the number that its record gives it.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Tenant(pub u32);
-
-/// A submission, by any number that is its own while it is open.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Ticket(pub u64);
--- a/crates/admission/src/tenant.rs
+++ b/crates/admission/src/tenant.rs
@@ -1,21 +1,23 @@
-//! One tenant: what it may, what it has waiting and in flight, and what came of it.
+//! One tenant: its limits, its waiting requests and its statistics.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use crate::rate::{Rate, Taken};
+use crate::rate_limit::{RateLimit, RateLimiter};
 use crate::{Micros, Ticket};
 
-/// What a tenant may. A limit that is None does not bind.
+/// The limits of a tenant. A limit that is `None` does not bind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Submissions a second, and prompt tokens a second.
-    pub requests: Option<Rate>,
-    pub tokens: Option<Rate>,
+    /// Limit on requests per second.
+    pub requests: Option<RateLimit>,
+    /// Limit on prompt tokens per second.
+    pub tokens: Option<RateLimit>,
+    /// Requests that may be in flight.
     pub in_flight: Option<u32>,
-    /// Its part of what there is, against the weights of others that have work; 0 for what others leave.
+    /// Its part of the capacity, relative to the weights of other tenants that have work; 0 for only what others leave.
     pub weight: f64,
-    /// Submissions that may wait; beyond, the one that earns least is turned back.
+    /// Requests that may wait. Beyond that, the one with the lowest priority is rejected.
     pub waiting: u32,
 }
 
@@ -25,90 +27,114 @@
     }
 }
 
-/// What came of a tenant's submissions so far.
+/// Statistics of a tenant's requests since the tenant was added.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
-    pub asked: u64,
-    pub let_in: u64,
-    /// Turned back here, not by the decision module.
+pub struct TenantStats {
+    /// Requests received.
+    pub received: u64,
+    /// Requests admitted.
+    pub admitted: u64,
+    /// Requests that admission control rejected; rejections by the scheduler are not among them.
     pub rejected: u64,
+    /// Admitted requests whose response was in time.
     pub in_time: u64,
+    /// Admitted requests whose response was late.
     pub late: u64,
-    /// Microseconds that those let in waited, all together.
-    pub waited: u64,
+    /// Microseconds that the admitted requests waited, summed up.
+    pub total_wait: u64,
+    /// Requests that wait at present.
     pub waiting: u32,
+    /// Requests in flight at present.
     pub in_flight: u32,
 }
 
-/// Earnings first, in order: what earns more goes first, then what came first.
-pub(crate) type Rank = (Reverse<u64>, u64);
+/// Position in a tenant's queue: a higher priority weight goes first, then what came first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueuePosition {
+    /// Bits of the priority weight: floats that are not negative order as their bits do.
+    priority: Reverse<u64>,
+    sequence: u64,
+}
+
+impl QueuePosition {
+    pub fn new(priority_weight: f64, sequence: u64) -> QueuePosition {
+        QueuePosition { priority: Reverse(priority_weight.max(0.0).to_bits()), sequence }
+    }
+}
 
-pub(crate) struct Waiting {
+#[derive(Clone, Copy)]
+pub(crate) struct WaitingRequest {
     pub ticket: Ticket,
     pub tokens: f64,
-    pub since: Micros,
+    pub received_at: Micros,
 }
 
-pub(crate) struct State {
+pub(crate) struct TenantState {
     pub limits: Limits,
-    pub taken: [Taken; 2],
-    pub waiting: BTreeMap<Rank, Waiting>,
-    /// When, in virtual time, what it was let in so far is paid for.
-    pub paid: f64,
+    request_limiter: RateLimiter,
+    token_limiter: RateLimiter,
+    pub waiting: BTreeMap<QueuePosition, WaitingRequest>,
+    /// Finish tag of the last admitted request (start-time fair queueing): the virtual time at which the tenant has used
+    /// up the service that it got.
+    pub finish_tag: f64,
     pub removed: bool,
-    pub figures: Figures,
+    pub stats: TenantStats,
 }
 
-impl State {
-    pub fn new(limits: Limits) -> State {
-        State {
+impl TenantState {
+    pub fn new(limits: Limits) -> TenantState {
+        TenantState {
             limits,
-            taken: Default::default(),
+            request_limiter: RateLimiter::default(),
+            token_limiter: RateLimiter::default(),
             waiting: BTreeMap::new(),
-            paid: 0.0,
+            finish_tag: 0.0,
             removed: false,
-            figures: Figures::default(),
+            stats: TenantStats::default(),
         }
     }
 
-    /// The limits on rates, each with what one of so many prompt tokens takes of it.
-    fn rates(&self, tokens: f64) -> [(Option<Rate>, f64); 2] {
-        [(self.limits.requests, 1.0), (self.limits.tokens, tokens)]
-    }
-
-    /// From when on its rates let one of so many prompt tokens through; None for never.
-    pub fn free_at(&self, now: Micros, tokens: f64) -> Option<Micros> {
-        let mut free = now;
-        for (taken, (rate, units)) in self.taken.iter().zip(self.rates(tokens)) {
-            if let Some(rate) = rate {
-                free = free.max(taken.free_at(rate, now, units)?);
-            }
+    /// When the rate limits allow a request of so many prompt tokens; `None` for never.
+    pub fn conforms_at(&self, now: Micros, tokens: f64) -> Option<Micros> {
+        let mut conforms_at = now;
+        if let Some(rate) = self.limits.requests {
+            conforms_at = conforms_at.max(self.request_limiter.conforms_at(rate, now, 1.0)?);
+        }
+        if let Some(rate) = self.limits.tokens {
+            conforms_at = conforms_at.max(self.token_limiter.conforms_at(rate, now, tokens)?);
         }
-        Some(free)
+        Some(conforms_at)
     }
 
-    pub fn take(&mut self, now: Micros, tokens: f64) {
-        let rates = self.rates(tokens);
-        for (taken, (rate, units)) in self.taken.iter_mut().zip(rates) {
-            if let Some(rate) = rate {
-                taken.take(rate, now, units);
-            }
+    /// Consumes one request of so many prompt tokens from the rate limits.
+    pub fn consume(&mut self, now: Micros, tokens: f64) {
+        if let Some(rate) = self.limits.requests {
+            self.request_limiter.consume(rate, now, 1.0);
+        }
+        if let Some(rate) = self.limits.tokens {
+            self.token_limiter.consume(rate, now, tokens);
         }
     }
 
-    pub fn relimit(&mut self, now: Micros, limits: Limits) {
-        let pairs = [(self.limits.requests, limits.requests), (self.limits.tokens, limits.tokens)];
-        for (taken, (old, new)) in self.taken.iter_mut().zip(pairs) {
-            match (old, new) {
-                (Some(old), Some(new)) => taken.rescale(old, new, now),
-                _ => *taken = Taken::default(),
-            }
-        }
+    pub fn set_limits(&mut self, now: Micros, limits: Limits) {
+        change_rate(&mut self.request_limiter, self.limits.requests, limits.requests, now);
+        change_rate(&mut self.token_limiter, self.limits.tokens, limits.tokens, now);
         self.limits = limits;
     }
 
-    /// No more of it may be in flight.
-    pub fn full(&self) -> bool {
-        self.limits.in_flight.is_some_and(|most| self.figures.in_flight >= most)
+    /// The limit on requests in flight is reached.
+    pub fn is_at_in_flight_limit(&self) -> bool {
+        self.limits.in_flight.is_some_and(|limit| self.stats.in_flight >= limit)
+    }
+
+    pub fn has_weight(&self) -> bool {
+        self.limits.weight > 0.0
+    }
+}
+
+fn change_rate(limiter: &mut RateLimiter, old: Option<RateLimit>, new: Option<RateLimit>, now: Micros) {
+    match (old, new) {
+        (Some(old), Some(new)) => limiter.rescale(old, new, now),
+        _ => *limiter = RateLimiter::default(),
     }
 }
--- /dev/null
+++ b/crates/admission/src/wait_queue.rs
@@ -0,0 +1,56 @@
+//! The waiting requests of all tenants, by ticket and by the time at which each must have its verdict.
+
+use std::collections::{BTreeSet, HashMap};
+
+use foldhash::fast::FixedState;
+
+use crate::tenant::QueuePosition;
+use crate::{Micros, Tenant, Ticket};
+
+/// Where a waiting request is found.
+#[derive(Clone, Copy)]
+pub(crate) struct QueueEntry {
+    pub tenant: Tenant,
+    pub position: QueuePosition,
+    /// When it must have its verdict.
+    pub expires_at: Micros,
+}
+
+/// Index of the waiting requests of all tenants.
+#[derive(Default)]
+pub(crate) struct WaitQueue {
+    entries: HashMap<Ticket, QueueEntry, FixedState>,
+    expirations: BTreeSet<(Micros, Ticket)>,
+}
+
+impl WaitQueue {
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    pub fn get(&self, ticket: Ticket) -> Option<QueueEntry> {
+        self.entries.get(&ticket).copied()
+    }
+
+    pub fn insert(&mut self, ticket: Ticket, entry: QueueEntry) {
+        self.entries.insert(ticket, entry);
+        self.expirations.insert((entry.expires_at, ticket));
+    }
+
+    pub fn remove(&mut self, ticket: Ticket) {
+        if let Some(entry) = self.entries.remove(&ticket) {
+            self.expirations.remove(&(entry.expires_at, ticket));
+        }
+    }
+
+    /// When the next request expires.
+    pub fn next_expiration(&self) -> Option<Micros> {
+        self.expirations.first().map(|(at, _)| *at)
+    }
+
+    /// The request that expired first; `None` if none has.
+    pub fn first_expired(&self, now: Micros) -> Option<QueueEntry> {
+        let (_, ticket) = self.expirations.first().filter(|(at, _)| *at <= now)?;
+        self.get(*ticket)
+    }
+}
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -89,7 +89,7 @@
 }
 
 fn terms(entry: &Entry, tenant: &Tenant) -> TenantConfig {
-    let rate = |rate: Rate| tideroute_admission::Rate { a_second: rate.a_second, burst: rate.once };
+    let rate = |rate: Rate| tideroute_admission::RateLimit { per_second: rate.a_second, burst: rate.once };
     let limits = tideroute_admission::Limits {
         requests: tenant.submissions.map(rate),
         tokens: tenant.tokens.map(rate),
--- a/crates/command/src/measure_tenants.rs
+++ b/crates/command/src/measure_tenants.rs
@@ -6,7 +6,10 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use tideroute_admission::{Asked, Known, Limits, Rate, Shares, Tenant, Terms, Ticket, Verdict};
+use tideroute_admission::{
+    AdmissionConfig, AdmissionControl, AdmissionRequest, Limits, RateLimit, ResponseTiming, Tenant, Ticket,
+    Verdict,
+};
 
 use crate::Ended;
 
@@ -20,15 +23,18 @@
     println!("tenants   a submission, ns   memory a tenant, bytes");
     for tenants in [1, 100, 10_000, 100_000] {
         let before = resident();
-        let mut shares =
-            Shares::new(Terms { longest_wait: 60_000_000, most_waiting: 100_000, longest_advice: 1_000_000 });
-        let rate = Some(Rate { a_second: 1e9, burst: 1e9 });
+        let mut admission = AdmissionControl::new(AdmissionConfig {
+            max_wait: 60_000_000,
+            max_waiting: 100_000,
+            max_retry_after: 1_000_000,
+        });
+        let rate = Some(RateLimit { per_second: 1e9, burst: 1e9 });
         let limits = Limits { requests: rate, tokens: rate, in_flight: Some(1 << 20), ..Limits::default() };
-        (0..tenants).for_each(|n| shares.tenant(1, Tenant(n), limits));
+        (0..tenants).for_each(|n| admission.upsert_tenant(1, Tenant(n), limits));
         let memory = resident().saturating_sub(before) as f64 / f64::from(tenants);
         // What the machine counts in pages says nothing of a few.
         let memory = if tenants < 10_000 { "-".to_string() } else { format!("{memory:.0}") };
-        println!("{tenants:>7}{:>19.0}{memory:>25}", submissions(&mut shares, tenants));
+        println!("{tenants:>7}{:>19.0}{memory:>25}", submissions(&mut admission, tenants));
     }
     let (median, longest) = changes(cores)?;
     println!(
@@ -41,21 +47,22 @@
 }
 
 /// Nanoseconds a submission, from asking to having been answered.
-fn submissions(shares: &mut Shares, tenants: u32) -> f64 {
-    let (mut now, mut flying) = (1_000_000, vec![]);
+fn submissions(admission: &mut AdmissionControl, tenants: u32) -> f64 {
+    let (mut now, mut in_flight_tickets) = (1_000_000, vec![]);
     let began = Instant::now();
     for n in 0..SUBMISSIONS {
         now += 10;
         let tenant = Tenant((n * 7_919 % u64::from(tenants)) as u32);
-        let (ticket, cut_off) = (Ticket(n), now + 10_000_000);
-        shares.asked(now, Asked { ticket, tenant, tokens: 300, priority_weight: 1.0, deadline: cut_off });
-        while let Some(verdict) = shares.decide(now) {
-            if let Verdict::Let(ticket) = verdict {
-                flying.push(ticket);
+        let (ticket, deadline) = (Ticket(n), now + 10_000_000);
+        admission
+            .enqueue(now, AdmissionRequest { ticket, tenant, tokens: 300, priority_weight: 1.0, deadline });
+        while let Some(verdict) = admission.next_verdict(now) {
+            if let Verdict::Admit(ticket) = verdict {
+                in_flight_tickets.push(ticket);
             }
         }
-        if let Some(ticket) = flying.pop() {
-            shares.answered(now, ticket, Known::InTime);
+        if let Some(ticket) = in_flight_tickets.pop() {
+            admission.request_finished(now, ticket, ResponseTiming::InTime);
         }
     }
     began.elapsed().as_nanos() as f64 / SUBMISSIONS as f64
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -2,7 +2,7 @@
 
 use metrics::counter;
 use tideroute::types::{Idempotency, NewRequest, RequestId};
-use tideroute_admission::{Asked, Figures, Tenant, Terms, Ticket, Verdict};
+use tideroute_admission::{AdmissionConfig, AdmissionRequest, Tenant, TenantStats, Ticket, Verdict};
 use tideroute_invariants::RequestRecord;
 use tideroute_wire::Micros;
 
@@ -20,10 +20,10 @@
 /// Tenant admission as configured; `None` where no tenants are.
 pub(super) fn tenant_admission(config: &LifecycleConfig, now: Micros) -> Option<TenantAdmission> {
     let tenants = config.tenants.as_ref()?;
-    let admission_config = Terms {
-        longest_wait: config.max_admission_wait,
-        most_waiting: (config.max_open_requests / WAITING_PART).max(1),
-        longest_advice: to_micros(config.scheduler.max_retry_after),
+    let admission_config = AdmissionConfig {
+        max_wait: config.max_admission_wait,
+        max_waiting: (config.max_open_requests / WAITING_PART).max(1),
+        max_retry_after: to_micros(config.scheduler.max_retry_after),
     };
     Some(TenantAdmission::new(tenants, config.limits_share, admission_config, now))
 }
@@ -77,8 +77,9 @@
         };
         match tenant {
             Some(tenant) => {
-                let asked = Asked { ticket: Ticket(id), tenant, tokens, priority_weight, deadline };
-                tenant_admission.shares.asked(now, asked);
+                let admission_request =
+                    AdmissionRequest { ticket: Ticket(id), tenant, tokens, priority_weight, deadline };
+                tenant_admission.admission_control.enqueue(now, admission_request);
             }
             None => self.respond(now, id, Response::Rejected(0), transport),
         }
@@ -104,19 +105,19 @@
     pub(super) fn run_admission(&mut self, now: Micros, transport: &mut impl Transport<Context = Context>) {
         while let Some(verdict) = self.next_verdict(now) {
             match verdict {
-                Verdict::Let(Ticket(id)) => self.admit_to_scheduler(now, id),
-                Verdict::TurnBack { ticket: Ticket(id), after } => {
+                Verdict::Admit(Ticket(id)) => self.admit_to_scheduler(now, id),
+                Verdict::Reject { ticket: Ticket(id), retry_after } => {
                     counter!("tideroute_untaken_total", "why" => "share").increment(1);
-                    let retry_after = if self.config.scheduler.retry_after_enabled { after } else { 0 };
+                    let retry_after = if self.config.scheduler.retry_after_enabled { retry_after } else { 0 };
                     self.respond(now, id, Response::Rejected(retry_after), transport);
                 }
-                Verdict::Wake { at } => transport.set_timer(at, Timer::Admission),
+                Verdict::SetTimer { at } => transport.set_timer(at, Timer::Admission),
             }
         }
     }
 
     fn next_verdict(&mut self, now: Micros) -> Option<Verdict> {
-        self.tenant_admission.as_mut()?.shares.decide(now)
+        self.tenant_admission.as_mut()?.admission_control.next_verdict(now)
     }
 
     /// Whether clients must present a tenant's key.
@@ -144,7 +145,7 @@
     }
 
     /// The tenants' statistics that changed since the last call, sorted by name; `None` without tenants.
-    pub(crate) fn take_changed_tenant_figures(&mut self) -> Option<Vec<(&str, Figures)>> {
+    pub(crate) fn take_changed_tenant_figures(&mut self) -> Option<Vec<(&str, TenantStats)>> {
         let tenant_admission = self.tenant_admission.as_mut()?;
         Some(tenant_admission.take_changed_figures())
     }
--- a/crates/lifecycle/src/lifecycle/responses.rs
+++ b/crates/lifecycle/src/lifecycle/responses.rs
@@ -2,7 +2,7 @@
 
 use metrics::{counter, histogram};
 use tideroute::types::{AttemptOutcome, RequestId};
-use tideroute_admission::{Known, Ticket};
+use tideroute_admission::{ResponseTiming, Ticket};
 use tideroute_invariants::{FinalResponse, ResponsePermit};
 use tideroute_wire::Micros;
 
@@ -51,12 +51,12 @@
         let Some(request) = self.requests.get(id) else { return };
         let Some(class) = self.config.scheduler.classes.get(usize::from(request.class)) else { return };
         let ttft_objective = to_micros(class.ttft_objective_for(f64::from(request.prompt_tokens)));
-        let objective_met = match (request.first_token_at, response) {
-            (Some(at), _) if at <= request.arrived_at + ttft_objective => Known::InTime,
-            (Some(_), _) | (None, Response::Rejected(_)) => Known::Late,
-            (None, _) => Known::Nothing,
+        let timing = match (request.first_token_at, response) {
+            (Some(at), _) if at <= request.arrived_at + ttft_objective => ResponseTiming::InTime,
+            (Some(_), _) | (None, Response::Rejected(_)) => ResponseTiming::Late,
+            (None, _) => ResponseTiming::Unknown,
         };
-        tenant_admission.shares.answered(now, Ticket(id), objective_met);
+        tenant_admission.admission_control.request_finished(now, Ticket(id), timing);
         self.scheduling_needed = true;
     }
 
@@ -74,7 +74,7 @@
         counter!("tideroute_left_total").increment(1);
         self.scheduler.client_disconnected(to_tenth_millis(now), id);
         if let Some(tenant_admission) = &mut self.tenant_admission {
-            tenant_admission.shares.left(now, Ticket(id));
+            tenant_admission.admission_control.client_disconnected(now, Ticket(id));
         }
         self.scheduling_needed = true;
         let Some(attempt) = &request.attempt else { return };
--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -1,6 +1,6 @@
 //! Changes of tenants, which the administration sends, and the tenants' statistics, which it receives.
 
-use tideroute_admission::{Figures, Limits, Rate};
+use tideroute_admission::{Limits, RateLimit, TenantStats};
 use tideroute_wire::event_loop::Effects;
 use tideroute_wire::{tenant, Malformed, Micros};
 
@@ -47,8 +47,8 @@
     }
 }
 
-fn rate((a_second, burst): tenant::Rate) -> Rate {
-    Rate { a_second, burst }
+fn rate((per_second, burst): tenant::Rate) -> RateLimit {
+    RateLimit { per_second, burst }
 }
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
@@ -61,8 +61,14 @@
     effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
 }
 
-fn wire_figures(figures: &Figures) -> tenant::Figures {
-    let sums =
-        [figures.asked, figures.let_in, figures.rejected, figures.in_time, figures.late, figures.waited];
+fn wire_figures(figures: &TenantStats) -> tenant::Figures {
+    let sums = [
+        figures.received,
+        figures.admitted,
+        figures.rejected,
+        figures.in_time,
+        figures.late,
+        figures.total_wait,
+    ];
     (sums, [figures.waiting, figures.in_flight])
 }
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use tideroute_admission::{Figures, Limits, Rate, Shares, Tenant, Terms};
+use tideroute_admission::{AdmissionConfig, AdmissionControl, Limits, RateLimit, Tenant, TenantStats};
 use tideroute_wire::Micros;
 
 /// One tenant, as the operator configures it.
@@ -22,14 +22,14 @@
 struct TenantEntry {
     tenant: Tenant,
     /// The statistics as they were last reported.
-    reported: Figures,
+    reported: TenantStats,
     version: u64,
     keys: Vec<[u8; 32]>,
 }
 
 /// The known tenants and the admission queue.
 pub(crate) struct TenantAdmission {
-    pub shares: Shares,
+    pub admission_control: AdmissionControl,
     /// This instance's fraction of all limits, so that all instances together keep them without coordination.
     limits_share: f64,
     by_key_hash: HashMap<[u8; 32], Tenant>,
@@ -38,9 +38,14 @@
 }
 
 impl TenantAdmission {
-    pub fn new(tenants: &[TenantConfig], limits_share: f64, config: Terms, now: Micros) -> TenantAdmission {
+    pub fn new(
+        tenants: &[TenantConfig],
+        limits_share: f64,
+        config: AdmissionConfig,
+        now: Micros,
+    ) -> TenantAdmission {
         let mut tenant_admission = TenantAdmission {
-            shares: Shares::new(config),
+            admission_control: AdmissionControl::new(config),
             limits_share,
             by_key_hash: HashMap::new(),
             by_name: HashMap::new(),
@@ -62,20 +67,20 @@
             Some(known) => (known.tenant, known.reported),
             None => {
                 self.last_tenant_number += 1;
-                (Tenant(self.last_tenant_number), Figures::default())
+                (Tenant(self.last_tenant_number), TenantStats::default())
             }
         };
         self.revoke_keys(&config.name);
         self.by_key_hash.extend(config.keys.iter().map(|key| (*key, tenant)));
-        self.shares.tenant(now, tenant, self.share_of(config.limits));
+        self.admission_control.upsert_tenant(now, tenant, self.share_of(config.limits));
         let entry = TenantEntry { tenant, reported, version: config.version, keys: config.keys };
         self.by_name.insert(config.name, entry);
     }
 
     /// This instance's part of a tenant's limits.
     fn share_of(&self, limits: Limits) -> Limits {
-        let share_of_rate = |rate: Rate| Rate {
-            a_second: rate.a_second * self.limits_share,
+        let share_of_rate = |rate: RateLimit| RateLimit {
+            per_second: rate.per_second * self.limits_share,
             burst: (rate.burst * self.limits_share).max(1.0),
         };
         let share_of_count = |count: u32| (f64::from(count) * self.limits_share).ceil() as u32;
@@ -95,15 +100,15 @@
         }
         self.revoke_keys(name);
         if let Some(known) = self.by_name.remove(name) {
-            self.shares.removed(now, known.tenant);
+            self.admission_control.remove_tenant(now, known.tenant);
         }
     }
 
     /// The statistics that changed since the last call, sorted by tenant name so that equal runs report equally.
-    pub fn take_changed_figures(&mut self) -> Vec<(&str, Figures)> {
+    pub fn take_changed_figures(&mut self) -> Vec<(&str, TenantStats)> {
         let mut changed = vec![];
         for (name, known) in &mut self.by_name {
-            let figures = self.shares.figures(known.tenant).unwrap_or_default();
+            let figures = self.admission_control.tenant_stats(known.tenant).unwrap_or_default();
             if figures != known.reported {
                 known.reported = figures;
                 changed.push((name.as_str(), figures));
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use tideroute::types::{self, DeduplicationScope, Idempotency};
-use tideroute_admission::{Limits, Rate};
+use tideroute_admission::{Limits, RateLimit};
 use tideroute_config_language::kinds::{
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
@@ -131,7 +131,8 @@
 }
 
 fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, String> {
-    let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
+    let rate =
+        |a_second: Option<f64>, burst| a_second.map(|a_second| RateLimit { per_second: a_second, burst });
     let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
     let limits = Limits {
         requests: rate(t.submissions, t.submissions_once),
