--- a/crates/command/src/fleet.rs
+++ b/crates/command/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use serde::Serialize;
-use tideroute_membership::{part_of, Seal};
+use tideroute_membership::{digest_part, MessageAuthenticator};
 use tideroute_simulation::convert;
 use tideroute_wire::gossip::{self, GossipHandler, GossipMessage, MemberStatus, LARGEST, PARTS};
 use tideroute_wire::Address;
@@ -117,7 +117,7 @@
 
 struct Asker {
     socket: UdpSocket,
-    seal: Seal,
+    seal: MessageAuthenticator,
     number: u32,
 }
 
@@ -130,13 +130,14 @@
             self.number += 1;
             (said.number, said.pages, said.come) = (self.number, u32::MAX, 0);
             let known = said.seen.len();
-            let datagram =
-                self.seal.close(&GossipMessage::new(None, Seal::AROUND).digest(self.number, prints));
+            let datagram = self
+                .seal
+                .sign(&GossipMessage::new(None, MessageAuthenticator::OVERHEAD).digest(self.number, prints));
             self.socket.send_to(&datagram, shown(to)).map_err(|e| format!("{}: {e}", shown(to)))?;
             self.listen(&mut said);
             if said.come == 0 {
                 unanswered += 1;
-            } else if said.come >= said.pages && (said.pages as usize) < tideroute_membership::PAGES {
+            } else if said.come >= said.pages && (said.pages as usize) < tideroute_membership::MAX_PAGES {
                 return Ok(Some(said));
             }
             quiet = if said.come > 0 && said.seen.len() == known { quiet + 1 } else { 0 };
@@ -154,7 +155,7 @@
             }
             // A wait that ended, or a refusal of a door where nobody is.
             let Ok((length, _)) = self.socket.recv_from(&mut piece) else { continue };
-            if let Ok(opened) = self.seal.open(&Bytes::copy_from_slice(&piece[..length])) {
+            if let Ok(opened) = self.seal.verify(&Bytes::copy_from_slice(&piece[..length])) {
                 let _ = gossip::receive(&opened, said);
             }
         }
@@ -180,13 +181,13 @@
     let fleet = serve::part(path, record.fleet, "router.fleet")?;
     let (terms, seal) = convert::member(&record.name, &fleet, 0)?;
     // From the machine's own address that the router is at, so that its answer finds the way back.
-    let own = SocketAddr::from((*shown(terms.at).ip(), 0));
+    let own = SocketAddr::from((*shown(terms.address).ip(), 0));
     let socket = UdpSocket::bind(own)
         .or_else(|_| UdpSocket::bind("0.0.0.0:0"))
         .map_err(|e| format!("no way to ask: {e}"))?;
     let mut asker = Asker { socket, seal, number: 0 };
     // No part's print is this, so that all are told.
-    let Some(first) = asker.ask(terms.at, [u64::MAX; PARTS])? else {
+    let Some(first) = asker.ask(terms.address, [u64::MAX; PARTS])? else {
         return Err(format!(
             "{} does not answer at {}: it does not run, or has another key",
             record.name, fleet.listen
@@ -228,7 +229,7 @@
     if other.prints.is_empty() {
         return vec![];
     }
-    let apart = |name: &String| other.prints.get(part_of(name)) != Some(&prints[part_of(name)]);
+    let apart = |name: &String| other.prints.get(digest_part(name)) != Some(&prints[digest_part(name)]);
     let mut found = Vec::new();
     for (name, one) in first.seen.iter().filter(|(name, one)| one.is_in() && apart(name)) {
         match other.seen.get(name).filter(|o| o.is_in()) {
--- a/crates/command/src/measure_fleet.rs
+++ b/crates/command/src/measure_fleet.rs
@@ -39,7 +39,7 @@
         crowd.run_for(QUIET * S);
         let (after, spent) = (sent(&crowd), crowd.spent - spent);
         let suspected = crowd.sightings.iter().filter(|s| s.at >= since);
-        let suspected = suspected.filter(|s| s.seen.standing == MemberStatus::Suspected).count();
+        let suspected = suspected.filter(|s| s.seen.status == MemberStatus::Suspected).count();
         let each = |n: f64| n / count as f64 / QUIET as f64;
         let mut known = vec![];
         for kill in 0..KILLS.min(count - 1) {
@@ -47,7 +47,7 @@
             crowd.kill(gone);
             crowd.run_for(APART * S);
             let of_it = |s: &&tideroute_simulation::crowd::Sighting| {
-                s.at >= at && s.seen.standing == MemberStatus::Dead && s.seen.name == name(gone)
+                s.at >= at && s.seen.status == MemberStatus::Dead && s.seen.name == name(gone)
             };
             let before = known.len();
             known.extend(crowd.sightings.iter().filter(of_it).map(|s| s.at - at));
--- a/crates/command/src/member.rs
+++ b/crates/command/src/member.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use tideroute_config_language::kinds::Router;
-use tideroute_membership::Member;
+use tideroute_membership::MembershipNode;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
 use tideroute_simulation::processes::NUMBERS_A_CORE;
@@ -36,7 +36,7 @@
         let mut reactor = serve::furnish(reactor, &[], &run, &record.name, "member")?;
         tracing::info!(fleet = fleet.name, %listen, seeds = fleet.seeds.len(), "joins a fleet");
         let body = move || {
-            let mut member = Member::new(terms, seal, reactor.clock().now());
+            let mut member = MembershipNode::new(terms, seal, reactor.clock().now());
             let ended = std::panic::catch_unwind(AssertUnwindSafe(|| reactor.run(&mut member)));
             match ended {
                 Ok(Ok(_)) => {}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,35 @@
-//! Which routers of a fleet are there. [`Group`] is membership by SWIM (Das, Gupta, Motivala 2002) with
-//! incarnations, suspicion that ends sooner the more others share it, and the local health of Lifeguard (Dadgar,
-//! Phillips, Currey 2018). It is told what was heard and what time it is, and its host pulls what it wants said
-//! until there is nothing left. It has no socket, no clock and no chance of its own: same events, same words.
+//! Cluster membership: which routers of a fleet are alive.
 //!
-//! [`Member`] drives a group on a loop, as a [`Program`](tideroute_wire::link::Program) that speaks by datagrams.
-//! [`Seal`] is what stands around each datagram, so that strangers and other fleets are not heard. Nothing that a
-//! router must keep depends on any of this.
+//! [`Membership`] is the protocol's state machine, SWIM (Das, Gupta and Motivala, 2002) with incarnations, with
+//! suspicions that time out sooner the more members share them, and with the local health of Lifeguard (Dadgar, Phillips
+//! and Currey, 2018). It is sans-I/O: its caller passes datagrams and the time, and pulls outputs until there are none. It
+//! has no socket and no clock, and its random numbers come from a seed, so that equal events give equal outputs.
+//!
+//! [`MembershipNode`] runs it on an event loop, and [`MessageAuthenticator`] authenticates each datagram, so that
+//! strangers and other fleets are ignored. Nothing that a router must not lose depends on this package.
+
+#![warn(missing_docs)]
 
-mod group;
-mod probes;
-mod program;
-mod seal;
-mod table;
-mod terms;
+mod config;
+mod failure_detector;
+mod local_health;
+mod member;
+mod member_list;
+mod membership;
+mod message_authenticator;
+mod node;
+mod output;
+mod rumor_queue;
+mod sampling;
+mod schedule;
+mod stats;
+mod suspicion;
+mod units;
 
-pub use group::{Act, Counts, Group};
-pub use program::Member;
-pub use seal::{Seal, Unsealed};
-pub use table::{part_of, Seen};
-pub use terms::{Terms, PAGES};
+pub use config::MembershipConfig;
+pub use member::{digest_part, Member};
+pub use membership::{Membership, MAX_PAGES};
+pub use message_authenticator::{AuthError, MessageAuthenticator};
+pub use node::MembershipNode;
+pub use output::Output;
+pub use stats::MembershipStats;
--- /dev/null
+++ b/crates/membership/src/member_list.rs
@@ -0,0 +1,192 @@
+//! The member list: what one router knows of the others.
+
+use std::collections::{BTreeSet, HashMap};
+
+use slab::Slab;
+use tideroute_wire::gossip::{MemberStatus, PARTS};
+use tideroute_wire::{Address, Micros};
+
+use crate::member::{digest_part, Member, Precedence};
+use crate::rumor_queue::RumorQueue;
+
+/// Members known at once, the dead that are remembered among them.
+pub(crate) const MAX_MEMBERS: usize = 10_000;
+
+/// What is known of one member.
+#[derive(Debug)]
+pub(crate) struct MemberEntry {
+    pub member: Member,
+    /// Name hashes of the members that suspect it.
+    pub suspecters: Vec<u32>,
+    /// The suspecter that is passed on.
+    pub last_suspecter: u32,
+    pub suspected_since: Micros,
+    /// When its suspicion times out, or it is forgotten.
+    expires_at: Option<Micros>,
+    /// Its index in `MemberList::active`.
+    active_index: Option<usize>,
+    digest: u64,
+    digest_part: usize,
+}
+
+/// All other members. A slot identifies a member until it is forgotten.
+#[derive(Default)]
+pub(crate) struct MemberList {
+    entries: Slab<MemberEntry>,
+    slots_by_name: HashMap<String, usize>,
+    /// Members that are in the fleet, alive or suspected.
+    active: Vec<usize>,
+    expirations: BTreeSet<(Micros, usize)>,
+    digests: [u64; PARTS],
+    pub rumors: RumorQueue,
+}
+
+impl MemberList {
+    pub fn get(&self, slot: usize) -> Option<&MemberEntry> {
+        self.entries.get(slot)
+    }
+
+    /// The slot of a member, by its name.
+    pub fn find(&self, name: &str) -> Option<usize> {
+        self.slots_by_name.get(name).copied()
+    }
+
+    pub fn address(&self, slot: usize) -> Option<Address> {
+        self.entries.get(slot).map(|entry| entry.member.address)
+    }
+
+    pub fn is_full(&self) -> bool {
+        self.entries.len() >= MAX_MEMBERS
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (usize, &MemberEntry)> {
+        self.entries.iter()
+    }
+
+    /// Slots of the members that are in the fleet.
+    pub fn active(&self) -> &[usize] {
+        &self.active
+    }
+
+    /// Digests of all parts, with this router's own entry included.
+    pub fn digests(&self, own: &Member) -> [u64; PARTS] {
+        let mut digests = self.digests;
+        digests[digest_part(&own.name)] ^= own.digest();
+        digests
+    }
+
+    /// All entries of the selected parts.
+    pub fn entries_of_parts(&self, selected: [bool; PARTS]) -> impl Iterator<Item = &MemberEntry> {
+        self.entries.iter().map(|(_, entry)| entry).filter(move |entry| selected[entry.digest_part])
+    }
+
+    /// Adds a member, which must not be known yet.
+    pub fn insert(&mut self, member: Member) -> usize {
+        let name = member.name.clone();
+        let entry = MemberEntry {
+            suspecters: vec![],
+            last_suspecter: 0,
+            suspected_since: 0,
+            expires_at: None,
+            active_index: None,
+            digest: member.digest(),
+            digest_part: digest_part(&name),
+            member,
+        };
+        self.digests[entry.digest_part] ^= entry.digest;
+        let slot = self.entries.insert(entry);
+        self.slots_by_name.insert(name, slot);
+        self.update_active(slot);
+        slot
+    }
+
+    /// Sets address, incarnation and status. The expiration is the caller's.
+    pub fn update(&mut self, slot: usize, address: Address, precedence: Precedence) {
+        let Some(entry) = self.entries.get_mut(slot) else { return };
+        entry.member.address = address;
+        entry.member.incarnation = precedence.incarnation;
+        entry.member.status = precedence.status;
+        let digest = entry.member.digest();
+        self.digests[entry.digest_part] ^= entry.digest ^ digest;
+        entry.digest = digest;
+        if precedence.status != MemberStatus::Suspected {
+            entry.suspecters.clear();
+        }
+        self.update_active(slot);
+    }
+
+    fn update_active(&mut self, slot: usize) {
+        let entry = &mut self.entries[slot];
+        match (entry.member.status.is_in(), entry.active_index) {
+            (true, None) => {
+                entry.active_index = Some(self.active.len());
+                self.active.push(slot);
+            }
+            (false, Some(index)) => {
+                entry.active_index = None;
+                self.remove_active(index);
+            }
+            _ => {}
+        }
+    }
+
+    fn remove_active(&mut self, index: usize) {
+        self.active.swap_remove(index);
+        if let Some(&moved) = self.active.get(index) {
+            self.entries[moved].active_index = Some(index);
+        }
+    }
+
+    /// Sets when a member's suspicion times out, or when it is forgotten.
+    pub fn set_expiration(&mut self, slot: usize, expires_at: Option<Micros>) {
+        let Some(entry) = self.entries.get_mut(slot) else { return };
+        if let Some(old) = std::mem::replace(&mut entry.expires_at, expires_at) {
+            self.expirations.remove(&(old, slot));
+        }
+        if let Some(expires_at) = expires_at {
+            self.expirations.insert((expires_at, slot));
+        }
+    }
+
+    /// The next expiration, and whose it is.
+    pub fn next_expiration(&self) -> Option<(Micros, usize)> {
+        self.expirations.first().copied()
+    }
+
+    /// Expirations of all suspicions.
+    pub fn suspicion_timeouts(&self) -> Vec<(Micros, usize)> {
+        let is_suspected =
+            |slot: usize| self.get(slot).is_some_and(|entry| entry.member.status == MemberStatus::Suspected);
+        self.expirations.iter().copied().filter(|(_, slot)| is_suspected(*slot)).collect()
+    }
+
+    /// Records when a suspicion began.
+    pub fn suspected_since(&mut self, slot: usize, now: Micros) {
+        if let Some(entry) = self.entries.get_mut(slot) {
+            entry.suspected_since = now;
+        }
+    }
+
+    /// Records a member that suspects this one; returns whether it is a new one.
+    pub fn add_suspecter(&mut self, slot: usize, suspecter: u32) -> bool {
+        let Some(entry) = self.entries.get_mut(slot) else { return false };
+        if entry.suspecters.contains(&suspecter) {
+            return false;
+        }
+        entry.suspecters.push(suspecter);
+        entry.last_suspecter = suspecter;
+        true
+    }
+
+    /// Forgets a member.
+    pub fn remove(&mut self, slot: usize) {
+        self.set_expiration(slot, None);
+        self.rumors.remove(slot);
+        let Some(entry) = self.entries.try_remove(slot) else { return };
+        self.digests[entry.digest_part] ^= entry.digest;
+        self.slots_by_name.remove(&entry.member.name);
+        if let Some(index) = entry.active_index {
+            self.remove_active(index);
+        }
+    }
+}
--- /dev/null
+++ b/crates/membership/src/membership/suspicions.rs
@@ -0,0 +1,73 @@
+//! Suspicions, which become deaths when they time out, and the dead, which are forgotten.
+
+use tideroute_wire::gossip::MemberStatus;
+use tideroute_wire::{Address, Micros};
+
+use super::Membership;
+use crate::member::Precedence;
+use crate::suspicion::{suspicion_timeout, MAX_CONFIRMATIONS};
+use crate::units::MILLISECOND;
+
+/// How long dead members and those that left are remembered. The sides of a longer network partition meet again through
+/// the seeds.
+const FORGET_AFTER: Micros = 300_000 * MILLISECOND;
+
+impl Membership {
+    /// Suspects a member, or records one more member that does. `disseminate`: also as a rumor.
+    pub(super) fn suspect(&mut self, now: Micros, slot: usize, suspecter: u32, disseminate: bool) {
+        let Some(entry) = self.members.get(slot) else { return };
+        if !entry.member.status.is_in() {
+            return;
+        }
+        let incarnation = entry.member.incarnation;
+        if entry.member.status == MemberStatus::Alive {
+            let suspected = Precedence { incarnation, status: MemberStatus::Suspected };
+            self.members.update(slot, entry.member.address, suspected);
+            self.members.suspected_since(slot, now);
+            self.report_status(slot);
+        } else if entry.suspecters.len() > MAX_CONFIRMATIONS {
+            return;
+        }
+        if !self.members.add_suspecter(slot, suspecter) {
+            return;
+        }
+        self.set_suspicion_timeout(slot);
+        if disseminate {
+            self.members.rumors.start(slot);
+        }
+    }
+
+    fn set_suspicion_timeout(&mut self, slot: usize) {
+        let Some(entry) = self.members.get(slot) else { return };
+        let confirmations = entry.suspecters.len() - 1;
+        let possible = self.members.active().len().saturating_sub(1);
+        let expires_at = entry.suspected_since + suspicion_timeout(confirmations, possible);
+        self.members.set_expiration(slot, Some(expires_at));
+    }
+
+    /// Declares members dead whose suspicion timed out, and forgets the dead.
+    pub(super) fn run_expirations(&mut self, now: Micros) {
+        while let Some((at, slot)) = self.members.next_expiration() {
+            if at > now {
+                return;
+            }
+            let Some(entry) = self.members.get(slot) else { return };
+            if entry.member.status != MemberStatus::Suspected {
+                self.members.remove(slot);
+                continue;
+            }
+            let dead = Precedence { incarnation: entry.member.incarnation, status: MemberStatus::Dead };
+            let address = entry.member.address;
+            self.stats.declared_dead += 1;
+            self.mark_gone(now, slot, address, dead);
+        }
+    }
+
+    /// Records that a member is dead or has left.
+    pub(super) fn mark_gone(&mut self, now: Micros, slot: usize, address: Address, precedence: Precedence) {
+        self.members.update(slot, address, precedence);
+        self.members.set_expiration(slot, Some(now + FORGET_AFTER));
+        self.members.rumors.start(slot);
+        self.report_status(slot);
+    }
+}
--- /dev/null
+++ b/crates/membership/src/node.rs
@@ -0,0 +1,210 @@
+//! Membership on an event loop: datagrams are authenticated, and changes are logged and counted.
+
+use bytes::Bytes;
+use metrics::{counter, gauge};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
+use tideroute_wire::gossip::{MemberStatus, LARGEST};
+use tideroute_wire::{Address, Micros};
+
+use crate::config::MembershipConfig;
+use crate::member::Member;
+use crate::membership::Membership;
+use crate::message_authenticator::MessageAuthenticator;
+use crate::output::Output;
+use crate::stats::MembershipStats;
+
+/// Microseconds without any other member after which that is logged, each time again.
+const ALONE_WARNING_INTERVAL: Micros = 2_000_000;
+
+/// The listener of datagrams: a member has only one.
+const LISTENER: usize = 0;
+
+/// The only timer.
+const TIMER_KEY: u64 = 0;
+
+/// One member of a fleet on an event loop. It leaves the fleet when the loop shuts it down, and likewise on any message
+/// of another thread.
+pub struct MembershipNode {
+    membership: Membership,
+    authenticator: MessageAuthenticator,
+    /// When the loop's timer fires next.
+    timer_at: Micros,
+    alone_since: Option<Micros>,
+    /// The counters as they were last reported to the metrics.
+    reported: MembershipStats,
+}
+
+impl MembershipNode {
+    /// A member that starts now.
+    pub fn new(config: MembershipConfig, authenticator: MessageAuthenticator, now: Micros) -> MembershipNode {
+        MembershipNode {
+            membership: Membership::new(config, now),
+            authenticator,
+            timer_at: 0,
+            alone_since: Some(now),
+            reported: MembershipStats::default(),
+        }
+    }
+
+    fn report_metrics(&mut self) {
+        let stats = self.membership.stats();
+        report_counters(&stats, &self.reported);
+        self.reported = stats;
+        let others = self.membership.active_count();
+        gauge!("tideroute_fleet_others").set(others as f64);
+        gauge!("tideroute_fleet_health").set(f64::from(self.membership.local_health()));
+        gauge!("tideroute_fleet_alone").set(f64::from(u8::from(others == 0)));
+    }
+
+    /// Warns again and again while no other member is known.
+    fn warn_if_alone(&mut self, now: Micros) {
+        if self.membership.active_count() > 0 {
+            self.alone_since = None;
+            return;
+        }
+        let since = *self.alone_since.get_or_insert(now);
+        if now >= since + ALONE_WARNING_INTERVAL {
+            self.alone_since = Some(now);
+            tracing::warn!("alone: no other router of the fleet answers, nor does a seed");
+        }
+    }
+
+    fn run_outputs(&mut self, now: Micros, effects: &mut Effects) {
+        while let Some(output) = self.membership.next_output(now) {
+            match output {
+                Output::Send { to, message } => {
+                    let datagram = self.authenticator.sign(&message);
+                    counter!("tideroute_fleet_bytes_total", "way" => "out").increment(datagram.len() as u64);
+                    effects.send_datagram(LISTENER, to, datagram);
+                }
+                Output::StatusChanged(member) => report_status(&member, effects),
+            }
+        }
+    }
+
+    fn set_timer(&mut self, now: Micros, effects: &mut Effects) {
+        let at = self.membership.wakeup_at();
+        let needs_timer = at < self.timer_at || self.timer_at <= now;
+        if at < Micros::MAX && needs_timer {
+            self.timer_at = at;
+            effects.set_timer(at, TIMER_KEY);
+        }
+    }
+
+    /// Handles a datagram; if it is dropped, returns why, as the metric's label.
+    fn receive(&mut self, now: Micros, from: Address, datagram: &Bytes) -> Result<(), &'static str> {
+        if datagram.len() > LARGEST {
+            return Err("oversized");
+        }
+        let message = self.authenticator.verify(datagram).map_err(|error| error.metric_label())?;
+        self.membership.handle_datagram(now, from, &message).map_err(|_| "unreadable")
+    }
+}
+
+impl EventHandler for MembershipNode {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
+        self.on_iteration(now, effects);
+    }
+
+    fn on_accepted(
+        &mut self,
+        _now: Micros,
+        connection: ConnectionId,
+        _listener: usize,
+        effects: &mut Effects,
+    ) {
+        effects.abort(connection);
+    }
+
+    fn on_connected(&mut self, _now: Micros, _connection: ConnectionId, _effects: &mut Effects) {}
+
+    fn on_data(&mut self, _now: Micros, _connection: ConnectionId, _frame: &Bytes, _effects: &mut Effects) {}
+
+    fn on_disconnect(
+        &mut self,
+        _now: Micros,
+        _connection: ConnectionId,
+        _reason: DisconnectReason,
+        _effects: &mut Effects,
+    ) {
+    }
+
+    fn on_backpressure(
+        &mut self,
+        _now: Micros,
+        _connection: ConnectionId,
+        _backpressure: bool,
+        _effects: &mut Effects,
+    ) {
+    }
+
+    fn on_datagram(
+        &mut self,
+        now: Micros,
+        _listener: usize,
+        from: Address,
+        datagram: &Bytes,
+        _effects: &mut Effects,
+    ) {
+        counter!("tideroute_fleet_bytes_total", "way" => "in").increment(datagram.len() as u64);
+        // A datagram that is not authentic or malformed is dropped and counted, and never answered.
+        if let Err(why) = self.receive(now, from, datagram) {
+            counter!("tideroute_fleet_dropped_total", "why" => why).increment(1);
+            tracing::debug!(why, "a datagram was dropped");
+        }
+    }
+
+    fn on_timer(&mut self, _now: Micros, _key: u64, _effects: &mut Effects) {}
+
+    fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
+        self.run_outputs(now, effects);
+        self.report_metrics();
+        self.warn_if_alone(now);
+        self.set_timer(now, effects);
+    }
+
+    fn on_message(&mut self, now: Micros, _message: &Bytes, effects: &mut Effects) {
+        self.on_shutdown(now, effects);
+    }
+
+    fn on_shutdown(&mut self, now: Micros, _effects: &mut Effects) {
+        self.membership.leave(now);
+    }
+
+    fn is_finished(&self) -> bool {
+        self.membership.has_left()
+    }
+}
+
+/// Adds what was counted since the last report to the metric.
+fn report_counters(stats: &MembershipStats, reported: &MembershipStats) {
+    let counters = [
+        ("probes", stats.probes, reported.probes),
+        ("unanswered", stats.unanswered_probes, reported.unanswered_probes),
+        ("suspected", stats.suspicions, reported.suspicions),
+        ("declared dead", stats.declared_dead, reported.declared_dead),
+        ("refuted", stats.refutations, reported.refutations),
+        ("from the future", stats.future_incarnations, reported.future_incarnations),
+        ("no room", stats.list_full, reported.list_full),
+        ("quarrels", stats.name_conflicts, reported.name_conflicts),
+        ("late", stats.late_wakeups, reported.late_wakeups),
+    ];
+    for (what, now, before) in counters {
+        if now > before {
+            counter!("tideroute_fleet_total", "what" => what).increment(now - before);
+        }
+    }
+}
+
+/// Logs and counts a change, and notes it in the capture, where the membership checker reads it.
+fn report_status(member: &Member, effects: &mut Effects) {
+    let status = match member.status {
+        MemberStatus::Alive => "there",
+        MemberStatus::Suspected => "suspected",
+        MemberStatus::Dead => "dead",
+        MemberStatus::Left => "left",
+    };
+    tracing::info!(name = member.name, incarnation = member.incarnation, status, "a member's status changed");
+    counter!("tideroute_fleet_seen_total", "standing" => status).increment(1);
+    effects.annotate_capture(format!("{status} {} {}", member.incarnation, member.name));
+}
--- /dev/null
+++ b/crates/membership/src/units.rs
@@ -0,0 +1,6 @@
+//! Units of time.
+
+use tideroute_wire::Micros;
+
+/// Microseconds in a millisecond.
+pub(crate) const MILLISECOND: Micros = 1_000;
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -8,7 +8,7 @@
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
 use tideroute_emulator::{Does, ListTerms, Trouble, WorkerTerms};
-use tideroute_membership::Seal;
+use tideroute_membership::{MembershipConfig, MessageAuthenticator};
 use tideroute_relay::{How, RelayTerms, Way};
 use tideroute_wire::{Address, Micros, Origin};
 
@@ -117,11 +117,12 @@
 }
 
 /// The terms of a fleet's member, and the seal of the fleet.
-pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(tideroute_membership::Terms, Seal), String> {
+pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(MembershipConfig, MessageAuthenticator), String> {
     let key = hash(&f.key).map_err(|e| format!("the key of the fleet {}: {e}", f.name))?;
     let seeds = f.seeds.iter().map(|s| address(s)).collect::<Result<_, _>>()?;
-    let terms = tideroute_membership::Terms { name: name.to_string(), at: address(&f.listen)?, seeds, seed };
-    Ok((terms, Seal::new(&f.name, &key)))
+    let terms =
+        MembershipConfig { name: name.to_string(), address: address(&f.listen)?, seeds, rng_seed: seed };
+    Ok((terms, MessageAuthenticator::new(&f.name, &key)))
 }
 
 /// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
--- a/crates/simulation/src/crowd.rs
+++ b/crates/simulation/src/crowd.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_membership::{Act, Group, Seal, Seen, Terms};
+use tideroute_membership::{Member, Membership, MembershipConfig, MessageAuthenticator, Output};
 use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::{Address, Micros};
 
@@ -39,7 +39,7 @@
 }
 
 struct Node {
-    group: Option<Group>,
+    group: Option<Membership>,
     /// Which of its lives it is in: what was meant for an earlier one is void.
     life: u32,
     wakes_at: Micros,
@@ -57,7 +57,7 @@
 pub struct Sighting {
     pub at: Micros,
     pub viewer: usize,
-    pub seen: Seen,
+    pub seen: Member,
 }
 
 pub struct Crowd {
@@ -70,7 +70,7 @@
     /// Sets between which nothing passes, from the one to the other.
     cuts: Vec<(HashSet<usize>, HashSet<usize>)>,
     chance: Pcg64,
-    seal: Seal,
+    seal: MessageAuthenticator,
     pub sightings: Vec<Sighting>,
     /// Wall time spent in members.
     pub spent: std::time::Duration,
@@ -111,7 +111,7 @@
             network,
             cuts: vec![],
             chance: Pcg64::seed_from_u64(seed),
-            seal: Seal::new("crowd", &[7; 32]),
+            seal: MessageAuthenticator::new("crowd", &[7; 32]),
             sightings: vec![],
             spent: Default::default(),
         }
@@ -130,18 +130,18 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let terms = Terms {
+        let terms = MembershipConfig {
             name: name(n),
-            at: address(n),
+            address: address(n),
             seeds: (0..SEEDS).map(address).collect(),
-            seed: self.chance.random(),
+            rng_seed: self.chance.random(),
         };
         let (now, at) = (self.clock(n), self.now);
         let node = &mut self.nodes[n];
         node.life += 1;
         (node.started, node.halted) = (at, false);
         node.waiting.clear();
-        node.group = Some(Group::new(terms, now));
+        node.group = Some(Membership::new(terms, now));
         node.wakes_at = Micros::MAX;
         self.pull(n);
     }
@@ -211,7 +211,7 @@
         for (viewer, node) in self.nodes.iter().enumerate() {
             let Some(group) = &node.group else { continue };
             let mut ins = vec![false; self.nodes.len()];
-            group.seen().filter(|s| s.standing.is_in()).for_each(|s| ins[number(s.at)] = true);
+            group.members().filter(|s| s.status.is_in()).for_each(|s| ins[number(s.address)] = true);
             ins[viewer] = true;
             wrong.extend((0..ins.len()).filter(|&n| ins[n] != up[n]).map(|n| (viewer, n)));
         }
@@ -220,8 +220,8 @@
 
     /// Deaths declared of routers that were up all the time, from a moment on.
     pub fn falsely_dead(&self, since: Micros) -> Vec<&Sighting> {
-        let dead = |s: &&Sighting| s.at >= since && s.seen.standing == MemberStatus::Dead;
-        self.sightings.iter().filter(dead).filter(|s| self.is_up(number(s.seen.at))).collect()
+        let dead = |s: &&Sighting| s.at >= since && s.seen.status == MemberStatus::Dead;
+        self.sightings.iter().filter(dead).filter(|s| self.is_up(number(s.seen.address))).collect()
     }
 
     fn later(&mut self, at: Micros, n: usize, event: Event) {
@@ -276,9 +276,9 @@
     fn hear(&mut self, n: usize, from: Address, datagram: &Bytes) {
         let now = self.clock(n);
         let began = std::time::Instant::now();
-        let said = self.seal.open(datagram);
+        let said = self.seal.verify(datagram);
         if let (Ok(said), Some(group)) = (said, &mut self.nodes[n].group) {
-            group.heard(now, from, &said).expect("what members say can be read");
+            group.handle_datagram(now, from, &said).expect("what members say can be read");
         }
         self.spent += began.elapsed();
     }
@@ -289,9 +289,9 @@
         loop {
             let began = std::time::Instant::now();
             let Some(group) = &mut self.nodes[n].group else { return };
-            let act = group.next(now).map(|act| match act {
-                Act::Say { to, said } => (Some((to, self.seal.close(&said))), None),
-                Act::Saw(seen) => (None, Some(seen)),
+            let act = group.next_output(now).map(|act| match act {
+                Output::Send { to, message } => (Some((to, self.seal.sign(&message))), None),
+                Output::StatusChanged(seen) => (None, Some(seen)),
             });
             self.spent += began.elapsed();
             let Some((say, saw)) = act else { break };
@@ -301,10 +301,10 @@
             }
         }
         let Some(group) = &self.nodes[n].group else { return };
-        if group.left() {
+        if group.has_left() {
             return self.kill(n);
         }
-        let due = group.due().saturating_add_signed(-self.nodes[n].off).max(self.now);
+        let due = group.wakeup_at().saturating_add_signed(-self.nodes[n].off).max(self.now);
         if due != self.nodes[n].wakes_at {
             self.nodes[n].wakes_at = due;
             self.later(due, n, Event::Wake);
--- a/crates/simulation/tests/crowd.rs
+++ b/crates/simulation/tests/crowd.rs
@@ -23,7 +23,7 @@
 fn known_dead(crowd: &Crowd, n: usize, since: u64) -> Vec<u64> {
     let mut first = BTreeMap::new();
     for s in &crowd.sightings {
-        if s.at >= since && s.seen.name == name(n) && s.seen.standing == MemberStatus::Dead {
+        if s.at >= since && s.seen.name == name(n) && s.seen.status == MemberStatus::Dead {
             first.entry(s.viewer).or_insert(s.at - since);
         }
     }
@@ -122,7 +122,7 @@
     c.run_for(1_500 * MS);
     assert_eq!(c.wrong(), []);
     let of_it = |s: &&tideroute_simulation::crowd::Sighting| s.at >= at && s.seen.name == name(33);
-    let seen: Vec<_> = c.sightings.iter().filter(of_it).map(|s| s.seen.standing).collect();
+    let seen: Vec<_> = c.sightings.iter().filter(of_it).map(|s| s.seen.status).collect();
     assert_eq!(seen.len(), 59);
     assert!(seen.iter().all(|s| *s == MemberStatus::Left), "{seen:?}");
 }
@@ -180,7 +180,7 @@
         assert_eq!(c.wrong(), [], "seed {seed}, {count} routers, loss {loss}");
         let mut last = BTreeMap::new();
         for s in &c.sightings {
-            let weight = (s.seen.incarnation, s.seen.standing);
+            let weight = (s.seen.incarnation, s.seen.status);
             if let Some((before, at)) = last.insert((s.viewer, s.seen.name.clone()), (weight, s.at)) {
                 assert!(weight > before || c.started(s.viewer) > at, "{before:?} was followed by {s:?}");
             }
