--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use serde::Serialize;
-use tideroute_tenant_store::{Entry, Expected, Store, StoreError, Tenant};
+use tideroute_tenant_store::{Precondition, Revision, StoreError, Tenant, TenantStore};
 use tideroute_wire::tenant::{Figures, Watcher};
 use tideroute_wire::{Malformed, Micros};
 
@@ -32,7 +32,7 @@
 }
 
 pub struct Api {
-    store: Arc<Store>,
+    store: Arc<TenantStore>,
     administrators: Vec<Administrator>,
     /// What cores told last, by tenant and core.
     figures: BTreeMap<String, BTreeMap<String, Figures>>,
@@ -54,26 +54,26 @@
 
 #[derive(Serialize)]
 struct Page {
-    entries: Vec<Entry>,
+    entries: Vec<Revision>,
     /// What to ask after for the next page; none after the last.
     #[serde(skip_serializing_if = "Option::is_none")]
     next: Option<String>,
 }
 
 impl Api {
-    pub fn new(store: Arc<Store>, administrators: Vec<Administrator>) -> Api {
+    pub fn new(store: Arc<TenantStore>, administrators: Vec<Administrator>) -> Api {
         Api { store, administrators, figures: BTreeMap::new() }
     }
 
     /// Answers a request; with what was changed by it, if anything.
-    pub fn answer(&self, now: Micros, request: &Request) -> (Reply, Option<Entry>) {
+    pub fn answer(&self, now: Micros, request: &Request) -> (Reply, Option<Revision>) {
         match self.reply(now, request) {
             Ok(answer) => answer,
             Err(refused) => (refused, None),
         }
     }
 
-    fn reply(&self, now: Micros, request: &Request) -> Result<(Reply, Option<Entry>), Reply> {
+    fn reply(&self, now: Micros, request: &Request) -> Result<(Reply, Option<Revision>), Reply> {
         let path: Vec<&str> = request.path.iter().map(String::as_str).collect();
         if let (["v1", "openapi.json"], "GET") = (path.as_slice(), request.method.as_str()) {
             let page = Reply { status: 200, body: include_bytes!("openapi.json").to_vec(), fields: vec![] };
@@ -154,7 +154,7 @@
         by: &str,
         name: &str,
         request: &Request,
-    ) -> Result<(Reply, Option<Entry>), Reply> {
+    ) -> Result<(Reply, Option<Revision>), Reply> {
         let expected = expected(request)?;
         let kind = request.field("content-type").unwrap_or_default();
         if kind.split(';').next().map(str::trim) != Some("application/json") {
@@ -169,7 +169,7 @@
             problem::reply(if e.is_data() { 422 } else { 400 }, "body", at)
         })?;
         let made = self.store.change(now, by, name, expected, Some(tenant)).map_err(broken)?;
-        let status = if expected == Expected::Absent { 201 } else { 200 };
+        let status = if expected == Precondition::Absent { 201 } else { 200 };
         Ok((tagged(status, &made), Some(made)))
     }
 
@@ -256,15 +256,15 @@
 }
 
 /// What the request takes the tenant to be (RFC 9110, 13.1): a change without it could undo another's unseen.
-fn expected(request: &Request) -> Result<Expected, Reply> {
+fn expected(request: &Request) -> Result<Precondition, Reply> {
     let (is, is_not) = (request.field("if-match"), request.field("if-none-match"));
     match (is, is_not) {
-        (None, Some("*")) => Ok(Expected::Absent),
+        (None, Some("*")) => Ok(Precondition::Absent),
         (Some(tag), None) => {
             let version = tag.strip_prefix('"').and_then(|tag| tag.strip_suffix('"'));
             let version = version.and_then(|version| version.parse().ok());
             let what = format!("If-Match is {tag}, no version as an ETag gave it");
-            version.map(Expected::Version).ok_or_else(|| problem::reply(400, "if-match", what))
+            version.map(Precondition::Version).ok_or_else(|| problem::reply(400, "if-match", what))
         }
         (None, None) => {
             let what =
@@ -275,7 +275,7 @@
     }
 }
 
-fn tagged(status: u16, entry: &Entry) -> Reply {
+fn tagged(status: u16, entry: &Revision) -> Reply {
     Reply::json(status, entry).with("etag", format!("\"{}\"", entry.version))
 }
 
@@ -286,16 +286,17 @@
 fn broken(problem: StoreError) -> Reply {
     match problem {
         StoreError::Conflict(Some(present)) => {
-            let what = format!("the tenant is at version {}, changed by {}", present.version, present.by);
+            let what =
+                format!("the tenant is at version {}, changed by {}", present.version, present.changed_by);
             let status = if present.tenant.is_some() { 412 } else { 409 };
             let reply = problem::of_present(status, "version", what, &present);
             reply.with("etag", format!("\"{}\"", present.version))
         }
         StoreError::Conflict(None) => problem::reply(409, "version", "the tenant is not as expected"),
-        StoreError::Missing => missing(),
-        StoreError::Fault(fault) => problem::of_field(422, "field", fault.to_string(), fault.field),
-        StoreError::Full(_) => problem::reply(507, "full", problem.to_string()),
-        StoreError::Broken(_) | StoreError::Closed | StoreError::Damaged(_) => {
+        StoreError::NotFound => missing(),
+        StoreError::InvalidField(fault) => problem::of_field(422, "field", fault.to_string(), fault.field),
+        StoreError::TooManyTenants(_) => problem::reply(507, "full", problem.to_string()),
+        StoreError::Database(_) | StoreError::Closed | StoreError::Corrupt(_) => {
             tracing::error!(%problem, "the store of tenants");
             problem::reply(503, "store", problem.to_string())
         }
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -16,7 +16,7 @@
     field: Option<String>,
     /// What is there now, where a change did not meet what it expected.
     #[serde(skip_serializing_if = "Option::is_none")]
-    present: Option<&'a tideroute_tenant_store::Entry>,
+    present: Option<&'a tideroute_tenant_store::Revision>,
 }
 
 pub fn reply(status: u16, kind: &str, detail: impl Into<String>) -> Reply {
@@ -31,7 +31,7 @@
     status: u16,
     kind: &str,
     detail: impl Into<String>,
-    present: &tideroute_tenant_store::Entry,
+    present: &tideroute_tenant_store::Revision,
 ) -> Reply {
     full(status, kind, detail, None, Some(present))
 }
@@ -41,7 +41,7 @@
     kind: &str,
     detail: impl Into<String>,
     field: Option<String>,
-    present: Option<&tideroute_tenant_store::Entry>,
+    present: Option<&tideroute_tenant_store::Revision>,
 ) -> Reply {
     let r#type = format!("urn:tideroute:problem:{kind}");
     let problem = Problem { r#type, title: reason(status), status, detail: detail.into(), field, present };
--- a/crates/admin/src/program.rs
+++ b/crates/admin/src/program.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
-use tideroute_tenant_store::Entry;
+use tideroute_tenant_store::Revision;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::Micros;
 
@@ -28,13 +28,13 @@
 pub struct Admin {
     api: Api,
     /// Told of each change once it is on the disk.
-    changed: Box<dyn FnMut(&Entry) + Send>,
+    changed: Box<dyn FnMut(&Revision) + Send>,
     connections: BTreeMap<ConnectionId, Connection>,
     stopping: bool,
 }
 
 impl Admin {
-    pub fn new(api: Api, changed: impl FnMut(&Entry) + Send + 'static) -> Admin {
+    pub fn new(api: Api, changed: impl FnMut(&Revision) + Send + 'static) -> Admin {
         Admin { api, changed: Box::new(changed), connections: BTreeMap::new(), stopping: false }
     }
 
@@ -60,7 +60,7 @@
                 path = request.path.join("/"),
                 status = reply.status,
                 version = change.as_ref().map(|c| c.version),
-                by = change.as_ref().map(|c| c.by.as_str()),
+                by = change.as_ref().map(|c| c.changed_by.as_str()),
                 "administration"
             );
             if let Some(change) = change {
--- a/crates/admin/tests/api.rs
+++ b/crates/admin/tests/api.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
 use tideroute_admin::{Admin, Administrator, Api, Role};
-use tideroute_tenant_store::Store;
+use tideroute_tenant_store::TenantStore;
 use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
 
 const NOW: u64 = 1_000_000_000;
 
 struct Server {
     admin: Admin,
-    store: Arc<Store>,
+    store: Arc<TenantStore>,
     changes: Arc<Mutex<Vec<String>>>,
     effects: Effects,
     connections: u64,
@@ -28,7 +28,8 @@
 
 impl Server {
     fn new() -> Server {
-        let store = Arc::new(Store::on(redb::backends::InMemoryBackend::new()).expect("it opens"));
+        let store =
+            Arc::new(TenantStore::with_backend(redb::backends::InMemoryBackend::new()).expect("it opens"));
         let roles = [("view", Role::View), ("operate", Role::Operate), ("own", Role::Own)];
         let administrators = roles.map(|(name, role)| {
             let key = *blake3::hash(format!("key-{name}").as_bytes()).as_bytes();
@@ -89,7 +90,7 @@
     }
 
     fn state(&self) -> (u64, usize) {
-        (self.store.version().expect("read"), self.changes.lock().expect("no panic").len())
+        (self.store.last_version().expect("read"), self.changes.lock().expect("no panic").len())
     }
 }
 
--- a/crates/command/src/admin.rs
+++ b/crates/command/src/admin.rs
@@ -7,7 +7,7 @@
 
 use clap::{Args, Subcommand};
 use serde_json::Value;
-use tideroute_tenant_store::Store;
+use tideroute_tenant_store::TenantStore;
 
 use crate::Ended;
 
@@ -133,7 +133,7 @@
         }
         Deed::Restore { store, file } => {
             let snapshot = std::fs::File::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let opened = Store::open(store).map_err(|e| format!("{}: {e}", store.display()))?;
+            let opened = TenantStore::open(store).map_err(|e| format!("{}: {e}", store.display()))?;
             let entries = opened.restore(snapshot).map_err(|e| format!("{}: {e}", file.display()))?;
             println!("{entries} entries are in {}", store.display());
             Ok(true)
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -14,7 +14,7 @@
 use tideroute_lifecycle::TenantConfig;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
-use tideroute_tenant_store::{Entry, Rate, Store, Tenant};
+use tideroute_tenant_store::{RateLimit, Revision, Tenant, TenantStore};
 use tideroute_wire::tenant;
 
 /// How long a change waits for a core to have heard of it; one that is stalled for longer hears of it late.
@@ -26,7 +26,7 @@
 
 #[derive(Clone)]
 pub struct Administration {
-    store: Arc<Store>,
+    store: Arc<TenantStore>,
     cores: Arc<Mutex<BTreeMap<u32, Mailbox>>>,
     /// Where cores tell tenants' figures.
     figures: Mailbox,
@@ -36,7 +36,7 @@
     /// Opens the store and begins to listen.
     pub fn begin(record: &kinds::Admin) -> Result<Administration, String> {
         let path = Path::new(&record.store);
-        let store = Store::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let store = TenantStore::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let (store, cores) = (Arc::new(store), Arc::<Mutex<BTreeMap<u32, Mailbox>>>::default());
         let administrators = record.keys.iter().map(administrator).collect::<Result<Vec<_>, _>>()?;
         let listen: SocketAddr = convert::socket(&record.listen)?.into();
@@ -88,10 +88,11 @@
     tenant.keys.iter().filter_map(|key| convert::hash(&key.hash).ok()).collect()
 }
 
-fn terms(entry: &Entry, tenant: &Tenant) -> TenantConfig {
-    let rate = |rate: Rate| tideroute_admission::RateLimit { per_second: rate.a_second, burst: rate.once };
+fn terms(entry: &Revision, tenant: &Tenant) -> TenantConfig {
+    let rate =
+        |rate: RateLimit| tideroute_admission::RateLimit { per_second: rate.per_second, burst: rate.burst };
     let limits = tideroute_admission::Limits {
-        requests: tenant.submissions.map(rate),
+        requests: tenant.requests.map(rate),
         tokens: tenant.tokens.map(rate),
         in_flight: tenant.in_flight,
         weight: tenant.weight,
@@ -101,12 +102,12 @@
 }
 
 /// Hands a change to all cores and waits until each was told.
-fn tell(cores: &Mutex<BTreeMap<u32, Mailbox>>, entry: &Entry) {
+fn tell(cores: &Mutex<BTreeMap<u32, Mailbox>>, entry: &Revision) {
     let letter: Bytes = match &entry.tenant {
         None => tenant::removed(&entry.name, entry.version),
         Some(t) => {
-            let rate = |rate: Rate| (rate.a_second, rate.once);
-            let (submissions, tokens) = (t.submissions.map(rate), t.tokens.map(rate));
+            let rate = |rate: RateLimit| (rate.per_second, rate.burst);
+            let (submissions, tokens) = (t.requests.map(rate), t.tokens.map(rate));
             let (keys, name) = (keys(t), &entry.name);
             tenant::set(name, entry.version, &keys, t.weight, submissions, tokens, t.in_flight, t.waiting)
         }
--- a/crates/command/tests/stored_data.rs
+++ b/crates/command/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use tideroute_tenant_store::{Entry, Key, Rate, Store, Tenant};
+use tideroute_tenant_store::{RateLimit, Revision, Tenant, TenantKey, TenantStore};
 
 fn stored(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
@@ -19,16 +19,16 @@
     path.to_str().expect("a path in UTF-8")
 }
 
-fn key(number: usize) -> Key {
-    Key { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
+fn key(number: usize) -> TenantKey {
+    TenantKey { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
 }
 
 /// What the stored files hold: two tenants, of which one was changed and the other removed.
-fn expected_history() -> Vec<Entry> {
-    let rate = Some(Rate { a_second: 10.5, once: 5.0 });
+fn expected_history() -> Vec<Revision> {
+    let rate = Some(RateLimit { per_second: 10.5, burst: 5.0 });
     let harbour = Tenant {
         weight: 1.5,
-        submissions: rate,
+        requests: rate,
         tokens: None,
         in_flight: Some(3),
         waiting: 9,
@@ -37,17 +37,17 @@
     let lagoon = Tenant { weight: 0.25, keys: vec![], ..harbour.clone() };
     let changed = Tenant {
         weight: 2.0,
-        submissions: None,
-        tokens: Some(Rate { a_second: 1_000.0, once: 2_000.0 }),
+        requests: None,
+        tokens: Some(RateLimit { per_second: 1_000.0, burst: 2_000.0 }),
         in_flight: None,
         keys: vec![key(0)],
         ..harbour.clone()
     };
-    let entry = |name: &str, version: u64, by: &str, tenant: Option<Tenant>| Entry {
+    let entry = |name: &str, version: u64, by: &str, tenant: Option<Tenant>| Revision {
         name: name.to_string(),
         version,
-        at: version,
-        by: by.to_string(),
+        changed_at: version,
+        changed_by: by.to_string(),
         tenant,
     };
     vec![
@@ -77,7 +77,7 @@
     let compressed = File::open(stored("tenants.db.zst")).expect("the stored store");
     let bytes = zstd::decode_all(compressed).expect("it is whole");
     std::fs::write(&path, bytes).expect("a file");
-    let store = Store::open(&path).expect("it opens");
+    let store = TenantStore::open(&path).expect("it opens");
     assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
     drop(store);
     let _ = std::fs::remove_file(&path);
@@ -86,7 +86,7 @@
 #[test]
 fn a_stored_snapshot_of_tenants_is_restored() {
     let path = std::env::temp_dir().join(format!("tideroute-stored-snapshot-{}.db", std::process::id()));
-    let store = Store::open(&path).expect("it opens");
+    let store = TenantStore::open(&path).expect("it opens");
     let snapshot = File::open(stored("tenants.snapshot")).expect("the stored snapshot");
     assert_eq!(store.restore(snapshot).expect("it is restored"), expected_history().len());
     assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -1,13 +1,26 @@
-//! The durable record of tenants: what each may, its keys as hashes, every change with who and when.
+//! The durable store of tenants: the configuration of each, the hashes of its keys, and a history of all changes with who
+//! made them and when.
 //!
-//! [`Store`] keeps it in one file. A change names the version that it was made from, so that of two made at once
-//! one learns what the other did; what [`Store::change`] confirmed is there after a kill at any moment. Snapshots
-//! are one compressed stream and are taken back whole or not at all.
+//! [`TenantStore`] keeps all of it in one file. A change names the version that it was made from (optimistic concurrency
+//! control), so that of two concurrent changes one fails and learns of the other. A change that
+//! [`TenantStore::change`] confirmed survives a crash at any moment. Snapshots are one compressed stream, and are restored
+//! whole or not at all.
 
-mod record;
+#![warn(missing_docs)]
+
+mod database;
+mod error;
+mod field_error;
+mod revision;
 mod snapshot;
+mod snapshot_error;
 mod store;
+mod tables;
+mod tenant;
 
-pub use record::{Entry, Fault, Key, Rate, Tenant};
-pub use snapshot::SnapshotError;
-pub use store::{Expected, Store, StoreError};
+pub use error::StoreError;
+pub use field_error::{FieldError, FieldProblem};
+pub use revision::Revision;
+pub use snapshot_error::{LineError, SnapshotError};
+pub use store::{Precondition, TenantStore};
+pub use tenant::{RateLimit, Tenant, TenantKey};
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -1,105 +1,148 @@
-//! Snapshots: lines of JSON, compressed with zstd. The first line says what it is, the last how many entries came
-//! and the BLAKE3 of all lines before it, so that one that was cut or changed is not taken.
+//! Snapshots: lines of JSON, compressed with zstd. The first line is a header and the last a footer, which holds the number
+//! of revisions between them and the BLAKE3 hash of all lines before it. So a truncated or changed snapshot is refused.
 
 use std::io::{BufRead, BufReader, Read, Write};
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{self, Entry, Tenant};
-use crate::store::{Store, StoreError};
+use crate::revision::Revision;
+use crate::snapshot_error::{LineError, SnapshotError};
+use crate::store::TenantStore;
+use crate::tenant::check_name;
 
 const FORMAT: &str = "tideroute tenants 1";
-/// The level at which zstd is neither slow nor large; and how long a line may be.
-const LEVEL: i32 = 3;
-const LINE: u64 = 1 << 20;
-
-#[derive(Debug, thiserror::Error)]
-pub enum SnapshotError {
-    #[error("the snapshot could not be read or written: {0}")]
-    Io(#[from] std::io::Error),
-    #[error("line {0} of the snapshot: {1}")]
-    Line(usize, String),
-    #[error("the snapshot ends before its last line")]
-    Cut,
-    #[error("the snapshot was changed: its checksum is another")]
-    Changed,
-    #[error(transparent)]
-    Store(#[from] StoreError),
-}
+
+/// Compression level: neither slow nor large.
+const COMPRESSION_LEVEL: i32 = 3;
+
+/// Longest line, in bytes.
+const MAX_LINE: u64 = 1 << 20;
 
 #[derive(Deserialize, Serialize)]
-struct Head {
+#[serde(rename = "Head")]
+struct Header {
     format: String,
     /// The number of the last change.
-    last: u64,
+    #[serde(rename = "last")]
+    last_version: u64,
 }
 
 #[derive(Deserialize, Serialize)]
-struct Foot {
-    entries: usize,
+#[serde(rename = "Foot")]
+struct Footer {
+    #[serde(rename = "entries")]
+    revisions: usize,
     checksum: String,
 }
 
-impl Store {
-    /// Writes everything that is kept.
-    pub fn snapshot(&self, out: impl Write) -> Result<usize, SnapshotError> {
-        let (all, last) = (self.all()?, self.version()?);
-        let (mut out, mut hash) = (zstd::Encoder::new(out, LEVEL)?, blake3::Hasher::new());
-        let mut line = |bytes: Result<Vec<u8>, serde_json::Error>| -> Result<(), SnapshotError> {
-            let mut bytes = bytes.map_err(|e| SnapshotError::Line(0, e.to_string()))?;
-            bytes.push(b'\n');
-            hash.update(&bytes);
-            Ok(out.write_all(&bytes)?)
-        };
-        line(serde_json::to_vec(&Head { format: FORMAT.to_string(), last }))?;
-        for entry in &all {
-            line(serde_json::to_vec(entry))?;
+impl TenantStore {
+    /// Writes a snapshot of all that is stored; returns the number of revisions.
+    pub fn snapshot(&self, output: impl Write) -> Result<usize, SnapshotError> {
+        let revisions = self.all_revisions()?;
+        let last_version = self.last_version()?;
+        let mut output = zstd::Encoder::new(output, COMPRESSION_LEVEL)?;
+        let mut hasher = blake3::Hasher::new();
+        let header = Header { format: FORMAT.to_string(), last_version };
+        write_line(&mut output, &mut hasher, &header)?;
+        for revision in &revisions {
+            write_line(&mut output, &mut hasher, revision)?;
         }
-        let foot = Foot { entries: all.len(), checksum: hash.finalize().to_hex().to_string() };
-        out.write_all(&serde_json::to_vec(&foot).map_err(|e| SnapshotError::Line(0, e.to_string()))?)?;
-        out.finish()?;
-        Ok(all.len())
+        let checksum = hasher.finalize().to_hex().to_string();
+        let footer = Footer { revisions: revisions.len(), checksum };
+        output.write_all(&to_json(&footer)?)?;
+        output.finish()?;
+        Ok(revisions.len())
+    }
+
+    /// Replaces all that is stored by a snapshot, if the snapshot is complete and valid; otherwise nothing changes. Returns
+    /// the number of revisions. No version is used twice: versions continue from the higher of the snapshot's and the
+    /// store's.
+    pub fn restore(&self, input: impl Read) -> Result<usize, SnapshotError> {
+        let lines = BufReader::new(zstd::Decoder::new(input)?);
+        let (revisions, last_version) = SnapshotReader::new(lines).read()?;
+        self.replace_all(&revisions, last_version)?;
+        Ok(revisions.len())
+    }
+}
+
+fn to_json(value: &impl Serialize) -> Result<Vec<u8>, SnapshotError> {
+    serde_json::to_vec(value).map_err(|error| SnapshotError::Line { line: 0, error: error.into() })
+}
+
+fn write_line(
+    output: &mut impl Write,
+    hasher: &mut blake3::Hasher,
+    value: &impl Serialize,
+) -> Result<(), SnapshotError> {
+    let mut line = to_json(value)?;
+    line.push(b'\n');
+    hasher.update(&line);
+    Ok(output.write_all(&line)?)
+}
+
+/// Reads a snapshot line by line.
+struct SnapshotReader<R> {
+    lines: R,
+    hasher: blake3::Hasher,
+    last_version: u64,
+    revisions: Vec<Revision>,
+}
+
+impl<R: BufRead> SnapshotReader<R> {
+    fn new(lines: R) -> SnapshotReader<R> {
+        SnapshotReader { lines, hasher: blake3::Hasher::new(), last_version: 0, revisions: vec![] }
     }
 
-    /// Puts a snapshot in place of all that is there, if it is whole; otherwise nothing changes. Versions are not
-    /// used again: they go on from the highest that either had.
-    pub fn restore(&self, from: impl Read) -> Result<usize, SnapshotError> {
-        let mut lines = BufReader::new(zstd::Decoder::new(from)?);
-        let (mut hash, mut number, mut all) = (blake3::Hasher::new(), 0, Vec::<Entry>::new());
-        let mut last = 0;
+    /// Returns all revisions, and the number of the last change.
+    fn read(mut self) -> Result<(Vec<Revision>, u64), SnapshotError> {
+        let mut line_number = 0;
         loop {
-            let mut bytes = vec![];
-            lines.by_ref().take(LINE).read_until(b'\n', &mut bytes)?;
-            number += 1;
-            let bad = |what: String| SnapshotError::Line(number, what);
-            if bytes.is_empty() {
-                return Err(SnapshotError::Cut);
-            }
-            if bytes.last() != Some(&b'\n') {
-                let foot: Foot = serde_json::from_slice(&bytes).map_err(|_| SnapshotError::Cut)?;
-                if foot.entries != all.len() || foot.checksum != hash.finalize().to_hex().as_str() {
-                    return Err(SnapshotError::Changed);
-                }
-                break;
+            let mut line = vec![];
+            self.lines.by_ref().take(MAX_LINE).read_until(b'\n', &mut line)?;
+            line_number += 1;
+            if line.is_empty() {
+                return Err(SnapshotError::Truncated);
             }
-            hash.update(&bytes);
-            if number == 1 {
-                let head: Head = serde_json::from_slice(&bytes).map_err(|e| bad(e.to_string()))?;
-                if head.format != FORMAT {
-                    return Err(bad(format!("{:?} is not {FORMAT:?}", head.format)));
-                }
-                last = head.last;
-                continue;
+            if !line.ends_with(b"\n") {
+                self.check_footer(&line)?;
+                return Ok((self.revisions, self.last_version));
             }
-            let entry: Entry = serde_json::from_slice(&bytes).map_err(|e| bad(e.to_string()))?;
-            record::name(&entry.name).map_err(|f| bad(f.to_string()))?;
-            entry.tenant.as_ref().map_or(Ok(()), Tenant::check).map_err(|f| bad(f.to_string()))?;
-            if entry.version > last || all.last().is_some_and(|before| before.version >= entry.version) {
-                return Err(bad(format!("version {} is out of order", entry.version)));
-            }
-            all.push(entry);
+            self.hasher.update(&line);
+            let result = if line_number == 1 { self.read_header(&line) } else { self.read_revision(&line) };
+            result.map_err(|error| SnapshotError::Line { line: line_number, error })?;
+        }
+    }
+
+    fn read_header(&mut self, line: &[u8]) -> Result<(), LineError> {
+        let header: Header = serde_json::from_slice(line)?;
+        if header.format != FORMAT {
+            return Err(LineError::Format { found: header.format, expected: FORMAT });
+        }
+        self.last_version = header.last_version;
+        Ok(())
+    }
+
+    fn read_revision(&mut self, line: &[u8]) -> Result<(), LineError> {
+        let revision: Revision = serde_json::from_slice(line)?;
+        check_name("name", &revision.name)?;
+        if let Some(tenant) = &revision.tenant {
+            tenant.check()?;
+        }
+        let is_in_order = self.revisions.last().is_none_or(|before| before.version < revision.version);
+        if revision.version > self.last_version || !is_in_order {
+            return Err(LineError::VersionOutOfOrder(revision.version));
+        }
+        self.revisions.push(revision);
+        Ok(())
+    }
+
+    /// Checks the last line, the only one that does not end with a newline.
+    fn check_footer(&self, line: &[u8]) -> Result<(), SnapshotError> {
+        let footer: Footer = serde_json::from_slice(line).map_err(|_| SnapshotError::Truncated)?;
+        let checksum = self.hasher.finalize().to_hex();
+        if footer.revisions != self.revisions.len() || footer.checksum != checksum.as_str() {
+            return Err(SnapshotError::ChecksumMismatch);
         }
-        self.replace(&all, last)?;
-        Ok(all.len())
+        Ok(())
     }
 }
