--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,304 +1,208 @@
-//! What the API answers.
+//! The API: which resources there are, and how each handles a request.
 
-use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use serde::Serialize;
-use tideroute_tenant_store::{Precondition, Revision, StoreError, Tenant, TenantStore};
+use tideroute_tenant_store::{Precondition, Revision, Tenant, TenantStore};
 use tideroute_wire::tenant::{Figures, Watcher};
 use tideroute_wire::{Malformed, Micros};
 
-use crate::http::{Reply, Request};
-use crate::problem;
-
-/// Entries in a page that asks for none, and at most.
-const PAGE: usize = 100;
-const PAGE_MOST: usize = 1_000;
-
-/// What an administrator may do; each may what those before may.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Role {
-    View,
-    Operate,
-    Own,
-}
-
-#[derive(Clone, Debug)]
-pub struct Administrator {
-    pub name: String,
-    /// BLAKE3 of the key.
-    pub key: [u8; 32],
-    pub role: Role,
-}
+use crate::administrator::{authenticate, Administrator, Role};
+use crate::api_error::{ApiError, ProblemKind};
+use crate::pagination::{page_limit, Page};
+use crate::precondition::{entity_tag, parse_precondition};
+use crate::request::Request;
+use crate::response::Response;
+use crate::tenant_statistics::TenantStatistics;
 
+/// The API over a store of tenants.
 pub struct Api {
     store: Arc<TenantStore>,
     administrators: Vec<Administrator>,
-    /// What cores told last, by tenant and core.
-    figures: BTreeMap<String, BTreeMap<String, Figures>>,
+    statistics: TenantStatistics,
 }
 
-/// A tenant's figures, all cores together.
-#[derive(Default, Serialize)]
-struct Summed<'a> {
-    name: &'a str,
-    asked: u64,
-    let_in: u64,
-    turned_back: u64,
-    in_time: u64,
-    late: u64,
-    waited_us: u64,
-    waiting: u64,
-    in_flight: u64,
+/// What came of a request.
+pub struct Handled {
+    /// The response.
+    pub response: Response,
+    /// The change that the request made, if any. It is on the disk.
+    pub change: Option<Revision>,
 }
 
-#[derive(Serialize)]
-struct Page {
-    entries: Vec<Revision>,
-    /// What to ask after for the next page; none after the last.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    next: Option<String>,
+impl From<Response> for Handled {
+    fn from(response: Response) -> Handled {
+        Handled { response, change: None }
+    }
 }
 
 impl Api {
+    /// An API for these administrators.
     pub fn new(store: Arc<TenantStore>, administrators: Vec<Administrator>) -> Api {
-        Api { store, administrators, figures: BTreeMap::new() }
+        Api { store, administrators, statistics: TenantStatistics::default() }
     }
 
-    /// Answers a request; with what was changed by it, if anything.
-    pub fn answer(&self, now: Micros, request: &Request) -> (Reply, Option<Revision>) {
-        match self.reply(now, request) {
-            Ok(answer) => answer,
-            Err(refused) => (refused, None),
-        }
+    /// Handles a request.
+    pub fn handle(&self, now: Micros, request: &Request) -> Handled {
+        self.route(now, request).unwrap_or_else(|error| error.to_response().into())
     }
 
-    fn reply(&self, now: Micros, request: &Request) -> Result<(Reply, Option<Revision>), Reply> {
-        let path: Vec<&str> = request.path.iter().map(String::as_str).collect();
-        if let (["v1", "openapi.json"], "GET") = (path.as_slice(), request.method.as_str()) {
-            let page = Reply { status: 200, body: include_bytes!("openapi.json").to_vec(), fields: vec![] };
-            return Ok((page.with("content-type", "application/json"), None));
-        }
-        let who = self.who(request)?;
-        let may = |role: Role| {
-            let what = format!("{} may not do this: it needs {role:?}", who.name).to_lowercase();
-            (who.role >= role).then_some(()).ok_or_else(|| problem::reply(403, "role", what))
-        };
-        let only = |methods: &str| {
-            let what = format!("{} is not done here", request.method);
-            Err(problem::reply(405, "method", what).with("allow", methods))
-        };
-        match (path.as_slice(), request.method.as_str()) {
-            (["v1", "tenants"], "GET") => Ok((self.list(request)?, None)),
-            (["v1", "tenants"], _) => only("GET"),
-            (["v1", "tenants", name], "GET") => match self.store.get(name).map_err(broken)? {
-                Some(entry) => Ok((tagged(200, &entry), None)),
-                None => Err(missing()),
-            },
-            (["v1", "tenants", name], "PUT") => {
-                may(Role::Operate)?;
-                self.put(now, &who.name, name, request)
-            }
-            (["v1", "tenants", name], "DELETE") => {
-                may(Role::Operate)?;
-                let expected = expected(request)?;
-                let gone = self.store.change(now, &who.name, name, expected, None).map_err(broken)?;
-                Ok((Reply { status: 204, ..Reply::default() }, Some(gone)))
-            }
-            (["v1", "tenants", _], _) => only("GET, PUT, DELETE"),
-            (["v1", "tenants", name, "history"], "GET") => Ok((self.history(name, request)?, None)),
-            (["v1", "tenants", _, "history"], _) => only("GET"),
-            (["v1", "figures"], "GET") => Ok((self.sums(request)?, None)),
-            (["v1", "figures"], _) => only("GET"),
-            (["v1", "changes"], "GET") => Ok((self.changes(request)?, None)),
-            (["v1", "changes"], _) => only("GET"),
-            (["v1", "snapshot"], "GET") => {
-                may(Role::Own)?;
-                let mut body = vec![];
-                let written = self.store.snapshot(&mut body);
-                written.map_err(|e| problem::reply(503, "store", e.to_string()))?;
-                let reply = Reply { status: 200, body, fields: vec![] };
-                Ok((reply.with("content-type", "application/zstd"), None))
-            }
-            (["v1", "snapshot"], _) => only("GET"),
-            _ => Err(problem::reply(404, "address", format!("there is no /{}", path.join("/")))),
-        }
+    /// Drops the statistics of a tenant that was removed.
+    pub fn remove_statistics(&mut self, name: &str) {
+        self.statistics.remove(name);
     }
 
-    /// Whose key the request shows. All are compared, each in constant time, so that how long it takes tells
-    /// nothing of any key.
-    fn who(&self, request: &Request) -> Result<&Administrator, Reply> {
-        let unknown = |what: &str| {
-            let reply = problem::reply(401, "key", what);
-            reply.with("www-authenticate", "Bearer realm=\"tideroute\"")
-        };
-        let shown = request.field("authorization").ok_or_else(|| unknown("no key is shown"))?;
-        let (scheme, key) = shown.split_once(' ').unwrap_or((shown, ""));
-        if !scheme.eq_ignore_ascii_case("bearer") {
-            return Err(unknown("keys are shown as: authorization: Bearer KEY"));
+    fn route(&self, now: Micros, request: &Request) -> Result<Handled, ApiError> {
+        let path: Vec<&str> = request.path.iter().map(String::as_str).collect();
+        if path == ["v1", "openapi.json"] && request.method == "GET" {
+            return Ok(openapi_document().into());
         }
-        let hash = blake3::hash(key.trim().as_bytes());
-        let mut found = None;
-        for administrator in &self.administrators {
-            // The comparison of BLAKE3's own type is in constant time.
-            if blake3::Hash::from_bytes(administrator.key) == hash {
-                found = Some(administrator);
+        let administrator = authenticate(&self.administrators, request)?;
+        match path.as_slice() {
+            ["v1", "tenants"] => self.list(request),
+            ["v1", "tenants", name] => self.route_tenant(now, administrator, name, request),
+            ["v1", "tenants", name, "history"] => self.history(name, request),
+            ["v1", "figures"] => self.statistics(request),
+            ["v1", "changes"] => self.changes(request),
+            ["v1", "snapshot"] => self.snapshot(administrator, request),
+            _ => {
+                let detail = format!("there is no /{}", path.join("/"));
+                Err(ApiError::new(404, ProblemKind::Address, detail))
             }
         }
-        found.ok_or_else(|| unknown("nobody has this key"))
     }
 
-    fn put(
+    fn route_tenant(
         &self,
         now: Micros,
-        by: &str,
+        administrator: &Administrator,
         name: &str,
         request: &Request,
-    ) -> Result<(Reply, Option<Revision>), Reply> {
-        let expected = expected(request)?;
-        let kind = request.field("content-type").unwrap_or_default();
-        if kind.split(';').next().map(str::trim) != Some("application/json") {
-            return Err(problem::reply(415, "content-type", "the body must be application/json"));
-        }
-        // The parser would take a list for an object, field by field.
-        if request.body.trim_ascii_start().first() == Some(&b'[') {
-            return Err(problem::reply(422, "body", "the body must be an object"));
+    ) -> Result<Handled, ApiError> {
+        match request.method.as_str() {
+            "GET" => {
+                let revision = self.store.get(name)?.ok_or_else(ApiError::not_found)?;
+                Ok(revision_response(200, &revision).into())
+            }
+            "PUT" => {
+                administrator.require(Role::Operate)?;
+                self.put(now, &administrator.name, name, request)
+            }
+            "DELETE" => {
+                administrator.require(Role::Operate)?;
+                let precondition = parse_precondition(request)?;
+                let removed = self.store.change(now, &administrator.name, name, precondition, None)?;
+                let response = Response { status: 204, ..Response::default() };
+                Ok(Handled { response, change: Some(removed) })
+            }
+            _ => Err(method_not_allowed(request, "GET, PUT, DELETE")),
         }
-        let tenant: Tenant = serde_json::from_slice(&request.body).map_err(|e| {
-            let at = format!("line {}, column {}: {e}", e.line(), e.column());
-            problem::reply(if e.is_data() { 422 } else { 400 }, "body", at)
-        })?;
-        let made = self.store.change(now, by, name, expected, Some(tenant)).map_err(broken)?;
-        let status = if expected == Precondition::Absent { 201 } else { 200 };
-        Ok((tagged(status, &made), Some(made)))
-    }
-
-    fn list(&self, request: &Request) -> Result<Reply, Reply> {
-        let (after, most) = (request.asked("after").unwrap_or_default(), most(request)?);
-        let entries = self.store.list(after, most).map_err(broken)?;
-        let next = entries.last().filter(|_| entries.len() == most).map(|last| last.name.clone());
-        Ok(Reply::json(200, &Page { entries, next }))
     }
 
-    /// A tenant was removed: its figures go with it.
-    pub fn forget(&mut self, name: &str) {
-        self.figures.remove(name);
+    fn put(&self, now: Micros, by: &str, name: &str, request: &Request) -> Result<Handled, ApiError> {
+        let precondition = parse_precondition(request)?;
+        let tenant = parse_tenant(request)?;
+        let revision = self.store.change(now, by, name, precondition, Some(tenant))?;
+        let status = if precondition == Precondition::Absent { 201 } else { 200 };
+        Ok(Handled { response: revision_response(status, &revision), change: Some(revision) })
     }
 
-    fn sums(&self, request: &Request) -> Result<Reply, Reply> {
-        let (after, most) = (request.asked("after").unwrap_or_default(), most(request)?);
-        let later = self.figures.iter().filter(|(name, _)| name.as_str() > after).take(most);
-        let entries: Vec<_> = later.map(|(name, cores)| summed(name, cores)).collect();
-        let next = entries.last().filter(|_| entries.len() == most).map(|last| last.name);
-        Ok(Reply::json(200, &serde_json::json!({"entries": entries, "next": next})))
+    fn list(&self, request: &Request) -> Result<Handled, ApiError> {
+        require_get(request)?;
+        let after = request.query_parameter("after").unwrap_or_default();
+        let limit = page_limit(request)?;
+        let entries = self.store.list(after, limit)?;
+        let page = Page::new(entries, limit, |last| last.name.clone());
+        Ok(Response::json(200, &page).into())
     }
 
-    fn history(&self, name: &str, request: &Request) -> Result<Reply, Reply> {
-        let (before, most) = (number(request, "before")?.unwrap_or(u64::MAX), most(request)?);
-        let entries = self.store.history(name, before, most).map_err(broken)?;
+    fn history(&self, name: &str, request: &Request) -> Result<Handled, ApiError> {
+        require_get(request)?;
+        let before = request.query_number("before")?.unwrap_or(u64::MAX);
+        let limit = page_limit(request)?;
+        let entries = self.store.history(name, before, limit)?;
         if entries.is_empty() && before == u64::MAX {
-            return Err(missing());
+            return Err(ApiError::not_found());
         }
-        let next = entries.last().filter(|_| entries.len() == most).map(|last| last.version.to_string());
-        Ok(Reply::json(200, &Page { entries, next }))
+        let page = Page::new(entries, limit, |last| last.version.to_string());
+        Ok(Response::json(200, &page).into())
     }
 
-    fn changes(&self, request: &Request) -> Result<Reply, Reply> {
-        let (after, most) = (number(request, "after")?.unwrap_or(0), most(request)?);
-        let entries = self.store.changes(after, most).map_err(broken)?;
-        let next = entries.last().filter(|_| entries.len() == most).map(|last| last.version.to_string());
-        Ok(Reply::json(200, &Page { entries, next }))
+    fn changes(&self, request: &Request) -> Result<Handled, ApiError> {
+        require_get(request)?;
+        let after = request.query_number("after")?.unwrap_or(0);
+        let limit = page_limit(request)?;
+        let entries = self.store.changes(after, limit)?;
+        let page = Page::new(entries, limit, |last| last.version.to_string());
+        Ok(Response::json(200, &page).into())
     }
-}
 
-fn summed<'a>(name: &'a str, cores: &BTreeMap<String, Figures>) -> Summed<'a> {
-    let mut all = Summed { name, ..Summed::default() };
-    for ([asked, let_in, turned_back, in_time, late, waited], [waiting, in_flight]) in cores.values() {
-        all.asked += asked;
-        all.let_in += let_in;
-        all.turned_back += turned_back;
-        all.in_time += in_time;
-        all.late += late;
-        all.waited_us += waited;
-        all.waiting += u64::from(*waiting);
-        all.in_flight += u64::from(*in_flight);
+    fn statistics(&self, request: &Request) -> Result<Handled, ApiError> {
+        require_get(request)?;
+        let after = request.query_parameter("after").unwrap_or_default();
+        let limit = page_limit(request)?;
+        let entries = self.statistics.totals(after, limit);
+        let next = entries.last().filter(|_| entries.len() == limit).map(|last| last.name);
+        Ok(Response::json(200, &serde_json::json!({"entries": entries, "next": next})).into())
+    }
+
+    fn snapshot(&self, administrator: &Administrator, request: &Request) -> Result<Handled, ApiError> {
+        require_get(request)?;
+        administrator.require(Role::Own)?;
+        let mut body = vec![];
+        if let Err(error) = self.store.snapshot(&mut body) {
+            return Err(ApiError::new(503, ProblemKind::Store, error.to_string()));
+        }
+        let response = Response { status: 200, body, headers: vec![] };
+        Ok(response.with_header("content-type", "application/zstd").into())
     }
-    all
 }
 
 impl Watcher for Api {
     fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
-        // One that was removed may be told of once more.
-        if self.store.get(name).is_ok_and(|there| there.is_some()) {
-            self.figures.entry(name.to_string()).or_default().insert(core.to_string(), figures);
+        // A core may report once more on a tenant that was removed.
+        let exists = self.store.get(name).is_ok_and(|revision| revision.is_some());
+        if exists {
+            self.statistics.record(core, name, figures);
         }
         Ok(())
     }
 }
 
-fn number(request: &Request, name: &str) -> Result<Option<u64>, Reply> {
-    let parsed = request.asked(name).map(|text| {
-        text.parse::<u64>().map_err(|_| {
-            problem::of_field(400, "query", format!("{name} is {text:?}, no number"), name.to_string())
-        })
-    });
-    parsed.transpose()
+fn openapi_document() -> Response {
+    let body = include_bytes!("openapi.json").to_vec();
+    Response { status: 200, body, headers: vec![] }.with_header("content-type", "application/json")
 }
 
-fn most(request: &Request) -> Result<usize, Reply> {
-    match number(request, "most")?.unwrap_or(PAGE as u64) {
-        most @ 1..=1_000 => Ok(most as usize),
-        most => {
-            let what = format!("most is {most}, not 1 to {PAGE_MOST}");
-            Err(problem::of_field(400, "query", what, "most".to_string()))
-        }
-    }
+fn revision_response(status: u16, revision: &Revision) -> Response {
+    Response::json(status, revision).with_header("etag", entity_tag(revision))
 }
 
-/// What the request takes the tenant to be (RFC 9110, 13.1): a change without it could undo another's unseen.
-fn expected(request: &Request) -> Result<Precondition, Reply> {
-    let (is, is_not) = (request.field("if-match"), request.field("if-none-match"));
-    match (is, is_not) {
-        (None, Some("*")) => Ok(Precondition::Absent),
-        (Some(tag), None) => {
-            let version = tag.strip_prefix('"').and_then(|tag| tag.strip_suffix('"'));
-            let version = version.and_then(|version| version.parse().ok());
-            let what = format!("If-Match is {tag}, no version as an ETag gave it");
-            version.map(Precondition::Version).ok_or_else(|| problem::reply(400, "if-match", what))
-        }
-        (None, None) => {
-            let what =
-                "a change names the version it changes with If-Match, or If-None-Match: * for a new one";
-            Err(problem::reply(428, "precondition", what))
-        }
-        _ => Err(problem::reply(400, "precondition", "If-Match and If-None-Match: * exclude each other")),
+fn require_get(request: &Request) -> Result<(), ApiError> {
+    if request.method == "GET" {
+        Ok(())
+    } else {
+        Err(method_not_allowed(request, "GET"))
     }
 }
 
-fn tagged(status: u16, entry: &Revision) -> Reply {
-    Reply::json(status, entry).with("etag", format!("\"{}\"", entry.version))
-}
-
-fn missing() -> Reply {
-    problem::reply(404, "tenant", "there is no such tenant")
+fn method_not_allowed(request: &Request, allowed: &str) -> ApiError {
+    let detail = format!("{} is not done here", request.method);
+    ApiError::new(405, ProblemKind::Method, detail).with_header("allow", allowed)
 }
 
-fn broken(problem: StoreError) -> Reply {
-    match problem {
-        StoreError::Conflict(Some(present)) => {
-            let what =
-                format!("the tenant is at version {}, changed by {}", present.version, present.changed_by);
-            let status = if present.tenant.is_some() { 412 } else { 409 };
-            let reply = problem::of_present(status, "version", what, &present);
-            reply.with("etag", format!("\"{}\"", present.version))
-        }
-        StoreError::Conflict(None) => problem::reply(409, "version", "the tenant is not as expected"),
-        StoreError::NotFound => missing(),
-        StoreError::InvalidField(fault) => problem::of_field(422, "field", fault.to_string(), fault.field),
-        StoreError::TooManyTenants(_) => problem::reply(507, "full", problem.to_string()),
-        StoreError::Database(_) | StoreError::Closed | StoreError::Corrupt(_) => {
-            tracing::error!(%problem, "the store of tenants");
-            problem::reply(503, "store", problem.to_string())
-        }
+/// The tenant in the body of a request.
+fn parse_tenant(request: &Request) -> Result<Tenant, ApiError> {
+    let content_type = request.header("content-type").unwrap_or_default();
+    if content_type.split(';').next().map(str::trim) != Some("application/json") {
+        return Err(ApiError::new(415, ProblemKind::ContentType, "the body must be application/json"));
+    }
+    // The parser would take an array for an object, field by field.
+    if request.body.trim_ascii_start().first() == Some(&b'[') {
+        return Err(ApiError::new(422, ProblemKind::Body, "the body must be an object"));
     }
+    serde_json::from_slice(&request.body).map_err(|error| {
+        let status = if error.is_data() { 422 } else { 400 };
+        let detail = format!("line {}, column {}: {error}", error.line(), error.column());
+        ApiError::new(status, ProblemKind::Body, detail)
+    })
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,14 +1,24 @@
-//! The administration API: HTTP/1.1 with JSON over the record of tenants. [`Admin`] is a program for the loop, on
-//! raw connections; [`Api`] answers one request and has neither socket nor clock. What was changed is handed to
-//! the function that the program was given, after the store confirmed it.
+//! The administration API: HTTP/1.1 with JSON over the store of tenants.
 //!
-//! What it offers, with each status: `docs/api.md`. HTTP: RFC 9110 and 9112; problems: RFC 9457.
+//! [`Api`] handles one request and has neither sockets nor a clock. [`AdminServer`] runs it on an event loop, on raw
+//! connections, and passes each change to its callback once the store has confirmed it.
+//!
+//! `docs/api.md` lists the resources and the status codes. HTTP follows RFC 9110 and RFC 9112, errors RFC 9457.
+
+#![warn(missing_docs)]
 
+mod administrator;
 mod api;
-mod http;
-mod problem;
-mod program;
+mod api_error;
+mod pagination;
+mod precondition;
+mod request;
+mod response;
+mod server;
+mod tenant_statistics;
 
-pub use api::{Administrator, Api, Role};
-pub use http::{Reply, Request};
-pub use program::Admin;
+pub use administrator::{Administrator, Role};
+pub use api::{Api, Handled};
+pub use request::Request;
+pub use response::Response;
+pub use server::AdminServer;
--- /dev/null
+++ b/crates/admin/src/response.rs
@@ -0,0 +1,36 @@
+//! HTTP responses.
+
+use bytes::Bytes;
+use tideroute_http::write;
+
+/// An HTTP response.
+#[derive(Debug, Default)]
+pub struct Response {
+    /// Status code.
+    pub status: u16,
+    /// Header fields, without those that frame the body.
+    pub headers: Vec<(&'static str, String)>,
+    /// The body.
+    pub body: Vec<u8>,
+}
+
+impl Response {
+    /// A response with a body of JSON.
+    pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
+        // Serialization cannot fail: our types have no maps with keys that are not strings.
+        let body = serde_json::to_vec(body).unwrap_or_default();
+        Response { status, headers: vec![("content-type", "application/json".into())], body }
+    }
+
+    /// Adds a header field.
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Response {
+        self.headers.push((name, value.into()));
+        self
+    }
+
+    /// The response's bytes. `is_last` announces that the connection closes after it.
+    pub fn to_bytes(&self, is_last: bool) -> Bytes {
+        let headers = self.headers.iter().map(|(name, value)| (*name, value.as_str()));
+        write::answer(self.status, headers, &self.body, is_last)
+    }
+}
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -9,12 +9,12 @@
 
 use bytes::Bytes;
 use metrics::counter;
-use tideroute_admin::{Admin, Administrator, Api, Role};
+use tideroute_admin::{AdminServer, Administrator, Api, Role};
 use tideroute_config_language::kinds;
 use tideroute_lifecycle::TenantConfig;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
-use tideroute_tenant_store::{RateLimit, Revision, Tenant, TenantStore};
+use tideroute_tenant_store::{Rate, Revision, Tenant, TenantStore};
 use tideroute_wire::tenant;
 
 /// How long a change waits for a core to have heard of it; one that is stalled for longer hears of it late.
@@ -45,7 +45,7 @@
         let figures = reactor.mailbox();
         reactor.catch_signals().map_err(|e| e.to_string())?;
         let (api, told) = (Api::new(store.clone(), administrators), cores.clone());
-        let mut admin = Admin::new(api, move |entry| tell(&told, entry));
+        let mut admin = AdminServer::new(api, move |entry| tell(&told, entry));
         let body = move || {
             if let Err(problem) = reactor.run(&mut admin) {
                 tracing::error!(%problem, "the administration has ended; the cores go on");
@@ -89,8 +89,7 @@
 }
 
 fn terms(entry: &Revision, tenant: &Tenant) -> TenantConfig {
-    let rate =
-        |rate: RateLimit| tideroute_admission::RateLimit { per_second: rate.per_second, burst: rate.burst };
+    let rate = |rate: Rate| tideroute_admission::RateLimit { per_second: rate.per_second, burst: rate.burst };
     let limits = tideroute_admission::Limits {
         requests: tenant.requests.map(rate),
         tokens: tenant.tokens.map(rate),
@@ -106,7 +105,7 @@
     let letter: Bytes = match &entry.tenant {
         None => tenant::removed(&entry.name, entry.version),
         Some(t) => {
-            let rate = |rate: RateLimit| (rate.per_second, rate.burst);
+            let rate = |rate: Rate| (rate.per_second, rate.burst);
             let (submissions, tokens) = (t.requests.map(rate), t.tokens.map(rate));
             let (keys, name) = (keys(t), &entry.name);
             tenant::set(name, entry.version, &keys, t.weight, submissions, tokens, t.in_flight, t.waiting)
--- a/crates/command/tests/stored_data.rs
+++ b/crates/command/tests/stored_data.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use tideroute_tenant_store::{RateLimit, Revision, Tenant, TenantKey, TenantStore};
+use tideroute_tenant_store::{Key, Rate, Revision, Tenant, TenantStore};
 
 fn stored(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
@@ -19,13 +19,13 @@
     path.to_str().expect("a path in UTF-8")
 }
 
-fn key(number: usize) -> TenantKey {
-    TenantKey { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
+fn key(number: usize) -> Key {
+    Key { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
 }
 
 /// What the stored files hold: two tenants, of which one was changed and the other removed.
 fn expected_history() -> Vec<Revision> {
-    let rate = Some(RateLimit { per_second: 10.5, burst: 5.0 });
+    let rate = Some(Rate { per_second: 10.5, burst: 5.0 });
     let harbour = Tenant {
         weight: 1.5,
         requests: rate,
@@ -38,7 +38,7 @@
     let changed = Tenant {
         weight: 2.0,
         requests: None,
-        tokens: Some(RateLimit { per_second: 1_000.0, burst: 2_000.0 }),
+        tokens: Some(Rate { per_second: 1_000.0, burst: 2_000.0 }),
         in_flight: None,
         keys: vec![key(0)],
         ..harbour.clone()
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -23,4 +23,4 @@
 pub use revision::Revision;
 pub use snapshot_error::{LineError, SnapshotError};
 pub use store::{Precondition, TenantStore};
-pub use tenant::{RateLimit, Tenant, TenantKey};
+pub use tenant::{Key, Rate, Tenant};
--- a/crates/tenant-store/src/revision.rs
+++ b/crates/tenant-store/src/revision.rs
@@ -6,7 +6,6 @@
 
 /// A tenant as it was after a change.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(rename = "Entry")]
 pub struct Revision {
     /// The tenant's name.
     pub name: String,
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -19,7 +19,6 @@
 const MAX_LINE: u64 = 1 << 20;
 
 #[derive(Deserialize, Serialize)]
-#[serde(rename = "Head")]
 struct Header {
     format: String,
     /// The number of the last change.
@@ -28,7 +27,6 @@
 }
 
 #[derive(Deserialize, Serialize)]
-#[serde(rename = "Foot")]
 struct Footer {
     #[serde(rename = "entries")]
     revisions: usize,
--- a/crates/tenant-store/src/tenant.rs
+++ b/crates/tenant-store/src/tenant.rs
@@ -1,5 +1,5 @@
 //! The configuration of a tenant, and which values are allowed. The serialized names are those of the administration API
-//! and of the stored data.
+//! and of the stored data; the names of the types stand in the API's error messages.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,8 +19,8 @@
 
 /// A limit on a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
-#[serde(rename = "Rate", deny_unknown_fields)]
-pub struct RateLimit {
+#[serde(deny_unknown_fields)]
+pub struct Rate {
     /// Units per second.
     #[serde(rename = "a_second")]
     pub per_second: f64,
@@ -31,8 +31,8 @@
 
 /// A key of a tenant. Only its hash is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-#[serde(rename = "Key", deny_unknown_fields)]
-pub struct TenantKey {
+#[serde(deny_unknown_fields)]
+pub struct Key {
     /// The name by which it is revoked.
     pub name: String,
     /// BLAKE3 of the key, 64 hexadecimal digits. Keys are random, so a slow hash would protect nothing.
@@ -48,10 +48,10 @@
     pub weight: f64,
     /// Limit on requests.
     #[serde(default, rename = "submissions")]
-    pub requests: Option<RateLimit>,
+    pub requests: Option<Rate>,
     /// Limit on prompt tokens.
     #[serde(default)]
-    pub tokens: Option<RateLimit>,
+    pub tokens: Option<Rate>,
     /// Limit on requests in flight.
     #[serde(default)]
     pub in_flight: Option<u32>,
@@ -60,7 +60,7 @@
     pub waiting: u32,
     /// Keys that clients may use for the tenant.
     #[serde(default)]
-    pub keys: Vec<TenantKey>,
+    pub keys: Vec<Key>,
 }
 
 fn default_weight() -> f64 {
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-fn check_rate(field: &str, rate: &RateLimit) -> Result<(), FieldError> {
+fn check_rate(field: &str, rate: &Rate) -> Result<(), FieldError> {
     let burst_field = format!("{field}.once");
     check_number(&format!("{field}.a_second"), rate.per_second)?;
     check_number(&burst_field, rate.burst)?;
@@ -133,7 +133,7 @@
             if !is_hash(&key.hash) {
                 return Err(FieldError::new(format!("keys[{index}].hash"), FieldProblem::NotAHash));
             }
-            let is_same = |other: &TenantKey| other.name == key.name || other.hash == key.hash;
+            let is_same = |other: &Key| other.name == key.name || other.hash == key.hash;
             if self.keys[..index].iter().any(is_same) {
                 return Err(FieldError::new(format!("keys[{index}]"), FieldProblem::Duplicate));
             }
--- a/crates/tenant-store/tests/serialized_names.rs
+++ b/crates/tenant-store/tests/serialized_names.rs
@@ -1,16 +1,16 @@
 //! The names in the JSON of tenants: the administration API and stored data depend on them.
 
-use tideroute_tenant_store::{RateLimit, Revision, Tenant, TenantKey};
+use tideroute_tenant_store::{Key, Rate, Revision, Tenant};
 
 #[test]
 fn a_revision_keeps_its_serialized_names() {
     let tenant = Tenant {
         weight: 2.0,
-        requests: Some(RateLimit { per_second: 10.0, burst: 5.0 }),
+        requests: Some(Rate { per_second: 10.0, burst: 5.0 }),
         tokens: None,
         in_flight: Some(3),
         waiting: 9,
-        keys: vec![TenantKey { name: "first".into(), hash: "ab".into() }],
+        keys: vec![Key { name: "first".into(), hash: "ab".into() }],
     };
     let revision = Revision {
         name: "harbour".into(),
--- a/crates/tenant-store/tests/tenant_store.rs
+++ b/crates/tenant-store/tests/tenant_store.rs
@@ -8,16 +8,14 @@
 
 use rand::{RngExt, SeedableRng};
 use redb::StorageBackend;
-use tideroute_tenant_store::{
-    Precondition, RateLimit, SnapshotError, StoreError, Tenant, TenantKey, TenantStore,
-};
+use tideroute_tenant_store::{Key, Precondition, Rate, SnapshotError, StoreError, Tenant, TenantStore};
 
 /// Environment variable that holds the path of the store, in a process that a test starts in order to kill it.
 const STORE_PATH_VARIABLE: &str = "TIDEROUTE_TEST_STORE";
 
 fn tenant(weight: f64) -> Tenant {
-    let key = TenantKey { name: "first".into(), hash: "ab".repeat(32) };
-    let rate = RateLimit { per_second: 10.0, burst: 5.0 };
+    let key = Key { name: "first".into(), hash: "ab".repeat(32) };
+    let rate = Rate { per_second: 10.0, burst: 5.0 };
     Tenant { weight, requests: Some(rate), tokens: None, in_flight: Some(3), waiting: 9, keys: vec![key] }
 }
 
@@ -75,9 +73,9 @@
     ];
     let long = "x".repeat(64);
     cases.push((&long, tenant(1.0), "name"));
-    let rate = Some(RateLimit { per_second: 1.0, burst: 0.0 });
+    let rate = Some(Rate { per_second: 1.0, burst: 0.0 });
     cases.push(("ok", Tenant { tokens: rate, ..tenant(1.0) }, "tokens.once"));
-    let hash = |hash: &str| vec![TenantKey { name: "k".into(), hash: hash.into() }];
+    let hash = |hash: &str| vec![Key { name: "k".into(), hash: hash.into() }];
     cases.push(("ok", Tenant { keys: hash("xyz"), ..tenant(1.0) }, "keys[0].hash"));
     cases.push(("ok", Tenant { keys: hash(&"AB".repeat(32)), ..tenant(1.0) }, "keys[0].hash"));
     cases.push((
