--- a/crates/command/src/day.rs
+++ b/crates/command/src/day.rs
@@ -151,29 +151,30 @@
     let views = day::views(record).map_err(|e| format!("{}: {e}", record.display()))?;
     print(&report);
     views.iter().for_each(print_views);
-    Ok(report.kept() && views.is_none_or(|v| v.kept()))
+    Ok(report.kept() && views.is_none_or(|v| v.passed()))
 }
 
 /// How routers saw each other.
 fn print_views(views: &Views) {
-    let [median, most, last] = views.known.map(|known| known as f64 / 1e6);
+    let times = &views.detection_times;
+    let [median, most, last] = [times.median, times.p99, times.max].map(|known| known as f64 / 1e6);
     println!(
         "  {} members, {} sightings; {} kills known to others after {median:.2} s p50, {most:.2} s p99, {last:.2} s \
          at most",
-        views.members, views.sightings, views.kills
+        views.members, views.observations, views.kills
     );
     println!(
         "  {} deaths seen, {} of them of routers that were cut off or had just been down; {} sights compared at {} \
          moments",
-        views.deaths, views.excused, views.compared, views.moments
+        views.deaths, views.excused_deaths, views.compared_views, views.compared_moments
     );
-    if views.kept() {
+    if views.passed() {
         println!("views: all true");
         return;
     }
-    println!("views: NOT true: {} times", views.broken.len() as u64 + views.more);
-    for (at, what) in views.broken.iter().take(10) {
-        println!("    at {at}: {what}");
+    println!("views: NOT true: {} times", views.violation_count());
+    for violation in views.violations.iter().take(10) {
+        println!("    at {}: {}", violation.at, violation.kind);
     }
 }
 
--- /dev/null
+++ b/crates/membership-checker/src/report.rs
@@ -0,0 +1,68 @@
+//! The result of a check.
+
+use tideroute_wire::Micros;
+
+use crate::violation::{Violation, ViolationKind};
+
+/// Violations that are listed; further ones are only counted.
+const MAX_LISTED: usize = 100;
+
+/// The time from a kill until another router knew of it.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct DetectionTimes {
+    /// Median.
+    pub median: Micros,
+    /// 99th percentile.
+    pub p99: Micros,
+    /// The longest.
+    pub max: Micros,
+}
+
+/// The result of a check.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Report {
+    /// Members of the fleet.
+    pub members: usize,
+    /// Observations in the capture.
+    pub observations: u64,
+    /// Kills of which it was checked when the others knew.
+    pub kills: u64,
+    /// How fast the others knew of kills.
+    pub detection_times: DetectionTimes,
+    /// Moments at which all views were compared with what was true.
+    pub compared_moments: u64,
+    /// Views of one member by another that were compared.
+    pub compared_views: u64,
+    /// Deaths that were observed.
+    pub deaths: u64,
+    /// Observed deaths of routers that were up, which were excused.
+    pub excused_deaths: u64,
+    /// The first violations, sorted by time and text.
+    pub violations: Vec<Violation>,
+    /// Violations beyond the listed ones.
+    pub unlisted_violations: u64,
+}
+
+impl Report {
+    /// There was no violation.
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty()
+    }
+
+    /// Number of all violations.
+    pub fn violation_count(&self) -> u64 {
+        self.violations.len() as u64 + self.unlisted_violations
+    }
+
+    pub(crate) fn add_violation(&mut self, at: Micros, kind: ViolationKind) {
+        if self.violations.len() < MAX_LISTED {
+            self.violations.push(Violation { at, kind });
+        } else {
+            self.unlisted_violations += 1;
+        }
+    }
+
+    pub(crate) fn sort_violations(&mut self) {
+        self.violations.sort_by_cached_key(|violation| (violation.at, violation.kind.to_string()));
+    }
+}
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -86,7 +86,7 @@
 impl Played {
     pub fn passed(&self) -> bool {
         self.report.kept()
-            && self.views.as_ref().is_none_or(Views::kept)
+            && self.views.as_ref().is_none_or(Views::passed)
             && self.expected.iter().all(|(.., held)| *held)
     }
 }
--- a/crates/simulation/src/files.rs
+++ b/crates/simulation/src/files.rs
@@ -5,7 +5,7 @@
 use tideroute_config_language::kinds::{
     Burst, Day, File, Fleet, Group, Key, Late, List, Load, Role, Router, Step, Tenant, Terms, Worker,
 };
-use tideroute_membership_checker::{Cut, Members};
+use tideroute_membership_checker::{FleetMembers, Partition};
 use tideroute_trace_checker::{Group as Among, Repeat, TrackTerms, WorkerTerms};
 use tideroute_wire::Micros;
 
@@ -145,19 +145,19 @@
 const DEAFENING: f64 = 0.25;
 
 /// What the views of routers that know each other are read by.
-pub fn members(day: &Day, begins: Micros) -> Option<Members> {
+pub fn members(day: &Day, begins: Micros) -> Option<FleetMembers> {
     let cuts = day
         .troubles
         .iter()
         .filter(|t| t.act == "cut" || t.act == "delay" && t.loss.is_some_and(|loss| loss > DEAFENING));
     let named = |names: &[String]| names.iter().flat_map(|name| day.named(name)).collect();
-    let cuts = cuts.map(|t| Cut {
+    let cuts = cuts.map(|t| Partition {
         from: begins + t.at,
         until: begins + t.at + t.lasts.unwrap_or(0),
-        between: named(&t.between),
-        and: named(&t.and),
+        side: named(&t.between),
+        other_side: named(&t.and),
     });
-    day.membership.then(|| Members { names: day.router_names().collect(), cuts: cuts.collect() })
+    day.membership.then(|| FleetMembers { names: day.router_names().collect(), partitions: cuts.collect() })
 }
 
 /// What the rules are read by.
