--- a/crates/admission/src/admission_control.rs
+++ b/crates/admission/src/admission_control.rs
@@ -7,12 +7,12 @@
 
 use crate::concurrency_limit::ConcurrencyLimit;
 use crate::config::AdmissionConfig;
-use crate::request::{AdmissionRequest, ResponseTiming};
+use crate::request::{AdmissionRequest, ResponseTiming, Tenant, Ticket};
 use crate::tenant::{Limits, QueuePosition, TenantState, TenantStats, WaitingRequest};
 use crate::tenant_schedule::{ServiceOrder, TenantSchedule, VirtualTime};
+use crate::units::Micros;
 use crate::verdict::Verdict;
 use crate::wait_queue::{QueueEntry, WaitQueue};
-use crate::{Micros, Tenant, Ticket};
 
 /// One part in so many of a request's remaining time may go to waiting for admission: the rest is for prefill and
 /// decode, and for a retry.
@@ -140,7 +140,7 @@
         self.request_finished(now, ticket, ResponseTiming::Unknown);
     }
 
-    /// The next verdict; `None` once there is none for the present.
+    /// The next verdict; `None` if there is none at present.
     pub fn next_verdict(&mut self, now: Micros) -> Option<Verdict> {
         self.wake_throttled(now);
         self.expire_waiting(now);
@@ -213,7 +213,7 @@
         let weight = if state.has_weight() { state.limits.weight } else { 1.0 };
         let start_tag = self.virtual_time.max(state.finish_tag);
         state.finish_tag = start_tag + (request.tokens + 1.0) / weight;
-        // A tenant without weight only takes what others leave, so it must not advance the virtual time for them.
+        // A tenant without weight only takes what others leave, so it must not advance their virtual time.
         if state.has_weight() {
             self.virtual_time = start_tag;
         }
--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -10,7 +10,7 @@
 //! stays unused on average. A capacity that falls is followed within one decrease, one that rises within as many rounds
 //! as it rose by.
 
-use crate::Micros;
+use crate::units::Micros;
 
 #[cfg(test)]
 mod tests;
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,6 +1,6 @@
 //! Configuration that holds for all tenants.
 
-use crate::Micros;
+use crate::units::Micros;
 
 /// Configuration of [`AdmissionControl`](crate::AdmissionControl) that holds for all tenants.
 #[derive(Clone, Copy, Debug)]
--- a/crates/admission/src/count_min_sketch.rs
+++ b/crates/admission/src/count_min_sketch.rs
@@ -4,7 +4,7 @@
 
 use foldhash::fast::FixedState;
 
-use crate::Micros;
+use crate::units::Micros;
 
 #[cfg(test)]
 mod tests;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -21,6 +21,7 @@
 mod request;
 mod tenant;
 mod tenant_schedule;
+mod units;
 mod verdict;
 mod wait_queue;
 
@@ -31,7 +32,5 @@
 pub use rate_limit::RateLimit;
 pub use request::{AdmissionRequest, ResponseTiming, Tenant, Ticket};
 pub use tenant::{Limits, TenantStats};
+pub use units::Micros;
 pub use verdict::Verdict;
-
-/// Microseconds: a moment on the caller's clock, or a duration.
-pub type Micros = u64;
--- a/crates/admission/src/rate_limit.rs
+++ b/crates/admission/src/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Rate limits that allow bursts, by the generic cell rate algorithm (ITU-T I.371). It behaves as a token bucket does,
 //! and keeps one moment in place of a level and the time of the last refill.
 
-use crate::Micros;
+use crate::units::Micros;
 
 #[cfg(test)]
 mod tests;
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,6 +1,6 @@
 //! What callers report: requests, and the timing of their responses.
 
-use crate::Micros;
+use crate::units::Micros;
 
 /// A tenant, by the number that its caller gave it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
--- a/crates/admission/src/tenant.rs
+++ b/crates/admission/src/tenant.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use crate::rate_limit::{RateLimit, RateLimiter};
-use crate::{Micros, Ticket};
+use crate::request::Ticket;
+use crate::units::Micros;
 
 /// The limits of a tenant. A limit that is `None` does not bind.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/admission/src/tenant_schedule.rs
+++ b/crates/admission/src/tenant_schedule.rs
@@ -5,7 +5,8 @@
 
 use foldhash::fast::FixedState;
 
-use crate::{Micros, Tenant};
+use crate::request::Tenant;
+use crate::units::Micros;
 
 /// A virtual time of start-time fair queueing, with the total order of floats.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/admission/src/verdict.rs
+++ b/crates/admission/src/verdict.rs
@@ -1,6 +1,7 @@
 //! What admission control decides.
 
-use crate::{Micros, Ticket};
+use crate::request::Ticket;
+use crate::units::Micros;
 
 /// What the caller has to do.
 #[derive(Clone, Copy, PartialEq, Debug)]
--- a/crates/admission/src/wait_queue.rs
+++ b/crates/admission/src/wait_queue.rs
@@ -4,8 +4,9 @@
 
 use foldhash::fast::FixedState;
 
+use crate::request::{Tenant, Ticket};
 use crate::tenant::QueuePosition;
-use crate::{Micros, Tenant, Ticket};
+use crate::units::Micros;
 
 /// Where a waiting request is found.
 #[derive(Clone, Copy)]
--- a/crates/membership-checker/src/check.rs
+++ b/crates/membership-checker/src/check.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// When the routers were told to exit: the first exit, or the first goodbye that was observed.
+/// When the routers began to exit: the first exit, or the first goodbye that was observed.
 fn end_of_day(truth: &GroundTruth) -> Option<Micros> {
     let exits = truth.runs.iter().flatten().filter(|run| run.exited).map(|run| run.until);
     let left = truth.observations.iter().filter(|observation| observation.status == ObservedStatus::Left);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,7 +28,8 @@
 
 pub use config::MembershipConfig;
 pub use member::{digest_part, Member};
-pub use membership::{Membership, MAX_PAGES};
+pub use membership::anti_entropy::MAX_PAGES;
+pub use membership::Membership;
 pub use message_authenticator::{AuthError, MessageAuthenticator};
 pub use node::MembershipNode;
 pub use output::Output;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -17,7 +17,7 @@
 use crate::stats::MembershipStats;
 use crate::units::MILLISECOND;
 
-mod anti_entropy;
+pub(crate) mod anti_entropy;
 mod claims;
 mod datagrams;
 mod dissemination;
@@ -25,8 +25,6 @@
 mod probing;
 mod suspicions;
 
-pub use anti_entropy::MAX_PAGES;
-
 /// A wake-up that is later than this means that the event loop or the machine stood still: what was not received
 /// meanwhile is this router's own fault.
 const MAX_WAKEUP_LAG: Micros = 60 * MILLISECOND;
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -96,7 +96,8 @@
         let differing: [bool; PARTS] =
             std::array::from_fn(|part| sender_digests.get(part) != Some(&digests[part]));
         let differs = differing.contains(&true);
-        // Rumors count as transmitted also where the pages take their place: the pages hold them, where they are news.
+        // Composed also where pages are sent instead, and the rumors then count as transmitted: the pages hold whatever
+        // the sender lacks.
         let rumors = self.message_with_rumors(sender.filter(|_| !differs));
         let pages = if differs { self.pages_of_parts(differing) } else { vec![rumors] };
         let page_count = pages.len() as u32;
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -74,8 +74,8 @@
                 self.suspect(now, slot, claim.suspecter, claim.source.disseminates());
             }
             _ if claimed == known => {}
-            // In a full exchange a death may be old, from before a partition healed: the member is told of it, and may
-            // refute it.
+            // In a full exchange a death may be old, from before a partition healed: the member gets the claim,
+            // and may refute it.
             MemberStatus::Dead if claim.source == ClaimSource::FullExchange && known.status.is_in() => {
                 self.adopt_incarnation(slot, address, known, claimed);
                 self.suspect(now, slot, claim.suspecter, false);
--- a/crates/membership/src/stats.rs
+++ b/crates/membership/src/stats.rs
@@ -11,7 +11,7 @@
     pub suspicions: u64,
     /// Members that this router itself declared dead.
     pub declared_dead: u64,
-    /// Claims that this router is suspected, dead or gone, which it refuted.
+    /// Claims that this router is suspected, dead or has left, which it refuted.
     pub refutations: u64,
     /// Claims with an incarnation that no clock can have given, which were ignored.
     pub future_incarnations: u64,
