--- a/crates/reactor/benches/wheel.rs
+++ b/crates/reactor/benches/timer_wheel.rs
@@ -8,7 +8,7 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_reactor::wheel::Wheel;
+use tideroute_reactor::timer_wheel::TimerWheel;
 
 /// Ticks to the latest timer, and timers that ring in one step.
 const LONGEST: u64 = 3_000_000;
@@ -24,7 +24,7 @@
         // Timers lie evenly between now and the latest, on average halfway.
         let step = LONGEST / 2 * RING / open;
         let mut chance = Pcg64::seed_from_u64(7);
-        let mut wheel = Wheel::new(0);
+        let mut wheel = TimerWheel::new(0);
         let (mut now, mut due) = (0, vec![]);
         (0..open).for_each(|key| wheel.set(chance.random_range(1..LONGEST), key));
         group.bench_function(BenchmarkId::new("wheel", open), |b| {
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,25 +1,35 @@
-//! One loop over `polling` that drives a [`EventHandler`](tideroute_wire::link::Program).
+//! A single-threaded event loop over `polling` that drives one
+//! [`EventHandler`](tideroute_wire::event_loop::EventHandler).
 //!
-//! A [`Reactor`] is made with the doors at which it listens, and [`Reactor::run`] drives one program until it
-//! is done: it reads frames, calls the program, and carries out what the program asks, in order. All of a
-//! turn's writes to a connection leave in one piece. Nothing here knows what a frame means.
+//! A [`Reactor`] is created with the addresses at which it listens. [`Reactor::run`] then reads frames from its
+//! connections, calls the handler, and executes the handler's
+//! [`Effects`](tideroute_wire::event_loop::Effects) in order until the handler has finished. All writes to one
+//! connection in one iteration of the loop leave together. Nothing here knows what a frame means.
 //!
-//! It may have doors for datagrams too ([`Reactor::datagrams`]); what there is no room for is lost there, as on the
-//! way. Buffers are bounded: what has arrived on a connection never holds more than one frame and one piece
-//! ([`conn::PIECE`]); what waits to be sent raises `crowded` over [`conn::HIGH`] bytes, and a connection whose
-//! peer lets it grow past [`conn::MOST`] is closed.
+//! The loop may also receive datagrams ([`Reactor::datagrams`]); a datagram for which a socket has no room
+//! is lost, as it may be on the network.
+//!
+//! Buffers are bounded. What has arrived on a connection never holds more than one frame and one chunk
+//! ([`connection::READ_CHUNK`]). Output over [`connection::HIGH_WATERMARK`] bytes raises backpressure, and a
+//! connection whose output grows past [`connection::MAX_BUFFERED`] bytes is closed.
+
+#![warn(missing_docs)]
 
 pub mod clock;
-pub mod conn;
-mod datagrams;
-mod door;
+pub mod connection;
+mod datagram_socket;
+mod error;
+mod listener;
 mod mailbox;
+mod poll_key;
 mod reactor;
-mod signals;
-mod tap;
-pub mod wheel;
+mod signal_pipe;
+mod timer_key;
+pub mod timer_wheel;
+mod traffic_capture;
 
 pub use clock::Warp;
+pub use error::ReactorError;
 pub use mailbox::Mailbox;
-pub use reactor::{Ended, Reactor, ReactorError};
-pub use tap::Tap;
+pub use reactor::{Ended, Reactor};
+pub use traffic_capture::Tap;
--- a/crates/reactor/src/mailbox.rs
+++ b/crates/reactor/src/mailbox.rs
@@ -1,5 +1,5 @@
-//! The way into a loop from other threads. The loop shares nothing: it takes each letter as it takes what its
-//! sockets bring, and says how many it has taken.
+//! Messages to a loop from other threads. The loop shares nothing: it takes messages as it takes the events of its
+//! sockets, and counts those that its handler has processed.
 
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::{Arc, Condvar, Mutex};
@@ -8,70 +8,76 @@
 use bytes::Bytes;
 use polling::Poller;
 
-/// Letters that may wait in one loop's box.
-const LETTERS: usize = 1_024;
+/// Messages that may wait for one loop.
+const CAPACITY: usize = 1_024;
 
-/// How many letters the loop's program was told, and who waits for that.
-type Told = Arc<(Mutex<u64>, Condvar)>;
+/// How many messages the handler has processed, and those who wait for that number.
+type Processed = Arc<(Mutex<u64>, Condvar)>;
 
+/// The senders' side: hands messages to the handler of one loop, from any thread.
 #[derive(Clone)]
 pub struct Mailbox {
-    letters: SyncSender<Bytes>,
+    messages: SyncSender<Bytes>,
     poller: Arc<Poller>,
     sent: Arc<Mutex<u64>>,
-    told: Told,
+    processed: Processed,
 }
 
 /// The loop's side.
-pub(crate) struct Letters {
-    letters: Receiver<Bytes>,
-    told: Told,
+pub(crate) struct MessageReceiver {
+    messages: Receiver<Bytes>,
+    processed: Processed,
 }
 
-pub(crate) fn mailbox(poller: Arc<Poller>) -> (Mailbox, Letters) {
-    let ((send, letters), told) = (sync_channel(LETTERS), Told::default());
-    (Mailbox { letters: send, poller, sent: Arc::default(), told: told.clone() }, Letters { letters, told })
+/// Both sides of a new mailbox; sending wakes the loop that polls `poller`.
+pub(crate) fn mailbox(poller: Arc<Poller>) -> (Mailbox, MessageReceiver) {
+    let (sender, receiver) = sync_channel(CAPACITY);
+    let processed = Processed::default();
+    let mailbox = Mailbox { messages: sender, poller, sent: Arc::default(), processed: processed.clone() };
+    (mailbox, MessageReceiver { messages: receiver, processed })
 }
 
 impl Mailbox {
-    /// Waits while the box is full. The letter's number, or None if the loop has ended.
-    pub fn send(&self, letter: Bytes) -> Option<u64> {
-        // Numbers go by the order in the box, also where several send at once.
+    /// Sends a message, and waits while the mailbox is full. Returns the message's number, or None if the loop has
+    /// ended.
+    pub fn send(&self, message: Bytes) -> Option<u64> {
+        // Numbers follow the order in the mailbox, also where several threads send at once.
         let mut sent = self.sent.lock().unwrap_or_else(|e| e.into_inner());
-        self.letters.send(letter).ok()?;
+        self.messages.send(message).ok()?;
         *sent += 1;
         self.poller.notify().ok()?;
         Some(*sent)
     }
 
-    /// Never waits for room; false if the box is full or the loop has ended. For letters of which a later one tells
-    /// the same. Into a box that others [`send`](Self::send) to it would wait with them.
-    pub fn offer(&self, letter: Bytes) -> bool {
-        // Guards against a letter lost because another core offers one at the same moment, as their timers do.
+    /// Sends a message without waiting for capacity; false if the mailbox is full or the loop has ended. It is for
+    /// messages that a later one repeats. On a mailbox to which others [`send`](Self::send), it would wait with them.
+    pub fn offer(&self, message: Bytes) -> bool {
+        // Guards against a message lost because another core sends at the same moment, as their timers make likely.
         let mut sent = self.sent.lock().unwrap_or_else(|e| e.into_inner());
-        let taken = self.letters.try_send(letter).is_ok();
-        *sent += u64::from(taken);
-        taken && self.poller.notify().is_ok()
+        let accepted = self.messages.try_send(message).is_ok();
+        *sent += u64::from(accepted);
+        accepted && self.poller.notify().is_ok()
     }
 
-    /// Waits until the loop's program was told a letter; false if it was not in that time.
-    pub fn told(&self, number: u64, within: Duration) -> bool {
-        let (told, changed) = &*self.told;
-        let told = told.lock().unwrap_or_else(|e| e.into_inner());
-        let waited = changed.wait_timeout_while(told, within, |told| *told < number);
-        waited.is_ok_and(|(told, _)| *told >= number)
+    /// Waits until the handler has processed the message with this number; false if it has not within `timeout`.
+    pub fn told(&self, number: u64, timeout: Duration) -> bool {
+        let (processed, changed) = &*self.processed;
+        let processed = processed.lock().unwrap_or_else(|e| e.into_inner());
+        let waited = changed.wait_timeout_while(processed, timeout, |processed| *processed < number);
+        waited.is_ok_and(|(processed, _)| *processed >= number)
     }
 }
 
-impl Letters {
+impl MessageReceiver {
+    /// The next message that waits.
     pub fn next(&self) -> Option<Bytes> {
-        self.letters.try_recv().ok()
+        self.messages.try_recv().ok()
     }
 
-    /// The program was told one.
-    pub fn told(&self) {
-        let (told, changed) = &*self.told;
-        *told.lock().unwrap_or_else(|e| e.into_inner()) += 1;
+    /// Counts a message that the handler has processed.
+    pub fn mark_processed(&self) {
+        let (processed, changed) = &*self.processed;
+        *processed.lock().unwrap_or_else(|e| e.into_inner()) += 1;
         changed.notify_all();
     }
 }
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -1,147 +1,173 @@
 //! How connections end, whoever ends them.
 
+use std::net::Shutdown;
 use std::time::Duration;
 
 use bytes::Bytes;
 use metrics::counter;
-use socket2::Socket;
+use socket2::{SockRef, Socket};
 use tideroute_wire::capture::CaptureEvent;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 use tideroute_wire::Micros;
 
-use super::{News, Reactor, Ring, TICK};
-use crate::conn::Stage;
+use super::{Notification, Reactor};
+use crate::connection::ConnectionState;
 
-/// Microseconds in which a closed connection has to get on with its last words, and a raw one, whose peer may be slow.
-const LAST_WORDS: Micros = 500_000;
-const RAW_LAST_WORDS: Micros = 2_000_000;
-/// Bytes that a raw connection may still bring after its last word: what the largest senders have under way.
-const WASTE: usize = 96 << 20;
-/// Pieces of them thrown away in one go, so that a sender at full speed leaves time for the others.
-const WASTES: usize = 8;
-/// Microseconds that it may take to stop sending.
-const STOPS: Micros = 2_000_000;
+/// Microseconds in which a closing connection has to make progress with its output.
+const CLOSE_TIMEOUT: Micros = 500_000;
+/// The same for a raw connection, whose peer may be slow.
+const RAW_CLOSE_TIMEOUT: Micros = 2_000_000;
+/// Bytes that may still arrive on a lingering connection: what the largest senders have under way.
+const MAX_DISCARDED: usize = 96 << 20;
+/// Chunks discarded in one iteration, so that a sender at full speed leaves time for others.
+const DISCARDED_CHUNKS: usize = 8;
+/// Microseconds that the peer of a lingering connection may take to stop sending.
+const LINGER_TIMEOUT: Micros = 2_000_000;
 
 impl Reactor {
-    /// Ends a connection for the program; what is still to be sent goes first.
-    pub(super) fn close(&mut self, connection: ConnectionId, why: &str) {
-        let Some(&place) = self.places.get(&connection) else { return };
-        tracing::debug!(connection = connection.0, why, "closes a connection");
+    /// Ends a connection for the handler, once its output has been sent.
+    pub(super) fn close(&mut self, id: ConnectionId, reason: &str) {
+        let Some(&slot) = self.slots.get(&id) else { return };
+        tracing::debug!(connection = id.0, reason, "connection closed by the handler");
         counter!("tideroute_links_closed_total", "by" => "program").increment(1);
-        if self.conns[place].stage == Stage::Dead {
-            return;
+        match self.connections[slot].state {
+            ConnectionState::Closed => return,
+            ConnectionState::Connecting { .. } => self.record(id, CaptureEvent::ConnectFailed, &Bytes::new()),
+            ConnectionState::Open | ConnectionState::Closing { .. } | ConnectionState::Lingering { .. } => {
+                self.record_closed(slot)
+            }
         }
-        if let Stage::Dialling { .. } = self.conns[place].stage {
-            self.note(connection, CaptureEvent::ConnectFailed, &Bytes::new());
+        let connection = &self.connections[slot];
+        if connection.state != ConnectionState::Open {
+            self.shut_down(slot);
+        } else if connection.buffered() > 0 {
+            self.start_closing(slot);
+            self.to_flush.push(slot);
+            self.update_interest(slot);
         } else {
-            self.note_end(place);
+            self.finish_output(slot);
         }
-        let conn = &mut self.conns[place];
-        if conn.stage == Stage::Open && conn.waiting() > 0 {
-            self.speaks_its_last(place);
-            self.dirty.push(place);
-            self.watch(place);
-        } else if conn.stage == Stage::Open {
-            self.end(place);
-        } else {
-            self.bury(place);
+    }
+
+    /// Ends a connection for the handler at once; output that waits is never sent.
+    pub(super) fn abort(&mut self, id: ConnectionId) {
+        if let Some(&slot) = self.slots.get(&id) {
+            self.shut_down(slot);
         }
     }
 
-    /// What is still to be sent has so long again.
-    pub(super) fn speaks_its_last(&mut self, place: usize) {
+    /// Ends a connection for the handler at once, with a reset.
+    pub(super) fn reset(&mut self, id: ConnectionId) {
+        if let Some(&slot) = self.slots.get(&id) {
+            let _ = SockRef::from(&self.connections[slot].stream).set_linger(Some(Duration::ZERO));
+            self.release(slot);
+        }
+    }
+
+    /// Enters the closing state, or extends its deadline after progress.
+    pub(super) fn start_closing(&mut self, slot: usize) {
         let now = self.now();
-        let conn = &mut self.conns[place];
-        let until = now + if conn.raw { RAW_LAST_WORDS } else { LAST_WORDS };
-        conn.stage = Stage::Closing { until };
-        self.wheel.set(until / TICK + 1, Ring::Patience(conn.connection));
+        let connection = &mut self.connections[slot];
+        let timeout = if connection.raw { RAW_CLOSE_TIMEOUT } else { CLOSE_TIMEOUT };
+        let deadline = now + timeout;
+        connection.state = ConnectionState::Closing { deadline };
+        let id = connection.id;
+        self.set_connection_deadline(deadline, id);
     }
 
-    /// The last words have gone out, just now or before. A reset would follow if the peer still sends, and might
-    /// overtake them: a raw connection that was taken at a door ends on this side first.
-    pub(super) fn end(&mut self, place: usize) {
-        let conn = &mut self.conns[place];
-        let lingers = conn.raw && !conn.connection.is_outbound() && self.lingering < self.most_lingering;
-        if !lingers || conn.stream.shutdown(std::net::Shutdown::Write).is_err() {
-            return self.bury(place);
+    /// The output of a closing connection has been sent. If the peer still sends, closing the socket would reset the
+    /// connection, and the reset might overtake the output: an accepted raw connection lingers instead.
+    pub(super) fn finish_output(&mut self, slot: usize) {
+        let connection = &mut self.connections[slot];
+        let lingers = connection.raw && !connection.id.is_outbound() && self.lingering < self.max_lingering;
+        if !lingers || connection.stream.shutdown(Shutdown::Write).is_err() {
+            return self.shut_down(slot);
         }
-        let until = self.clock.now() + STOPS;
-        conn.stage = Stage::Lingering { until, left: WASTE };
+        let deadline = self.clock.now() + LINGER_TIMEOUT;
+        connection.state = ConnectionState::Lingering { deadline, discardable: MAX_DISCARDED };
+        let id = connection.id;
         self.lingering += 1;
-        self.wheel.set(until / TICK + 1, Ring::Patience(conn.connection));
-        self.watch(place);
+        self.set_connection_deadline(deadline, id);
+        self.update_interest(slot);
     }
 
-    /// Throws away what still comes on a connection that lingers, until its peer has ended it too.
-    pub(super) fn waste(&mut self, place: usize) {
-        for _ in 0..WASTES {
-            let conn = &mut self.conns[place];
-            let Stage::Lingering { until, left } = conn.stage else { return };
-            match conn.waste(&mut self.piece) {
+    /// Discards what arrives on a lingering connection, until its peer has closed it too.
+    pub(super) fn discard_input(&mut self, slot: usize) {
+        for _ in 0..DISCARDED_CHUNKS {
+            let connection = &mut self.connections[slot];
+            let ConnectionState::Lingering { deadline, discardable } = connection.state else { return };
+            match connection.discard_input(&mut self.read_buffer) {
                 Some(0) => return,
-                Some(got) if got < left => conn.stage = Stage::Lingering { until, left: left - got },
-                _ => return self.bury(place),
+                Some(length) if length < discardable => {
+                    let discardable = discardable - length;
+                    connection.state = ConnectionState::Lingering { deadline, discardable };
+                }
+                _ => return self.shut_down(slot),
             }
         }
     }
 
-    /// Ends a connection that the program did not end, and tells it.
-    pub(super) fn lose(&mut self, place: usize, loss: DisconnectReason, why: &str) {
-        let conn = &self.conns[place];
-        let (connection, told) =
-            (conn.connection, matches!(conn.stage, Stage::Dialling { .. } | Stage::Open));
-        if told {
-            tracing::debug!(connection = connection.0, why, "lost a connection");
+    /// Ends a connection that the handler did not end, and notifies the handler.
+    pub(super) fn disconnect(&mut self, slot: usize, reason: DisconnectReason, detail: &str) {
+        let connection = &self.connections[slot];
+        let id = connection.id;
+        if matches!(connection.state, ConnectionState::Connecting { .. } | ConnectionState::Open) {
+            tracing::debug!(connection = id.0, detail, "connection lost");
             counter!("tideroute_links_closed_total", "by" => "loss").increment(1);
-            match loss {
-                DisconnectReason::Reset => self.note_end(place),
+            match reason {
+                DisconnectReason::Reset => self.record_closed(slot),
                 DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
-                    self.note(connection, CaptureEvent::ConnectFailed, &Bytes::new())
+                    self.record(id, CaptureEvent::ConnectFailed, &Bytes::new())
                 }
             }
-            self.news.push_back(News::Lost(connection, loss));
+            self.notifications.push_back(Notification::Disconnected(id, reason));
         }
-        self.bury(place);
+        self.shut_down(slot);
     }
 
-    /// Ends a connection at once.
-    pub(super) fn bury(&mut self, place: usize) {
-        if self.conns[place].stage != Stage::Dead {
-            self.give_up(place);
-            let _ = self.conns[place].stream.shutdown(std::net::Shutdown::Both);
+    /// Ends a connection at once, in both directions.
+    fn shut_down(&mut self, slot: usize) {
+        if self.connections[slot].state != ConnectionState::Closed {
+            self.release(slot);
+            let _ = self.connections[slot].stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Has nothing more to do with a connection; its socket ends with this turn.
-    pub(super) fn give_up(&mut self, place: usize) {
-        let conn = &mut self.conns[place];
-        if conn.stage != Stage::Dead {
-            self.lingering -= usize::from(matches!(conn.stage, Stage::Lingering { .. }));
-            conn.stage = Stage::Dead;
-            let _ = self.poller.delete(&conn.stream);
-            self.dead.push(place);
+    /// Stops watching a connection; its socket is closed at the end of the iteration.
+    fn release(&mut self, slot: usize) {
+        let connection = &mut self.connections[slot];
+        if connection.state == ConnectionState::Closed {
+            return;
+        }
+        if matches!(connection.state, ConnectionState::Lingering { .. }) {
+            self.lingering -= 1;
         }
+        connection.state = ConnectionState::Closed;
+        let _ = self.poller.delete(&connection.stream);
+        self.closed.push(slot);
     }
 
-    /// The time of a connection for what it is at may be over.
-    pub(super) fn out_of_patience(&mut self, connection: ConnectionId) {
-        let Some(&place) = self.places.get(&connection) else { return };
-        match self.conns[place].stage {
-            Stage::Dialling { until } if until <= self.now() => {
-                self.lose(place, DisconnectReason::ConnectFailed, "no connection in time");
+    /// Ends a connection whose state has reached its deadline; a deadline that was extended is ignored.
+    pub(super) fn check_connection_deadline(&mut self, id: ConnectionId) {
+        let Some(&slot) = self.slots.get(&id) else { return };
+        match self.connections[slot].state {
+            ConnectionState::Connecting { deadline } if deadline <= self.now() => {
+                self.disconnect(slot, DisconnectReason::ConnectFailed, "connect timed out");
             }
-            Stage::Closing { until } | Stage::Lingering { until, .. } if until <= self.now() => {
-                self.bury(place);
+            ConnectionState::Closing { deadline } | ConnectionState::Lingering { deadline, .. }
+                if deadline <= self.now() =>
+            {
+                self.shut_down(slot);
             }
             _ => {}
         }
     }
 
-    /// Ends all connections as a crash does, with a reset.
+    /// Ends all connections with a reset, as a crash of the machine would.
     pub(super) fn reset_all(&mut self) {
-        for conn in self.conns.drain() {
-            let _ = self.poller.delete(&conn.stream);
-            let socket: Socket = conn.stream.into();
+        for connection in self.connections.drain() {
+            let _ = self.poller.delete(&connection.stream);
+            let socket: Socket = connection.stream.into();
             let _ = socket.set_linger(Some(Duration::ZERO));
         }
     }
--- /dev/null
+++ b/crates/reactor/src/reactor/connecting.rs
@@ -0,0 +1,90 @@
+//! Outbound connections, from the attempt to the open connection.
+
+use std::io;
+
+use bytes::Bytes;
+use polling::Event;
+use tideroute_wire::capture::CaptureEvent;
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
+use tideroute_wire::{Address, Micros};
+
+use super::polling_sources::add;
+use super::{Notification, Reactor};
+use crate::connection::{Connection, ConnectionState};
+use crate::poll_key::PollKey;
+
+impl Reactor {
+    /// Begins to connect; the handler is notified of the result.
+    pub(super) fn connect(&mut self, id: ConnectionId, to: Address, timeout: Micros) {
+        let deadline = self.now() + timeout;
+        self.record(id, CaptureEvent::Connecting, &Bytes::copy_from_slice(&to));
+        let to = self.address_overrides.get(&to).copied().unwrap_or(to);
+        match Connection::connect(id, to, deadline) {
+            Ok(mut connection) => {
+                connection.raw = self.raw;
+                self.insert(connection, Event::writable(0));
+                self.set_connection_deadline(deadline, id);
+            }
+            Err(error) => {
+                let reason = connect_failure_reason(&error);
+                tracing::debug!(connection = id.0, %error, ?reason, "connect failed at once");
+                self.record(id, CaptureEvent::ConnectFailed, &Bytes::new());
+                self.notifications.push_back(Notification::Disconnected(id, reason));
+            }
+        }
+    }
+
+    /// Adds a connection and has the poller watch it; the key of `interest` is that of its slot.
+    pub(super) fn insert(&mut self, connection: Connection, mut interest: Event) {
+        let id = connection.id;
+        let slot = self.connections.insert(connection);
+        interest.key = PollKey::Connection(slot).encode();
+        let watched = &mut self.connections[slot].watched;
+        watched.readable = interest.readable;
+        watched.writable = interest.writable;
+        if let Err(error) = add(&self.poller, &self.connections[slot].stream, interest) {
+            tracing::error!(%error, "a connection could not be polled");
+            self.connections.remove(slot);
+            let reason = DisconnectReason::ConnectFailed;
+            self.notifications.push_back(Notification::Disconnected(id, reason));
+            return;
+        }
+        self.slots.insert(id, slot);
+    }
+
+    /// The socket of a connection attempt is writable: the attempt has succeeded or failed.
+    pub(super) fn finish_connecting(&mut self, slot: usize) {
+        if !self.connections[slot].is_established() {
+            return self.disconnect(slot, DisconnectReason::ConnectFailed, "connect failed");
+        }
+        let now = self.clock.now();
+        let connection = &mut self.connections[slot];
+        connection.state = ConnectionState::Open;
+        let id = connection.id;
+        let ends = [connection.stream.peer_addr().ok(), connection.stream.local_addr().ok()];
+        if let Some(capture) = &mut self.capture {
+            capture.record_with_addresses(now, id, CaptureEvent::Connected, ends);
+        }
+        self.notifications.push_back(Notification::Connected(id));
+        self.to_flush.push(slot);
+        self.update_interest(slot);
+    }
+}
+
+/// Whether an attempt that failed at once failed at the peer, or for want of a resource of this machine.
+fn connect_failure_reason(error: &io::Error) -> DisconnectReason {
+    match error.raw_os_error() {
+        Some(
+            libc::EMFILE
+            | libc::ENFILE
+            | libc::ENOBUFS
+            | libc::ENOMEM
+            | libc::EADDRNOTAVAIL
+            | libc::EADDRINUSE
+            | libc::EAGAIN
+            | libc::EACCES
+            | libc::EPERM,
+        ) => DisconnectReason::LocalFailure,
+        _ => DisconnectReason::ConnectFailed,
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/reading.rs
@@ -0,0 +1,79 @@
+//! Events of connections, and the frames that arrive on them.
+
+use bytes::Bytes;
+use polling::Event;
+use tideroute_wire::capture::CaptureEvent;
+use tideroute_wire::event_loop::{DisconnectReason, Effects, EventHandler};
+
+use super::Reactor;
+use crate::connection::{ConnectionState, ReadOutcome};
+
+impl Reactor {
+    /// Handles an event by the state of its connection.
+    pub(super) fn handle_connection_event(
+        &mut self,
+        slot: usize,
+        event: Event,
+        handler: &mut impl EventHandler,
+        effects: &mut Effects,
+    ) {
+        let Some(connection) = self.connections.get(slot) else { return };
+        match connection.state {
+            ConnectionState::Connecting { .. } => return self.finish_connecting(slot),
+            ConnectionState::Lingering { .. } => return self.discard_input(slot),
+            ConnectionState::Open | ConnectionState::Closing { .. } | ConnectionState::Closed => {}
+        }
+        if event.writable && connection.buffered() > 0 {
+            self.flush(slot);
+            // Guards against what follows in this iteration, an endpoint list or a timer, taking a request for
+            // unwritten whose last byte has just left.
+            self.deliver_notifications(handler, effects);
+        }
+        // The poller reports a broken connection over and over, also while reading is paused.
+        let paused = self.connections[slot].reading_paused;
+        let broken = event.is_interrupt() || event.is_err().unwrap_or(false);
+        if self.is_open(slot) && paused && broken {
+            return self.disconnect(slot, DisconnectReason::Reset, "it broke while reading was paused");
+        }
+        if event.readable && self.is_open(slot) && !paused {
+            self.read(slot, handler, effects);
+        }
+    }
+
+    fn is_open(&self, slot: usize) -> bool {
+        self.connections.get(slot).is_some_and(|connection| connection.state == ConnectionState::Open)
+    }
+
+    /// Reads a chunk and hands its frames to the handler, for as long as the connection stays open.
+    fn read(&mut self, slot: usize, handler: &mut impl EventHandler, effects: &mut Effects) {
+        let ReadOutcome { frames, end } = self.connections[slot].read(&mut self.read_buffer);
+        for frame in &frames {
+            if !self.is_open(slot) {
+                return;
+            }
+            self.deliver_frame(slot, frame, handler, effects);
+        }
+        if let Some(end) = end.filter(|_| self.is_open(slot)) {
+            self.disconnect(slot, DisconnectReason::Reset, &end.to_string());
+        }
+    }
+
+    fn deliver_frame(
+        &mut self,
+        slot: usize,
+        frame: &Bytes,
+        handler: &mut impl EventHandler,
+        effects: &mut Effects,
+    ) {
+        let now = self.clock.now();
+        let connection = &mut self.connections[slot];
+        let id = connection.id;
+        let position = connection.frames_received;
+        connection.frames_received += 1;
+        if let Some(capture) = &mut self.capture {
+            capture.record(now, id, CaptureEvent::Received, position, frame);
+        }
+        handler.on_data(now, id, frame, effects);
+        self.execute(effects);
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/setup.rs
@@ -0,0 +1,185 @@
+//! How a loop is created and configured before its run.
+
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::sync::Arc;
+
+use polling::Poller;
+use slab::Slab;
+use socket2::{Domain, Protocol, Socket, Type};
+use tideroute_wire::{Address, Micros};
+
+use super::polling_sources::{add, readable};
+use super::timers::{self, TICK};
+use super::{ConfigReload, Reactor};
+use crate::clock::{Clock, Warp};
+use crate::connection::READ_CHUNK;
+use crate::datagram_socket::DatagramSocket;
+use crate::error::ReactorError;
+use crate::listener::{Listener, BACKLOG};
+use crate::mailbox::{mailbox, Mailbox};
+use crate::poll_key::PollKey;
+use crate::signal_pipe::SignalPipe;
+use crate::timer_key::TimerKey;
+use crate::traffic_capture::Tap;
+
+impl Reactor {
+    /// Listens at each address; port 0 lets the machine choose.
+    pub fn new(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
+        Self::with_listeners(addresses, TcpListener::bind)
+    }
+
+    /// Like [`new`](Reactor::new), beside other loops of this user at the same addresses (SO_REUSEPORT): the kernel
+    /// gives each connection to one of them.
+    pub fn sharing(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
+        Self::with_listeners(addresses, |address| {
+            let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+            socket.set_reuse_address(true)?;
+            socket.set_reuse_port(true)?;
+            socket.bind(&address.into())?;
+            socket.listen(BACKLOG)?;
+            Ok(socket.into())
+        })
+    }
+
+    fn with_listeners(
+        addresses: &[SocketAddr],
+        bind: impl Fn(SocketAddr) -> io::Result<TcpListener>,
+    ) -> Result<Reactor, ReactorError> {
+        let poller = Arc::new(Poller::new()?);
+        let clock = Clock::start();
+        let mut listeners = Vec::new();
+        for &address in addresses {
+            let listen_error = |error| ReactorError::Listen(address, error);
+            let socket = bind(address).map_err(listen_error)?;
+            socket.set_nonblocking(true).map_err(listen_error)?;
+            add(&poller, &socket, readable(PollKey::Listener(listeners.len())))?;
+            listeners.push(Listener::new(socket).map_err(listen_error)?);
+        }
+        Ok(Self::with_parts(poller, clock, listeners))
+    }
+
+    fn with_parts(poller: Arc<Poller>, clock: Clock, listeners: Vec<Listener>) -> Reactor {
+        Reactor {
+            poller,
+            clock,
+            listeners,
+            datagram_sockets: vec![],
+            address_overrides: HashMap::new(),
+            connections: Slab::new(),
+            slots: HashMap::new(),
+            to_flush: vec![],
+            closed: vec![],
+            notifications: VecDeque::new(),
+            timers: timers::new_wheel(&clock),
+            shutdown_signals: None,
+            config_reload: None,
+            last_accept_attempts: 0,
+            capture: None,
+            persist_path: None,
+            messages: None,
+            publish_to: None,
+            raw: false,
+            lingering: 0,
+            max_lingering: usize::MAX,
+            drain_on_shutdown: false,
+            read_buffer: vec![0; READ_CHUNK].into(),
+            accepted: 0,
+            shutting_down: false,
+            crashed: false,
+        }
+    }
+
+    /// Receives datagrams at these addresses as well, to the end of the run.
+    pub fn datagrams(&mut self, addresses: &[SocketAddr]) -> Result<(), ReactorError> {
+        for &address in addresses {
+            let datagram_socket =
+                DatagramSocket::bind(address).map_err(|e| ReactorError::Listen(address, e))?;
+            let key = PollKey::DatagramSocket(self.datagram_sockets.len());
+            add(&self.poller, &datagram_socket.socket, readable(key))?;
+            self.datagram_sockets.push(datagram_socket);
+        }
+        Ok(())
+    }
+
+    /// Passes bytes as they come, not in frames. An accepted connection that the handler closes is then shut down in
+    /// two steps, so that no reset overtakes its output; at most `max_lingering` connections are between the two.
+    pub fn raw(&mut self, max_lingering: usize) {
+        self.raw = true;
+        self.max_lingering = max_lingering;
+    }
+
+    /// After a shutdown signal, keeps the listeners open until the handler has finished, and ignores further signals.
+    pub fn patient(&mut self) {
+        self.drain_on_shutdown = true;
+    }
+
+    /// On SIGHUP, reads the file and hands it to the handler.
+    pub fn reread(&mut self, path: PathBuf) -> Result<(), ReactorError> {
+        let signals = SignalPipe::for_reload()?;
+        add(&self.poller, &signals.stream, readable(PollKey::ReloadSignals))?;
+        self.config_reload = Some(ConfigReload { signals, path, retries_left: 0 });
+        Ok(())
+    }
+
+    /// Sends what the handler publishes to this mailbox.
+    pub fn publish_to(&mut self, mailbox: Mailbox) {
+        self.publish_to = Some(mailbox);
+    }
+
+    /// A mailbox through which other threads send messages to this loop's handler.
+    pub fn mailbox(&mut self) -> Mailbox {
+        let (mailbox, messages) = mailbox(self.poller.clone());
+        self.messages = Some(messages);
+        mailbox
+    }
+
+    /// The addresses of the listeners, in order.
+    pub fn addresses(&self) -> Vec<SocketAddr> {
+        self.listeners.iter().map(Listener::address).collect()
+    }
+
+    /// The clock that the handler sees.
+    pub fn clock(&self) -> Clock {
+        self.clock
+    }
+
+    /// Captures all traffic from now on.
+    pub fn tap(&mut self, capture: Tap) {
+        self.capture = Some(capture);
+    }
+
+    /// Connects to and sends to other addresses in place of some that the handler gives, such as that of a relay.
+    pub fn ways(&mut self, overrides: HashMap<Address, Address>) {
+        self.address_overrides = overrides;
+    }
+
+    /// Has the handler see a faulty clock; a capture that has begun keeps the true one.
+    pub fn warp(&mut self, skew: Warp) {
+        self.clock = self.clock.with_skew(skew);
+        self.timers = timers::new_wheel(&self.clock);
+        if let Some(capture) = &mut self.capture {
+            capture.clock = Some(self.clock);
+        }
+    }
+
+    /// Panics after this delay, to test what the end of one loop means for others in the process.
+    pub fn fail_after(&mut self, delay: Micros) {
+        self.timers.set((self.now() + delay) / TICK, TimerKey::Panic);
+    }
+
+    /// Persists the handler's state to this file.
+    pub fn keep(&mut self, path: PathBuf) {
+        self.persist_path = Some(path);
+    }
+
+    /// SIGTERM and SIGINT shut the handler down; a second one ends the run at once.
+    pub fn catch_signals(&mut self) -> Result<(), ReactorError> {
+        let signals = SignalPipe::for_shutdown()?;
+        add(&self.poller, &signals.stream, readable(PollKey::ShutdownSignals))?;
+        self.shutdown_signals = Some(signals);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/reactor/writing.rs
@@ -0,0 +1,72 @@
+//! Output: queued by effects, sent at the end of an iteration and whenever a socket is writable again.
+
+use bytes::Bytes;
+use metrics::counter;
+use tideroute_wire::capture::CaptureEvent;
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
+
+use super::{Notification, Reactor};
+use crate::connection::{ConnectionState, MAX_BUFFERED};
+
+impl Reactor {
+    /// Queues a frame; a connection whose peer does not read is disconnected.
+    pub(super) fn send(&mut self, connection: ConnectionId, frame: &Bytes) {
+        let Some(&slot) = self.slots.get(&connection) else { return };
+        let now = self.clock.now();
+        let sender = &mut self.connections[slot];
+        if !matches!(sender.state, ConnectionState::Connecting { .. } | ConnectionState::Open) {
+            return;
+        }
+        sender.queue(frame);
+        if let Some(capture) = &mut self.capture {
+            capture.record(now, connection, CaptureEvent::Sent, sender.frames_sent, frame);
+        }
+        sender.frames_sent += 1;
+        if sender.buffered() > MAX_BUFFERED {
+            self.disconnect(slot, DisconnectReason::Reset, "the peer does not read");
+        } else if sender.state == ConnectionState::Open {
+            self.to_flush.push(slot);
+        }
+    }
+
+    /// Sends what the socket takes, and notifies the handler of what that changes.
+    pub(super) fn flush(&mut self, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        if !matches!(connection.state, ConnectionState::Open | ConnectionState::Closing { .. }) {
+            return;
+        }
+        let before = connection.buffered();
+        if connection.flush().is_err() {
+            return self.disconnect(slot, DisconnectReason::Reset, "sending failed");
+        }
+        let buffered = connection.buffered();
+        counter!("tideroute_bytes_total", "way" => "out").increment((before - buffered) as u64);
+        let closing = connection.state != ConnectionState::Open;
+        if closing && buffered == 0 {
+            return self.finish_output(slot);
+        }
+        if !closing {
+            self.update_backpressure(slot);
+        }
+        let connection = &self.connections[slot];
+        if connection.raw && before > 0 && buffered == 0 {
+            self.notifications.push_back(Notification::WriteComplete(connection.id));
+        }
+        if closing && buffered < before {
+            self.start_closing(slot);
+        }
+        self.update_interest(slot);
+    }
+
+    /// Notifies the handler if the output has crossed a watermark.
+    fn update_backpressure(&mut self, slot: usize) {
+        let connection = &mut self.connections[slot];
+        let watermarks = connection.watermarks();
+        let watermark = if connection.backpressure { watermarks.low } else { watermarks.high };
+        let backpressure = connection.buffered() > watermark;
+        if backpressure != connection.backpressure {
+            connection.backpressure = backpressure;
+            self.notifications.push_back(Notification::Backpressure(connection.id, backpressure));
+        }
+    }
+}
--- /dev/null
+++ b/crates/reactor/src/traffic_capture.rs
@@ -0,0 +1,108 @@
+//! A capture of what passes on this process's sockets. It is complete at the end of each iteration of the loop: a
+//! process that is killed leaves all that it sent before.
+
+use std::fs::File;
+use std::io::{self, BufWriter, Write};
+use std::net::SocketAddr;
+use std::path::Path;
+
+use bytes::Bytes;
+use tideroute_wire::capture::{self, CaptureEvent, CapturedFrame, CapturedProcess};
+use tideroute_wire::event_loop::ConnectionId;
+use tideroute_wire::{Address, Micros};
+
+use crate::clock::Clock;
+
+/// Bytes that are gathered before they are written to the file.
+const FILE_BUFFER: usize = 1 << 18;
+/// The role of a process whose frames are captured by those who exchange them.
+const RELAY_ROLE: &str = "relay";
+
+/// The capture file of one process.
+pub struct Tap {
+    file: BufWriter<File>,
+    process: u32,
+    role: String,
+    /// The process's clock, if the handler sees a skewed one.
+    pub(crate) clock: Option<Clock>,
+}
+
+impl Tap {
+    /// Begins the capture of one process; an existing file is overwritten.
+    pub fn begin(path: &Path, process: &CapturedProcess) -> io::Result<Tap> {
+        let mut file = BufWriter::with_capacity(FILE_BUFFER, File::create(path)?);
+        capture::write_head(&mut file, std::slice::from_ref(process), "")?;
+        Ok(Tap { file, process: process.number, role: process.role.clone(), clock: None })
+    }
+
+    /// Captures an event, for frames with the frame's position on its connection.
+    pub(crate) fn record(
+        &mut self,
+        at: Micros,
+        connection: ConnectionId,
+        event: CaptureEvent,
+        position: u64,
+        frame: &Bytes,
+    ) {
+        if self.role == RELAY_ROLE && !is_captured_by_relays(event) {
+            return;
+        }
+        let captured = CapturedFrame {
+            at: self.clock.map_or(at, |clock| clock.true_now()),
+            process: self.process,
+            connection: connection.0,
+            event,
+            position,
+            frame: capture::kept(frame, &self.role),
+        };
+        if let Err(error) = capture::write(&mut self.file, &captured) {
+            tracing::error!(%error, "the traffic capture is incomplete");
+        }
+    }
+
+    /// A relay has joined two connections: both ends of each, the accepted or dialled one first.
+    pub(crate) fn record_joined(&mut self, at: Micros, ends: [Option<SocketAddr>; 4]) {
+        self.record_with_addresses(at, ConnectionId(0), CaptureEvent::Joined, ends);
+    }
+
+    /// Captures an event with addresses, by which the two ends of one connection are later matched.
+    pub(crate) fn record_with_addresses<const N: usize>(
+        &mut self,
+        at: Micros,
+        connection: ConnectionId,
+        event: CaptureEvent,
+        ends: [Option<SocketAddr>; N],
+    ) {
+        let ends: Vec<u8> = ends.into_iter().flat_map(|end| end.map_or([0; 6], encode_address)).collect();
+        self.record(at, connection, event, 0, &ends.into());
+    }
+
+    pub(crate) fn flush(&mut self) {
+        if let Err(error) = self.file.flush() {
+            tracing::error!(%error, "the traffic capture is incomplete");
+        }
+    }
+}
+
+/// What a relay captures itself; what it forwards is captured by those who exchange it.
+fn is_captured_by_relays(event: CaptureEvent) -> bool {
+    matches!(
+        event,
+        CaptureEvent::Joined
+            | CaptureEvent::ProcessStarted
+            | CaptureEvent::ProcessExited
+            | CaptureEvent::ProcessKilled
+    )
+}
+
+/// An address as it goes over the wire; an IPv6 address is written as zero.
+pub(crate) fn encode_address(address: SocketAddr) -> Address {
+    let port = address.port().to_be_bytes();
+    match address {
+        SocketAddr::V4(address) => {
+            let ip = address.ip().octets();
+            [ip[0], ip[1], ip[2], ip[3], port[0], port[1]]
+        }
+        SocketAddr::V6(_) => [0, 0, 0, 0, port[0], port[1]],
+    }
+}
--- a/crates/reactor/tests/links.rs
+++ b/crates/reactor/tests/connections.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use tideroute_reactor::conn::{HIGH, MOST};
+use tideroute_reactor::connection::{HIGH_WATERMARK, MAX_BUFFERED};
 use tideroute_reactor::{Ended, Reactor};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
@@ -156,7 +156,7 @@
     while let Ok(n @ 1..) = stream.read(&mut rest) {
         got += n;
     }
-    assert!(got < MOST + (16 << 20) && MOST > HIGH, "{got} bytes");
+    assert!(got < MAX_BUFFERED + (16 << 20) && MAX_BUFFERED > HIGH_WATERMARK, "{got} bytes");
     end(at, thread);
 }
 
