--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -41,7 +41,7 @@
         let administrators = record.keys.iter().map(administrator).collect::<Result<Vec<_>, _>>()?;
         let listen: SocketAddr = convert::socket(&record.listen)?.into();
         let mut reactor = Reactor::new(&[listen]).map_err(|e| e.to_string())?;
-        reactor.raw(LINGERS);
+        reactor.set_raw(LINGERS);
         let figures = reactor.mailbox();
         reactor.catch_signals().map_err(|e| e.to_string())?;
         let (api, told) = (Api::new(store.clone(), administrators), cores.clone());
@@ -117,7 +117,7 @@
         .filter_map(|(core, mailbox)| Some((core, mailbox, mailbox.send(letter.clone())?)))
         .collect();
     for (core, mailbox, number) in sent {
-        if !mailbox.told(number, HEARD) {
+        if !mailbox.wait_until_processed(number, HEARD) {
             tracing::error!(
                 core,
                 name = entry.name,
--- a/crates/command/src/cores.rs
+++ b/crates/command/src/cores.rs
@@ -12,7 +12,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use tideroute_config_language::kinds::Router;
 use tideroute_lifecycle::Host;
-use tideroute_reactor::{Ended as Loop, Reactor, ReactorError};
+use tideroute_reactor::{Reactor, ReactorError, RunOutcome as Loop};
 use tideroute_simulation::convert;
 use tideroute_simulation::processes::NUMBERS_A_CORE;
 use tideroute_wire::Origin;
@@ -36,7 +36,7 @@
         let stopping = AtomicBool::new(false);
         let ended = core(&record, 0, reactor, listen, run, &stopping, admin.as_ref())?;
         member.into_iter().for_each(Membership::leave);
-        return Ok(ended == Loop::Done);
+        return Ok(ended == Loop::Finished);
     }
     // Shared doors would let a second router in beside this one; a plain one shows whether somebody is there.
     let alone = TcpListener::bind(listen).map_err(|e| ReactorError::Listen(listen, e).to_string())?;
@@ -73,7 +73,7 @@
         match end {
             Some(Ok(end)) => {
                 left -= 1;
-                well &= end == Loop::Done;
+                well &= end == Loop::Finished;
             }
             Some(Err(problem)) => return Err(problem),
             None if stopping.load(Ordering::Relaxed) => (left, well) = (left - 1, false),
@@ -108,9 +108,9 @@
     let thread = std::thread::Builder::new().name(format!("core {n}"));
     let body = move || {
         let run = std::panic::AssertUnwindSafe(|| {
-            let mut reactor = Reactor::sharing(&[listen]).map_err(|e| e.to_string())?;
+            let mut reactor = Reactor::with_reuse_port(&[listen]).map_err(|e| e.to_string())?;
             if let Some(ms) = fail_after {
-                reactor.fail_after(ms * 1000);
+                reactor.panic_after(ms * 1000);
             }
             core(&record, n, reactor, listen, &run, &stopping, admin.as_ref())
         });
@@ -148,7 +148,7 @@
     let mut reactor = serve::prepare(reactor, &[listen], run, &name, "router")?;
     if stopping.load(Ordering::Relaxed) {
         // Told to end while this core was starting, before its loop could hear of it.
-        return Ok(Loop::Done);
+        return Ok(Loop::Finished);
     }
     let now = reactor.clock().now();
     // Where the module's chance begins. That no two starts of any core have the same ids needs more than a time
@@ -158,7 +158,7 @@
     if let Some(path) = record.keep.as_ref().map(PathBuf::from) {
         let own = core_path(&path, n);
         kept = std::fs::read(&own).or_else(|_| std::fs::read(&path)).ok();
-        reactor.keep(own);
+        reactor.persist_to(own);
     }
     let mut terms = convert::router(record, n, seed, origin()?)?;
     if let Some(admin) = admin {
--- a/crates/command/src/member.rs
+++ b/crates/command/src/member.rs
@@ -31,7 +31,7 @@
         run.tap = run.tap.map(|tap| tap_of(&tap));
         let mut reactor = Reactor::new(&[]).map_err(|e| e.to_string())?;
         let listen = convert::socket(&fleet.listen)?.into();
-        reactor.datagrams(&[listen]).map_err(|e| format!("the fleet {}: {e}", fleet.name))?;
+        reactor.add_datagram_sockets(&[listen]).map_err(|e| format!("the fleet {}: {e}", fleet.name))?;
         let mailbox = reactor.mailbox();
         let mut reactor = serve::furnish(reactor, &[], &run, &record.name, "member")?;
         tracing::info!(fleet = fleet.name, %listen, seeds = fleet.seeds.len(), "joins a fleet");
@@ -50,7 +50,7 @@
 
     /// Says goodbye to the others and waits until that is said.
     pub fn leave(self) {
-        if self.mailbox.offer(Bytes::from_static(b"leave")) {
+        if self.mailbox.try_send(Bytes::from_static(b"leave")) {
             let _ = self.thread.join();
         }
     }
--- a/crates/command/src/platform.rs
+++ b/crates/command/src/platform.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use tideroute_gateway::Platform;
-use tideroute_reactor::{Ended as Loop, Reactor};
+use tideroute_reactor::{Reactor, RunOutcome as Loop};
 
 use crate::Ended;
 
@@ -25,11 +25,11 @@
     let text = std::fs::read(&path).map_err(|e| named(e.to_string()))?;
     let terms = tideroute_gateway::read(&text).map_err(|e| named(e.to_string()))?;
     let mut reactor = Reactor::new(&[terms.listen]).map_err(|e| e.to_string())?;
-    reactor.raw(terms.rooms.lingering);
-    reactor.patient();
+    reactor.set_raw(terms.rooms.lingering);
+    reactor.drain_on_shutdown();
     reactor.catch_signals().map_err(|e| e.to_string())?;
-    reactor.reread(path).map_err(|e| e.to_string())?;
+    reactor.reload_config_on_sighup(path).map_err(|e| e.to_string())?;
     tracing::info!(name = terms.lifecycle.name, listen = %terms.listen, rooms = ?terms.rooms, "the router is there");
     let mut program = Platform::new(terms, reactor.clock().now());
-    Ok(reactor.run(&mut program).map_err(|e| e.to_string())? == Loop::Done)
+    Ok(reactor.run(&mut program).map_err(|e| e.to_string())? == Loop::Finished)
 }
--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -10,7 +10,7 @@
 
 use tideroute_config_language::File;
 use tideroute_emulator::{List, Worker};
-use tideroute_reactor::{Ended as Loop, Reactor, Tap, Warp};
+use tideroute_reactor::{ClockSkew, Reactor, RunOutcome as Loop, TrafficCapture};
 use tideroute_relay::Relay;
 use tideroute_simulation::choosers::Way;
 use tideroute_simulation::convert;
@@ -82,14 +82,14 @@
     if let Some(path) = &run.tap {
         let address = addresses.first().and_then(|a| convert::address(&a.to_string()).ok());
         let who = CapturedProcess { number: run.process, name: name.into(), role: role.into(), address };
-        let tap = Tap::begin(path, &who).map_err(|e| format!("{}: {e}", path.display()))?;
-        reactor.tap(tap);
+        let tap = TrafficCapture::create(path, &who).map_err(|e| format!("{}: {e}", path.display()))?;
+        reactor.capture_traffic(tap);
     }
     if let Some(path) = &run.ways {
-        reactor.ways(ways(path)?);
+        reactor.override_addresses(ways(path)?);
     }
     if let Some(clock) = &run.clock {
-        reactor.warp(warp(clock).ok_or_else(|| format!("--clock {clock}: not four numbers"))?);
+        reactor.skew_clock(warp(clock).ok_or_else(|| format!("--clock {clock}: not four numbers"))?);
     }
     Ok(reactor)
 }
@@ -104,16 +104,16 @@
     text.lines().map(pair).collect()
 }
 
-fn warp(text: &str) -> Option<Warp> {
+fn warp(text: &str) -> Option<ClockSkew> {
     let parts: Vec<_> = text.split(',').collect();
     let [from, until, rate, ahead] = parts[..] else { return None };
     let (from, until) = (from.parse().ok()?, until.parse().ok()?);
-    Some(Warp { from, until, rate: rate.parse().ok()?, ahead: ahead.parse().ok()? })
+    Some(ClockSkew { from, until, rate: rate.parse().ok()?, offset: ahead.parse().ok()? })
 }
 
 /// Drives the program; false if it ended by a crash of its own or by force.
 fn drive(mut reactor: Reactor, program: &mut impl EventHandler) -> Ended {
-    Ok(reactor.run(program).map_err(|e| e.to_string())? == Loop::Done)
+    Ok(reactor.run(program).map_err(|e| e.to_string())? == Loop::Finished)
 }
 
 pub fn worker(path: &Path, cold: bool, run: &Run) -> Ended {
@@ -140,8 +140,8 @@
     let mut reactor = reactor(&doors, run, "relay", "relay")?;
     let datagrams = record.datagrams.iter().map(|d| Ok(convert::socket(&d.listen)?.into()));
     let datagrams: Vec<SocketAddr> = datagrams.collect::<Result<_, String>>()?;
-    reactor.datagrams(&datagrams).map_err(|e| e.to_string())?;
-    reactor.raw(0);
+    reactor.add_datagram_sockets(&datagrams).map_err(|e| e.to_string())?;
+    reactor.set_raw(0);
     let now = reactor.clock().now();
     drive(reactor, &mut Relay::new(convert::relay(&record, run.script_from.unwrap_or(now), now)?))
 }
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -11,13 +11,13 @@
     started_at: Instant,
     /// The machine's time at the start.
     epoch: Micros,
-    skew: Option<Warp>,
+    skew: Option<ClockSkew>,
 }
 
 /// A faulty clock, for tests: within a window of true time it runs `rate` times as fast, and a process that starts
-/// within the window finds it set ahead, or back, by `ahead`.
+/// within the window finds it set ahead, or back, by `offset`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warp {
+pub struct ClockSkew {
     /// Start of the window, in true time.
     pub from: Micros,
     /// End of the window, in true time.
@@ -25,7 +25,7 @@
     /// Microseconds that the clock advances in a microsecond of true time.
     pub rate: f64,
     /// Microseconds; negative if the clock is set back.
-    pub ahead: i64,
+    pub offset: i64,
 }
 
 impl Clock {
@@ -36,7 +36,7 @@
     }
 
     /// The same clock, faulty from now on.
-    pub fn with_skew(self, skew: Warp) -> Clock {
+    pub fn with_skew(self, skew: ClockSkew) -> Clock {
         Clock { skew: Some(skew), ..self }
     }
 
@@ -52,13 +52,13 @@
     }
 }
 
-impl Warp {
+impl ClockSkew {
     /// What a clock that was started at `started_at` shows at a moment of true time.
     pub fn apply(&self, started_at: Micros, now: Micros) -> Micros {
         let started_in_window = (self.from..self.until).contains(&started_at);
-        let ahead = if started_in_window { self.ahead } else { 0 };
+        let offset = if started_in_window { self.offset } else { 0 };
         let skewed_time = now.min(self.until).saturating_sub(started_at.max(self.from));
         let gained = (skewed_time as f64 * (self.rate - 1.0)) as i64;
-        now.saturating_add_signed(ahead + gained)
+        now.saturating_add_signed(offset + gained)
     }
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`Effects`](tideroute_wire::event_loop::Effects) in order until the handler has finished. All writes to one
 //! connection in one iteration of the loop leave together. Nothing here knows what a frame means.
 //!
-//! The loop may also receive datagrams ([`Reactor::datagrams`]); a datagram for which a socket has no room
+//! The loop may also receive datagrams ([`Reactor::add_datagram_sockets`]); a datagram for which a socket has no room
 //! is lost, as it may be on the network.
 //!
 //! Buffers are bounded. What has arrived on a connection never holds more than one frame and one chunk
@@ -28,8 +28,8 @@
 pub mod timer_wheel;
 mod traffic_capture;
 
-pub use clock::Warp;
+pub use clock::ClockSkew;
 pub use error::ReactorError;
 pub use mailbox::Mailbox;
-pub use reactor::{Ended, Reactor};
-pub use traffic_capture::Tap;
+pub use reactor::{Reactor, RunOutcome};
+pub use traffic_capture::TrafficCapture;
--- a/crates/reactor/src/mailbox.rs
+++ b/crates/reactor/src/mailbox.rs
@@ -51,7 +51,7 @@
 
     /// Sends a message without waiting for capacity; false if the mailbox is full or the loop has ended. It is for
     /// messages that a later one repeats. On a mailbox to which others [`send`](Self::send), it would wait with them.
-    pub fn offer(&self, message: Bytes) -> bool {
+    pub fn try_send(&self, message: Bytes) -> bool {
         // Guards against a message lost because another core sends at the same moment, as their timers make likely.
         let mut sent = self.sent.lock().unwrap_or_else(|e| e.into_inner());
         let accepted = self.messages.try_send(message).is_ok();
@@ -60,7 +60,7 @@
     }
 
     /// Waits until the handler has processed the message with this number; false if it has not within `timeout`.
-    pub fn told(&self, number: u64, timeout: Duration) -> bool {
+    pub fn wait_until_processed(&self, number: u64, timeout: Duration) -> bool {
         let (processed, changed) = &*self.processed;
         let processed = processed.lock().unwrap_or_else(|e| e.into_inner());
         let waited = changed.wait_timeout_while(processed, timeout, |processed| *processed < number);
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -17,7 +17,7 @@
 use crate::signal_pipe::SignalPipe;
 use crate::timer_key::TimerKey;
 use crate::timer_wheel::TimerWheel;
-use crate::traffic_capture::Tap;
+use crate::traffic_capture::TrafficCapture;
 
 mod accepting;
 mod capturing;
@@ -38,11 +38,11 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Ended {
+pub enum RunOutcome {
     /// The handler has finished, and its output has been sent.
-    Done,
+    Finished,
     /// The handler asked for a crash.
-    Vanished,
+    Crashed,
     /// A second signal came before the handler had finished.
     Forced,
 }
@@ -76,7 +76,7 @@
     config_reload: Option<ConfigReload>,
     /// Attempts in vain to accept the last connections of a handler that has finished.
     last_accept_attempts: u32,
-    capture: Option<Tap>,
+    capture: Option<TrafficCapture>,
     /// The file to which the handler's state is persisted.
     persist_path: Option<PathBuf>,
     messages: Option<MessageReceiver>,
--- a/crates/reactor/src/reactor/effects.rs
+++ b/crates/reactor/src/reactor/effects.rs
@@ -52,7 +52,7 @@
     }
 
     fn publish(&self, bytes: Bytes) {
-        let taken = self.publish_to.as_ref().is_some_and(|mailbox| mailbox.offer(bytes));
+        let taken = self.publish_to.as_ref().is_some_and(|mailbox| mailbox.try_send(bytes));
         counter!("tideroute_published_total", "taken" => taken.to_string()).increment(1);
     }
 }
--- a/crates/reactor/src/reactor/event_loop.rs
+++ b/crates/reactor/src/reactor/event_loop.rs
@@ -8,7 +8,7 @@
 use tideroute_wire::event_loop::{Effects, EventHandler};
 
 use super::accepting::LastConnections;
-use super::{Ended, Notification, Reactor};
+use super::{Notification, Reactor, RunOutcome};
 use crate::error::ReactorError;
 use crate::poll_key::PollKey;
 
@@ -16,7 +16,7 @@
     /// Drives the handler until it has finished, has asked for a crash, or is forced to end by a second signal.
     ///
     /// Fails if the poller does; what goes wrong on one connection ends that connection only.
-    pub fn run(&mut self, handler: &mut impl EventHandler) -> Result<Ended, ReactorError> {
+    pub fn run(&mut self, handler: &mut impl EventHandler) -> Result<RunOutcome, ReactorError> {
         let mut effects = Effects::default();
         let mut events = Events::new();
         let mut due_timers = Vec::new();
@@ -27,7 +27,7 @@
             if self.crashed {
                 self.capture_process_event(CaptureEvent::ProcessKilled);
                 self.reset_all();
-                return Ok(Ended::Vanished);
+                return Ok(RunOutcome::Crashed);
             }
             if self.is_finished(handler) {
                 match self.accept_last_connections(handler, &mut effects) {
@@ -35,7 +35,7 @@
                     LastConnections::Unknown => {}
                     LastConnections::None => {
                         self.capture_process_event(CaptureEvent::ProcessExited);
-                        return Ok(Ended::Done);
+                        return Ok(RunOutcome::Finished);
                     }
                 }
             }
@@ -78,12 +78,12 @@
         events: &Events,
         handler: &mut impl EventHandler,
         effects: &mut Effects,
-    ) -> Result<Option<Ended>, ReactorError> {
+    ) -> Result<Option<RunOutcome>, ReactorError> {
         for event in events.iter() {
             match PollKey::decode(event.key) {
                 PollKey::ShutdownSignals => {
                     if self.handle_shutdown_signals(handler, effects)?.is_break() {
-                        return Ok(Some(Ended::Forced));
+                        return Ok(Some(RunOutcome::Forced));
                     }
                 }
                 PollKey::ReloadSignals => self.handle_reload_signals(handler, effects),
--- a/crates/reactor/src/reactor/setup.rs
+++ b/crates/reactor/src/reactor/setup.rs
@@ -14,7 +14,7 @@
 use super::polling_sources::{add, readable};
 use super::timers::{self, TICK};
 use super::{ConfigReload, Reactor};
-use crate::clock::{Clock, Warp};
+use crate::clock::{Clock, ClockSkew};
 use crate::connection::READ_CHUNK;
 use crate::datagram_socket::DatagramSocket;
 use crate::error::ReactorError;
@@ -23,7 +23,7 @@
 use crate::poll_key::PollKey;
 use crate::signal_pipe::SignalPipe;
 use crate::timer_key::TimerKey;
-use crate::traffic_capture::Tap;
+use crate::traffic_capture::TrafficCapture;
 
 impl Reactor {
     /// Listens at each address; port 0 lets the machine choose.
@@ -33,7 +33,7 @@
 
     /// Like [`new`](Reactor::new), beside other loops of this user at the same addresses (SO_REUSEPORT): the kernel
     /// gives each connection to one of them.
-    pub fn sharing(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
+    pub fn with_reuse_port(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
         Self::with_listeners(addresses, |address| {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_reuse_address(true)?;
@@ -93,7 +93,7 @@
     }
 
     /// Receives datagrams at these addresses as well, to the end of the run.
-    pub fn datagrams(&mut self, addresses: &[SocketAddr]) -> Result<(), ReactorError> {
+    pub fn add_datagram_sockets(&mut self, addresses: &[SocketAddr]) -> Result<(), ReactorError> {
         for &address in addresses {
             let datagram_socket =
                 DatagramSocket::bind(address).map_err(|e| ReactorError::Listen(address, e))?;
@@ -106,18 +106,18 @@
 
     /// Passes bytes as they come, not in frames. An accepted connection that the handler closes is then shut down in
     /// two steps, so that no reset overtakes its output; at most `max_lingering` connections are between the two.
-    pub fn raw(&mut self, max_lingering: usize) {
+    pub fn set_raw(&mut self, max_lingering: usize) {
         self.raw = true;
         self.max_lingering = max_lingering;
     }
 
     /// After a shutdown signal, keeps the listeners open until the handler has finished, and ignores further signals.
-    pub fn patient(&mut self) {
+    pub fn drain_on_shutdown(&mut self) {
         self.drain_on_shutdown = true;
     }
 
     /// On SIGHUP, reads the file and hands it to the handler.
-    pub fn reread(&mut self, path: PathBuf) -> Result<(), ReactorError> {
+    pub fn reload_config_on_sighup(&mut self, path: PathBuf) -> Result<(), ReactorError> {
         let signals = SignalPipe::for_reload()?;
         add(&self.poller, &signals.stream, readable(PollKey::ReloadSignals))?;
         self.config_reload = Some(ConfigReload { signals, path, retries_left: 0 });
@@ -147,17 +147,17 @@
     }
 
     /// Captures all traffic from now on.
-    pub fn tap(&mut self, capture: Tap) {
+    pub fn capture_traffic(&mut self, capture: TrafficCapture) {
         self.capture = Some(capture);
     }
 
     /// Connects to and sends to other addresses in place of some that the handler gives, such as that of a relay.
-    pub fn ways(&mut self, overrides: HashMap<Address, Address>) {
+    pub fn override_addresses(&mut self, overrides: HashMap<Address, Address>) {
         self.address_overrides = overrides;
     }
 
     /// Has the handler see a faulty clock; a capture that has begun keeps the true one.
-    pub fn warp(&mut self, skew: Warp) {
+    pub fn skew_clock(&mut self, skew: ClockSkew) {
         self.clock = self.clock.with_skew(skew);
         self.timers = timers::new_wheel(&self.clock);
         if let Some(capture) = &mut self.capture {
@@ -166,12 +166,12 @@
     }
 
     /// Panics after this delay, to test what the end of one loop means for others in the process.
-    pub fn fail_after(&mut self, delay: Micros) {
+    pub fn panic_after(&mut self, delay: Micros) {
         self.timers.set((self.now() + delay) / TICK, TimerKey::Panic);
     }
 
     /// Persists the handler's state to this file.
-    pub fn keep(&mut self, path: PathBuf) {
+    pub fn persist_to(&mut self, path: PathBuf) {
         self.persist_path = Some(path);
     }
 
--- a/crates/reactor/src/traffic_capture.rs
+++ b/crates/reactor/src/traffic_capture.rs
@@ -19,7 +19,7 @@
 const RELAY_ROLE: &str = "relay";
 
 /// The capture file of one process.
-pub struct Tap {
+pub struct TrafficCapture {
     file: BufWriter<File>,
     process: u32,
     role: String,
@@ -27,12 +27,12 @@
     pub(crate) clock: Option<Clock>,
 }
 
-impl Tap {
+impl TrafficCapture {
     /// Begins the capture of one process; an existing file is overwritten.
-    pub fn begin(path: &Path, process: &CapturedProcess) -> io::Result<Tap> {
+    pub fn create(path: &Path, process: &CapturedProcess) -> io::Result<TrafficCapture> {
         let mut file = BufWriter::with_capacity(FILE_BUFFER, File::create(path)?);
         capture::write_head(&mut file, std::slice::from_ref(process), "")?;
-        Ok(Tap { file, process: process.number, role: process.role.clone(), clock: None })
+        Ok(TrafficCapture { file, process: process.number, role: process.role.clone(), clock: None })
     }
 
     /// Captures an event, for frames with the frame's position on its connection.
--- a/crates/reactor/tests/connections.rs
+++ b/crates/reactor/tests/connections.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use tideroute_reactor::connection::{HIGH_WATERMARK, MAX_BUFFERED};
-use tideroute_reactor::{Ended, Reactor};
+use tideroute_reactor::{RunOutcome, Reactor};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
@@ -73,7 +73,7 @@
     }
 }
 
-type Run = (SocketAddr, Receiver<Seen>, JoinHandle<Ended>);
+type Run = (SocketAddr, Receiver<Seen>, JoinHandle<RunOutcome>);
 
 fn run(hands: impl FnMut(&Seen, ConnectionId, &mut Effects, Micros) + Send + 'static) -> Run {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
@@ -99,10 +99,10 @@
 }
 
 /// Ends a program by its own door.
-fn end(at: SocketAddr, thread: JoinHandle<Ended>) {
+fn end(at: SocketAddr, thread: JoinHandle<RunOutcome>) {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&frame(b"end")).unwrap();
-    assert_eq!(thread.join().unwrap(), Ended::Done);
+    assert_eq!(thread.join().unwrap(), RunOutcome::Finished);
 }
 
 #[test]
@@ -231,14 +231,14 @@
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&frame(b"go")).unwrap();
     assert!(!matches!(stream.read(&mut [0; 8]), Ok(1..)));
-    assert_eq!(thread.join().unwrap(), Ended::Vanished);
+    assert_eq!(thread.join().unwrap(), RunOutcome::Crashed);
 }
 
 /// A close over unread bytes would reset the connection, and what was sent just before could go with it.
 #[test]
 fn a_raw_link_that_is_closed_while_its_peer_sends_ends_well() {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
-    reactor.raw(8);
+    reactor.set_raw(8);
     let at = reactor.addresses()[0];
     let hands = |seen: &Seen, connection, out: &mut Effects, now| match seen {
         Seen::Heard(_) if connection == ConnectionId(0) => {
@@ -267,7 +267,7 @@
     drop(stream);
     let mut last = TcpStream::connect(at).unwrap();
     last.write_all(b"end").unwrap();
-    assert_eq!(thread.join().unwrap(), Ended::Done);
+    assert_eq!(thread.join().unwrap(), RunOutcome::Finished);
 }
 
 /// Is done once its first client has gone, and in that very moment another one comes and asks.
@@ -324,12 +324,12 @@
 #[test]
 fn who_waits_at_the_door_as_the_program_is_done_is_answered() {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
-    reactor.raw(8);
-    reactor.patient();
+    reactor.set_raw(8);
+    reactor.drain_on_shutdown();
     let at = reactor.addresses()[0];
     let first = std::thread::spawn(move || ask(&mut TcpStream::connect(at).unwrap(), b"first"));
     let mut program = LastMoment { at, late: None, open: 0, gone: 0 };
-    assert_eq!(reactor.run(&mut program).unwrap(), Ended::Done);
+    assert_eq!(reactor.run(&mut program).unwrap(), RunOutcome::Finished);
     assert_eq!(&first.join().unwrap(), b"first");
     drop(reactor);
     let (mut late, mut answer) = (program.late.expect("it came"), [0; 5]);
--- a/crates/reactor/tests/mailbox.rs
+++ b/crates/reactor/tests/mailbox.rs
@@ -14,7 +14,7 @@
     let taken: usize = std::thread::scope(|scope| {
         let offer = || {
             together.wait();
-            (0..each).filter(|_| mailbox.offer(Bytes::from_static(b"figures"))).count()
+            (0..each).filter(|_| mailbox.try_send(Bytes::from_static(b"figures"))).count()
         };
         let threads: Vec<_> = (0..cores).map(|_| scope.spawn(offer)).collect();
         threads.into_iter().map(|t| t.join().expect("a core")).sum()
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -31,7 +31,7 @@
     let (told, tell) = channel();
     std::thread::spawn(move || {
         let mut reactor = Reactor::new(&["127.0.0.1:0".parse().expect("an address")]).expect("it listens");
-        reactor.raw(0);
+        reactor.set_raw(0);
         told.send((reactor.addresses()[0], Instant::now())).expect("somebody waits");
         reactor.run(&mut Relay::new(terms))
     });
