--- a/crates/reactor/benches/cross_thread_handoff.rs
+++ b/crates/reactor/benches/cross_thread_handoff.rs
@@ -1,6 +1,6 @@
-//! What it costs to hand a frame to another core and back, as every way with one deciding core, with sessions
+//! What it costs to hand a frame to another core and back, as every design with one deciding core, with sessions
 //! pinned to cores or with one acceptor must do: a queue each way and a wake-up of the other loop.
-//! `cargo bench -p tideroute-reactor --bench crossing`.
+//! `cargo bench -p tideroute-reactor --bench cross_thread_handoff`.
 
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use polling::{Events, Poller};
 
-/// Frames that cross for each figure.
+/// Frames handed over for each figure.
 const FRAMES: u64 = 20_000;
 
 struct Frame {
@@ -22,13 +22,13 @@
 }
 
 /// Hands back all that comes, as a loop does that sleeps while nothing comes.
-fn echo(heard: Receiver<Frame>, poller: Arc<Poller>, back: Sender<Frame>, other: Arc<Poller>) {
+fn echo(received: Receiver<Frame>, poller: Arc<Poller>, back: Sender<Frame>, other: Arc<Poller>) {
     let mut events = Events::new();
     loop {
         events.clear();
         poller.wait(&mut events, Some(Duration::from_millis(100))).expect("a poller that works");
         let mut any = false;
-        while let Ok(frame) = heard.try_recv() {
+        while let Ok(frame) = received.try_recv() {
             if frame.at.is_none() {
                 return;
             }
@@ -42,12 +42,12 @@
 }
 
 /// Microseconds there and back, in order, with so many frames handed over at a time.
-fn crossings(at_once: u64) -> Vec<f64> {
+fn round_trips(at_once: u64) -> Vec<f64> {
     let pollers = [(); 2].map(|()| Arc::new(Poller::new().expect("a poller")));
-    let ((there, heard), (back, answers)) = (channel(), channel());
+    let ((there, received), (back, answers)) = (channel(), channel());
     let [near, far] = pollers;
     let other = (far.clone(), near.clone());
-    let thread = std::thread::spawn(move || echo(heard, other.0, back, other.1));
+    let thread = std::thread::spawn(move || echo(received, other.0, back, other.1));
     let (mut took, mut events) = (vec![], Events::new());
     for _ in 0..FRAMES / at_once {
         for _ in 0..at_once {
@@ -75,7 +75,7 @@
     println!("frames at once   there and back p50      p99 us   all frames, us each");
     for at_once in [1, 8, 64] {
         let began = Instant::now();
-        let took = crossings(at_once);
+        let took = round_trips(at_once);
         let each = began.elapsed().as_secs_f64() * 1e6 / took.len() as f64;
         let at = |part: f64| took[((took.len() - 1) as f64 * part) as usize];
         println!("{at_once:>14}{:>23.1}{:>12.1}{each:>22.2}", at(0.5), at(0.99));
--- a/crates/reactor/tests/connections.rs
+++ b/crates/reactor/tests/connections.rs
@@ -1,4 +1,4 @@
-//! The loop on real loopback sockets, with small programs at both ends.
+//! The loop on real loopback sockets, with scripted handlers at both ends.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,89 +8,101 @@
 
 use bytes::Bytes;
 use tideroute_reactor::connection::{HIGH_WATERMARK, MAX_BUFFERED};
-use tideroute_reactor::{RunOutcome, Reactor};
+use tideroute_reactor::{Reactor, RunOutcome};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
-/// What a program saw.
+/// A call of the handler.
 #[derive(Debug, PartialEq)]
-enum Seen {
+enum Observed {
     Accepted(ConnectionId),
-    Opened,
-    Heard(Bytes),
-    Lost(DisconnectReason),
-    Crowded(bool),
-    Rang(u64),
+    Connected,
+    Received(Bytes),
+    Disconnected(DisconnectReason),
+    Backpressure(bool),
+    TimerFired(u64),
 }
 
-/// Tells all that it sees and does as its hands say; ends when told so by a frame `end`.
-struct Scripted<F> {
-    seen: Sender<Seen>,
-    hands: F,
-    over: bool,
+/// Tells all that it sees and does as its script says; ends when told so by a frame `end`.
+struct ScriptedHandler<F> {
+    seen: Sender<Observed>,
+    script: F,
+    finished: bool,
 }
 
-impl<F: FnMut(&Seen, ConnectionId, &mut Effects, Micros)> Scripted<F> {
-    fn saw(&mut self, now: Micros, connection: ConnectionId, seen: Seen, out: &mut Effects) {
-        (self.hands)(&seen, connection, out, now);
-        self.over |= seen == Seen::Heard(Bytes::from_static(b"end"));
+impl<F: FnMut(&Observed, ConnectionId, &mut Effects, Micros)> ScriptedHandler<F> {
+    fn observe(&mut self, now: Micros, connection: ConnectionId, seen: Observed, effects: &mut Effects) {
+        (self.script)(&seen, connection, effects, now);
+        self.finished |= seen == Observed::Received(Bytes::from_static(b"end"));
         let _ = self.seen.send(seen);
     }
 }
 
-impl<F: FnMut(&Seen, ConnectionId, &mut Effects, Micros)> EventHandler for Scripted<F> {
-    fn on_start(&mut self, now: Micros, out: &mut Effects) {
-        (self.hands)(&Seen::Rang(0), ConnectionId(0), out, now);
+impl<F: FnMut(&Observed, ConnectionId, &mut Effects, Micros)> EventHandler for ScriptedHandler<F> {
+    fn on_start(&mut self, now: Micros, effects: &mut Effects) {
+        (self.script)(&Observed::TimerFired(0), ConnectionId(0), effects, now);
     }
-    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, _door: usize, out: &mut Effects) {
-        self.saw(now, connection, Seen::Accepted(connection), out);
+    fn on_accepted(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        _listener: usize,
+        effects: &mut Effects,
+    ) {
+        self.observe(now, connection, Observed::Accepted(connection), effects);
     }
-    fn on_connected(&mut self, now: Micros, connection: ConnectionId, out: &mut Effects) {
-        self.saw(now, connection, Seen::Opened, out);
+    fn on_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        self.observe(now, connection, Observed::Connected, effects);
     }
-    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, out: &mut Effects) {
-        self.saw(now, connection, Seen::Heard(frame.clone()), out);
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
+        self.observe(now, connection, Observed::Received(frame.clone()), effects);
     }
     fn on_disconnect(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        loss: DisconnectReason,
-        out: &mut Effects,
+        reason: DisconnectReason,
+        effects: &mut Effects,
     ) {
-        self.saw(now, connection, Seen::Lost(loss), out);
+        self.observe(now, connection, Observed::Disconnected(reason), effects);
     }
-    fn on_backpressure(&mut self, now: Micros, connection: ConnectionId, crowded: bool, out: &mut Effects) {
-        self.saw(now, connection, Seen::Crowded(crowded), out);
+    fn on_backpressure(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        backpressure: bool,
+        effects: &mut Effects,
+    ) {
+        self.observe(now, connection, Observed::Backpressure(backpressure), effects);
     }
-    fn on_timer(&mut self, now: Micros, key: u64, out: &mut Effects) {
-        self.saw(now, ConnectionId(0), Seen::Rang(key), out);
+    fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
+        self.observe(now, ConnectionId(0), Observed::TimerFired(key), effects);
     }
-    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
-    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn on_iteration(&mut self, _now: Micros, _effects: &mut Effects) {}
+    fn on_shutdown(&mut self, _now: Micros, _effects: &mut Effects) {}
     fn is_finished(&self) -> bool {
-        self.over
+        self.finished
     }
 }
 
-type Run = (SocketAddr, Receiver<Seen>, JoinHandle<RunOutcome>);
+type Run = (SocketAddr, Receiver<Observed>, JoinHandle<RunOutcome>);
 
-fn run(hands: impl FnMut(&Seen, ConnectionId, &mut Effects, Micros) + Send + 'static) -> Run {
+fn run(script: impl FnMut(&Observed, ConnectionId, &mut Effects, Micros) + Send + 'static) -> Run {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
     let (at, (seen, all)) = (reactor.addresses()[0], channel());
-    let mut program = Scripted { seen, hands, over: false };
-    (at, all, std::thread::spawn(move || reactor.run(&mut program).unwrap()))
+    let mut handler = ScriptedHandler { seen, script, finished: false };
+    (at, all, std::thread::spawn(move || reactor.run(&mut handler).unwrap()))
 }
 
 /// The next thing seen; a test that waits so long has failed.
-fn next(seen: &Receiver<Seen>) -> Seen {
+fn next(seen: &Receiver<Observed>) -> Observed {
     seen.recv_timeout(Duration::from_secs(20)).expect("it is seen in time")
 }
 
 fn frame(body: &[u8]) -> Vec<u8> {
-    let mut out = bytes::BytesMut::new();
-    tideroute_wire::frame::put(&mut out, body);
-    out.to_vec()
+    let mut wire = bytes::BytesMut::new();
+    tideroute_wire::frame::put(&mut wire, body);
+    wire.to_vec()
 }
 
 fn bytes_of(at: SocketAddr) -> Address {
@@ -98,7 +110,7 @@
     [127, 0, 0, 1, port[0], port[1]]
 }
 
-/// Ends a program by its own door.
+/// Finishes a handler by a frame at its listener.
 fn end(at: SocketAddr, thread: JoinHandle<RunOutcome>) {
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&frame(b"end")).unwrap();
@@ -106,10 +118,10 @@
 }
 
 #[test]
-fn frames_arrive_in_order_and_whole_both_ways() {
-    let (at, _seen, thread) = run(|seen, connection, out, _| {
-        if let Seen::Heard(frame) = seen {
-            out.send(connection, frame.clone());
+fn frames_arrive_complete_and_in_order_both_ways() {
+    let (at, _seen, thread) = run(|seen, connection, effects, _| {
+        if let Observed::Received(frame) = seen {
+            effects.send(connection, frame.clone());
         }
     });
     let mut stream = TcpStream::connect(at).unwrap();
@@ -124,31 +136,31 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_is_told_of_and_then_closed() {
+fn a_peer_that_does_not_read_raises_backpressure_and_is_then_disconnected() {
     let piece = Bytes::from(vec![7; 64 << 10]);
     let mut began = false;
-    let (at, seen, thread) = run(move |seen, _, out, now| match seen {
-        // Sends on and on, a piece a ring, until the link is gone.
-        Seen::Accepted(ConnectionId(0)) => {
+    let (at, seen, thread) = run(move |seen, _, effects, now| match seen {
+        // Sends on and on, a piece a timer, until the connection is lost.
+        Observed::Accepted(ConnectionId(0)) => {
             began = true;
-            out.set_timer(now, 0);
+            effects.set_timer(now, 0);
         }
-        Seen::Rang(0) if began => {
-            out.send(ConnectionId(0), piece.clone());
-            out.set_timer(now + 200, 0);
+        Observed::TimerFired(0) if began => {
+            effects.send(ConnectionId(0), piece.clone());
+            effects.set_timer(now + 200, 0);
         }
         _ => {}
     });
     let stream = TcpStream::connect(at).unwrap();
-    let mut crowded = false;
+    let mut backpressure = false;
     loop {
         match next(&seen) {
-            Seen::Crowded(true) => crowded = true,
-            Seen::Lost(loss) => break assert_eq!(loss, DisconnectReason::Reset),
+            Observed::Backpressure(true) => backpressure = true,
+            Observed::Disconnected(reason) => break assert_eq!(reason, DisconnectReason::Reset),
             _ => {}
         }
     }
-    assert!(crowded, "closed without a warning");
+    assert!(backpressure, "closed without a warning");
     // What it could have read is bounded: the loop's own bound and what the kernel holds for both ends.
     let mut got = 0;
     let mut stream = stream;
@@ -161,71 +173,71 @@
 }
 
 #[test]
-fn a_peer_that_reads_again_is_no_longer_crowded() {
+fn backpressure_ends_when_the_peer_reads_again() {
     let mut full = false;
-    let (at, seen, thread) = run(move |seen, _, out, now| match seen {
-        Seen::Accepted(ConnectionId(0)) => out.set_timer(now, 5),
-        Seen::Crowded(crowded) => full |= *crowded,
-        // Sends on until the link is crowded, however much the kernel takes.
-        Seen::Rang(5) if !full => {
-            out.send(ConnectionId(0), vec![1; 50 << 10].into());
-            out.set_timer(now + 200, 5);
+    let (at, seen, thread) = run(move |seen, _, effects, now| match seen {
+        Observed::Accepted(ConnectionId(0)) => effects.set_timer(now, 5),
+        Observed::Backpressure(backpressure) => full |= *backpressure,
+        // Sends on until there is backpressure, however much the kernel takes.
+        Observed::TimerFired(5) if !full => {
+            effects.send(ConnectionId(0), vec![1; 50 << 10].into());
+            effects.set_timer(now + 200, 5);
         }
         _ => {}
     });
     let mut stream = TcpStream::connect(at).unwrap();
-    while next(&seen) != Seen::Crowded(true) {}
+    while next(&seen) != Observed::Backpressure(true) {}
     let reader = std::thread::spawn(move || std::io::copy(&mut stream, &mut std::io::sink()));
-    while next(&seen) != Seen::Crowded(false) {}
+    while next(&seen) != Observed::Backpressure(false) {}
     end(at, thread);
     assert!(reader.join().unwrap().unwrap_or(0) > 0);
 }
 
 #[test]
-fn a_hushed_link_waits_and_is_heard_later() {
-    let (at, seen, thread) = run(|seen, connection, out, now| match seen {
-        Seen::Accepted(ConnectionId(0)) => {
-            out.pause_reading(connection, true);
-            out.set_timer(now + 50_000, 9);
+fn a_frame_waits_while_reading_is_paused() {
+    let (at, seen, thread) = run(|seen, connection, effects, now| match seen {
+        Observed::Accepted(ConnectionId(0)) => {
+            effects.pause_reading(connection, true);
+            effects.set_timer(now + 50_000, 9);
         }
-        Seen::Rang(9) => out.pause_reading(ConnectionId(0), false),
+        Observed::TimerFired(9) => effects.pause_reading(ConnectionId(0), false),
         _ => {}
     });
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(&frame(b"late")).unwrap();
-    assert_eq!(next(&seen), Seen::Accepted(ConnectionId(0)));
-    // The timer rings first, though the frame was there long before.
-    assert_eq!(next(&seen), Seen::Rang(9));
-    assert_eq!(next(&seen), Seen::Heard(Bytes::from_static(b"late")));
+    assert_eq!(next(&seen), Observed::Accepted(ConnectionId(0)));
+    // The timer fires first, though the frame was there long before.
+    assert_eq!(next(&seen), Observed::TimerFired(9));
+    assert_eq!(next(&seen), Observed::Received(Bytes::from_static(b"late")));
     end(at, thread);
 }
 
 #[test]
-fn dials_that_lead_nowhere_and_frames_sent_before_the_link_is_open() {
+fn failed_connects_are_reported_and_frames_wait_for_the_connection() {
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (there, heard, thread) = run(|_, _, _, _| {});
+    let (there, received, thread) = run(|_, _, _, _| {});
     let (to, no) = (bytes_of(there), bytes_of(nobody));
-    let (at, seen, dialler) = run(move |seen, _, out, _| {
-        if matches!(seen, Seen::Rang(0)) {
-            out.connect(no, 1_000_000);
-            let connection = out.connect(to, 1_000_000);
-            out.send(connection, Bytes::from_static(b"early"));
+    let (at, seen, dialler) = run(move |seen, _, effects, _| {
+        if matches!(seen, Observed::TimerFired(0)) {
+            effects.connect(no, 1_000_000);
+            let connection = effects.connect(to, 1_000_000);
+            effects.send(connection, Bytes::from_static(b"early"));
         }
     });
     let mut both = vec![next(&seen), next(&seen)];
-    both.sort_by_key(|s| *s == Seen::Opened);
-    assert_eq!(both, [Seen::Lost(DisconnectReason::ConnectFailed), Seen::Opened]);
-    assert!(matches!(next(&heard), Seen::Accepted(_)));
-    assert_eq!(next(&heard), Seen::Heard(Bytes::from_static(b"early")));
+    both.sort_by_key(|s| *s == Observed::Connected);
+    assert_eq!(both, [Observed::Disconnected(DisconnectReason::ConnectFailed), Observed::Connected]);
+    assert!(matches!(next(&received), Observed::Accepted(_)));
+    assert_eq!(next(&received), Observed::Received(Bytes::from_static(b"early")));
     end(at, dialler);
     end(there, thread);
 }
 
 #[test]
-fn a_program_that_vanishes_resets_its_peers() {
-    let (at, _seen, thread) = run(|seen, _, out, _| {
-        if matches!(seen, Seen::Heard(_)) {
-            out.crash();
+fn a_crash_resets_all_connections() {
+    let (at, _seen, thread) = run(|seen, _, effects, _| {
+        if matches!(seen, Observed::Received(_)) {
+            effects.crash();
         }
     });
     let mut stream = TcpStream::connect(at).unwrap();
@@ -236,26 +248,26 @@
 
 /// A close over unread bytes would reset the connection, and what was sent just before could go with it.
 #[test]
-fn a_raw_link_that_is_closed_while_its_peer_sends_ends_well() {
+fn a_raw_connection_closed_while_its_peer_sends_is_not_reset() {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
     reactor.set_raw(8);
     let at = reactor.addresses()[0];
-    let hands = |seen: &Seen, connection, out: &mut Effects, now| match seen {
-        Seen::Heard(_) if connection == ConnectionId(0) => {
-            out.send(connection, Bytes::from_static(b"answer"));
-            out.pause_reading(connection, true);
-            out.set_timer(now + 100_000, 9);
+    let script = |seen: &Observed, connection, effects: &mut Effects, now| match seen {
+        Observed::Received(_) if connection == ConnectionId(0) => {
+            effects.send(connection, Bytes::from_static(b"answer"));
+            effects.pause_reading(connection, true);
+            effects.set_timer(now + 100_000, 9);
         }
-        Seen::Rang(9) => out.close(ConnectionId(0), "idle"),
+        Observed::TimerFired(9) => effects.close(ConnectionId(0), "idle"),
         _ => {}
     };
     let (seen, all) = channel();
-    let mut program = Scripted { seen, hands, over: false };
-    let thread = std::thread::spawn(move || reactor.run(&mut program).unwrap());
+    let mut handler = ScriptedHandler { seen, script, finished: false };
+    let thread = std::thread::spawn(move || reactor.run(&mut handler).unwrap());
     let mut stream = TcpStream::connect(at).unwrap();
     stream.write_all(b"ask").unwrap();
-    assert_eq!(next(&all), Seen::Accepted(ConnectionId(0)));
-    assert_eq!(next(&all), Seen::Heard(Bytes::from_static(b"ask")));
+    assert_eq!(next(&all), Observed::Accepted(ConnectionId(0)));
+    assert_eq!(next(&all), Observed::Received(Bytes::from_static(b"ask")));
     stream.write_all(b"ask again").unwrap();
     let mut got = Vec::new();
     stream.read_to_end(&mut got).expect("it ends, and is not reset");
@@ -279,26 +291,39 @@
 }
 
 impl EventHandler for LastMoment {
-    fn on_start(&mut self, _now: Micros, _out: &mut Effects) {}
-    fn on_accepted(&mut self, _now: Micros, _link: ConnectionId, _door: usize, _out: &mut Effects) {
+    fn on_start(&mut self, _now: Micros, _effects: &mut Effects) {}
+    fn on_accepted(
+        &mut self,
+        _now: Micros,
+        _connection: ConnectionId,
+        _listener: usize,
+        _effects: &mut Effects,
+    ) {
         self.open += 1;
     }
-    fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
-    fn on_data(&mut self, _now: Micros, connection: ConnectionId, asked: &Bytes, out: &mut Effects) {
-        out.send(connection, asked.clone());
+    fn on_connected(&mut self, _now: Micros, _connection: ConnectionId, _effects: &mut Effects) {}
+    fn on_data(&mut self, _now: Micros, connection: ConnectionId, asked: &Bytes, effects: &mut Effects) {
+        effects.send(connection, asked.clone());
     }
     fn on_disconnect(
         &mut self,
         _now: Micros,
-        _link: ConnectionId,
-        _loss: DisconnectReason,
-        _out: &mut Effects,
+        _connection: ConnectionId,
+        _reason: DisconnectReason,
+        _effects: &mut Effects,
     ) {
         (self.open, self.gone) = (self.open - 1, self.gone + 1);
     }
-    fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
-    fn on_timer(&mut self, _now: Micros, _key: u64, _out: &mut Effects) {}
-    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {
+    fn on_backpressure(
+        &mut self,
+        _now: Micros,
+        _connection: ConnectionId,
+        _backpressure: bool,
+        _effects: &mut Effects,
+    ) {
+    }
+    fn on_timer(&mut self, _now: Micros, _key: u64, _effects: &mut Effects) {}
+    fn on_iteration(&mut self, _now: Micros, _effects: &mut Effects) {
         if self.gone == 1 && self.late.is_none() {
             let mut late = TcpStream::connect(self.at).unwrap();
             late.write_all(b"late!").unwrap();
@@ -306,7 +331,7 @@
             self.late = Some(late);
         }
     }
-    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn on_shutdown(&mut self, _now: Micros, _effects: &mut Effects) {}
     fn is_finished(&self) -> bool {
         // The one that waits at the door is not known here before it is taken.
         self.gone > 0 && self.open == 0
@@ -322,17 +347,17 @@
 }
 
 #[test]
-fn who_waits_at_the_door_as_the_program_is_done_is_answered() {
+fn a_client_that_connects_as_the_handler_finishes_is_served() {
     let mut reactor = Reactor::new(&["127.0.0.1:0".parse().unwrap()]).unwrap();
     reactor.set_raw(8);
     reactor.drain_on_shutdown();
     let at = reactor.addresses()[0];
     let first = std::thread::spawn(move || ask(&mut TcpStream::connect(at).unwrap(), b"first"));
-    let mut program = LastMoment { at, late: None, open: 0, gone: 0 };
-    assert_eq!(reactor.run(&mut program).unwrap(), RunOutcome::Finished);
+    let mut handler = LastMoment { at, late: None, open: 0, gone: 0 };
+    assert_eq!(reactor.run(&mut handler).unwrap(), RunOutcome::Finished);
     assert_eq!(&first.join().unwrap(), b"first");
     drop(reactor);
-    let (mut late, mut answer) = (program.late.expect("it came"), [0; 5]);
+    let (mut late, mut answer) = (handler.late.expect("it came"), [0; 5]);
     late.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let read = late.read_exact(&mut answer);
     assert!(read.is_ok() && &answer == b"late!", "its request came on a connection that was made: {read:?}");
