--- /dev/null
+++ b/crates/wire/tests/exact_bytes/frames.rs
@@ -0,0 +1,20 @@
+//! The frame around every message.
+
+use bytes::{Bytes, BytesMut};
+use tideroute_wire::frame;
+
+use crate::{from_hex, to_hex};
+
+#[test]
+fn a_frame_is_a_varint_length_and_the_body() {
+    let mut wire = BytesMut::new();
+    frame::put(&mut wire, b"abc");
+    assert_eq!(to_hex(&wire), "03616263");
+    wire.clear();
+    frame::put(&mut wire, &[7; 300]);
+    assert_eq!(to_hex(&wire[..4]), "ac020707");
+    let mut arrived = BytesMut::from(&from_hex("0361626300")[..]);
+    assert_eq!(frame::next(&mut arrived), Ok(Some(Bytes::from_static(b"abc"))));
+    assert_eq!(frame::next(&mut arrived), Ok(Some(Bytes::new())));
+    assert_eq!(frame::next(&mut arrived), Ok(None));
+}
--- /dev/null
+++ b/crates/wire/tests/exact_bytes/tenant.rs
@@ -0,0 +1,64 @@
+//! Messages between the cores of a router and its administration.
+
+use tideroute_wire::tenant::{self, receive, receive_stats, Core, Figures, Rate, Watcher};
+use tideroute_wire::Malformed;
+
+use crate::{check, record, Recorder};
+
+impl Core for Recorder {
+    fn set(
+        &mut self,
+        name: &str,
+        version: u64,
+        keys: Vec<[u8; 32]>,
+        weight: f64,
+        requests: Option<Rate>,
+        tokens: Option<Rate>,
+        in_flight: Option<u32>,
+        waiting: u32,
+    ) -> Result<(), Malformed> {
+        record!(self, "set", name, version, keys, weight, requests, tokens, in_flight, waiting);
+        Ok(())
+    }
+
+    fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed> {
+        record!(self, "removed", name, version);
+        Ok(())
+    }
+}
+
+impl Watcher for Recorder {
+    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
+        record!(self, "stats", core, name, figures);
+        Ok(())
+    }
+}
+
+#[test]
+fn changes_of_tenants() {
+    let keys = [[0x5a; 32]];
+    let set = tenant::set("acme", 7, &keys, 2.0, Some((10.0, 20.0)), None, Some(64), 100);
+    let key = format!("{:?}", [0x5a; 32]);
+    let call = format!("set(\"acme\", 7, [{key}], 2.0, Some((10.0, 20.0)), None, Some(64), 100)");
+    check(
+        set,
+        "0a490a0461636d6510071a205a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a21000000\
+        000000004029000000000000244031000000000000344048405064",
+        receive,
+        &[&call],
+    );
+    check(tenant::removed("acme", 8), "12080a0461636d651008", receive, &["removed(\"acme\", 8)"]);
+}
+
+#[test]
+fn stats_of_tenants() {
+    let figures = ([1, 2, 3, 4, 5, 600_000], [7, 8]);
+    let stats = tenant::stats("core 0", [("acme", figures)].into_iter());
+    let calls = ["stats(\"core 0\", \"acme\", ([1, 2, 3, 4, 5, 600000], [7, 8]))"];
+    check(
+        stats,
+        "0a06636f7265203012180a0461636d651001180220032804300538c0cf2440074808",
+        receive_stats,
+        &calls,
+    );
+}
