--- /dev/null
+++ b/crates/wire/src/capture/reader.rs
@@ -0,0 +1,86 @@
+//! Reading a capture.
+
+use std::io::Read;
+
+use bytes::{Buf, Bytes, BytesMut};
+use prost::Message;
+
+use super::event::{decode_event, CaptureError, CapturedFrame, CapturedProcess};
+use crate::fields::decode_optional_address;
+use crate::frame;
+use crate::generated::record::{Event, Head};
+use crate::Malformed;
+
+/// Bytes read from the file at a time.
+const READ_CHUNK: usize = 1 << 16;
+
+/// Reads a capture from its head on, holding one chunk of it at a time.
+pub struct Reader<R> {
+    file: R,
+    buffered: BytesMut,
+    /// Offset in the file of the next frame.
+    at: u64,
+}
+
+impl<R: Read> Reader<R> {
+    /// A reader at the start of a capture.
+    pub fn new(file: R) -> Self {
+        Reader { file, buffered: BytesMut::new(), at: 0 }
+    }
+
+    /// The processes and the settings of the head; the first thing to read.
+    pub fn head(&mut self) -> Result<(Vec<CapturedProcess>, String), CaptureError> {
+        let frame = self.frame()?.ok_or_else(|| self.malformed(Malformed::Empty))?;
+        let head = Head::decode(frame).map_err(|error| self.malformed(error))?;
+        let mut processes = vec![];
+        for process in head.processes {
+            let address = decode_optional_address("address", &process.address)
+                .map_err(|error| self.malformed(error))?;
+            processes.push(CapturedProcess {
+                number: process.number,
+                name: process.name,
+                role: process.role,
+                address,
+            });
+        }
+        Ok((processes, head.terms))
+    }
+
+    /// The next event; None at the end.
+    pub fn next_passed(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
+        let Some(frame) = self.frame()? else { return Ok(None) };
+        let event = Event::decode(frame).map_err(|error| self.malformed(error))?;
+        Ok(Some(CapturedFrame {
+            at: event.at_us,
+            process: event.process,
+            connection: event.link,
+            event: decode_event(event.what).map_err(|error| self.malformed(error))?,
+            position: event.place,
+            frame: event.frame,
+        }))
+    }
+
+    fn frame(&mut self) -> Result<Option<Bytes>, CaptureError> {
+        loop {
+            let before = self.buffered.len();
+            let next = frame::next(&mut self.buffered).map_err(|error| self.malformed(error))?;
+            if let Some(frame) = next {
+                self.at += (before - self.buffered.remaining()) as u64;
+                return Ok(Some(frame));
+            }
+            let mut chunk = vec![0; READ_CHUNK];
+            let length = self.file.read(&mut chunk)?;
+            if length == 0 && self.buffered.is_empty() {
+                return Ok(None);
+            }
+            if length == 0 {
+                return Err(CaptureError::CutOff { at: self.at });
+            }
+            self.buffered.extend_from_slice(&chunk[..length]);
+        }
+    }
+
+    fn malformed(&self, error: impl Into<Malformed>) -> CaptureError {
+        CaptureError::Malformed { at: self.at, problem: error.into() }
+    }
+}
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,131 +1,148 @@
-//! A client and a router.
+//! The conversation of a client with a router.
 
 use bytes::Bytes;
 use prost::Message;
 
-use crate::made::{self, from_client, to_client, FromClient, ToClient};
+use crate::fields::decode_small;
+use crate::generated::{self, from_client, to_client, FromClient, ToClient};
 use crate::{Malformed, Micros};
 
-/// What a router hears from a client after its Hello.
+/// What a router receives from a client after its Hello.
 pub trait Router {
+    /// A request. `number` is the client's own and never used twice on a connection; `prefix` identifies the text that
+    /// the prompt shares with others (0 for none); `remaining` is the time until the client gives up;
+    /// `idempotency_key` identifies repeats of one request.
     fn submit(
         &mut self,
         number: u64,
-        track: u8,
+        class: u8,
         session: u64,
         prefix: u64,
         prompt_tokens: u32,
         prefix_tokens: u32,
-        most_tokens: u32,
-        left: Micros,
-        mark: u64,
+        max_tokens: u32,
+        remaining: Micros,
+        idempotency_key: u64,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
+    /// The client gives the request up and wants no response.
     fn cancel(&mut self, number: u64) -> Result<(), Malformed>;
 }
 
-/// What a client hears from a router.
+/// What a client receives from a router: for each request `accepted`, then tokens, then one of the three outcomes.
 pub trait Client {
+    /// The router has given the request an id.
     fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed>;
+    /// The response's token of that index.
     fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed>;
+    /// The response is complete.
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed>;
-    fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed>;
+    /// The request never ran, and may be retried after a time; 0 for no advice.
+    fn rejected(&mut self, number: u64, retry_after: Micros) -> Result<(), Malformed>;
+    /// The request failed; it may have taken effect or not.
     fn failed(&mut self, number: u64) -> Result<(), Malformed>;
-    /// Its Hello was not taken: the connection ends.
-    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed>;
+    /// The Hello was refused, and the connection ends.
+    fn unauthorized(&mut self, reason: &str) -> Result<(), Malformed>;
 }
 
-/// Takes one frame from a client and makes the call that it stands for.
+/// Decodes a frame from a client and makes the call that it stands for.
 pub fn receive_from_client(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     match FromClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         from_client::Said::Hello(_) => Err(Malformed::Hello),
-        from_client::Said::Leave(l) => router.cancel(l.number),
-        from_client::Said::Submit(s) => router.submit(
-            s.number,
-            crate::small("track", s.track)?,
-            s.session,
-            s.prefix,
-            s.prompt_tokens,
-            s.prefix_tokens,
-            s.most_tokens,
-            s.left_us,
-            s.mark,
-            s.prompt,
+        from_client::Said::Leave(leave) => router.cancel(leave.number),
+        from_client::Said::Submit(submit) => router.submit(
+            submit.number,
+            decode_small("track", submit.track)?,
+            submit.session,
+            submit.prefix,
+            submit.prompt_tokens,
+            submit.prefix_tokens,
+            submit.most_tokens,
+            submit.left_us,
+            submit.mark,
+            submit.prompt,
         ),
     }
 }
 
-/// Takes one frame from a router and makes the call that it stands for.
+/// Decodes a frame from a router and makes the call that it stands for.
 pub fn receive_from_router(frame: &Bytes, client: &mut impl Client) -> Result<(), Malformed> {
     match ToClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
-        to_client::Said::Taken(t) => client.accepted(t.number, t.id),
-        to_client::Said::Token(t) => client.token(t.number, t.index, t.text),
-        to_client::Said::Honoured(h) => client.completed(h.number, h.tokens),
-        to_client::Said::TurnedBack(t) => client.rejected(t.number, t.after_us),
-        to_client::Said::Abandoned(a) => client.failed(a.number),
-        to_client::Said::Denied(d) => client.unauthorized(&d.why),
+        to_client::Said::Taken(taken) => client.accepted(taken.number, taken.id),
+        to_client::Said::Token(token) => client.token(token.number, token.index, token.text),
+        to_client::Said::Honoured(honoured) => client.completed(honoured.number, honoured.tokens),
+        to_client::Said::TurnedBack(rejected) => client.rejected(rejected.number, rejected.after_us),
+        to_client::Said::Abandoned(abandoned) => client.failed(abandoned.number),
+        to_client::Said::Denied(denied) => client.unauthorized(&denied.why),
     }
 }
 
+/// The message that calls [`Router::submit`].
 pub fn submit(
     number: u64,
-    track: u8,
+    class: u8,
     session: u64,
     prefix: u64,
     prompt_tokens: u32,
     prefix_tokens: u32,
-    most_tokens: u32,
-    left: Micros,
-    mark: u64,
+    max_tokens: u32,
+    remaining: Micros,
+    idempotency_key: u64,
     prompt: Bytes,
 ) -> Bytes {
-    let submit = made::Submit {
+    from_client(from_client::Said::Submit(generated::Submit {
         number,
-        track: track.into(),
+        track: class.into(),
         session,
         prefix,
         prompt_tokens,
         prefix_tokens,
-        most_tokens,
-        left_us: left,
-        mark,
+        most_tokens: max_tokens,
+        left_us: remaining,
+        mark: idempotency_key,
         prompt,
-    };
-    from_client(from_client::Said::Submit(submit))
+    }))
 }
 
+/// The message that calls [`Router::cancel`].
 pub fn cancel(number: u64) -> Bytes {
-    from_client(from_client::Said::Leave(made::Leave { number }))
+    from_client(from_client::Said::Leave(generated::Leave { number }))
 }
 
+/// The message that calls [`Client::accepted`].
 pub fn accepted(number: u64, id: u64) -> Bytes {
-    to_client(to_client::Said::Taken(made::Taken { number, id }))
+    to_client(to_client::Said::Taken(generated::Taken { number, id }))
 }
 
+/// The message that calls [`Client::token`].
 pub fn token(number: u64, index: u32, text: Bytes) -> Bytes {
-    to_client(to_client::Said::Token(made::Token { number, index, text }))
+    to_client(to_client::Said::Token(generated::Token { number, index, text }))
 }
 
+/// The message that calls [`Client::completed`].
 pub fn completed(number: u64, tokens: u32) -> Bytes {
-    to_client(to_client::Said::Honoured(made::Honoured { number, tokens }))
+    to_client(to_client::Said::Honoured(generated::Honoured { number, tokens }))
 }
 
-pub fn rejected(number: u64, after: Micros) -> Bytes {
-    to_client(to_client::Said::TurnedBack(made::TurnedBack { number, after_us: after }))
+/// The message that calls [`Client::rejected`].
+pub fn rejected(number: u64, retry_after: Micros) -> Bytes {
+    to_client(to_client::Said::TurnedBack(generated::TurnedBack { number, after_us: retry_after }))
 }
 
+/// The message that calls [`Client::failed`].
 pub fn failed(number: u64) -> Bytes {
-    to_client(to_client::Said::Abandoned(made::Abandoned { number }))
+    to_client(to_client::Said::Abandoned(generated::Abandoned { number }))
 }
 
-pub fn unauthorized(why: &str) -> Bytes {
-    to_client(to_client::Said::Denied(made::Denied { why: why.to_string() }))
+/// The message that calls [`Client::unauthorized`].
+pub fn unauthorized(reason: &str) -> Bytes {
+    to_client(to_client::Said::Denied(generated::Denied { why: reason.to_string() }))
 }
 
-fn from_client(said: from_client::Said) -> Bytes {
-    FromClient { said: Some(said) }.encode_to_vec().into()
+fn from_client(message: from_client::Said) -> Bytes {
+    FromClient { said: Some(message) }.encode_to_vec().into()
 }
 
-fn to_client(said: to_client::Said) -> Bytes {
-    ToClient { said: Some(said) }.encode_to_vec().into()
+fn to_client(message: to_client::Said) -> Bytes {
+    ToClient { said: Some(message) }.encode_to_vec().into()
 }
--- a/crates/wire/src/endpoint_list.rs
+++ b/crates/wire/src/endpoint_list.rs
@@ -1,50 +1,101 @@
-//! The list of workers: workers say that they run, routers are told what changed.
+//! The conversations with the endpoint list: workers register, and routers watch for what changes.
 
 use bytes::Bytes;
 use prost::Message;
 
-use crate::made::{self, from_list, listing, to_list, FromList, ToList};
-use crate::{address, bytes_of, Address, Malformed, Micros};
+use crate::fields::{decode_address, decode_small, encode_address};
+use crate::generated::{self, from_list, listing, to_list, FromList, ToList};
+use crate::{Address, Malformed, Micros};
 
+/// The status of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum EndpointStatus {
+    /// No longer in the list.
     Removed,
+    /// Takes new requests.
     Serving,
+    /// Finishes what it has and takes nothing new.
     Draining,
 }
 
-/// What the list hears from routers and workers after their Hello.
+/// What the list receives from routers and workers after their Hello.
 pub trait List {
+    /// A router watches for changes after the version that it has; 0 for none.
     fn watch(&mut self, have: u64) -> Result<(), Malformed>;
+    /// A worker registers. `size` is its relative capacity, `started_at` the time of its start.
     fn register(
         &mut self,
         worker: Address,
         kind: u16,
         size: f64,
-        standing: EndpointStatus,
+        status: EndpointStatus,
         cell: u16,
         zone: u8,
-        started: Micros,
+        started_at: Micros,
     ) -> Result<(), Malformed>;
 }
 
-/// What a router hears from the list: a page, then its entries.
+/// What a router receives from the list: the beginning of an update, then its entries.
 pub trait Router {
-    fn begin_update(&mut self, version: u64, whole: bool) -> Result<(), Malformed>;
+    /// An update to that version begins; a full snapshot replaces all entries that the router has.
+    fn begin_update(&mut self, version: u64, full_snapshot: bool) -> Result<(), Malformed>;
+    /// An endpoint of the update.
     fn endpoint(
         &mut self,
         worker: Address,
         kind: u16,
         size: f64,
-        standing: EndpointStatus,
+        status: EndpointStatus,
         cell: u16,
         zone: u8,
-        started: Micros,
+        started_at: Micros,
     ) -> Result<(), Malformed>;
 }
 
-fn standing(code: i32) -> Result<EndpointStatus, Malformed> {
-    match listing::Standing::try_from(code) {
+/// An entry whose fields are checked.
+struct Entry {
+    worker: Address,
+    kind: u16,
+    size: f64,
+    status: EndpointStatus,
+    cell: u16,
+    zone: u8,
+    started_at: Micros,
+}
+
+impl Entry {
+    fn decode(listing: &generated::Listing) -> Result<Entry, Malformed> {
+        Ok(Entry {
+            worker: decode_address("worker", &listing.worker)?,
+            kind: decode_small("kind", listing.kind)?,
+            size: decode_size(listing.size)?,
+            status: decode_status(listing.standing)?,
+            cell: decode_small("cell", listing.cell)?,
+            zone: decode_small("zone", listing.zone)?,
+            started_at: listing.started_us,
+        })
+    }
+
+    fn encode(self) -> generated::Listing {
+        let standing = match self.status {
+            EndpointStatus::Removed => listing::Standing::Gone,
+            EndpointStatus::Serving => listing::Standing::Ready,
+            EndpointStatus::Draining => listing::Standing::Draining,
+        };
+        generated::Listing {
+            worker: encode_address(self.worker),
+            kind: self.kind.into(),
+            size: self.size,
+            standing: standing.into(),
+            cell: self.cell.into(),
+            zone: self.zone.into(),
+            started_us: self.started_at,
+        }
+    }
+}
+
+fn decode_status(standing: i32) -> Result<EndpointStatus, Malformed> {
+    match listing::Standing::try_from(standing) {
         Ok(listing::Standing::Gone) => Ok(EndpointStatus::Removed),
         Ok(listing::Standing::Ready) => Ok(EndpointStatus::Serving),
         Ok(listing::Standing::Draining) => Ok(EndpointStatus::Draining),
@@ -52,118 +103,88 @@
     }
 }
 
-fn size(size: f64) -> Result<f64, Malformed> {
-    (size.is_finite() && size > 0.0).then_some(size).ok_or(Malformed::Range("size"))
+fn decode_size(size: f64) -> Result<f64, Malformed> {
+    if size.is_finite() && size > 0.0 {
+        Ok(size)
+    } else {
+        Err(Malformed::Range("size"))
+    }
 }
 
-/// Takes one frame from a router or worker and makes the call that it stands for.
+/// Decodes a frame from a router or worker and makes the call that it stands for.
 pub fn receive_from_caller(frame: &Bytes, list: &mut impl List) -> Result<(), Malformed> {
     match ToList::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_list::Said::Hello(_) => Err(Malformed::Hello),
-        to_list::Said::Watch(w) => list.watch(w.have),
-        to_list::Said::Here(h) => {
-            let l = h.listing.ok_or(Malformed::Empty)?;
-            list.register(
-                address("worker", &l.worker)?,
-                crate::small("kind", l.kind)?,
-                size(l.size)?,
-                standing(l.standing)?,
-                crate::small("cell", l.cell)?,
-                crate::small("zone", l.zone)?,
-                l.started_us,
-            )
+        to_list::Said::Watch(watch) => list.watch(watch.have),
+        to_list::Said::Here(here) => {
+            let listing = here.listing.ok_or(Malformed::Empty)?;
+            let Entry { worker, kind, size, status, cell, zone, started_at } = Entry::decode(&listing)?;
+            list.register(worker, kind, size, status, cell, zone, started_at)
         }
     }
 }
 
-/// Takes one frame from the list and makes the calls that it stands for. All entries are checked first, so
-/// that a page is taken whole or not at all.
+/// Decodes a frame from the list and makes the calls that it stands for. All entries are checked first, so that an
+/// update is applied completely or not at all.
 pub fn receive_from_list(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     let from_list::Said::Page(page) = FromList::decode(frame.clone())?.said.ok_or(Malformed::Empty)?;
     let mut entries = Vec::with_capacity(page.listings.len());
-    for l in &page.listings {
-        let worker = address("worker", &l.worker)?;
-        let (cell, zone) = (crate::small("cell", l.cell)?, crate::small("zone", l.zone)?);
-        entries.push((
-            worker,
-            crate::small("kind", l.kind)?,
-            size(l.size)?,
-            standing(l.standing)?,
-            cell,
-            zone,
-        ));
+    for listing in &page.listings {
+        entries.push(Entry::decode(listing)?);
     }
     router.begin_update(page.version, page.whole)?;
-    for ((worker, kind, size, standing, cell, zone), l) in entries.into_iter().zip(&page.listings) {
-        router.endpoint(worker, kind, size, standing, cell, zone, l.started_us)?;
+    for Entry { worker, kind, size, status, cell, zone, started_at } in entries {
+        router.endpoint(worker, kind, size, status, cell, zone, started_at)?;
     }
     Ok(())
 }
 
+/// The message that calls [`List::watch`].
 pub fn watch(have: u64) -> Bytes {
-    ToList { said: Some(to_list::Said::Watch(made::Watch { have })) }.encode_to_vec().into()
+    ToList { said: Some(to_list::Said::Watch(generated::Watch { have })) }.encode_to_vec().into()
 }
 
+/// The message that calls [`List::register`].
 pub fn register(
     worker: Address,
     kind: u16,
     size: f64,
-    standing: EndpointStatus,
+    status: EndpointStatus,
     cell: u16,
     zone: u8,
-    started: Micros,
+    started_at: Micros,
 ) -> Bytes {
-    let listing = Some(entry(worker, kind, size, standing, cell, zone, started));
-    ToList { said: Some(to_list::Said::Here(made::Here { listing })) }.encode_to_vec().into()
+    let entry = Entry { worker, kind, size, status, cell, zone, started_at };
+    let here = generated::Here { listing: Some(entry.encode()) };
+    ToList { said: Some(to_list::Said::Here(here)) }.encode_to_vec().into()
 }
 
-/// A page that is filled entry by entry and then sent.
-pub struct Page(made::Page);
+/// An update of the list, which is filled entry by entry and then sent.
+pub struct Page(generated::Page);
 
 impl Page {
-    pub fn new(version: u64, whole: bool) -> Page {
-        Page(made::Page { version, whole, listings: vec![] })
+    /// An update to that version without entries.
+    pub fn new(version: u64, full_snapshot: bool) -> Page {
+        Page(generated::Page { version, whole: full_snapshot, listings: vec![] })
     }
 
+    /// Adds an endpoint.
     pub fn add(
         &mut self,
         worker: Address,
         kind: u16,
         size: f64,
-        standing: EndpointStatus,
+        status: EndpointStatus,
         cell: u16,
         zone: u8,
-        started: Micros,
+        started_at: Micros,
     ) {
-        self.0.listings.push(entry(worker, kind, size, standing, cell, zone, started));
+        let entry = Entry { worker, kind, size, status, cell, zone, started_at };
+        self.0.listings.push(entry.encode());
     }
 
+    /// The message that calls [`Router::begin_update`], and [`Router::endpoint`] for each entry.
     pub fn frame(self) -> Bytes {
         FromList { said: Some(from_list::Said::Page(self.0)) }.encode_to_vec().into()
     }
 }
-
-fn entry(
-    worker: Address,
-    kind: u16,
-    size: f64,
-    standing: EndpointStatus,
-    cell: u16,
-    zone: u8,
-    started: Micros,
-) -> made::Listing {
-    let standing = match standing {
-        EndpointStatus::Removed => listing::Standing::Gone,
-        EndpointStatus::Serving => listing::Standing::Ready,
-        EndpointStatus::Draining => listing::Standing::Draining,
-    };
-    made::Listing {
-        worker: bytes_of(Some(worker)),
-        kind: kind.into(),
-        size,
-        standing: standing.into(),
-        cell: cell.into(),
-        zone: zone.into(),
-        started_us: started,
-    }
-}
--- a/crates/wire/src/event_loop.rs
+++ b/crates/wire/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! What a program sees of its connections: a loop over real sockets or one in virtual time tells it what
-//! happened through [`EventHandler`]'s calls, and carries out, in order, what it put into its [`Effects`].
+//! How a program sees its connections: an event loop, over real sockets or in virtual time, calls an [`EventHandler`]
+//! and executes, in order, what the handler put into its [`Effects`].
 
 use bytes::Bytes;
 
@@ -9,235 +9,282 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ConnectionId(pub u64);
 
-/// Links that the program dialled itself have this bit; those accepted have not.
+/// The bit of outbound connections; accepted connections do not have it.
 const OUTBOUND: u64 = 1 << 63;
 
 impl ConnectionId {
+    /// Whether the program itself connected; false for an accepted connection.
     pub fn is_outbound(self) -> bool {
         self.0 & OUTBOUND != 0
     }
 
-    /// Its number among those dialled, or among those accepted.
+    /// Its number among the outbound or among the accepted connections.
     pub fn number(self) -> u64 {
         self.0 & !OUTBOUND
     }
 
-    /// The dialled link of that number.
+    /// The outbound connection of that number.
     pub fn outbound(number: u64) -> ConnectionId {
         ConnectionId(OUTBOUND | number)
     }
 }
 
-/// How a link ended, as far as this side can know.
+/// How a connection ended, as far as this side can know.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DisconnectReason {
-    /// A dial that never led to a connection: nothing that was sent on it arrived.
+    /// The connection was never established: nothing that was sent on it arrived.
     ConnectFailed,
-    /// The same, for want of something on this machine: nothing is known of the peer.
+    /// The same, for want of a resource of this machine: nothing is known of the peer.
     LocalFailure,
-    /// A connection that was there; what was sent may have arrived.
+    /// The connection was established; what was sent may have arrived.
     Reset,
 }
 
-/// How a door treats those who dial it.
+/// How a listener treats those who connect.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ListenerState {
+    /// Connections are accepted.
     Open,
-    /// Dials are not answered, as where nothing passes on the way.
+    /// Connection attempts are not answered, as where the network drops all packets.
     Unresponsive,
-    /// Dials are refused.
+    /// Connections are refused.
     Refusing,
 }
 
-/// What a program asks of the loop that drives it.
+/// What a handler asks of the loop that drives it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Effect {
-    /// Connects within so long; frames sent before it is open wait for it.
+    /// Connects; frames sent before the connection is established wait for it.
     Connect {
+        /// The id of the new connection.
         connection: ConnectionId,
+        /// The peer.
         to: Address,
+        /// How long the attempt may take.
         timeout: Micros,
     },
+    /// Sends a frame, or bytes on a raw connection.
     Send {
+        /// On which connection; one that has ended ignores it.
         connection: ConnectionId,
+        /// What to send.
         frame: Bytes,
     },
-    /// Ends the link after what was sent has gone out; no `lost` follows.
+    /// Ends the connection after what was sent has gone out; no `on_disconnect` follows.
     Close {
+        /// Which connection.
         connection: ConnectionId,
+        /// Why, for the log.
         reason: String,
     },
-    /// Ends the link at once: what has not gone out yet never does. No `lost` follows.
+    /// Ends the connection at once: what has not gone out yet never does. No `on_disconnect` follows.
     Abort {
+        /// Which connection.
         connection: ConnectionId,
     },
-    /// Ends the link at once with a reset. No `lost` follows.
+    /// Ends the connection at once with a reset. No `on_disconnect` follows.
     Reset {
+        /// Which connection.
         connection: ConnectionId,
     },
-    /// Opens or shuts a door, by its place among those that the program was given.
+    /// Changes how a listener treats those who connect.
     SetListenerState {
+        /// The listener's index among those that the loop was given.
         listener: usize,
+        /// The new state.
         state: ListenerState,
     },
-    /// Notes that what passes on one link passes on the other: the program is a relay.
+    /// Notes in the capture that what passes on one connection passes on the other: the handler is a relay.
     Joined {
+        /// The two connections, the accepted one first.
         connections: [ConnectionId; 2],
     },
-    /// Calls `rang` with the key at that time or soon after. Nothing takes a timer back: ignore it instead.
+    /// Calls `on_timer` at that time or soon after. A timer cannot be cancelled: the handler ignores it instead.
     SetTimer {
+        /// When.
         at: Micros,
+        /// With which key.
         key: u64,
     },
-    /// Nothing more is read from the link until it is told otherwise.
+    /// Reads nothing more from the connection until it is resumed.
     PauseReading {
+        /// Which connection.
         connection: ConnectionId,
+        /// False resumes reading.
         paused: bool,
     },
-    /// Keeps the bytes where the program finds them when it starts again, in place of what was kept before.
+    /// Persists the handler's state, which it finds when it starts again, in place of what was persisted before.
     Persist {
+        /// The state.
         bytes: Bytes,
     },
-    /// Hands bytes to whom the loop was given for it; lost if there is nobody, or too much waits there.
+    /// Sends a message to the mailbox that the loop was given for it; it is lost if there is none, or no capacity.
     Publish {
+        /// The message.
         bytes: Bytes,
     },
-    /// Sends a datagram from a datagram door, by its place among those; lost if there is no room, as on the way.
+    /// Sends a datagram; it is lost if there is no room, as it may be on the network.
     Datagram {
+        /// The socket's index among the datagram sockets that the loop was given.
         socket: usize,
+        /// The receiver.
         to: Address,
+        /// What to send.
         bytes: Bytes,
     },
-    /// Writes something that the program saw into the record of what passed, if there is one.
+    /// Writes something that the handler observed into the traffic capture, if there is one.
     AnnotateCapture {
+        /// The observation, as text.
         bytes: Bytes,
     },
-    /// Ends the program at once, without a word to anybody, as a crash would.
+    /// Ends the program at once and resets its connections, as a crash would.
     Crash,
 }
 
+/// The effects that a handler asks for, in order, until the loop takes them.
 #[derive(Debug, Default)]
 pub struct Effects {
     effects: Vec<Effect>,
-    dials: u64,
+    /// Outbound connections so far; the number of the next one.
+    outbound: u64,
 }
 
 impl Effects {
+    /// Asks for [`Effect::Connect`] and returns the id of the new connection.
     pub fn connect(&mut self, to: Address, timeout: Micros) -> ConnectionId {
-        let connection = ConnectionId(OUTBOUND | self.dials);
-        self.dials += 1;
+        let connection = ConnectionId::outbound(self.outbound);
+        self.outbound += 1;
         self.effects.push(Effect::Connect { connection, to, timeout });
         connection
     }
 
+    /// Asks for [`Effect::Send`].
     pub fn send(&mut self, connection: ConnectionId, frame: Bytes) {
         self.effects.push(Effect::Send { connection, frame });
     }
 
+    /// Asks for [`Effect::Close`].
     pub fn close(&mut self, connection: ConnectionId, reason: impl Into<String>) {
         self.effects.push(Effect::Close { connection, reason: reason.into() });
     }
 
+    /// Asks for [`Effect::Abort`].
     pub fn abort(&mut self, connection: ConnectionId) {
         self.effects.push(Effect::Abort { connection });
     }
 
+    /// Asks for [`Effect::Reset`].
     pub fn reset(&mut self, connection: ConnectionId) {
         self.effects.push(Effect::Reset { connection });
     }
 
+    /// Asks for [`Effect::SetListenerState`].
     pub fn set_listener_state(&mut self, listener: usize, state: ListenerState) {
         self.effects.push(Effect::SetListenerState { listener, state });
     }
 
-    pub fn joined(&mut self, one: ConnectionId, two: ConnectionId) {
-        self.effects.push(Effect::Joined { connections: [one, two] });
+    /// Asks for [`Effect::Joined`].
+    pub fn joined(&mut self, first: ConnectionId, second: ConnectionId) {
+        self.effects.push(Effect::Joined { connections: [first, second] });
     }
 
+    /// Asks for [`Effect::SetTimer`].
     pub fn set_timer(&mut self, at: Micros, key: u64) {
         self.effects.push(Effect::SetTimer { at, key });
     }
 
+    /// Asks for [`Effect::PauseReading`].
     pub fn pause_reading(&mut self, connection: ConnectionId, paused: bool) {
         self.effects.push(Effect::PauseReading { connection, paused });
     }
 
+    /// Asks for [`Effect::Persist`].
     pub fn persist(&mut self, bytes: impl Into<Bytes>) {
         self.effects.push(Effect::Persist { bytes: bytes.into() });
     }
 
+    /// Asks for [`Effect::Publish`].
     pub fn publish(&mut self, bytes: Bytes) {
         self.effects.push(Effect::Publish { bytes });
     }
 
+    /// Asks for [`Effect::Datagram`].
     pub fn send_datagram(&mut self, socket: usize, to: Address, bytes: Bytes) {
         self.effects.push(Effect::Datagram { socket, to, bytes });
     }
 
+    /// Asks for [`Effect::AnnotateCapture`].
     pub fn annotate_capture(&mut self, bytes: impl Into<Bytes>) {
         self.effects.push(Effect::AnnotateCapture { bytes: bytes.into() });
     }
 
+    /// Asks for [`Effect::Crash`].
     pub fn crash(&mut self) {
         self.effects.push(Effect::Crash);
     }
 
-    /// What has been asked for since the last call, in order.
+    /// What was asked for since the last call, in order.
     pub fn take(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 }
 
-/// A program without sockets and clock. Calls only update what it knows or answer at once; `turn` follows
-/// each batch of calls and is where a program pulls its decisions.
+/// A program without sockets and without a clock.
+///
+/// Calls only update what it knows or respond at once; [`on_iteration`](EventHandler::on_iteration) follows each batch
+/// of calls and is where a program makes its decisions.
 pub trait EventHandler {
-    /// Runs once before all else.
+    /// Runs once before all other calls.
     fn on_start(&mut self, now: Micros, effects: &mut Effects);
-    /// A connection was accepted at a door, by the door's place among those that the program was given.
-    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, door: usize, effects: &mut Effects);
-    /// A dial led to a connection.
+    /// A connection was accepted at a listener, by its index among those that the loop was given.
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, listener: usize, effects: &mut Effects);
+    /// An outbound connection was established.
     fn on_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects);
+    /// A frame arrived, or bytes on a raw connection.
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects);
+    /// A connection ended that the program did not end.
     fn on_disconnect(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        loss: DisconnectReason,
+        reason: DisconnectReason,
         effects: &mut Effects,
     );
-    /// What waits to be sent on the link rose over the high mark, or fell under the low one.
+    /// What waits to be sent on the connection rose over the high watermark, or fell under the low one.
     fn on_backpressure(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        crowded: bool,
+        backpressure: bool,
         effects: &mut Effects,
     );
+    /// A timer that was set with this key fired.
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects);
+    /// A batch of calls is over.
     fn on_iteration(&mut self, now: Micros, effects: &mut Effects);
-    /// All that was sent on a raw link has been handed to the machine: its last byte is written.
-    fn on_write_complete(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
-    /// A datagram came to a datagram door, by its place among those.
+    /// All that was sent on a raw connection has been handed to the machine: its last byte is written.
+    fn on_write_complete(&mut self, _now: Micros, _connection: ConnectionId, _effects: &mut Effects) {}
+    /// A datagram arrived at a socket, by its index among the datagram sockets.
     fn on_datagram(
         &mut self,
         _now: Micros,
-        _door: usize,
+        _socket: usize,
         _from: Address,
         _bytes: &Bytes,
-        _out: &mut Effects,
+        _effects: &mut Effects,
     ) {
     }
-    /// The file that the program was started with, read again because a signal asked for it. Whether it could be used:
-    /// one that could not is read again.
-    fn on_config_reload(&mut self, _now: Micros, _file: &Bytes, _out: &mut Effects) -> bool {
+    /// The configuration file was read again because a signal asked for it. Returns whether it could be used: one that
+    /// could not is read once more after a pause.
+    fn on_config_reload(&mut self, _now: Micros, _file: &Bytes, _effects: &mut Effects) -> bool {
         true
     }
-    /// Another thread of the process tells something.
-    fn on_message(&mut self, _now: Micros, _letter: &Bytes, _out: &mut Effects) {}
-    /// The loop came to what was due, or to its peers, so much later than it could have on an idle machine.
-    fn on_loop_lag(&mut self, _now: Micros, _by: Micros) {}
-    /// Asked to end: take nothing new, finish what is held.
+    /// Another thread of the process sent a message.
+    fn on_message(&mut self, _now: Micros, _message: &Bytes, _effects: &mut Effects) {}
+    /// The loop came to its timers or its connections by so much later than it could have on an idle machine.
+    fn on_loop_lag(&mut self, _now: Micros, _lag: Micros) {}
+    /// Asked to shut down: accept nothing new, finish what is in flight.
     fn on_shutdown(&mut self, now: Micros, effects: &mut Effects);
-    /// Whether it has finished: the loop ends. A program that serves is done only after `stop`.
+    /// Whether it has finished, and the loop ends. A program that serves finishes only after `on_shutdown`.
     fn is_finished(&self) -> bool;
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,204 +1,251 @@
-//! A router and a worker.
+//! The conversation of a router with a worker.
+//!
+//! A request is identified by its router's id, an attempt by its number within the request.
 
 use bytes::Bytes;
 use prost::Message;
 
-use crate::made::{self, ended, from_worker, to_worker, FromWorker, ToWorker};
-use crate::{address, address_if_any, bytes_of, Address, Malformed, Micros};
+use crate::fields::{
+    decode_address, decode_optional_address, decode_small, encode_address, encode_optional_address,
+};
+use crate::generated::{self, ended, from_worker, to_worker, FromWorker, ToWorker};
+use crate::{Address, Malformed, Micros};
 
-/// Why a shot ended before it was answered.
+/// Why an attempt ended without a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptFailure {
-    /// Slots and queue are full, or the worker drains: it never ran.
+    /// Slots and queue are full, or the worker drains: the attempt never ran.
     Rejected,
-    /// There was no state to fetch: it never ran.
+    /// There was no KV state to fetch: the attempt never ran.
     StateMissing,
-    /// It may have run.
+    /// The attempt may have run.
     ServerError,
 }
 
-/// What a worker hears from a router after its Hello.
+/// What a worker receives from a router after its Hello.
 pub trait Worker {
+    /// Prefill the prompt and keep its KV state. `remaining` is the time until the deadline.
     fn prefill(
         &mut self,
         id: u64,
-        shot: u16,
-        track: u8,
+        attempt: u16,
+        class: u8,
         session: u64,
         prefix: u64,
         prompt_tokens: u32,
         prefix_tokens: u32,
-        left: Micros,
+        remaining: Micros,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
+    /// Reserve a decode slot for a request whose prefill runs at that prefill worker.
     fn reserve(
         &mut self,
         id: u64,
         prompt_tokens: u32,
-        most_tokens: u32,
-        reader: Address,
+        max_tokens: u32,
+        prefill_worker: Address,
     ) -> Result<(), Malformed>;
+    /// Decode: fetch the KV state from the prefill worker and generate tokens. A mixed worker without a prefill worker
+    /// prefills the prompt itself. At most `window` tokens are under way before [`grant_tokens`](Worker::grant_tokens).
     fn decode(
         &mut self,
         id: u64,
-        shot: u16,
-        track: u8,
+        attempt: u16,
+        class: u8,
         prompt_tokens: u32,
-        most_tokens: u32,
-        left: Micros,
-        mark: u64,
-        reader: Option<Address>,
+        max_tokens: u32,
+        remaining: Micros,
+        idempotency_key: u64,
+        prefill_worker: Option<Address>,
         window: u32,
         session: u64,
         prefix: u64,
         prefix_tokens: u32,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
+    /// Release the KV state and the decode slot reserved for a request.
     fn release(&mut self, id: u64) -> Result<(), Malformed>;
-    fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed>;
+    /// Cancel an attempt; KV state that it has left behind is released.
+    fn cancel(&mut self, id: u64, attempt: u16) -> Result<(), Malformed>;
+    /// Answer a health check with the same nonce.
     fn check_health(&mut self, nonce: u64) -> Result<(), Malformed>;
-    fn grant_tokens(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
+    /// Allow an attempt this many more tokens under way.
+    fn grant_tokens(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed>;
 }
 
-/// What a router hears from a worker.
+/// What a router receives from a worker.
 pub trait Router {
-    fn reservation_answered(&mut self, id: u64, held: bool) -> Result<(), Malformed>;
+    /// Whether a decode slot is reserved for the request.
+    fn reservation_answered(&mut self, id: u64, granted: bool) -> Result<(), Malformed>;
+    /// A prefill is complete: how many of its tokens were cached, and the size of its KV state.
     fn prefill_completed(
         &mut self,
         id: u64,
-        shot: u16,
-        kept_tokens: u32,
+        attempt: u16,
+        cached_tokens: u32,
         state_bytes: u64,
     ) -> Result<(), Malformed>;
-    fn token(&mut self, id: u64, shot: u16, index: u32, text: Bytes) -> Result<(), Malformed>;
-    fn completed(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed>;
-    fn attempt_ended(&mut self, id: u64, shot: u16, how: AttemptFailure) -> Result<(), Malformed>;
+    /// The attempt's token of that index.
+    fn token(&mut self, id: u64, attempt: u16, index: u32, text: Bytes) -> Result<(), Malformed>;
+    /// The attempt has generated all its tokens.
+    fn completed(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed>;
+    /// The attempt ended without a response.
+    fn attempt_ended(&mut self, id: u64, attempt: u16, failure: AttemptFailure) -> Result<(), Malformed>;
+    /// The answer to a health check: how many prefills and decode streams run, and how many attempts wait.
     fn health_reported(
         &mut self,
         nonce: u64,
-        reads: u32,
+        prefills: u32,
         streams: u32,
         waiting: u32,
     ) -> Result<(), Malformed>;
 }
 
-/// Takes one frame from a router and makes the call that it stands for.
+/// Decodes a frame from a router and makes the call that it stands for.
 pub fn receive_from_router(frame: &Bytes, worker: &mut impl Worker) -> Result<(), Malformed> {
-    let shot = |shot| crate::small("shot", shot);
     match ToWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_worker::Said::Hello(_) => Err(Malformed::Hello),
-        to_worker::Said::Read(r) => worker.prefill(
-            r.id,
-            shot(r.shot)?,
-            crate::small("track", r.track)?,
-            r.session,
-            r.prefix,
-            r.prompt_tokens,
-            r.prefix_tokens,
-            r.left_us,
-            r.prompt,
-        ),
-        to_worker::Said::Hold(h) => {
-            worker.reserve(h.id, h.prompt_tokens, h.most_tokens, address("reader", &h.reader)?)
+        to_worker::Said::Read(prefill) => receive_prefill(prefill, worker),
+        to_worker::Said::Hold(hold) => {
+            let prefill_worker = decode_address("reader", &hold.reader)?;
+            worker.reserve(hold.id, hold.prompt_tokens, hold.most_tokens, prefill_worker)
         }
-        to_worker::Said::Write(w) => worker.decode(
-            w.id,
-            shot(w.shot)?,
-            crate::small("track", w.track)?,
-            w.prompt_tokens,
-            w.most_tokens,
-            w.left_us,
-            w.mark,
-            address_if_any("reader", &w.reader)?,
-            w.window,
-            w.session,
-            w.prefix,
-            w.prefix_tokens,
-            w.prompt,
-        ),
-        to_worker::Said::LetGo(l) => worker.release(l.id),
-        to_worker::Said::Withdraw(w) => worker.cancel(w.id, shot(w.shot)?),
-        to_worker::Said::Probe(p) => worker.check_health(p.nonce),
-        to_worker::Said::More(m) => worker.grant_tokens(m.id, shot(m.shot)?, m.tokens),
+        to_worker::Said::Write(decode) => receive_decode(decode, worker),
+        to_worker::Said::LetGo(release) => worker.release(release.id),
+        to_worker::Said::Withdraw(cancel) => worker.cancel(cancel.id, decode_attempt(cancel.shot)?),
+        to_worker::Said::Probe(probe) => worker.check_health(probe.nonce),
+        to_worker::Said::More(more) => worker.grant_tokens(more.id, decode_attempt(more.shot)?, more.tokens),
     }
 }
 
-/// Takes one frame from a worker and makes the call that it stands for.
+fn receive_prefill(message: generated::Read, worker: &mut impl Worker) -> Result<(), Malformed> {
+    worker.prefill(
+        message.id,
+        decode_attempt(message.shot)?,
+        decode_small("track", message.track)?,
+        message.session,
+        message.prefix,
+        message.prompt_tokens,
+        message.prefix_tokens,
+        message.left_us,
+        message.prompt,
+    )
+}
+
+fn receive_decode(message: generated::Write, worker: &mut impl Worker) -> Result<(), Malformed> {
+    worker.decode(
+        message.id,
+        decode_attempt(message.shot)?,
+        decode_small("track", message.track)?,
+        message.prompt_tokens,
+        message.most_tokens,
+        message.left_us,
+        message.mark,
+        decode_optional_address("reader", &message.reader)?,
+        message.window,
+        message.session,
+        message.prefix,
+        message.prefix_tokens,
+        message.prompt,
+    )
+}
+
+/// Decodes a frame from a worker and makes the call that it stands for.
 pub fn receive_from_worker(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
-    let shot = |shot| crate::small("shot", shot);
     match FromWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
-        from_worker::Said::HoldAnswer(h) => router.reservation_answered(h.id, h.held),
-        from_worker::Said::ReadDone(r) => {
-            router.prefill_completed(r.id, shot(r.shot)?, r.kept_tokens, r.state_bytes)
+        from_worker::Said::HoldAnswer(answer) => router.reservation_answered(answer.id, answer.held),
+        from_worker::Said::ReadDone(done) => {
+            router.prefill_completed(done.id, decode_attempt(done.shot)?, done.kept_tokens, done.state_bytes)
         }
-        from_worker::Said::Token(t) => router.token(t.id, shot(t.shot)?, t.index, t.text),
-        from_worker::Said::Finished(f) => router.completed(f.id, shot(f.shot)?, f.tokens),
-        from_worker::Said::Ended(e) => {
-            let how = match ended::How::try_from(e.how) {
-                Ok(ended::How::Full) => AttemptFailure::Rejected,
-                Ok(ended::How::Stateless) => AttemptFailure::StateMissing,
-                Ok(ended::How::Fault) => AttemptFailure::ServerError,
-                _ => return Err(Malformed::Range("how")),
-            };
-            router.attempt_ended(e.id, shot(e.shot)?, how)
+        from_worker::Said::Token(token) => {
+            router.token(token.id, decode_attempt(token.shot)?, token.index, token.text)
+        }
+        from_worker::Said::Finished(finished) => {
+            router.completed(finished.id, decode_attempt(finished.shot)?, finished.tokens)
+        }
+        from_worker::Said::Ended(ended) => {
+            let failure = decode_failure(ended.how)?;
+            router.attempt_ended(ended.id, decode_attempt(ended.shot)?, failure)
+        }
+        from_worker::Said::Probed(report) => {
+            router.health_reported(report.nonce, report.reads, report.streams, report.waiting)
         }
-        from_worker::Said::Probed(p) => router.health_reported(p.nonce, p.reads, p.streams, p.waiting),
     }
 }
 
+fn decode_attempt(shot: u32) -> Result<u16, Malformed> {
+    decode_small("shot", shot)
+}
+
+fn decode_failure(how: i32) -> Result<AttemptFailure, Malformed> {
+    match ended::How::try_from(how) {
+        Ok(ended::How::Full) => Ok(AttemptFailure::Rejected),
+        Ok(ended::How::Stateless) => Ok(AttemptFailure::StateMissing),
+        Ok(ended::How::Fault) => Ok(AttemptFailure::ServerError),
+        _ => Err(Malformed::Range("how")),
+    }
+}
+
+/// The message that calls [`Worker::prefill`].
 pub fn prefill(
     id: u64,
-    shot: u16,
-    track: u8,
+    attempt: u16,
+    class: u8,
     session: u64,
     prefix: u64,
     prompt_tokens: u32,
     prefix_tokens: u32,
-    left: Micros,
+    remaining: Micros,
     prompt: Bytes,
 ) -> Bytes {
-    to_worker(to_worker::Said::Read(made::Read {
+    to_worker(to_worker::Said::Read(generated::Read {
         id,
-        shot: shot.into(),
-        track: track.into(),
+        shot: attempt.into(),
+        track: class.into(),
         session,
         prefix,
         prompt_tokens,
         prefix_tokens,
-        left_us: left,
+        left_us: remaining,
         prompt,
     }))
 }
 
-pub fn reserve(id: u64, prompt_tokens: u32, most_tokens: u32, reader: Address) -> Bytes {
-    let reader = bytes_of(Some(reader));
-    to_worker(to_worker::Said::Hold(made::Hold { id, prompt_tokens, most_tokens, reader }))
+/// The message that calls [`Worker::reserve`].
+pub fn reserve(id: u64, prompt_tokens: u32, max_tokens: u32, prefill_worker: Address) -> Bytes {
+    to_worker(to_worker::Said::Hold(generated::Hold {
+        id,
+        prompt_tokens,
+        most_tokens: max_tokens,
+        reader: encode_address(prefill_worker),
+    }))
 }
 
+/// The message that calls [`Worker::decode`].
 pub fn decode(
     id: u64,
-    shot: u16,
-    track: u8,
+    attempt: u16,
+    class: u8,
     prompt_tokens: u32,
-    most_tokens: u32,
-    left: Micros,
-    mark: u64,
-    reader: Option<Address>,
+    max_tokens: u32,
+    remaining: Micros,
+    idempotency_key: u64,
+    prefill_worker: Option<Address>,
     window: u32,
     session: u64,
     prefix: u64,
     prefix_tokens: u32,
     prompt: Bytes,
 ) -> Bytes {
-    to_worker(to_worker::Said::Write(made::Write {
+    to_worker(to_worker::Said::Write(generated::Write {
         id,
-        shot: shot.into(),
-        track: track.into(),
+        shot: attempt.into(),
+        track: class.into(),
         prompt_tokens,
-        most_tokens,
-        left_us: left,
-        mark,
-        reader: bytes_of(reader),
+        most_tokens: max_tokens,
+        left_us: remaining,
+        mark: idempotency_key,
+        reader: encode_optional_address(prefill_worker),
         window,
         session,
         prefix,
@@ -207,60 +254,70 @@
     }))
 }
 
+/// The message that calls [`Worker::release`].
 pub fn release(id: u64) -> Bytes {
-    to_worker(to_worker::Said::LetGo(made::LetGo { id }))
+    to_worker(to_worker::Said::LetGo(generated::LetGo { id }))
 }
 
-pub fn cancel(id: u64, shot: u16) -> Bytes {
-    to_worker(to_worker::Said::Withdraw(made::Withdraw { id, shot: shot.into() }))
+/// The message that calls [`Worker::cancel`].
+pub fn cancel(id: u64, attempt: u16) -> Bytes {
+    to_worker(to_worker::Said::Withdraw(generated::Withdraw { id, shot: attempt.into() }))
 }
 
+/// The message that calls [`Worker::check_health`].
 pub fn check_health(nonce: u64) -> Bytes {
-    to_worker(to_worker::Said::Probe(made::Probe { nonce }))
+    to_worker(to_worker::Said::Probe(generated::Probe { nonce }))
 }
 
-pub fn grant_tokens(id: u64, shot: u16, tokens: u32) -> Bytes {
-    to_worker(to_worker::Said::More(made::More { id, shot: shot.into(), tokens }))
+/// The message that calls [`Worker::grant_tokens`].
+pub fn grant_tokens(id: u64, attempt: u16, tokens: u32) -> Bytes {
+    to_worker(to_worker::Said::More(generated::More { id, shot: attempt.into(), tokens }))
 }
 
-pub fn reservation_answered(id: u64, held: bool) -> Bytes {
-    from_worker(from_worker::Said::HoldAnswer(made::HoldAnswer { id, held }))
+/// The message that calls [`Router::reservation_answered`].
+pub fn reservation_answered(id: u64, granted: bool) -> Bytes {
+    from_worker(from_worker::Said::HoldAnswer(generated::HoldAnswer { id, held: granted }))
 }
 
-pub fn prefill_completed(id: u64, shot: u16, kept_tokens: u32, state_bytes: u64) -> Bytes {
-    from_worker(from_worker::Said::ReadDone(made::ReadDone {
+/// The message that calls [`Router::prefill_completed`].
+pub fn prefill_completed(id: u64, attempt: u16, cached_tokens: u32, state_bytes: u64) -> Bytes {
+    from_worker(from_worker::Said::ReadDone(generated::ReadDone {
         id,
-        shot: shot.into(),
-        kept_tokens,
+        shot: attempt.into(),
+        kept_tokens: cached_tokens,
         state_bytes,
     }))
 }
 
-pub fn token(id: u64, shot: u16, index: u32, text: Bytes) -> Bytes {
-    from_worker(from_worker::Said::Token(made::ShotToken { id, shot: shot.into(), index, text }))
+/// The message that calls [`Router::token`].
+pub fn token(id: u64, attempt: u16, index: u32, text: Bytes) -> Bytes {
+    from_worker(from_worker::Said::Token(generated::ShotToken { id, shot: attempt.into(), index, text }))
 }
 
-pub fn completed(id: u64, shot: u16, tokens: u32) -> Bytes {
-    from_worker(from_worker::Said::Finished(made::Finished { id, shot: shot.into(), tokens }))
+/// The message that calls [`Router::completed`].
+pub fn completed(id: u64, attempt: u16, tokens: u32) -> Bytes {
+    from_worker(from_worker::Said::Finished(generated::Finished { id, shot: attempt.into(), tokens }))
 }
 
-pub fn attempt_ended(id: u64, shot: u16, how: AttemptFailure) -> Bytes {
-    let how = match how {
+/// The message that calls [`Router::attempt_ended`].
+pub fn attempt_ended(id: u64, attempt: u16, failure: AttemptFailure) -> Bytes {
+    let how = match failure {
         AttemptFailure::Rejected => ended::How::Full,
         AttemptFailure::StateMissing => ended::How::Stateless,
         AttemptFailure::ServerError => ended::How::Fault,
     };
-    from_worker(from_worker::Said::Ended(made::Ended { id, shot: shot.into(), how: how.into() }))
+    from_worker(from_worker::Said::Ended(generated::Ended { id, shot: attempt.into(), how: how.into() }))
 }
 
-pub fn health_reported(nonce: u64, reads: u32, streams: u32, waiting: u32) -> Bytes {
-    from_worker(from_worker::Said::Probed(made::Probed { nonce, reads, streams, waiting }))
+/// The message that calls [`Router::health_reported`].
+pub fn health_reported(nonce: u64, prefills: u32, streams: u32, waiting: u32) -> Bytes {
+    from_worker(from_worker::Said::Probed(generated::Probed { nonce, reads: prefills, streams, waiting }))
 }
 
-fn to_worker(said: to_worker::Said) -> Bytes {
-    ToWorker { said: Some(said) }.encode_to_vec().into()
+fn to_worker(message: to_worker::Said) -> Bytes {
+    ToWorker { said: Some(message) }.encode_to_vec().into()
 }
 
-fn from_worker(said: from_worker::Said) -> Bytes {
-    FromWorker { said: Some(said) }.encode_to_vec().into()
+fn from_worker(message: from_worker::Said) -> Bytes {
+    FromWorker { said: Some(message) }.encode_to_vec().into()
 }
