--- a/crates/emulator/src/reading.rs
+++ b/crates/emulator/src/reading.rs
@@ -78,11 +78,12 @@
         let full =
             self.waiting.len() >= bench.terms.reads_waiting && self.running >= bench.terms.reads_at_once;
         if !bench.takes_new() || full || self.reads.contains_key(&id) {
-            effects.send(router, worker::attempt_ended(id.1, shot, worker::AttemptFailure::Rejected));
+            effects.send(router, worker::attempt_ended(id.local_id, shot, worker::AttemptFailure::Rejected));
             return false;
         }
         if bench.faults {
-            effects.send(router, worker::attempt_ended(id.1, shot, worker::AttemptFailure::ServerError));
+            effects
+                .send(router, worker::attempt_ended(id.local_id, shot, worker::AttemptFailure::ServerError));
             return false;
         }
         let serial = bench.serial();
@@ -132,7 +133,7 @@
             effects.set_timer(now + read.step_takes, key(Timer::Read, serial));
         } else {
             let (router, prefix) = (read.router, read.prefix);
-            let done = worker::prefill_completed(id.1, read.shot, read.kept, read.state.len() as u64);
+            let done = worker::prefill_completed(id.local_id, read.shot, read.kept, read.state.len() as u64);
             self.running -= 1;
             effects.send(router, done);
             if prefix != 0 && !self.kept.contains(&prefix) {
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -443,10 +443,13 @@
         _left: Micros,
         prompt: Bytes,
     ) -> Result<(), Malformed> {
-        let id = (self.origin, id);
+        let id = GlobalRequestId { origin: self.origin, local_id: id };
         let RouterLink { worker, now, connection, effects, .. } = self;
         if worker.bench.terms.does == Does::Write {
-            effects.send(*connection, worker::attempt_ended(id.1, shot, worker::AttemptFailure::ServerError));
+            effects.send(
+                *connection,
+                worker::attempt_ended(id.local_id, shot, worker::AttemptFailure::ServerError),
+            );
             return Ok(());
         }
         worker.bench.press(*now, f64::from(prompt_tokens));
@@ -480,7 +483,8 @@
         most_tokens: u32,
         reader: Address,
     ) -> Result<(), Malformed> {
-        let (now, connection, id) = (self.now, self.connection, (self.origin, id));
+        let (now, connection, id) =
+            (self.now, self.connection, GlobalRequestId { origin: self.origin, local_id: id });
         self.worker
             .with_writing(|w, worker| w.hold(now, connection, id, most_tokens, reader, worker, self.effects));
         Ok(())
@@ -502,8 +506,12 @@
         _prefix_tokens: u32,
         prompt: Bytes,
     ) -> Result<(), Malformed> {
-        let (now, connection, id, effects) =
-            (self.now, self.connection, (self.origin, id), &mut *self.effects);
+        let (now, connection, id, effects) = (
+            self.now,
+            self.connection,
+            GlobalRequestId { origin: self.origin, local_id: id },
+            &mut *self.effects,
+        );
         self.worker.bench.press(now, f64::from(most_tokens));
         self.worker.with_writing(|w, worker| {
             w.write(
@@ -524,14 +532,16 @@
     }
 
     fn release(&mut self, id: u64) -> Result<(), Malformed> {
-        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
+        let (now, id, effects) =
+            (self.now, GlobalRequestId { origin: self.origin, local_id: id }, &mut *self.effects);
         self.worker.reading.let_go(id);
         self.worker.with_writing(|w, worker| w.let_go(now, id, worker, effects));
         Ok(())
     }
 
     fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
-        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
+        let (now, id, effects) =
+            (self.now, GlobalRequestId { origin: self.origin, local_id: id }, &mut *self.effects);
         self.worker.reading.withdraw(now, id, shot, &mut self.worker.bench, effects);
         self.worker.with_writing(|w, worker| w.withdraw(now, id, shot, worker, effects));
         Ok(())
@@ -546,7 +556,8 @@
     }
 
     fn grant_tokens(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
-        let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
+        let (now, id, effects) =
+            (self.now, GlobalRequestId { origin: self.origin, local_id: id }, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.more(now, id, shot, tokens, worker, effects));
         Ok(())
     }
--- a/crates/emulator/src/writing.rs
+++ b/crates/emulator/src/writing.rs
@@ -75,7 +75,7 @@
         let free = self.taken() < terms.streams_at_once && self.waiting.is_empty();
         let held =
             free && terms.does != Does::Read && worker.bench.takes_new() && !self.writes.contains_key(&id);
-        effects.send(router, worker::reservation_answered(id.1, held));
+        effects.send(router, worker::reservation_answered(id.local_id, held));
         if held {
             self.insert(router, id, None, 0, most_tokens, Some(reader), 0, worker);
             self.fetch(now, id, worker, effects);
@@ -97,7 +97,7 @@
         effects: &mut Effects,
     ) {
         let terms = &worker.bench.terms;
-        let mut end = |how| effects.send(router, worker::attempt_ended(id.1, shot, how));
+        let mut end = |how| effects.send(router, worker::attempt_ended(id.local_id, shot, how));
         if worker.bench.faults || terms.does == Does::Read {
             self.remove(id);
             return end(worker::AttemptFailure::ServerError);
@@ -204,7 +204,7 @@
         if offset == got.len() as u64 && crc32fast::hash(part) == crc {
             got.extend_from_slice(part);
         } else {
-            tracing::debug!(id = id.1, offset, "a chunk of a state is broken; the state is not used");
+            tracing::debug!(id = id.local_id, offset, "a chunk of a state is broken; the state is not used");
             self.missing(now, id, worker, effects);
         }
     }
@@ -248,7 +248,7 @@
             State::Lost => {
                 effects.send(
                     write.router,
-                    worker::attempt_ended(id.1, shot, worker::AttemptFailure::StateMissing),
+                    worker::attempt_ended(id.local_id, shot, worker::AttemptFailure::StateMissing),
                 );
                 self.remove(id);
                 self.start(now, worker, effects);
@@ -271,10 +271,10 @@
             return;
         }
         let text = Bytes::copy_from_slice(&state::text(*crc, write.sent));
-        effects.send(write.router, worker::token(id.1, shot, write.sent, text));
+        effects.send(write.router, worker::token(id.local_id, shot, write.sent, text));
         (write.sent, write.under_way) = (write.sent + 1, write.under_way + 1);
         if write.sent == state::answer_tokens(*crc, write.most_tokens) {
-            effects.send(write.router, worker::completed(id.1, shot, write.sent));
+            effects.send(write.router, worker::completed(id.local_id, shot, write.sent));
             self.remove(id);
             return self.start(now, worker, effects);
         }
--- a/crates/wire/src/capture/truncation/tests.rs
+++ b/crates/wire/src/capture/truncation/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{common, kept, MAX_WORKER_FRAME, TRUNCATED_LENGTH};
 use crate::endpoint_list::{EndpointStatus, Page};
-use crate::state_transfer;
+use crate::{state_transfer, GlobalRequestId};
 
 /// An update of 100 endpoints was once truncated at a router, and the trace checker could not read it.
 #[test]
@@ -16,7 +16,8 @@
     for role in ["router", "list", "client"] {
         assert_eq!(kept(&frame, role), frame);
     }
-    let chunk = state_transfer::chunk((1, 2), 0, vec![7; 16 << 10].into(), 3);
+    let chunk =
+        state_transfer::chunk(GlobalRequestId { origin: 1, local_id: 2 }, 0, vec![7; 16 << 10].into(), 3);
     assert_eq!(kept(&chunk, "worker").len(), TRUNCATED_LENGTH);
     // What one end truncated and the other kept is the same to who compares them.
     assert_eq!(common(&kept(&frame, "worker")), common(&frame));
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -10,4 +10,10 @@
 pub type Origin = u128;
 
 /// A request wherever requests of several routers meet: its router's origin, and the router's own id of it.
-pub type GlobalRequestId = (Origin, u64);
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
+pub struct GlobalRequestId {
+    /// The core of a router that gave the id.
+    pub origin: Origin,
+    /// The router's own id, which others may have given too.
+    pub local_id: u64,
+}
--- a/crates/wire/src/state_transfer.rs
+++ b/crates/wire/src/state_transfer.rs
@@ -55,38 +55,47 @@
 }
 
 fn decode_id(origin: &[u8], id: u64) -> Result<GlobalRequestId, Malformed> {
-    Ok((decode_origin(origin)?, id))
+    Ok(GlobalRequestId { origin: decode_origin(origin)?, local_id: id })
 }
 
 /// The message that calls [`Reader::fetch`].
-pub fn fetch((origin, id): GlobalRequestId) -> Bytes {
+pub fn fetch(GlobalRequestId { origin, local_id: id }: GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Fetch(generated::Fetch { id, origin: encode_origin(origin) }))
 }
 
 /// The message that calls [`Reader::fetched`].
-pub fn fetched((origin, id): GlobalRequestId) -> Bytes {
+pub fn fetched(GlobalRequestId { origin, local_id: id }: GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Fetched(generated::Fetched { id, origin: encode_origin(origin) }))
 }
 
 /// The message that calls [`Reader::cancel_fetch`].
-pub fn cancel_fetch((origin, id): GlobalRequestId) -> Bytes {
+pub fn cancel_fetch(GlobalRequestId { origin, local_id: id }: GlobalRequestId) -> Bytes {
     from_fetcher(from_fetcher::Said::Unfetch(generated::Unfetch { id, origin: encode_origin(origin) }))
 }
 
 /// The message that calls [`Fetcher::chunk`].
-pub fn chunk((origin, id): GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Bytes {
+pub fn chunk(
+    GlobalRequestId { origin, local_id: id }: GlobalRequestId,
+    offset: u64,
+    part: Bytes,
+    crc: u32,
+) -> Bytes {
     let origin = encode_origin(origin);
     to_fetcher(to_fetcher::Said::Chunk(generated::Chunk { id, offset, part, crc, origin }))
 }
 
 /// The message that calls [`Fetcher::complete`].
-pub fn complete((origin, id): GlobalRequestId, state_bytes: u64, crc: u32) -> Bytes {
+pub fn complete(
+    GlobalRequestId { origin, local_id: id }: GlobalRequestId,
+    state_bytes: u64,
+    crc: u32,
+) -> Bytes {
     let origin = encode_origin(origin);
     to_fetcher(to_fetcher::Said::Whole(generated::Whole { id, state_bytes, crc, origin }))
 }
 
 /// The message that calls [`Fetcher::missing`].
-pub fn missing((origin, id): GlobalRequestId) -> Bytes {
+pub fn missing(GlobalRequestId { origin, local_id: id }: GlobalRequestId) -> Bytes {
     to_fetcher(to_fetcher::Said::Missing(generated::Missing { id, origin: encode_origin(origin) }))
 }
 
--- a/crates/wire/tests/exact_bytes/state_transfer.rs
+++ b/crates/wire/tests/exact_bytes/state_transfer.rs
@@ -6,8 +6,9 @@
 
 use crate::{check, record, Recorder};
 
-const ID: GlobalRequestId = (0x0123_4567_89ab_cdef_0123_4567_89ab_cdef, 300);
-const ID_TEXT: &str = "(1512366075204170929049582354406559215, 300)";
+const ID: GlobalRequestId =
+    GlobalRequestId { origin: 0x0123_4567_89ab_cdef_0123_4567_89ab_cdef, local_id: 300 };
+const ID_TEXT: &str = "GlobalRequestId { origin: 1512366075204170929049582354406559215, local_id: 300 }";
 
 impl Reader for Recorder {
     fn fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
