--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 use tideroute_tenant_store::{Entry, Expected, Store, StoreError, Tenant};
-use tideroute_wire::tenant::{Figures, Watcher};
+use tideroute_wire::tenant::{TenantStats, Watcher};
 use tideroute_wire::{Malformed, Micros};
 
 use crate::http::{Reply, Request};
@@ -35,7 +35,7 @@
     store: Arc<Store>,
     administrators: Vec<Administrator>,
     /// What cores told last, by tenant and core.
-    figures: BTreeMap<String, BTreeMap<String, Figures>>,
+    figures: BTreeMap<String, BTreeMap<String, TenantStats>>,
 }
 
 /// A tenant's figures, all cores together.
@@ -211,23 +211,23 @@
     }
 }
 
-fn summed<'a>(name: &'a str, cores: &BTreeMap<String, Figures>) -> Summed<'a> {
+fn summed<'a>(name: &'a str, cores: &BTreeMap<String, TenantStats>) -> Summed<'a> {
     let mut all = Summed { name, ..Summed::default() };
-    for ([asked, let_in, turned_back, in_time, late, waited], [waiting, in_flight]) in cores.values() {
-        all.asked += asked;
-        all.let_in += let_in;
-        all.turned_back += turned_back;
-        all.in_time += in_time;
-        all.late += late;
-        all.waited_us += waited;
-        all.waiting += u64::from(*waiting);
-        all.in_flight += u64::from(*in_flight);
+    for stats in cores.values() {
+        all.asked += stats.received;
+        all.let_in += stats.admitted;
+        all.turned_back += stats.rejected;
+        all.in_time += stats.in_time;
+        all.late += stats.late;
+        all.waited_us += stats.queue_time;
+        all.waiting += u64::from(stats.waiting);
+        all.in_flight += u64::from(stats.in_flight);
     }
     all
 }
 
 impl Watcher for Api {
-    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
+    fn stats(&mut self, core: &str, name: &str, figures: TenantStats) -> Result<(), Malformed> {
         // One that was removed may be told of once more.
         if self.store.get(name).is_ok_and(|there| there.is_some()) {
             self.figures.entry(name.to_string()).or_default().insert(core.to_string(), figures);
--- a/crates/command/src/administration.rs
+++ b/crates/command/src/administration.rs
@@ -105,7 +105,7 @@
     let letter: Bytes = match &entry.tenant {
         None => tenant::removed(&entry.name, entry.version),
         Some(t) => {
-            let rate = |rate: Rate| (rate.a_second, rate.once);
+            let rate = |rate: Rate| tenant::Rate { per_second: rate.a_second, burst: rate.once };
             let (submissions, tokens) = (t.submissions.map(rate), t.tokens.map(rate));
             let (keys, name) = (keys(t), &entry.name);
             tenant::set(name, entry.version, &keys, t.weight, submissions, tokens, t.in_flight, t.waiting)
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -98,8 +98,17 @@
         for (name, known) in &mut self.by_name {
             let now = self.shares.figures(known.tenant).unwrap_or_default();
             if now != std::mem::replace(&mut known.told, now) {
-                let sums = [now.asked, now.let_in, now.rejected, now.in_time, now.late, now.waited];
-                changed.push((name.as_str(), (sums, [now.waiting, now.in_flight])));
+                let stats = tenant::TenantStats {
+                    received: now.asked,
+                    admitted: now.let_in,
+                    rejected: now.rejected,
+                    in_time: now.in_time,
+                    late: now.late,
+                    queue_time: now.waited,
+                    waiting: now.waiting,
+                    in_flight: now.in_flight,
+                };
+                changed.push((name.as_str(), stats));
             }
         }
         // By name, so that the same run tells the same.
@@ -138,7 +147,7 @@
         in_flight: Option<u32>,
         waiting: u32,
     ) -> Result<(), Malformed> {
-        let rate = |(a_second, burst)| Rate { a_second, burst };
+        let rate = |rate: tenant::Rate| Rate { a_second: rate.per_second, burst: rate.burst };
         let (requests, tokens) = (requests.map(rate), tokens.map(rate));
         let limits = Limits { requests, tokens, in_flight, weight, waiting };
         self.tenant_admission.set(self.now, TenantConfig { name: name.to_string(), version, keys, limits });
--- a/crates/wire/tests/exact_bytes/tenant.rs
+++ b/crates/wire/tests/exact_bytes/tenant.rs
@@ -1,6 +1,6 @@
 //! Messages between the cores of a router and its administration.
 
-use tideroute_wire::tenant::{self, receive, receive_stats, Core, Figures, Rate, Watcher};
+use tideroute_wire::tenant::{self, receive, receive_stats, Core, Rate, TenantStats, Watcher};
 use tideroute_wire::Malformed;
 
 use crate::{check, record, Recorder};
@@ -28,8 +28,8 @@
 }
 
 impl Watcher for Recorder {
-    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
-        record!(self, "stats", core, name, figures);
+    fn stats(&mut self, core: &str, name: &str, stats: TenantStats) -> Result<(), Malformed> {
+        record!(self, "stats", core, name, stats);
         Ok(())
     }
 }
@@ -37,9 +37,10 @@
 #[test]
 fn changes_of_tenants() {
     let keys = [[0x5a; 32]];
-    let set = tenant::set("acme", 7, &keys, 2.0, Some((10.0, 20.0)), None, Some(64), 100);
+    let rate = Rate { per_second: 10.0, burst: 20.0 };
+    let set = tenant::set("acme", 7, &keys, 2.0, Some(rate), None, Some(64), 100);
     let key = format!("{:?}", [0x5a; 32]);
-    let call = format!("set(\"acme\", 7, [{key}], 2.0, Some((10.0, 20.0)), None, Some(64), 100)");
+    let call = format!("set(\"acme\", 7, [{key}], 2.0, Some({rate:?}), None, Some(64), 100)");
     check(
         set,
         "0a490a0461636d6510071a205a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a21000000\
@@ -52,13 +53,22 @@
 
 #[test]
 fn stats_of_tenants() {
-    let figures = ([1, 2, 3, 4, 5, 600_000], [7, 8]);
-    let stats = tenant::stats("core 0", [("acme", figures)].into_iter());
-    let calls = ["stats(\"core 0\", \"acme\", ([1, 2, 3, 4, 5, 600000], [7, 8]))"];
+    let acme = TenantStats {
+        received: 1,
+        admitted: 2,
+        rejected: 3,
+        in_time: 4,
+        late: 5,
+        queue_time: 600_000,
+        waiting: 7,
+        in_flight: 8,
+    };
+    let stats = tenant::stats("core 0", [("acme", acme)].into_iter());
+    let call = format!("stats(\"core 0\", \"acme\", {acme:?})");
     check(
         stats,
         "0a06636f7265203012180a0461636d651001180220032804300538c0cf2440074808",
         receive_stats,
-        &calls,
+        &[&call],
     );
 }
