--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,132 +1,180 @@
-//! Bodies, taken out of what arrives piece by piece.
+//! Bodies, taken piece by piece out of what arrives.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::{Framing, Problem};
+use crate::{Framing, HttpError};
 
-/// Bytes of one chunk's size line, its extensions with it; and of the fields after the last chunk.
-const SIZE_LINE: usize = 256;
-const TRAILER: usize = 4 << 10;
-/// Bytes of one chunk: an answer's chunks hold a few events. A larger size is a mistake or a trap.
-const CHUNK: u64 = 1 << 20;
+/// Bytes of one chunk's size line with its extensions.
+const MAX_SIZE_LINE: usize = 256;
+/// Bytes of the fields after the last chunk.
+const MAX_TRAILER: usize = 4 << 10;
+/// Bytes of one chunk: a response's chunks hold a few events. A larger size is a mistake or an attack.
+const MAX_CHUNK: u64 = 1 << 20;
+/// Digits of a chunk's size, which then fits into 32 bits.
+const MAX_SIZE_DIGITS: usize = 8;
 
+/// What comes next of a body.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum At {
+enum BodyState {
+    /// So many bytes, and then the end.
     Plain(u64),
+    /// Bytes up to the end of the connection.
     ToEnd,
-    Size,
-    Data(u64),
-    DataEnd,
+    /// The size line of a chunk.
+    ChunkSize,
+    /// So many bytes of a chunk.
+    ChunkData(u64),
+    /// The line break after a chunk.
+    ChunkEnd,
+    /// The fields after the last chunk, of which so many bytes have been read.
     Trailer(usize),
-    Done,
+    /// Nothing.
+    Complete,
 }
 
 /// A body of which some may still be to come.
 #[derive(Clone, Debug)]
 pub struct Body {
-    at: At,
+    state: BodyState,
     /// Bytes that it may still have.
-    left: u64,
-    most: u64,
+    allowance: u64,
+    max_length: u64,
+}
+
+/// What a piece of a stretch leaves.
+struct Piece {
+    /// None if nothing has arrived.
+    bytes: Option<Bytes>,
+    /// Bytes of the stretch that are still to come.
+    remaining: u64,
 }
 
 impl Body {
-    pub fn new(framing: Framing, most: u64) -> Body {
-        let at = match framing {
-            Framing::Length(0) => At::Done,
-            Framing::Length(length) => At::Plain(length),
-            Framing::Chunked => At::Size,
-            Framing::ToEnd => At::ToEnd,
+    /// A body of which nothing has been read, with at most so many bytes.
+    pub fn new(framing: Framing, max_length: u64) -> Body {
+        let state = match framing {
+            Framing::Length(0) => BodyState::Complete,
+            Framing::Length(length) => BodyState::Plain(length),
+            Framing::Chunked => BodyState::ChunkSize,
+            Framing::ToEnd => BodyState::ToEnd,
         };
-        Body { at, left: most, most }
+        Body { state, allowance: max_length, max_length }
     }
 
+    /// Whether all of it has been read.
     pub fn done(&self) -> bool {
-        self.at == At::Done
+        self.state == BodyState::Complete
     }
 
-    /// Whether the end of the connection now ends the body well.
+    /// Whether the body is complete if the connection ends now.
     pub fn may_end(&self) -> bool {
-        matches!(self.at, At::Done | At::ToEnd)
+        matches!(self.state, BodyState::Complete | BodyState::ToEnd)
     }
 
     /// Takes the next piece of the body off what has arrived; None if there is none yet, or none any more. What
-    /// comes behind the body is left there.
-    pub fn next(&mut self, arrived: &mut BytesMut) -> Result<Option<Bytes>, Problem> {
+    /// follows the body is left there.
+    pub fn next(&mut self, arrived: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
-            match self.at {
-                At::Done => return Ok(None),
-                At::ToEnd => return self.piece(arrived, u64::MAX).map(|(piece, _)| piece),
-                At::Plain(length) => {
-                    let (piece, left) = self.piece(arrived, length)?;
-                    self.at = if left == 0 { At::Done } else { At::Plain(left) };
-                    return Ok(piece);
-                }
-                At::Data(length) => {
-                    let (piece, left) = self.piece(arrived, length)?;
-                    self.at = if left == 0 { At::DataEnd } else { At::Data(left) };
-                    return Ok(piece);
-                }
-                At::DataEnd => {
-                    let Some(end) = arrived.get(..2) else {
-                        let fits = b"\r\n".starts_with(arrived);
-                        return if fits { Ok(None) } else { Err(Problem::ChunkEnd) };
+            match self.state {
+                BodyState::Complete => return Ok(None),
+                BodyState::ToEnd => return Ok(self.piece(arrived, u64::MAX)?.bytes),
+                BodyState::Plain(length) => {
+                    let piece = self.piece(arrived, length)?;
+                    self.state = match piece.remaining {
+                        0 => BodyState::Complete,
+                        remaining => BodyState::Plain(remaining),
                     };
-                    if end != b"\r\n" {
-                        return Err(Problem::ChunkEnd);
-                    }
-                    arrived.advance(2);
-                    self.at = At::Size;
-                }
-                At::Size => {
-                    let Some(size) = size(arrived)? else { return Ok(None) };
-                    self.at = if size == 0 { At::Trailer(0) } else { At::Data(size) };
+                    return Ok(piece.bytes);
                 }
-                At::Trailer(seen) => {
-                    let Some(line) = line(arrived, TRAILER - seen, Problem::ChunkEnd)? else {
-                        return Ok(None);
+                BodyState::ChunkData(length) => {
+                    let piece = self.piece(arrived, length)?;
+                    self.state = match piece.remaining {
+                        0 => BodyState::ChunkEnd,
+                        remaining => BodyState::ChunkData(remaining),
                     };
-                    self.at = if line.is_empty() { At::Done } else { At::Trailer(seen + line.len()) };
+                    return Ok(piece.bytes);
+                }
+                BodyState::ChunkEnd | BodyState::ChunkSize | BodyState::Trailer(_) => {
+                    match self.next_line(arrived)? {
+                        Some(state) => self.state = state,
+                        None => return Ok(None),
+                    }
                 }
             }
         }
     }
 
-    /// So much of what has arrived as is part of a stretch of `length` bytes, and what is left of that.
-    fn piece(&mut self, arrived: &mut BytesMut, length: u64) -> Result<(Option<Bytes>, u64), Problem> {
-        let take = length.min(arrived.len() as u64);
-        self.left = self.left.checked_sub(take).ok_or(Problem::BodyTooLarge(self.most))?;
-        let piece = (take > 0).then(|| arrived.split_to(take as usize).freeze());
-        Ok((piece, length - take))
+    /// The state after the line that comes next; None while the line is incomplete.
+    fn next_line(&self, arrived: &mut BytesMut) -> Result<Option<BodyState>, HttpError> {
+        match self.state {
+            BodyState::ChunkEnd => Ok(take_chunk_end(arrived)?.then_some(BodyState::ChunkSize)),
+            BodyState::ChunkSize => Ok(take_chunk_size(arrived)?.map(|size| match size {
+                0 => BodyState::Trailer(0),
+                size => BodyState::ChunkData(size),
+            })),
+            BodyState::Trailer(read) => {
+                let line = take_line(arrived, MAX_TRAILER - read, HttpError::ChunkEnd)?;
+                Ok(line.map(|line| match line.len() {
+                    0 => BodyState::Complete,
+                    length => BodyState::Trailer(read + length),
+                }))
+            }
+            state => Ok(Some(state)),
+        }
+    }
+
+    /// As much of what has arrived as is part of a stretch of `length` bytes.
+    fn piece(&mut self, arrived: &mut BytesMut, length: u64) -> Result<Piece, HttpError> {
+        let taken = length.min(arrived.len() as u64);
+        self.allowance = self.allowance.checked_sub(taken).ok_or(HttpError::BodyTooLarge(self.max_length))?;
+        let bytes = (taken > 0).then(|| arrived.split_to(taken as usize).freeze());
+        Ok(Piece { bytes, remaining: length - taken })
+    }
+}
+
+/// Takes the line break after a chunk; false while it is incomplete.
+fn take_chunk_end(arrived: &mut BytesMut) -> Result<bool, HttpError> {
+    match arrived.get(..2) {
+        Some(b"\r\n") => {
+            arrived.advance(2);
+            Ok(true)
+        }
+        None if b"\r\n".starts_with(arrived) => Ok(false),
+        _ => Err(HttpError::ChunkEnd),
     }
 }
 
-/// A chunk's size line: hexadecimal digits, then at most extensions, which are passed over (RFC 9112, 7.1.1).
-fn size(arrived: &mut BytesMut) -> Result<Option<u64>, Problem> {
-    // Nothing but a digit can begin one: noise is known at its first byte.
-    let digits = arrived.iter().take_while(|b| b.is_ascii_hexdigit()).count();
-    let bad = arrived.get(digits).is_some_and(|b| !matches!(b, b'\r' | b';' | b' ' | b'\t'));
-    if digits > 8 || bad || (digits == 0 && !arrived.is_empty()) {
-        return Err(Problem::ChunkSize);
+/// Takes a chunk's size line: hexadecimal digits, then at most extensions, which are ignored (RFC 9112, 7.1.1).
+fn take_chunk_size(arrived: &mut BytesMut) -> Result<Option<u64>, HttpError> {
+    // A line can begin with a digit only: noise is refused at its first byte.
+    let digits = arrived.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
+    let ends_badly = arrived.get(digits).is_some_and(|byte| !matches!(byte, b'\r' | b';' | b' ' | b'\t'));
+    if digits > MAX_SIZE_DIGITS || ends_badly || (digits == 0 && !arrived.is_empty()) {
+        return Err(HttpError::ChunkSize);
     }
-    let Some(line) = line(arrived, SIZE_LINE, Problem::ChunkSize)? else { return Ok(None) };
-    let text = std::str::from_utf8(&line[..digits]).map_err(|_| Problem::ChunkSize)?;
-    let size = u64::from_str_radix(text, 16).map_err(|_| Problem::ChunkSize)?;
-    if size > CHUNK {
-        return Err(Problem::ChunkSize);
+    let Some(line) = take_line(arrived, MAX_SIZE_LINE, HttpError::ChunkSize)? else { return Ok(None) };
+    let text = std::str::from_utf8(&line[..digits]).map_err(|_| HttpError::ChunkSize)?;
+    let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::ChunkSize)?;
+    if size > MAX_CHUNK {
+        return Err(HttpError::ChunkSize);
     }
     Ok(Some(size))
 }
 
-/// A line up to CR LF, which is taken off too; None while it is incomplete.
-fn line(arrived: &mut BytesMut, most: usize, problem: Problem) -> Result<Option<Bytes>, Problem> {
-    match arrived.iter().take(most).position(|&b| b == b'\n') {
+/// Takes a line up to CR LF, which is taken off too; None while it is incomplete, the error if it is longer than
+/// `max_length` or ends otherwise.
+fn take_line(
+    arrived: &mut BytesMut,
+    max_length: usize,
+    error: HttpError,
+) -> Result<Option<Bytes>, HttpError> {
+    match arrived.iter().take(max_length).position(|&byte| byte == b'\n') {
         Some(end) if end > 0 && arrived[end - 1] == b'\r' => {
             let mut line = arrived.split_to(end + 1);
             line.truncate(end - 1);
             Ok(Some(line.freeze()))
         }
-        None if arrived.len() < most => Ok(None),
-        _ => Err(problem),
+        None if arrived.len() < max_length => Ok(None),
+        _ => Err(error),
     }
 }
--- a/crates/http/src/problem.rs
+++ b/crates/http/src/error.rs
@@ -1,41 +1,54 @@
-//! Why a message can't be read.
+//! Why a message is refused.
 
+/// Why a message is refused.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-pub enum Problem {
+pub enum HttpError {
+    /// The head is longer than so many bytes.
     #[error("the head is longer than {0} bytes")]
     HeadTooLarge(usize),
+    /// The head has more than so many fields.
     #[error("the head has more than {0} fields")]
     TooManyFields(usize),
+    /// The head is not HTTP.
     #[error("the head cannot be read: {0}")]
     Malformed(httparse::Error),
+    /// The value of a field is not UTF-8.
     #[error("a field is no text")]
     NoText,
+    /// The message is of another version of HTTP.
     #[error("HTTP/1.1 is spoken here")]
     Version,
+    /// A request has so many Host fields in place of one.
     #[error("{0} host fields; one is needed")]
     Host(usize),
+    /// The content length is not one number.
     #[error("the length of the body is not one number")]
     Length,
+    /// The message has both a content length and a transfer coding.
     #[error("the body has both a length and a transfer coding")]
     BothLengths,
+    /// The transfer coding is not `chunked` alone.
     #[error("the only transfer coding here is chunked")]
     Coding,
+    /// The body is over so many bytes.
     #[error("the body is over {0} bytes")]
     BodyTooLarge(u64),
+    /// The size line of a chunk is malformed or over its limit.
     #[error("a chunk's size cannot be read or is over its bound")]
     ChunkSize,
+    /// A chunk does not end where its size says.
     #[error("a chunk does not end where its size says")]
     ChunkEnd,
 }
 
-impl Problem {
-    /// The status that a server answers it with.
+impl HttpError {
+    /// The status of a server's response to it.
     pub fn status(self) -> u16 {
         match self {
-            Problem::HeadTooLarge(_) | Problem::TooManyFields(_) => 431,
-            Problem::Version => 505,
-            Problem::Coding => 501,
-            Problem::BodyTooLarge(_) => 413,
+            HttpError::HeadTooLarge(_) | HttpError::TooManyFields(_) => 431,
+            HttpError::Version => 505,
+            HttpError::Coding => 501,
+            HttpError::BodyTooLarge(_) => 413,
             _ => 400,
         }
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,14 +1,32 @@
-//! HTTP/1.1 as bytes, without I/O (RFC 9110 and 9112). [`request`] and [`answer`] read one head within
-//! [`Bounds`], a [`Body`] takes the body that its [`Framing`] tells out of what has arrived, and the functions of
-//! [`write`] make bytes. What two readers could read in two ways is a [`Problem`], never a guess.
+//! HTTP/1.1 as bytes, without I/O (RFC 9110 and 9112).
+//!
+//! [`request`] and [`response`] parse one head within [`Limits`], a [`Body`] takes the body, whose end its [`Framing`]
+//! tells, out of what has arrived, and the functions of [`mod@write`] encode messages. A message that two
+//! parsers could read in two ways is an [`HttpError`], never a guess.
+
+#![warn(missing_docs)]
 
 mod body;
+mod error;
+mod fields;
 mod head;
+mod limits;
 mod number;
-mod problem;
 pub mod write;
 
 pub use body::Body;
-pub use head::{answer, request, Answer, Bounds, Fields, Framing, Request};
+pub use error::HttpError;
+pub use fields::{Fields, Framing};
+pub use head::{request, response, Request, Response};
+pub use limits::Limits;
 pub use number::number;
-pub use problem::Problem;
+
+// Former names, for callers that do not use the new ones yet.
+#[doc(hidden)]
+pub use error::HttpError as Problem;
+#[doc(hidden)]
+pub use head::response as answer;
+#[doc(hidden)]
+pub use head::Response as Answer;
+#[doc(hidden)]
+pub use limits::Limits as Bounds;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,13 +1,20 @@
-//! Heads and chunks as bytes.
+//! Messages encoded as bytes.
 
 use std::fmt::Write;
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The last chunk, with no fields behind it.
+// The former name, for callers that do not use the new one yet.
+#[doc(hidden)]
+pub use response as answer;
+
+/// Bytes that a chunk adds to its data: up to eight hexadecimal digits and two line breaks.
+const CHUNK_OVERHEAD: usize = 12;
+
+/// The last chunk, without a trailer.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A request with a body of that length; `length` is None for a method that has none.
+/// A request; `body` is None for a method that has none.
 pub fn request<'a>(
     method: &str,
     target: &str,
@@ -15,62 +22,69 @@
     body: Option<&[u8]>,
 ) -> Bytes {
     let mut head = format!("{method} {target} HTTP/1.1\r\n");
-    put_fields(&mut head, fields);
-    put_body(head, body)
+    write_fields(&mut head, fields);
+    with_body(head, body)
 }
 
-/// An answer with a whole body. With `last`, the connection closes after it.
-pub fn answer<'a>(
+/// A response with a complete body. With `last`, it says that the connection closes after it.
+pub fn response<'a>(
     status: u16,
     fields: impl IntoIterator<Item = (&'a str, &'a str)>,
     body: &[u8],
     last: bool,
 ) -> Bytes {
-    let mut head = head(status, fields, last);
+    let mut head = response_head(status, fields, last);
     // RFC 9110, 8.6: no length with 1xx and 204.
     if status == 204 || status < 200 {
         head.push_str("\r\n");
         return head.into();
     }
-    put_body(head, Some(body))
+    with_body(head, Some(body))
 }
 
-/// The head of an answer whose body follows in chunks.
+/// The head of a response whose body follows in chunks. With `last`, it says that the connection closes after it.
 pub fn chunked_head<'a>(
     status: u16,
     fields: impl IntoIterator<Item = (&'a str, &'a str)>,
     last: bool,
 ) -> Bytes {
-    let mut head = head(status, fields, last);
+    let mut head = response_head(status, fields, last);
     head.push_str("transfer-encoding: chunked\r\n\r\n");
     head.into()
 }
 
+/// One chunk, which must not be empty: that would be the last one.
 pub fn chunk(data: &[u8]) -> Bytes {
-    let mut chunk = BytesMut::with_capacity(data.len() + 12);
+    let mut chunk = BytesMut::with_capacity(data.len() + CHUNK_OVERHEAD);
     chunk.put_slice(format!("{:x}\r\n", data.len()).as_bytes());
     chunk.put_slice(data);
     chunk.put_slice(b"\r\n");
     chunk.freeze()
 }
 
-fn head<'a>(status: u16, fields: impl IntoIterator<Item = (&'a str, &'a str)>, last: bool) -> String {
+fn response_head<'a>(
+    status: u16,
+    fields: impl IntoIterator<Item = (&'a str, &'a str)>,
+    last: bool,
+) -> String {
     let mut head = format!("HTTP/1.1 {status} {}\r\n", reason(status));
-    put_fields(&mut head, fields);
+    write_fields(&mut head, fields);
     if last {
         head.push_str("connection: close\r\n");
     }
     head
 }
 
-fn put_fields<'a>(head: &mut String, fields: impl IntoIterator<Item = (&'a str, &'a str)>) {
+/// Appends the fields.
+fn write_fields<'a>(head: &mut String, fields: impl IntoIterator<Item = (&'a str, &'a str)>) {
     for (name, value) in fields {
         // A String takes all that is written to it.
         let _ = write!(head, "{name}: {value}\r\n");
     }
 }
 
-fn put_body(mut head: String, body: Option<&[u8]>) -> Bytes {
+/// The message of a head and a body, with the length of the body.
+fn with_body(mut head: String, body: Option<&[u8]>) -> Bytes {
     let Some(body) = body else {
         head.push_str("\r\n");
         return head.into();
