--- a/crates/http/tests/parsing.rs
+++ b/crates/http/tests/parsing.rs
@@ -111,7 +111,8 @@
 
 #[test]
 fn responses_without_a_body_have_none() {
-    let framing = |text: &str| response(text.as_bytes(), &LIMITS).expect("valid").expect("complete").0.framing;
+    let framing =
+        |text: &str| response(text.as_bytes(), &LIMITS).expect("valid").expect("complete").0.framing;
     assert_eq!(framing("HTTP/1.1 204 No Content\r\ncontent-length: 7\r\n\r\n"), Framing::Length(0));
     assert_eq!(framing("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n"), Framing::Length(0));
     assert_eq!(framing("HTTP/1.1 200 OK\r\n\r\n"), Framing::ToEnd);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,19 @@
-//! A relay between processes of a day. Whoever is named by a fault dials one of its doors in place of the other
-//! side; bytes pass unread. At the times of its script it cuts or delays what passes, as a network does that
-//! loses, holds back or refuses. It has no sockets, no clock and no chance of its own, and knows no protocol.
+//! A relay between processes of a scenario, which injects network faults.
+//!
+//! A process that a fault concerns connects to one of the relay's listeners in place of its peer; bytes pass unread. At
+//! the times of its script the relay blocks, resets or delays what passes. It has no sockets and no clock, its random
+//! numbers follow from a seed, and it knows no protocol.
 
-mod flow;
+#![warn(missing_docs)]
+
+mod config;
+mod connection_pair;
+mod delayed_stream;
+mod fault;
+mod fault_injector;
 mod relay;
+mod timer_key;
 
-pub use relay::{Door, Fault, How, Relay, RelayTerms, Way};
+pub use config::{RelayConfig, Route};
+pub use fault::{Fault, FaultDirection, FaultKind};
+pub use relay::Relay;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,315 +1,246 @@
-//! The relay itself: its doors, its script, and the connections that pass.
+//! The relay itself: its listeners, its script of faults, and the connections that pass.
 
 use std::collections::{BTreeMap, HashMap};
 
 use bytes::Bytes;
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler, ListenerState};
 use tideroute_wire::{Address, Micros};
 
-use crate::flow::{Flow, Stream};
-
-/// Microseconds: how long the way on may take to come up; who dials through gives up by its own time.
-const DIAL: Micros = 60_000_000;
-/// Microseconds after which a part that was lost is there all the same: the least that Linux waits before it
-/// sends again.
-const SENT_AGAIN: Micros = 200_000;
-/// Kinds of timers, in the top bit of their keys: a fault's beginning or end, or a part that is due.
-const DUE: u64 = 1 << 62;
-/// The same for a datagram that is held back.
-const HELD: u64 = 1 << 61;
-/// Datagrams held back at once; further ones are lost.
-const MOST_HELD: usize = 20_000;
-
-/// Which way a fault works, seen from who dials.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Way {
-    Both,
-    There,
-    Back,
-}
-
-impl Way {
-    fn takes(self, direction: usize) -> bool {
-        match self {
-            Way::Both => true,
-            Way::There => direction == 0,
-            Way::Back => direction == 1,
-        }
-    }
-}
-
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub enum How {
-    /// Connections stay and say nothing; a dial is not answered. What was said comes when it is over.
-    Silent,
-    /// Connections break and dials are refused.
-    Reset,
-    /// All takes so much longer, with up to `jitter` more; of parts so many are lost, and sent again.
-    Late { delay: Micros, jitter: Micros, loss: f64 },
+use crate::config::{RelayConfig, Route};
+use crate::connection_pair::ConnectionPair;
+use crate::fault::Direction;
+use crate::fault_injector::FaultInjector;
+use crate::timer_key::TimerKey;
+
+/// Microseconds until an attempt to connect to the peer is given up; the process that connects through the relay has a
+/// shorter timeout of its own.
+const CONNECT_TIMEOUT: Micros = 60_000_000;
+/// Datagrams that are delayed at once; further ones are lost.
+const MAX_DELAYED_DATAGRAMS: usize = 20_000;
+
+/// The pair to which a connection belongs, and the direction of what arrives on it.
+#[derive(Clone, Copy)]
+struct PairSide {
+    pair: u64,
+    direction: Direction,
 }
 
-#[derive(Clone, Copy, Debug)]
-pub struct Fault {
-    /// After the relay's start.
-    pub from: Micros,
-    pub until: Micros,
-    pub way: Way,
-    pub how: How,
-}
-
-/// Where it is dialled, where that leads, and by which faults it is met.
-#[derive(Clone, Debug)]
-pub struct Door {
-    pub to: Address,
-    pub faults: Vec<usize>,
-}
-
-#[derive(Clone, Debug)]
-pub struct RelayTerms {
-    /// In the order of the loop's doors.
-    pub doors: Vec<Door>,
-    /// In the order of its doors for datagrams, which meet faults as who dials does.
-    pub datagrams: Vec<Door>,
-    pub faults: Vec<Fault>,
-    pub seed: u64,
+/// A datagram that waits to go on.
+struct DelayedDatagram {
+    socket: usize,
+    bytes: Bytes,
 }
 
+/// A relay, to be driven by an event loop with raw connections.
 pub struct Relay {
-    terms: RelayTerms,
-    began: Micros,
-    flows: BTreeMap<u64, Flow>,
-    /// Which flow a link belongs to, and which of its two it is.
-    by_link: HashMap<ConnectionId, (u64, usize)>,
-    count: u64,
-    held: BTreeMap<u64, (usize, Bytes)>,
-    chance: Pcg64,
-    stopping: bool,
+    listeners: Vec<Route>,
+    datagram_sockets: Vec<Route>,
+    injector: FaultInjector,
+    pairs: BTreeMap<u64, ConnectionPair>,
+    sides: HashMap<ConnectionId, PairSide>,
+    /// The number of the latest pair or delayed datagram.
+    last_number: u64,
+    delayed_datagrams: BTreeMap<u64, DelayedDatagram>,
+    shutting_down: bool,
 }
 
 impl Relay {
-    pub fn new(terms: RelayTerms) -> Relay {
-        let chance = Pcg64::seed_from_u64(terms.seed);
-        let (flows, by_link) = (BTreeMap::new(), HashMap::new());
-        Relay { terms, began: 0, flows, by_link, count: 0, held: BTreeMap::new(), chance, stopping: false }
-    }
-
-    /// The faults that meet a door now.
-    fn now_at(&self, door: usize, now: Micros) -> impl Iterator<Item = &Fault> {
-        self.now_of(&self.terms.doors[door], now)
-    }
-
-    fn now_of<'a>(&'a self, door: &'a Door, now: Micros) -> impl Iterator<Item = &'a Fault> {
-        let since = now.saturating_sub(self.began);
-        let faults = door.faults.iter().filter_map(|&n| self.terms.faults.get(n));
-        faults.filter(move |f| f.from <= since && since < f.until)
-    }
-
-    fn cut(&self, door: usize, direction: usize, now: Micros) -> bool {
-        self.now_at(door, now).any(|f| f.how == How::Silent && f.way.takes(direction))
-    }
-
-    /// When a part that comes now goes on.
-    fn due(&mut self, door: usize, direction: usize, now: Micros) -> Micros {
-        let late = self.now_at(door, now).filter(|f| f.way.takes(direction)).filter_map(|f| match f.how {
-            How::Late { delay, jitter, loss } => Some((delay, jitter, loss)),
-            _ => None,
-        });
-        let late: Vec<_> = late.collect();
-        let mut at = now;
-        for (delay, jitter, loss) in late {
-            at += delay + self.chance.random_range(0..=jitter);
-            while loss > 0.0 && self.chance.random::<f64>() < loss {
-                at += SENT_AGAIN;
-            }
+    /// A relay whose script begins with its start.
+    pub fn new(config: RelayConfig) -> Relay {
+        Relay {
+            listeners: config.listeners,
+            datagram_sockets: config.datagram_sockets,
+            injector: FaultInjector::new(config.faults, config.seed),
+            pairs: BTreeMap::new(),
+            sides: HashMap::new(),
+            last_number: 0,
+            delayed_datagrams: BTreeMap::new(),
+            shutting_down: false,
         }
-        at
     }
 
-    /// Moves what may move in a flow, and ends what has ended.
-    fn pump(&mut self, n: u64, now: Micros, effects: &mut Effects) {
-        let Some(door) = self.flows.get(&n).map(|f| f.door) else { return };
-        let cut = [0, 1].map(|direction| self.cut(door, direction, now));
-        let Some(flow) = self.flows.get_mut(&n) else { return };
-        for direction in [0, 1] {
-            let (from, to) = (flow.connections[direction], flow.connections[1 - direction]);
-            let stream: &mut Stream = &mut flow.streams[direction];
-            if !cut[direction] {
-                if let Some(next) = stream.pump(now, to, effects) {
-                    effects.set_timer(next, DUE | n);
+    /// Forwards what is due on a pair, and closes it once one side has ended and all of its bytes have gone on.
+    fn forward(&mut self, number: u64, now: Micros, effects: &mut Effects) {
+        let Some(pair) = self.pairs.get_mut(&number) else { return };
+        let route = &self.listeners[pair.listener];
+        for direction in Direction::BOTH {
+            let source = pair.source(direction);
+            let target = pair.target(direction);
+            let blocked = self.injector.is_blocked(route, direction, now);
+            let stream = pair.stream(direction);
+            if !blocked {
+                if let Some(next) = stream.send_due(now, target, effects) {
+                    effects.set_timer(next, TimerKey::Pair(number).encode());
                 }
             }
-            if stream.ended && stream.is_empty() && !cut[direction] {
-                // All that was said has gone: the other side hears of the end.
-                effects.close(to, "the other side has ended");
-                return self.forget(n);
+            if stream.ended && stream.is_empty() && !blocked {
+                effects.close(target, "the other side has ended");
+                return self.forget(number);
             }
             if !stream.ended {
-                stream.hush(from, cut[direction], effects);
+                stream.update_reading(source, blocked, effects);
             }
         }
     }
 
-    /// When a datagram goes on; None if it is lost.
-    fn datagram_due(&mut self, door: usize, now: Micros) -> Option<Micros> {
-        let faults: Vec<_> = self.now_of(self.terms.datagrams.get(door)?, now).copied().collect();
-        let mut at = now;
-        for fault in faults.iter().filter(|f| f.way.takes(0)) {
-            let How::Late { delay, jitter, loss } = fault.how else { return None };
-            if self.chance.random::<f64>() < loss {
-                return None;
-            }
-            at += delay + self.chance.random_range(0..=jitter);
+    fn forget(&mut self, number: u64) {
+        let Some(pair) = self.pairs.remove(&number) else { return };
+        for connection in pair.connections {
+            self.sides.remove(&connection);
         }
-        Some(at)
     }
 
-    fn send_datagram(&self, door: usize, bytes: Bytes, effects: &mut Effects) {
-        if let Some(to) = self.terms.datagrams.get(door).map(|d| d.to) {
-            effects.send_datagram(door, to, bytes);
+    /// Resets both connections of a pair.
+    fn reset(&mut self, number: u64, effects: &mut Effects) {
+        if let Some(pair) = self.pairs.get(&number) {
+            for connection in pair.connections {
+                effects.reset(connection);
+            }
         }
+        self.forget(number);
     }
 
-    fn forget(&mut self, n: u64) {
-        if let Some(flow) = self.flows.remove(&n) {
-            flow.connections.iter().for_each(|connection| {
-                self.by_link.remove(connection);
-            });
+    fn send_datagram(&self, socket: usize, bytes: Bytes, effects: &mut Effects) {
+        if let Some(route) = self.datagram_sockets.get(socket) {
+            effects.send_datagram(socket, route.to, bytes);
         }
     }
 
-    /// A fault begins or ends: doors and connections are as they now have to be.
-    fn turn_of(&mut self, fault: usize, now: Micros, effects: &mut Effects) {
-        for door in 0..self.terms.doors.len() {
-            if !self.terms.doors[door].faults.contains(&fault) {
+    /// A fault begins or ends: brings listeners and connections into the state that the active faults demand.
+    fn apply_fault(&mut self, fault: usize, now: Micros, effects: &mut Effects) {
+        for listener in 0..self.listeners.len() {
+            let route = &self.listeners[listener];
+            if !route.faults.contains(&fault) {
                 continue;
             }
-            let shut = self.now_at(door, now).fold(ListenerState::Open, |shut, f| match (f.how, shut) {
-                (How::Reset, _) | (_, ListenerState::Refusing) => ListenerState::Refusing,
-                (How::Silent, _) | (_, ListenerState::Unresponsive) => ListenerState::Unresponsive,
-                _ => ListenerState::Open,
-            });
-            effects.set_listener_state(door, shut);
-            let mine: Vec<_> = self.flows.iter().filter(|(_, f)| f.door == door).map(|(n, _)| *n).collect();
-            for n in mine {
-                if shut == ListenerState::Refusing {
-                    let connections = self.flows.get(&n).map(|f| f.connections);
-                    connections.into_iter().flatten().for_each(|connection| effects.reset(connection));
-                    self.forget(n);
+            let state = self.injector.listener_state(route, now);
+            effects.set_listener_state(listener, state);
+            for number in self.pairs_of(listener) {
+                if state == ListenerState::Refusing {
+                    self.reset(number, effects);
                 } else {
-                    self.pump(n, now, effects);
+                    self.forward(number, now, effects);
                 }
             }
         }
     }
+
+    fn pairs_of(&self, listener: usize) -> Vec<u64> {
+        let pairs = self.pairs.iter().filter(|(_, pair)| pair.listener == listener);
+        pairs.map(|(number, _)| *number).collect()
+    }
 }
 
 impl EventHandler for Relay {
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
-        self.began = now;
-        for (n, fault) in self.terms.faults.iter().enumerate() {
-            effects.set_timer(now + fault.from, n as u64);
-            effects.set_timer(now + fault.until, n as u64);
+        self.injector.start(now);
+        for (index, fault) in self.injector.faults().iter().enumerate() {
+            let key = TimerKey::Fault(index).encode();
+            effects.set_timer(now + fault.from, key);
+            effects.set_timer(now + fault.until, key);
         }
     }
 
-    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, door: usize, effects: &mut Effects) {
-        let Some(to) = self.terms.doors.get(door).map(|d| d.to) else { return effects.reset(connection) };
-        let on = effects.connect(to, DIAL);
-        self.count += 1;
-        self.by_link.extend([(connection, (self.count, 0)), (on, (self.count, 1))]);
-        let flow = Flow { door, connections: [connection, on], streams: Default::default() };
-        self.flows.insert(self.count, flow);
-        self.pump(self.count, now, effects);
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, listener: usize, effects: &mut Effects) {
+        let Some(route) = self.listeners.get(listener) else { return effects.reset(connection) };
+        let outbound = effects.connect(route.to, CONNECT_TIMEOUT);
+        self.last_number += 1;
+        let number = self.last_number;
+        self.sides.insert(connection, PairSide { pair: number, direction: Direction::Forward });
+        self.sides.insert(outbound, PairSide { pair: number, direction: Direction::Backward });
+        self.pairs.insert(number, ConnectionPair::new(listener, connection, outbound));
+        self.forward(number, now, effects);
     }
 
     fn on_connected(&mut self, _now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        if let Some(flow) = self.by_link.get(&connection).and_then(|(n, _)| self.flows.get(n)) {
-            effects.joined(flow.connections[0], flow.connections[1]);
+        let Some(side) = self.sides.get(&connection) else { return };
+        if let Some(pair) = self.pairs.get(&side.pair) {
+            let [accepted, outbound] = pair.connections;
+            effects.joined(accepted, outbound);
         }
     }
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, part: &Bytes, effects: &mut Effects) {
-        let Some(&(n, direction)) = self.by_link.get(&connection) else { return };
-        let Some(door) = self.flows.get(&n).map(|f| f.door) else { return };
-        let due = self.due(door, direction, now);
-        if let Some(flow) = self.flows.get_mut(&n) {
-            flow.streams[direction].push(due, part);
-        }
-        self.pump(n, now, effects);
+        let Some(&side) = self.sides.get(&connection) else { return };
+        let Some(pair) = self.pairs.get_mut(&side.pair) else { return };
+        let route = &self.listeners[pair.listener];
+        let at = self.injector.forward_at(route, side.direction, now);
+        pair.stream(side.direction).push(at, part);
+        self.forward(side.pair, now, effects);
     }
 
     fn on_disconnect(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        loss: DisconnectReason,
+        reason: DisconnectReason,
         effects: &mut Effects,
     ) {
-        let Some(&(n, direction)) = self.by_link.get(&connection) else { return };
-        let Some(flow) = self.flows.get_mut(&n) else { return };
-        if loss != DisconnectReason::Reset {
-            // Nobody is behind the door: who came in is sent away as nobody would.
-            effects.reset(flow.connections[1 - direction]);
-            return self.forget(n);
+        let Some(&side) = self.sides.get(&connection) else { return };
+        let Some(pair) = self.pairs.get_mut(&side.pair) else { return };
+        if reason != DisconnectReason::Reset {
+            // The peer was not reached: the process that connected is refused, as without a relay.
+            effects.reset(pair.target(side.direction));
+            return self.forget(side.pair);
         }
-        flow.streams[direction].ended = true;
-        self.pump(n, now, effects);
+        pair.stream(side.direction).ended = true;
+        self.forward(side.pair, now, effects);
     }
 
     fn on_backpressure(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        crowded: bool,
+        backpressure: bool,
         effects: &mut Effects,
     ) {
-        let Some(&(n, side)) = self.by_link.get(&connection) else { return };
-        if let Some(flow) = self.flows.get_mut(&n) {
-            flow.streams[1 - side].crowded(crowded);
+        let Some(&side) = self.sides.get(&connection) else { return };
+        if let Some(pair) = self.pairs.get_mut(&side.pair) {
+            pair.stream(side.direction.reverse()).backpressure = backpressure;
         }
-        self.pump(n, now, effects);
+        self.forward(side.pair, now, effects);
     }
 
     fn on_datagram(
         &mut self,
         now: Micros,
-        door: usize,
+        socket: usize,
         _from: Address,
         bytes: &Bytes,
         effects: &mut Effects,
     ) {
-        match self.datagram_due(door, now) {
-            Some(at) if at <= now => self.send_datagram(door, bytes.clone(), effects),
-            Some(at) if self.held.len() < MOST_HELD => {
-                self.count += 1;
-                self.held.insert(self.count, (door, bytes.clone()));
-                effects.set_timer(at, HELD | self.count);
-            }
-            _ => {}
+        let Some(route) = self.datagram_sockets.get(socket) else { return };
+        let Some(at) = self.injector.forward_datagram_at(route, now) else { return };
+        if at <= now {
+            return self.send_datagram(socket, bytes.clone(), effects);
+        }
+        if self.delayed_datagrams.len() < MAX_DELAYED_DATAGRAMS {
+            self.last_number += 1;
+            let datagram = DelayedDatagram { socket, bytes: bytes.clone() };
+            self.delayed_datagrams.insert(self.last_number, datagram);
+            effects.set_timer(at, TimerKey::Datagram(self.last_number).encode());
         }
     }
 
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
-        if key & HELD != 0 {
-            if let Some((door, bytes)) = self.held.remove(&(key & !HELD)) {
-                self.send_datagram(door, bytes, effects);
+        match TimerKey::decode(key) {
+            TimerKey::Fault(index) => self.apply_fault(index, now, effects),
+            TimerKey::Pair(number) => self.forward(number, now, effects),
+            TimerKey::Datagram(number) => {
+                if let Some(datagram) = self.delayed_datagrams.remove(&number) {
+                    self.send_datagram(datagram.socket, datagram.bytes, effects);
+                }
             }
-        } else if key & DUE != 0 {
-            self.pump(key & !DUE, now, effects);
-        } else {
-            self.turn_of(key as usize, now, effects);
         }
     }
 
-    fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
+    fn on_iteration(&mut self, _now: Micros, _effects: &mut Effects) {}
 
-    fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
-        self.stopping = true;
+    fn on_shutdown(&mut self, _now: Micros, _effects: &mut Effects) {
+        self.shutting_down = true;
     }
 
     fn is_finished(&self) -> bool {
-        self.stopping
+        self.shutting_down
     }
 }
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -9,7 +9,7 @@
 };
 use tideroute_emulator::{Does, ListTerms, Trouble, WorkerTerms};
 use tideroute_membership::Seal;
-use tideroute_relay::{How, RelayTerms, Way};
+use tideroute_relay::{FaultDirection, FaultKind, RelayConfig, Route};
 use tideroute_wire::{Address, Micros, Origin};
 
 /// Microseconds in one of the module's tenths of a millisecond.
@@ -196,27 +196,32 @@
 }
 
 /// A relay whose script began at a time and that starts now.
-pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayTerms, String> {
-    let door = |d: &Door| Ok(tideroute_relay::Door { to: address(&d.to)?, faults: d.faults.clone() });
+pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, String> {
+    let door = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
     let since = now.saturating_sub(from);
     let ahead = from.saturating_sub(now);
     let fault = |f: &Fault| tideroute_relay::Fault {
         from: (ahead + f.at).saturating_sub(since),
         until: (ahead + f.at + f.lasts).saturating_sub(since),
-        way: match f.way.as_str() {
-            "there" => Way::There,
-            "back" => Way::Back,
-            _ => Way::Both,
+        direction: match f.way.as_str() {
+            "there" => FaultDirection::Forward,
+            "back" => FaultDirection::Backward,
+            _ => FaultDirection::Both,
         },
-        how: match f.how.as_str() {
-            "silent" => How::Silent,
-            "reset" => How::Reset,
-            _ => How::Late { delay: f.delay, jitter: f.jitter, loss: f.loss },
+        kind: match f.how.as_str() {
+            "silent" => FaultKind::Blackhole,
+            "reset" => FaultKind::Reset,
+            _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
         },
     };
     let doors = |doors: &[Door]| doors.iter().map(door).collect::<Result<Vec<_>, String>>();
-    let (doors, datagrams) = (doors(&r.doors)?, doors(&r.datagrams)?);
-    Ok(RelayTerms { doors, datagrams, faults: r.faults.iter().map(fault).collect(), seed: r.seed })
+    let (listeners, datagram_sockets) = (doors(&r.doors)?, doors(&r.datagrams)?);
+    Ok(RelayConfig {
+        listeners,
+        datagram_sockets,
+        faults: r.faults.iter().map(fault).collect(),
+        seed: r.seed,
+    })
 }
 
 pub fn list(l: &List, from: Micros, now: Micros) -> ListTerms {
