--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -73,13 +73,13 @@
 
     /// Takes the next piece of the body off what has arrived; None if there is none yet, or none any more. What
     /// follows the body is left there.
-    pub fn next(&mut self, arrived: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.state {
                 BodyState::Complete => return Ok(None),
-                BodyState::ToEnd => return Ok(self.piece(arrived, u64::MAX)?.bytes),
+                BodyState::ToEnd => return Ok(self.piece(buffer, u64::MAX)?.bytes),
                 BodyState::Plain(length) => {
-                    let piece = self.piece(arrived, length)?;
+                    let piece = self.piece(buffer, length)?;
                     self.state = match piece.remaining {
                         0 => BodyState::Complete,
                         remaining => BodyState::Plain(remaining),
@@ -87,7 +87,7 @@
                     return Ok(piece.bytes);
                 }
                 BodyState::ChunkData(length) => {
-                    let piece = self.piece(arrived, length)?;
+                    let piece = self.piece(buffer, length)?;
                     self.state = match piece.remaining {
                         0 => BodyState::ChunkEnd,
                         remaining => BodyState::ChunkData(remaining),
@@ -95,7 +95,7 @@
                     return Ok(piece.bytes);
                 }
                 BodyState::ChunkEnd | BodyState::ChunkSize | BodyState::Trailer(_) => {
-                    match self.next_line(arrived)? {
+                    match self.next_line(buffer)? {
                         Some(state) => self.state = state,
                         None => return Ok(None),
                     }
@@ -105,15 +105,15 @@
     }
 
     /// The state after the line that comes next; None while the line is incomplete.
-    fn next_line(&self, arrived: &mut BytesMut) -> Result<Option<BodyState>, HttpError> {
+    fn next_line(&self, buffer: &mut BytesMut) -> Result<Option<BodyState>, HttpError> {
         match self.state {
-            BodyState::ChunkEnd => Ok(take_chunk_end(arrived)?.then_some(BodyState::ChunkSize)),
-            BodyState::ChunkSize => Ok(take_chunk_size(arrived)?.map(|size| match size {
+            BodyState::ChunkEnd => Ok(take_chunk_end(buffer)?.then_some(BodyState::ChunkSize)),
+            BodyState::ChunkSize => Ok(take_chunk_size(buffer)?.map(|size| match size {
                 0 => BodyState::Trailer(0),
                 size => BodyState::ChunkData(size),
             })),
             BodyState::Trailer(read) => {
-                let line = take_line(arrived, MAX_TRAILER - read, HttpError::ChunkEnd)?;
+                let line = take_line(buffer, MAX_TRAILER - read, HttpError::ChunkEnd)?;
                 Ok(line.map(|line| match line.len() {
                     0 => BodyState::Complete,
                     length => BodyState::Trailer(read + length),
@@ -124,35 +124,35 @@
     }
 
     /// As much of what has arrived as is part of a stretch of `length` bytes.
-    fn piece(&mut self, arrived: &mut BytesMut, length: u64) -> Result<Piece, HttpError> {
-        let taken = length.min(arrived.len() as u64);
+    fn piece(&mut self, buffer: &mut BytesMut, length: u64) -> Result<Piece, HttpError> {
+        let taken = length.min(buffer.len() as u64);
         self.allowance = self.allowance.checked_sub(taken).ok_or(HttpError::BodyTooLarge(self.max_length))?;
-        let bytes = (taken > 0).then(|| arrived.split_to(taken as usize).freeze());
+        let bytes = (taken > 0).then(|| buffer.split_to(taken as usize).freeze());
         Ok(Piece { bytes, remaining: length - taken })
     }
 }
 
 /// Takes the line break after a chunk; false while it is incomplete.
-fn take_chunk_end(arrived: &mut BytesMut) -> Result<bool, HttpError> {
-    match arrived.get(..2) {
+fn take_chunk_end(buffer: &mut BytesMut) -> Result<bool, HttpError> {
+    match buffer.get(..2) {
         Some(b"\r\n") => {
-            arrived.advance(2);
+            buffer.advance(2);
             Ok(true)
         }
-        None if b"\r\n".starts_with(arrived) => Ok(false),
+        None if b"\r\n".starts_with(buffer) => Ok(false),
         _ => Err(HttpError::ChunkEnd),
     }
 }
 
 /// Takes a chunk's size line: hexadecimal digits, then at most extensions, which are ignored (RFC 9112, 7.1.1).
-fn take_chunk_size(arrived: &mut BytesMut) -> Result<Option<u64>, HttpError> {
+fn take_chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, HttpError> {
     // A line can begin with a digit only: noise is refused at its first byte.
-    let digits = arrived.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
-    let ends_badly = arrived.get(digits).is_some_and(|byte| !matches!(byte, b'\r' | b';' | b' ' | b'\t'));
-    if digits > MAX_SIZE_DIGITS || ends_badly || (digits == 0 && !arrived.is_empty()) {
+    let digits = buffer.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
+    let ends_badly = buffer.get(digits).is_some_and(|byte| !matches!(byte, b'\r' | b';' | b' ' | b'\t'));
+    if digits > MAX_SIZE_DIGITS || ends_badly || (digits == 0 && !buffer.is_empty()) {
         return Err(HttpError::ChunkSize);
     }
-    let Some(line) = take_line(arrived, MAX_SIZE_LINE, HttpError::ChunkSize)? else { return Ok(None) };
+    let Some(line) = take_line(buffer, MAX_SIZE_LINE, HttpError::ChunkSize)? else { return Ok(None) };
     let text = std::str::from_utf8(&line[..digits]).map_err(|_| HttpError::ChunkSize)?;
     let size = u64::from_str_radix(text, 16).map_err(|_| HttpError::ChunkSize)?;
     if size > MAX_CHUNK {
@@ -163,18 +163,14 @@
 
 /// Takes a line up to CR LF, which is taken off too; None while it is incomplete, the error if it is longer than
 /// `max_length` or ends otherwise.
-fn take_line(
-    arrived: &mut BytesMut,
-    max_length: usize,
-    error: HttpError,
-) -> Result<Option<Bytes>, HttpError> {
-    match arrived.iter().take(max_length).position(|&byte| byte == b'\n') {
-        Some(end) if end > 0 && arrived[end - 1] == b'\r' => {
-            let mut line = arrived.split_to(end + 1);
+fn take_line(buffer: &mut BytesMut, max_length: usize, error: HttpError) -> Result<Option<Bytes>, HttpError> {
+    match buffer.iter().take(max_length).position(|&byte| byte == b'\n') {
+        Some(end) if end > 0 && buffer[end - 1] == b'\r' => {
+            let mut line = buffer.split_to(end + 1);
             line.truncate(end - 1);
             Ok(Some(line.freeze()))
         }
-        None if arrived.len() < max_length => Ok(None),
+        None if buffer.len() < max_length => Ok(None),
         _ => Err(error),
     }
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -34,11 +34,11 @@
 
 /// Parses the head of a request that begins at the first byte, and returns how many bytes it takes; None while it is
 /// incomplete.
-pub fn request(arrived: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, HttpError> {
+pub fn request(buffer: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.fields];
     let mut head = httparse::Request::new(&mut headers);
-    let parsed = head.parse(arrived);
-    let Some(length) = head_length(parsed, arrived, limits)? else { return Ok(None) };
+    let parsed = head.parse(buffer);
+    let Some(length) = head_length(parsed, buffer, limits)? else { return Ok(None) };
     if head.version != Some(1) {
         return Err(HttpError::Version);
     }
@@ -58,11 +58,11 @@
 }
 
 /// Parses the head of a response in the same way. Heads of status 1xx are responses too, without a body.
-pub fn response(arrived: &[u8], limits: &Limits) -> Result<Option<(Response, usize)>, HttpError> {
+pub fn response(buffer: &[u8], limits: &Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.fields];
     let mut head = httparse::Response::new(&mut headers);
-    let parsed = head.parse(arrived);
-    let Some(length) = head_length(parsed, arrived, limits)? else { return Ok(None) };
+    let parsed = head.parse(buffer);
+    let Some(length) = head_length(parsed, buffer, limits)? else { return Ok(None) };
     if head.version != Some(1) {
         return Err(HttpError::Version);
     }
@@ -80,12 +80,12 @@
 /// The length of a complete head within the limits; None while it is incomplete.
 fn head_length(
     parsed: Result<Status<usize>, httparse::Error>,
-    arrived: &[u8],
+    buffer: &[u8],
     limits: &Limits,
 ) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(Status::Complete(length)) if length <= limits.head => Ok(Some(length)),
-        Ok(Status::Partial) if arrived.len() <= limits.head => Ok(None),
+        Ok(Status::Partial) if buffer.len() <= limits.head => Ok(None),
         Ok(_) => Err(HttpError::HeadTooLarge(limits.head)),
         Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooManyFields(limits.fields)),
         Err(error) => Err(HttpError::Malformed(error)),
--- a/crates/http/tests/parsing.rs
+++ b/crates/http/tests/parsing.rs
@@ -10,14 +10,14 @@
 
 /// A body read from pieces, with what follows it.
 fn read(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, Vec<u8>), HttpError> {
-    let (mut body, mut arrived, mut content) = (Body::new(framing, LIMITS.body), BytesMut::new(), vec![]);
+    let (mut body, mut buffer, mut content) = (Body::new(framing, LIMITS.body), BytesMut::new(), vec![]);
     for piece in pieces {
-        arrived.extend_from_slice(piece);
-        while let Some(part) = body.next(&mut arrived)? {
+        buffer.extend_from_slice(piece);
+        while let Some(part) = body.next(&mut buffer)? {
             content.extend_from_slice(&part);
         }
     }
-    Ok((content, body.done(), arrived.to_vec()))
+    Ok((content, body.done(), buffer.to_vec()))
 }
 
 #[test]
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -74,7 +74,7 @@
     timers: TimerWheel<TimerKey>,
     shutdown_signals: Option<SignalPipe>,
     config_reload: Option<ConfigReload>,
-    /// Attempts in vain to accept the last connections of a handler that has finished.
+    /// Failed attempts to accept the last connections of a handler that has finished.
     last_accept_attempts: u32,
     capture: Option<TrafficCapture>,
     /// The file to which the handler's state is persisted.
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -1,4 +1,4 @@
-//! How connections end, whoever ends them.
+//! How connections end, by either side or by a timeout.
 
 use std::net::Shutdown;
 use std::time::Duration;
--- a/crates/reactor/tests/connections.rs
+++ b/crates/reactor/tests/connections.rs
@@ -23,7 +23,7 @@
     TimerFired(u64),
 }
 
-/// Tells all that it sees and does as its script says; ends when told so by a frame `end`.
+/// Reports all calls and does as its script says; finishes on a frame `end`.
 struct ScriptedHandler<F> {
     seen: Sender<Observed>,
     script: F,
@@ -282,12 +282,12 @@
     assert_eq!(thread.join().unwrap(), RunOutcome::Finished);
 }
 
-/// Is done once its first client has gone, and in that very moment another one comes and asks.
+/// Is done once its first client has disconnected, and in that very moment another one comes and asks.
 struct LastMoment {
     at: SocketAddr,
     late: Option<TcpStream>,
     open: usize,
-    gone: usize,
+    disconnected: usize,
 }
 
 impl EventHandler for LastMoment {
@@ -312,7 +312,7 @@
         _reason: DisconnectReason,
         _effects: &mut Effects,
     ) {
-        (self.open, self.gone) = (self.open - 1, self.gone + 1);
+        (self.open, self.disconnected) = (self.open - 1, self.disconnected + 1);
     }
     fn on_backpressure(
         &mut self,
@@ -324,7 +324,7 @@
     }
     fn on_timer(&mut self, _now: Micros, _key: u64, _effects: &mut Effects) {}
     fn on_iteration(&mut self, _now: Micros, _effects: &mut Effects) {
-        if self.gone == 1 && self.late.is_none() {
+        if self.disconnected == 1 && self.late.is_none() {
             let mut late = TcpStream::connect(self.at).unwrap();
             late.write_all(b"late!").unwrap();
             late.shutdown(std::net::Shutdown::Write).unwrap();
@@ -333,8 +333,8 @@
     }
     fn on_shutdown(&mut self, _now: Micros, _effects: &mut Effects) {}
     fn is_finished(&self) -> bool {
-        // The one that waits at the door is not known here before it is taken.
-        self.gone > 0 && self.open == 0
+        // The client that waits at the listener is not known here before it is accepted.
+        self.disconnected > 0 && self.open == 0
     }
 }
 
@@ -353,7 +353,7 @@
     reactor.drain_on_shutdown();
     let at = reactor.addresses()[0];
     let first = std::thread::spawn(move || ask(&mut TcpStream::connect(at).unwrap(), b"first"));
-    let mut handler = LastMoment { at, late: None, open: 0, gone: 0 };
+    let mut handler = LastMoment { at, late: None, open: 0, disconnected: 0 };
     assert_eq!(reactor.run(&mut handler).unwrap(), RunOutcome::Finished);
     assert_eq!(&first.join().unwrap(), b"first");
     drop(reactor);
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -11,11 +11,11 @@
 const MAX_VARINT: usize = 10;
 
 /// Takes the next complete frame off the front of what has arrived; None while it is incomplete.
-pub fn next(arrived: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
+pub fn next(buffer: &mut BytesMut) -> Result<Option<Bytes>, Malformed> {
     let mut length = 0u64;
     let mut used = 0;
     loop {
-        let Some(&byte) = arrived.get(used) else { return Ok(None) };
+        let Some(&byte) = buffer.get(used) else { return Ok(None) };
         // The tenth byte has room for one bit of a u64.
         if used == MAX_VARINT - 1 && byte > 1 {
             return Err(Malformed::Length);
@@ -29,11 +29,11 @@
     if length > LARGEST as u64 {
         return Err(Malformed::Oversized(length, LARGEST));
     }
-    if arrived.len() < used + length as usize {
+    if buffer.len() < used + length as usize {
         return Ok(None);
     }
-    arrived.advance(used);
-    Ok(Some(arrived.split_to(length as usize).freeze()))
+    buffer.advance(used);
+    Ok(Some(buffer.split_to(length as usize).freeze()))
 }
 
 /// Appends a frame to what is to be sent.
--- a/crates/wire/tests/exact_bytes/frames.rs
+++ b/crates/wire/tests/exact_bytes/frames.rs
@@ -13,8 +13,8 @@
     wire.clear();
     frame::put(&mut wire, &[7; 300]);
     assert_eq!(to_hex(&wire[..4]), "ac020707");
-    let mut arrived = BytesMut::from(&from_hex("0361626300")[..]);
-    assert_eq!(frame::next(&mut arrived), Ok(Some(Bytes::from_static(b"abc"))));
-    assert_eq!(frame::next(&mut arrived), Ok(Some(Bytes::new())));
-    assert_eq!(frame::next(&mut arrived), Ok(None));
+    let mut buffer = BytesMut::from(&from_hex("0361626300")[..]);
+    assert_eq!(frame::next(&mut buffer), Ok(Some(Bytes::from_static(b"abc"))));
+    assert_eq!(frame::next(&mut buffer), Ok(Some(Bytes::new())));
+    assert_eq!(frame::next(&mut buffer), Ok(None));
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -11,10 +11,10 @@
         let mut wire = BytesMut::new();
         put(&mut wire, &body);
         put(&mut wire, b"next");
-        let (mut arrived, mut frames) = (BytesMut::new(), vec![]);
+        let (mut buffer, mut frames) = (BytesMut::new(), vec![]);
         for byte in wire {
-            arrived.put_u8(byte);
-            frames.extend(next(&mut arrived).unwrap());
+            buffer.put_u8(byte);
+            frames.extend(next(&mut buffer).unwrap());
         }
         assert_eq!(frames, [Bytes::from(body), Bytes::from_static(b"next")]);
     }
