--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -1,13 +1,15 @@
 //! One connection: its socket, the bytes that have arrived on it and the bytes that wait to be sent.
 
 use std::io::{self, Read, Write};
-use std::net::{SocketAddr, SocketAddrV4, TcpStream};
+use std::net::TcpStream;
 
 use bytes::{Buf, Bytes, BytesMut};
 use socket2::{Domain, Protocol, Socket, Type};
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::{frame, Address, Malformed, Micros};
 
+use crate::address;
+
 /// Bytes read from one connection before others have their turn.
 pub const READ_CHUNK: usize = 64 << 10;
 /// Bytes of waiting output over which the handler is notified of backpressure; about what the kernel buffer of a slow
@@ -116,10 +118,7 @@
         if let Err(error) = socket.set_tcp_nodelay(true) {
             tracing::debug!(%error, "TCP_NODELAY not set, small writes may be delayed");
         }
-        let ip = [to[0], to[1], to[2], to[3]].into();
-        let port = u16::from_be_bytes([to[4], to[5]]);
-        let to = SocketAddr::V4(SocketAddrV4::new(ip, port));
-        match socket.connect(&to.into()) {
+        match socket.connect(&address::decode(to).into()) {
             Ok(()) => {}
             // An interrupted call continues in the background, as one in progress does.
             Err(e) if matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => {}
--- a/crates/reactor/src/datagram_socket.rs
+++ b/crates/reactor/src/datagram_socket.rs
@@ -1,13 +1,13 @@
 //! A socket for datagrams that is never connected to any peer.
 
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket};
+use std::net::{SocketAddr, UdpSocket};
 
 use bytes::Bytes;
 use socket2::SockRef;
 use tideroute_wire::Address;
 
-use crate::traffic_capture::encode_address;
+use crate::address;
 
 /// Bytes that may wait in the kernel, if the machine allows as many: some hundreds of datagrams, as come to a process
 /// that was halted for a second.
@@ -39,7 +39,7 @@
             match self.socket.recv_from(chunk) {
                 Ok((length, from)) => {
                     let bytes = Bytes::copy_from_slice(&chunk[..length]);
-                    return Ok(Some(Datagram { from: encode_address(from), bytes }));
+                    return Ok(Some(Datagram { from: address::encode(from), bytes }));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -50,8 +50,6 @@
 
     /// Whether the machine accepted the datagram; one for which it has no room is lost, as it may be on the network.
     pub fn send(&self, to: Address, bytes: &[u8]) -> bool {
-        let ip = Ipv4Addr::new(to[0], to[1], to[2], to[3]);
-        let port = u16::from_be_bytes([to[4], to[5]]);
-        self.socket.send_to(bytes, SocketAddrV4::new(ip, port)).is_ok()
+        self.socket.send_to(bytes, address::decode(to)).is_ok()
     }
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -15,6 +15,7 @@
 
 #![warn(missing_docs)]
 
+mod address;
 pub mod clock;
 pub mod connection;
 mod datagram_socket;
--- a/crates/reactor/src/traffic_capture.rs
+++ b/crates/reactor/src/traffic_capture.rs
@@ -9,8 +9,9 @@
 use bytes::Bytes;
 use tideroute_wire::capture::{self, CaptureEvent, CapturedFrame, CapturedProcess};
 use tideroute_wire::event_loop::ConnectionId;
-use tideroute_wire::{Address, Micros};
+use tideroute_wire::Micros;
 
+use crate::address;
 use crate::clock::Clock;
 
 /// Bytes that are gathered before they are written to the file.
@@ -73,7 +74,7 @@
         event: CaptureEvent,
         ends: [Option<SocketAddr>; N],
     ) {
-        let ends: Vec<u8> = ends.into_iter().flat_map(|end| end.map_or([0; 6], encode_address)).collect();
+        let ends: Vec<u8> = ends.into_iter().flat_map(|end| end.map_or([0; 6], address::encode)).collect();
         self.record(at, connection, event, 0, &ends.into());
     }
 
@@ -94,15 +95,3 @@
             | CaptureEvent::ProcessKilled
     )
 }
-
-/// An address as it goes over the wire; an IPv6 address is written as zero.
-pub(crate) fn encode_address(address: SocketAddr) -> Address {
-    let port = address.port().to_be_bytes();
-    match address {
-        SocketAddr::V4(address) => {
-            let ip = address.ip().octets();
-            [ip[0], ip[1], ip[2], ip[3], port[0], port[1]]
-        }
-        SocketAddr::V6(_) => [0, 0, 0, 0, port[0], port[1]],
-    }
-}
