--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -47,8 +47,8 @@
     }
 }
 
-fn rate((a_second, burst): tenant::Rate) -> Rate {
-    Rate { a_second, burst }
+fn rate(rate: tenant::Rate) -> Rate {
+    Rate { a_second: rate.per_second, burst: rate.burst }
 }
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
@@ -61,8 +61,15 @@
     effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
 }
 
-fn wire_figures(figures: &Figures) -> tenant::Figures {
-    let sums =
-        [figures.asked, figures.let_in, figures.rejected, figures.in_time, figures.late, figures.waited];
-    (sums, [figures.waiting, figures.in_flight])
+fn wire_figures(figures: &Figures) -> tenant::TenantStats {
+    tenant::TenantStats {
+        received: figures.asked,
+        admitted: figures.let_in,
+        rejected: figures.rejected,
+        in_time: figures.in_time,
+        late: figures.late,
+        queue_time: figures.waited,
+        waiting: figures.waiting,
+        in_flight: figures.in_flight,
+    }
 }
