--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -116,8 +116,9 @@
         #[command(subcommand)]
         what: admin::Deed,
     },
-    /// Plays a scripted day on processes of its own and judges it.
-    Day {
+    /// Plays a scenario on processes of its own and judges it.
+    #[command(alias = "day")]
+    Scenario {
         file: PathBuf,
         /// Keeps logs and the record of what passed there.
         #[arg(long, value_name = "FOLDER")]
@@ -132,11 +133,13 @@
         #[arg(long, value_name = "TIMES", conflicts_with = "in_virtual_time")]
         shrink: Option<usize>,
     },
-    /// Checks the five rules on the record of a day.
-    Rules { record: PathBuf },
-    /// Tells from the record of a day how evenly its load was spread over the workers.
-    Spread {
-        record: PathBuf,
+    /// Checks the five rules on the capture of a scenario.
+    #[command(alias = "rules")]
+    CheckTrace { capture: PathBuf },
+    /// Reports from the capture of a scenario how evenly its load was spread over the workers.
+    #[command(alias = "spread")]
+    LoadBalance {
+        capture: PathBuf,
         /// Prints the figures as JSON.
         #[arg(long)]
         json: bool,
@@ -269,10 +272,10 @@
         Command::Fleet { what: Fleet::Status { file, json } } => fleet::status(&file, json),
         Command::Admin { what } => admin::run(&what),
         Command::Check { files } => check(&files),
-        Command::Day { file, out, in_virtual_time: true, draw, .. } => day::virtually(&file, out, draw),
-        Command::Day { file, out, draw, shrink, .. } => day::play(&file, out, draw, shrink),
-        Command::Rules { record } => day::rules(&record),
-        Command::Spread { record, json, plot } => spread::run(&record, json, plot.as_deref()),
+        Command::Scenario { file, out, in_virtual_time: true, draw, .. } => day::virtually(&file, out, draw),
+        Command::Scenario { file, out, draw, shrink, .. } => day::play(&file, out, draw, shrink),
+        Command::CheckTrace { capture } => day::rules(&capture),
+        Command::LoadBalance { capture, json, plot } => spread::run(&capture, json, plot.as_deref()),
     };
     match ended {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/command/tests/stored_data.rs
+++ b/crates/command/tests/stored_data.rs
@@ -109,3 +109,13 @@
         assert!(checked.status.success(), "{}: {checked:?}", file.display());
     }
 }
+
+#[test]
+fn renamed_commands_keep_their_old_names_as_aliases() {
+    for (name, old_name) in [("scenario", "day"), ("check-trace", "rules"), ("load-balance", "spread")] {
+        let help = tideroute(&[name, "--help"]);
+        assert!(help.status.success(), "{help:?}");
+        let old_help = tideroute(&[old_name, "--help"]);
+        assert_eq!(help.stdout, old_help.stdout, "{name} and {old_name}");
+    }
+}
