--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -9,8 +9,8 @@
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::ask::Ask;
-use crate::patience::Patience;
+use crate::request_head::Ask;
+use crate::timers::Patience;
 
 /// What a client's connection is at.
 pub enum At {
--- a/crates/gateway/src/file.rs
+++ b/crates/gateway/src/config.rs
@@ -8,9 +8,9 @@
 use tideroute_settings::Report;
 use tideroute_wire::{Address, Micros};
 
-use crate::list::{self, Names};
-use crate::rooms::Rooms;
-use crate::words::address;
+use crate::capacity::Rooms;
+use crate::endpoint_list::{self, Names};
+use crate::headers::address;
 
 /// Microseconds: what an answer and a request need on their way between a client and its router.
 const TRAVEL: Micros = 5_000;
@@ -28,7 +28,7 @@
     #[error("settings: {0}")]
     Settings(String),
     #[error("known: {0}")]
-    Known(list::Unreadable),
+    Known(endpoint_list::Unreadable),
 }
 
 #[derive(Clone, Debug)]
@@ -119,7 +119,7 @@
     let release = module.state_release_timeout.max(0) as Micros * 100;
     let known = at("known").cloned().unwrap_or_default();
     if !known.is_null() {
-        list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
+        endpoint_list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
     }
     let lifecycle = LifecycleConfig {
         name,
@@ -153,7 +153,7 @@
 /// Hears a list only to see that it can be read.
 struct Nobody;
 
-impl list::Ear for Nobody {
+impl endpoint_list::Ear for Nobody {
     fn page(&mut self, _version: u64, _whole: bool) -> bool {
         false
     }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -9,10 +9,10 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
-use crate::objects::{NoObject, Objects};
-use crate::patience::Patience;
-use crate::program::{key, Ring};
-use crate::words;
+use crate::gateway::{key, Ring};
+use crate::headers;
+use crate::json_splitter::{NoObject, Objects};
+use crate::timers::Patience;
 
 const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Bytes of one object: a list of some thousands of workers.
@@ -65,7 +65,7 @@
             return;
         }
         let connection = effects.connect(to, DIAL);
-        let target = format!("{}{version}", words::WATCH);
+        let target = format!("{}{version}", headers::WATCH);
         effects.send(connection, write::request("GET", &target, [("host", "discovery")], None));
         self.connection = Some(connection);
         self.patience.set(now + FIRST, key(Ring::Watch), effects);
--- a/crates/gateway/src/exit.rs
+++ b/crates/gateway/src/egress.rs
@@ -10,16 +10,16 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::ask::Asked;
 use crate::clients::{text, Clients};
-use crate::conn::Job;
-use crate::file::Terms;
-use crate::held::{Context, EndedBy, Held};
-use crate::pools::Pools;
-use crate::program::{key, Ring};
-use crate::story::{self, State};
-use crate::watch::Watch;
-use crate::words;
+use crate::config::Terms;
+use crate::discovery_watch::Watch;
+use crate::gateway::{key, Ring};
+use crate::headers;
+use crate::request_head::Asked;
+use crate::request_trace::{self, State};
+use crate::reserved_state::{Context, EndedBy, Held};
+use crate::worker_connection::Job;
+use crate::worker_pool::Pools;
 
 /// Microseconds: an answer on a place comes within 0.3 s, or after the read has ended.
 const PLACE: Micros = 1_000_000;
@@ -65,13 +65,13 @@
         if !self.pools.takes(at) {
             return;
         }
-        let target = format!("{}{trace}", words::PLACES);
+        let target = format!("{}{trace}", headers::PLACES);
         let bytes = write::request("POST", &target, [("host", "worker")], Some(b""));
         let Some(connection) = self.pools.call(self.now, at, Job::Place { id }, bytes, self.effects) else {
             return;
         };
         if let Some(conn) = self.pools.get_mut(connection) {
-            story::tell(id, trace, State::PlaceAsked(conn.to));
+            request_trace::tell(id, trace, State::PlaceAsked(conn.to));
             conn.patience.set(self.now + PLACE, key(Ring::Worker(connection)), self.effects);
         }
         let (held, mut context) = self.held();
@@ -80,7 +80,7 @@
 
     /// Probes the reader of a request, whose answer is a sign of life.
     pub fn ask_for_sign(&mut self, id: RequestId, reader: WorkerId) {
-        let bytes = write::request("GET", words::ALIVE, [("host", "worker")], None);
+        let bytes = write::request("GET", headers::ALIVE, [("host", "worker")], None);
         let Some(connection) = self.pools.call(self.now, reader, Job::Liveness { id }, bytes, self.effects)
         else {
             return;
@@ -94,7 +94,7 @@
     pub fn attempt(&mut self, connection: ConnectionId, s: &RequestState<Asked>, _permit: AttemptPermit) {
         let left = (s.deadline.saturating_sub(self.now) / 1_000).to_string();
         let fields = s.context.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
-        let fields = fields.chain([(words::LEFT, left.as_str())]);
+        let fields = fields.chain([(headers::LEFT, left.as_str())]);
         self.effects
             .send(connection, write::request("POST", &s.context.target, fields, Some(&s.context.body)));
     }
@@ -146,7 +146,7 @@
             return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
         };
         if let Some(conn) = self.pools.get_mut(connection) {
-            story::tell(id, &s.context.trace, State::AttemptChosen(attempt.number, conn.to));
+            request_trace::tell(id, &s.context.trace, State::AttemptChosen(attempt.number, conn.to));
         }
         if self.pools.attempt_is_connected(id) {
             self.attempt(connection, s, permit);
@@ -211,7 +211,7 @@
     ) {
         let sent = self.pools.over(id).unwrap_or(self.now);
         let trace = &s.context.trace;
-        story::tell(id, trace, State::AttemptEnded(attempt.number, outcome));
+        request_trace::tell(id, trace, State::AttemptEnded(attempt.number, outcome));
         let (held, mut context) = self.held();
         let failed = outcome != AttemptOutcome::Completed && !attempt.streaming;
         // One that was sent with no state waiting for it has read the prompt itself.
@@ -245,7 +245,7 @@
 
     fn respond(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: ResponsePermit) {
         let connection = s.context.client;
-        story::tell(id, &s.context.trace, State::Answered(answer));
+        request_trace::tell(id, &s.context.trace, State::Answered(answer));
         let Some(streams) = self.clients.streams(connection, id) else { return };
         match answer {
             Response::Completed(_) => {
@@ -265,7 +265,7 @@
     }
 
     fn check_health(&mut self, nonce: u64, at: WorkerId) {
-        let path = if self.terms.report.is_some() { words::LOAD } else { words::ALIVE };
+        let path = if self.terms.report.is_some() { headers::LOAD } else { headers::ALIVE };
         let bytes = write::request("GET", path, [("host", "worker")], None);
         self.pools.call(self.now, at, Job::Probe { nonce }, bytes, self.effects);
     }
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -4,7 +4,7 @@
 use tideroute::types::{Endpoint, EndpointStatus, WorkerId};
 use tideroute_wire::Address;
 
-use crate::words::{address, number_of};
+use crate::headers::{address, number_of};
 
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Unreadable {
--- a/crates/gateway/src/program.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,20 +8,18 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
-use crate::ask::Asked;
 use crate::clients::{At, Clients};
-use crate::conn::Job;
-use crate::exit::{Exit, Later};
-use crate::file::{self, Terms};
-use crate::held::{Context, Held};
-use crate::list;
-use crate::pools::Pools;
-use crate::story::{self, State};
-use crate::watch::Watch;
-
-mod workers;
-
-use workers::SILENCE;
+use crate::config::{self, Terms};
+use crate::discovery_watch::Watch;
+use crate::egress::{Exit, Later};
+use crate::endpoint_list;
+use crate::request_head::Asked;
+use crate::request_trace::{self, State};
+use crate::reserved_state::{Context, Held};
+use crate::worker_connection::Job;
+use crate::worker_pool::Pools;
+
+use crate::worker_events::SILENCE;
 
 /// Microseconds for which a router that starts waits for discovery before it serves by the list it was handed.
 const READY: Micros = 1_000_000;
@@ -78,8 +76,8 @@
     pub(crate) terms: Terms,
     pub(crate) lifecycle: RequestLifecycle<Asked>,
     pub(crate) clients: Clients,
-    pools: Pools,
-    held: Held,
+    pub(crate) pools: Pools,
+    pub(crate) held: Held,
     watch: Watch,
     later: Later,
     /// Since when a whole list is heard that is older than the one in force.
@@ -88,7 +86,7 @@
     told: bool,
     began: Micros,
     now: Micros,
-    stopping: bool,
+    pub(crate) stopping: bool,
     grace_over: bool,
 }
 
@@ -141,11 +139,15 @@
     }
 
     /// What is held, and what is needed to do something for it.
-    fn held<'a>(&'a mut self, now: Micros, effects: &'a mut Effects) -> (&'a mut Held, Context<'a>) {
+    pub(crate) fn held<'a>(
+        &'a mut self,
+        now: Micros,
+        effects: &'a mut Effects,
+    ) -> (&'a mut Held, Context<'a>) {
         (&mut self.held, Context { now, pools: &mut self.pools, effects })
     }
 
-    fn settle(
+    pub(crate) fn settle(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -158,9 +160,14 @@
     }
 
     /// Takes a page of the list.
-    fn hear_list(&mut self, now: Micros, line: &[u8], effects: &mut Effects) -> Result<(), list::Unreadable> {
+    fn hear_list(
+        &mut self,
+        now: Micros,
+        line: &[u8],
+        effects: &mut Effects,
+    ) -> Result<(), endpoint_list::Unreadable> {
         let names = self.terms.names.clone();
-        list::hear_line(line, &names, &mut Page { platform: self, now, effects })?;
+        endpoint_list::hear_line(line, &names, &mut Page { platform: self, now, effects })?;
         self.lifecycle.finish_endpoint_update(now);
         for connection in self.pools.under_way_to_none() {
             self.worker_ends(now, connection, effects);
@@ -197,7 +204,7 @@
         if !known.is_null() {
             let names = self.terms.names.clone();
             // It was read once when the file was.
-            let _ = list::hear(&known, &names, &mut Page { platform: self, now, effects });
+            let _ = endpoint_list::hear(&known, &names, &mut Page { platform: self, now, effects });
             self.lifecycle.finish_endpoint_update(now);
         }
         self.watch.begin(now, self.terms.discovery, self.lifecycle.endpoint_list_version(), effects);
@@ -266,7 +273,7 @@
         }
         let Some(Job::Attempt { id, number, .. }) = job else { return };
         let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.context.trace.clone()) else { return };
-        story::tell(id, &trace, State::AttemptWritten(number, to));
+        request_trace::tell(id, &trace, State::AttemptWritten(number, to));
         if let Some(at) = place {
             self.parts(now, effects).1.place(id, &trace, at);
         }
@@ -371,7 +378,7 @@
 
     fn on_config_reload(&mut self, now: Micros, file: &Bytes, effects: &mut Effects) -> bool {
         self.now = now;
-        let fresh = match file::read(file) {
+        let fresh = match config::read(file) {
             Ok(fresh) => fresh,
             Err(problem) => {
                 tracing::error!(%problem, "the new configuration cannot be used; the old one stays in force");
@@ -425,7 +432,7 @@
     effects: &'a mut Effects,
 }
 
-impl list::Ear for Page<'_> {
+impl endpoint_list::Ear for Page<'_> {
     /// After a gap discovery may be behind what it told before. What is in force is newer then, and changes are
     /// heard again once they are newer too; only if that lasts has its count begun anew.
     fn page(&mut self, version: u64, whole: bool) -> bool {
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/ingress.rs
@@ -7,13 +7,13 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::ask::{is_json, Ask, Asked, Refusal};
+use crate::capacity::{BODY, HEAD};
 use crate::clients::At;
-use crate::exit::said;
-use crate::program::{key, Platform, Ring};
-use crate::rooms::{BODY, HEAD};
-use crate::story::{self, State};
-use crate::words;
+use crate::egress::said;
+use crate::gateway::{key, Platform, Ring};
+use crate::headers;
+use crate::request_head::{is_json, Ask, Asked, Refusal};
+use crate::request_trace::{self, State};
 
 /// What a request may have.
 const BOUNDS: Bounds = Bounds { head: HEAD, fields: 64, body: BODY as u64 };
@@ -129,7 +129,7 @@
     pub(crate) fn client_gone(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if let Some(id) = self.clients.lose(connection) {
             if let Some(s) = self.lifecycle.requests.get(id) {
-                story::tell(id, &s.context.trace, State::ClientLeft);
+                request_trace::tell(id, &s.context.trace, State::ClientLeft);
             }
             let (lifecycle, mut exit) = self.parts(now, effects);
             lifecycle.client_disconnected(now, id, &mut exit);
@@ -158,14 +158,14 @@
         client.asked = true;
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
-            ("GET", words::UP) if request.framing == Framing::Length(0) => {
+            ("GET", headers::UP) if request.framing == Framing::Length(0) => {
                 let up = self.is_up();
                 let (status, what) = if up { (200, "up") } else { (503, "not now") };
                 self.parts(now, effects).1.say(connection, status, 0, what);
                 true
             }
-            ("POST", words::CHAT) => self.request(connection, request, effects),
-            (_, words::UP | words::CHAT) => {
+            ("POST", headers::CHAT) => self.request(connection, request, effects),
+            (_, headers::UP | headers::CHAT) => {
                 self.refuse(connection, Refusal(405, "not with this method"), effects);
                 false
             }
@@ -258,7 +258,7 @@
         let s =
             RequestState::new(asked, ask.class, (ask.session, ask.prefix), tokens).with_deadline(now, left);
         let id = self.lifecycle.requests.next_id();
-        story::tell(id, &trace, State::Taken);
+        request_trace::tell(id, &trace, State::Taken);
         tracing::debug!(id, connection = connection.0, "takes a request");
         self.clients.asked(connection, trace, id);
         let (lifecycle, mut exit) = self.parts(now, effects);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -6,23 +6,24 @@
 //! [`read`] takes the configuration file into [`Terms`]; what the process itself may use of memory and
 //! descriptors is shared out in [`Rooms`].
 
-mod ask;
+mod capacity;
 mod clients;
-mod conn;
-mod entry;
-mod exit;
-mod file;
-mod held;
-mod list;
-mod objects;
-mod patience;
-mod pools;
-mod program;
-mod rooms;
-mod story;
-mod watch;
-mod words;
+mod config;
+mod discovery_watch;
+mod egress;
+mod endpoint_list;
+mod gateway;
+mod headers;
+mod ingress;
+mod json_splitter;
+mod request_head;
+mod request_trace;
+mod reserved_state;
+mod timers;
+mod worker_connection;
+mod worker_events;
+mod worker_pool;
 
-pub use file::{read, Terms, Unusable};
-pub use program::Platform;
-pub use rooms::Rooms;
+pub use capacity::Rooms;
+pub use config::{read, Terms, Unusable};
+pub use gateway::Platform;
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/request_head.rs
@@ -7,7 +7,7 @@
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::words::{self, is_trace, number_of};
+use crate::headers::{self, is_trace, number_of};
 
 /// Microseconds: a day is longer than any client waits, and keeps sums of times far from their ends.
 const DAY: Micros = 86_400_000_000;
@@ -48,13 +48,13 @@
     /// Understands the head of a submission; the names of tracks come in their order.
     pub fn read(request: Request, classes: &[String]) -> Result<Ask, Refusal> {
         let fields = &request.fields;
-        let trace = fields.one(words::TRACE).filter(|t| is_trace(t));
+        let trace = fields.one(headers::TRACE).filter(|t| is_trace(t));
         let trace = trace.ok_or(Refusal(BAD, "x-trace-id must be there once, as letters and digits"))?;
-        let class = fields.one(words::CLASS).and_then(|name| classes.iter().position(|t| t == name));
+        let class = fields.one(headers::CLASS).and_then(|name| classes.iter().position(|t| t == name));
         let class = class.ok_or(Refusal(BAD, "x-qos must name a class of this deployment"))?;
-        let left = fields.one(words::LEFT).and_then(number);
+        let left = fields.one(headers::LEFT).and_then(number);
         let left = left.ok_or(Refusal(BAD, "x-expires-in-ms must be whole milliseconds"))?;
-        let session = match (fields.one(words::SESSION), fields.has(words::SESSION)) {
+        let session = match (fields.one(headers::SESSION), fields.has(headers::SESSION)) {
             (Some(name), _) => number_of(name),
             (None, false) => 0,
             (None, true) => return Err(Refusal(BAD, "x-object must be there once at most")),
@@ -62,7 +62,7 @@
         let (prefix, prompt_tokens) = sizes(fields)?;
         // Workers are told anew how long the router waits; all else is theirs to understand, as the key by which they
         // know a repeat again.
-        let passed = fields.end_to_end().filter(|(name, _)| *name != words::LEFT);
+        let passed = fields.end_to_end().filter(|(name, _)| *name != headers::LEFT);
         Ok(Ask {
             trace: trace.into(),
             class: class as u8,
@@ -86,10 +86,10 @@
 fn sizes(fields: &Fields) -> Result<(u64, Option<u32>), Refusal> {
     let bad = Refusal(BAD, "x-props must be pairs of name=value, with lengths as numbers");
     let (mut prefix, mut prompt) = (0, None);
-    if !fields.has(words::SIZES) {
+    if !fields.has(headers::SIZES) {
         return Ok((prefix, prompt));
     }
-    for pair in fields.one(words::SIZES).ok_or(bad)?.split(',').map(str::trim).filter(|p| !p.is_empty()) {
+    for pair in fields.one(headers::SIZES).ok_or(bad)?.split(',').map(str::trim).filter(|p| !p.is_empty()) {
         let (name, value) = pair.split_once('=').ok_or(bad)?;
         match name.trim() {
             "prefix" => prefix = number_of(value.trim()).max(1),
--- a/crates/gateway/src/held.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -17,11 +17,11 @@
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::conn::Job;
-use crate::patience::Patience;
-use crate::program::{key, Ring};
-use crate::story::{self, State};
-use crate::words;
+use crate::gateway::{key, Ring};
+use crate::headers;
+use crate::request_trace::{self, State};
+use crate::timers::Patience;
+use crate::worker_connection::Job;
 
 mod entry;
 
@@ -232,7 +232,7 @@
     /// A worker has answered a release, on that link. It frees nothing that an attempt waits with.
     pub fn released(&mut self, id: RequestId, on: ConnectionId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        story::tell(id, &entry.trace, State::Released);
+        request_trace::tell(id, &entry.trace, State::Released);
         let began = entry.release.as_ref().map_or(at.now, |release| release.began);
         entry.forget_hung(at);
         entry.given_up.retain_mut(|given_up| given_up.outlives(began, at));
@@ -320,14 +320,14 @@
             entry.forget_hung(at);
             return self.paid(id, None, at);
         }
-        let target = format!("{}{}", words::PLACES, entry.trace);
+        let target = format!("{}{}", headers::PLACES, entry.trace);
         let bytes = write::request("DELETE", &target, [("host", "worker")], None);
         for _ in 0..more.min(CALLS) {
             let mut called = None;
             while let Some(worker) = called.is_none().then(|| release.left.pop_front()).flatten() {
                 called = at.pools.call(at.now, worker, Job::Release { id }, bytes.clone(), at.effects);
                 if let Some(conn) = called.and_then(|connection| at.pools.get_mut(connection)) {
-                    story::tell(id, &entry.trace, State::ReleaseSent(conn.to));
+                    request_trace::tell(id, &entry.trace, State::ReleaseSent(conn.to));
                 }
             }
             let Some(connection) = called else { break };
--- a/crates/gateway/src/held/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -7,8 +7,8 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::patience::Patience;
-use crate::pools::Pools;
+use crate::timers::Patience;
+use crate::worker_pool::Pools;
 
 /// Microseconds in which a reader that runs answers a probe, and a writer that knows of a read a call for its place.
 const ANSWERS: Micros = 150_000;
--- a/crates/gateway/src/conn.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -5,8 +5,8 @@
 use tideroute_http::{Body, Bounds, Problem};
 use tideroute_wire::{Address, Micros};
 
-use crate::patience::Patience;
-use crate::words;
+use crate::headers;
+use crate::timers::Patience;
 
 /// What an answer of a worker may have.
 const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
@@ -140,7 +140,7 @@
             }
             let stream = matches!(self.job, Some(Job::Attempt { reading: false, .. })) && head.status == 200;
             let most = if stream { BOUNDS.body } else { SHORT };
-            let never_ran = head.fields.one(words::NEVER_RAN) == Some("1");
+            let never_ran = head.fields.one(headers::NEVER_RAN) == Some("1");
             let body = Body::new(head.framing, most);
             self.coming = Some(Coming { status: head.status, never_ran, last: head.last, body });
         }
--- a/crates/gateway/src/program/workers.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -6,21 +6,21 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects};
 use tideroute_wire::Micros;
 
-use super::{key, Platform, Ring};
-use crate::ask::Asked;
-use crate::conn::{Heard, Job};
-use crate::held::{Context, EndedBy, Place};
-use crate::story::{self, State};
-use crate::words;
+use crate::gateway::{key, Platform, Ring};
+use crate::headers;
+use crate::request_head::Asked;
+use crate::request_trace::{self, State};
+use crate::reserved_state::{Context, EndedBy, Place};
+use crate::worker_connection::{Heard, Job};
 
 /// Microseconds without a byte after which a stream is taken for dead. Its client must not be left waiting for
 /// five seconds; a worker that takes an answer back into its queue may well be silent for some.
-pub(super) const SILENCE: Micros = 4_500_000;
+pub(crate) const SILENCE: Micros = 4_500_000;
 /// Bytes in which a stream's first event must end.
 const EVENT: usize = 64 << 10;
 
 impl Platform {
-    pub(super) fn worker_heard(
+    pub(crate) fn worker_heard(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -94,7 +94,7 @@
         let (lifecycle, mut exit) = self.parts(now, effects);
         lifecycle.response_started(now, id, &mut exit);
         if let Some(s) = lifecycle.requests.get(id) {
-            story::tell(id, &s.context.trace, State::Began);
+            request_trace::tell(id, &s.context.trace, State::Began);
         }
         let mut context = Context { now, pools: exit.pools, effects: exit.effects };
         exit.held.taken(id, &mut context);
@@ -157,7 +157,7 @@
             }
             Job::Probe { nonce } => {
                 let column = self.terms.report.as_ref();
-                let amount = column.and_then(|c| c.amount(words::reported(&report, &c.name)?));
+                let amount = column.and_then(|c| c.amount(headers::reported(&report, &c.name)?));
                 let (lifecycle, mut exit) = self.parts(now, effects);
                 amount.into_iter().for_each(|amount| lifecycle.load_reported(now, nonce, amount));
                 lifecycle.health_check_finished(now, nonce, status == 200, &mut exit);
@@ -177,7 +177,7 @@
         self.came_to_nothing(now, connection, job, outcome, effects);
     }
 
-    pub(super) fn came_to_nothing(
+    pub(crate) fn came_to_nothing(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -205,7 +205,7 @@
     }
 
     /// A connection to a worker has ended, or never came about.
-    pub(super) fn worker_lost(
+    pub(crate) fn worker_lost(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -245,7 +245,7 @@
     }
 
     /// By what the list says, what was out on a connection has broken, or must never come to be.
-    pub(super) fn worker_ends(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+    pub(crate) fn worker_ends(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let attempt =
             self.pools.get_mut(connection).filter(|conn| conn.written).map(|conn| (conn.worker, conn.job));
         self.worker_lost(now, connection, DisconnectReason::Reset, effects);
@@ -257,7 +257,7 @@
     }
 
     /// The wait on a connection to a worker may be over.
-    pub(super) fn worker_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+    pub(crate) fn worker_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let Some(conn) = self.pools.get_mut(connection) else { return };
         if !conn.patience.over(now, key(Ring::Worker(connection)), effects) {
             return;
@@ -296,7 +296,7 @@
 
     /// Asks for signs that reads under which places are held are still out: of the reader where it may be probed, else
     /// of the writer, which is asked for the place again.
-    pub(super) fn ask_for_signs(&mut self, now: Micros, effects: &mut Effects) {
+    pub(crate) fn ask_for_signs(&mut self, now: Micros, effects: &mut Effects) {
         for (id, trace) in self.held.unsure() {
             let place = self.lifecycle.requests.get(id).and_then(|s| s.reservations.last().copied());
             let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
@@ -310,7 +310,7 @@
     }
 
     /// What a read that ended badly may have left is released at once where no attempt follows it.
-    pub(super) fn clean_up(&mut self, now: Micros, effects: &mut Effects) {
+    pub(crate) fn clean_up(&mut self, now: Micros, effects: &mut Effects) {
         for id in self.held.doubtful() {
             let wanted = |s: &tideroute_lifecycle::RequestState<Asked>| {
                 s.attempt.is_some() || s.state_holder.is_some()
--- a/crates/gateway/src/pools.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -8,8 +8,8 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
-use crate::conn::{Conn, Job};
-use crate::program::{key, Ring};
+use crate::gateway::{key, Ring};
+use crate::worker_connection::{Conn, Job};
 
 /// Microseconds after which a worker that says nothing is taken for gone, and not only to hang.
 const HANGS: Micros = 20_000_000;
--- a/crates/gateway/tests/customers.rs
+++ b/crates/gateway/tests/customers.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-#[path = "customers/world.rs"]
+#[path = "generated_deployments/world.rs"]
 mod world;
 
 use std::collections::BTreeMap;
