--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -10,7 +10,7 @@
 use tideroute_wire::Micros;
 
 use crate::request_head::Ask;
-use crate::timers::Patience;
+use crate::timers::Timeout;
 
 /// What a client's connection is at.
 pub enum At {
@@ -25,7 +25,7 @@
 pub struct Client {
     pub at: At,
     pub arrived: BytesMut,
-    pub patience: Patience,
+    pub timeout: Timeout,
     /// Nothing more is taken from it after the answer.
     pub last: bool,
     /// Bytes that came ahead of their turn and were thrown away.
@@ -55,7 +55,7 @@
         let client = Client {
             at: At::Head,
             arrived: BytesMut::new(),
-            patience: Patience::ENDLESS,
+            timeout: Timeout::NEVER,
             last: false,
             wasted: 0,
             asked: false,
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -9,10 +9,10 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
-use crate::gateway::{key, Ring};
 use crate::headers;
 use crate::json_splitter::{NoObject, Objects};
-use crate::timers::Patience;
+use crate::timers::Timeout;
+use crate::timers::TimerKey;
 
 const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Bytes of one object: a list of some thousands of workers.
@@ -43,14 +43,14 @@
     body: Option<Body>,
     arrived: BytesMut,
     objects: Objects,
-    patience: Patience,
+    timeout: Timeout,
     pause: Micros,
 }
 
 impl Default for Watch {
     fn default() -> Self {
         let (arrived, objects) = (BytesMut::new(), Objects::default());
-        Watch { connection: None, body: None, arrived, objects, patience: Patience::ENDLESS, pause: AGAIN }
+        Watch { connection: None, body: None, arrived, objects, timeout: Timeout::NEVER, pause: AGAIN }
     }
 }
 
@@ -68,7 +68,7 @@
         let target = format!("{}{version}", headers::WATCH);
         effects.send(connection, write::request("GET", &target, [("host", "discovery")], None));
         self.connection = Some(connection);
-        self.patience.set(now + FIRST, key(Ring::Watch), effects);
+        self.timeout.set(now + FIRST, TimerKey::DiscoveryWatch, effects);
     }
 
     /// The objects that are whole now, however they are broken into lines; empty lines only show that discovery is
@@ -87,7 +87,7 @@
             let _ = self.arrived.split_to(length);
             if head.status == 200 {
                 self.body = Some(Body::new(head.framing, BOUNDS.body));
-                self.patience.set(now + SILENCE, key(Ring::Watch), effects);
+                self.timeout.set(now + SILENCE, TimerKey::DiscoveryWatch, effects);
             } else if head.status >= 200 {
                 return Err(Problem::Version.into());
             }
@@ -106,7 +106,7 @@
         }
         // Guards against an object that is never whole, behind which empty lines still come.
         if self.objects.is_empty() || !whole.is_empty() || !pending {
-            self.patience.set(now + SILENCE, key(Ring::Watch), effects);
+            self.timeout.set(now + SILENCE, TimerKey::DiscoveryWatch, effects);
         }
         // It works: the next loss is tried again soon.
         self.pause = AGAIN;
@@ -119,13 +119,13 @@
             effects.abort(connection);
         }
         (self.body, self.arrived, self.objects) = (None, BytesMut::new(), Objects::default());
-        self.patience.set(now + self.pause, key(Ring::Watch), effects);
+        self.timeout.set(now + self.pause, TimerKey::DiscoveryWatch, effects);
         self.pause = (self.pause * 2).min(AGAIN_MOST);
     }
 
     /// A timer rang: whether the watch is to be opened now.
     pub fn rang(&mut self, now: Micros, effects: &mut Effects) -> bool {
-        if !self.patience.over(now, key(Ring::Watch), effects) {
+        if !self.timeout.has_expired(now, TimerKey::DiscoveryWatch, effects) {
             return false;
         }
         if self.connection.is_some() {
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -13,11 +13,11 @@
 use crate::clients::{text, Clients};
 use crate::config::Terms;
 use crate::discovery_watch::Watch;
-use crate::gateway::{key, Ring};
 use crate::headers;
 use crate::request_head::Asked;
 use crate::request_trace::{self, State};
 use crate::reserved_state::{Context, EndedBy, Held};
+use crate::timers::TimerKey;
 use crate::worker_connection::Job;
 use crate::worker_pool::Pools;
 
@@ -72,7 +72,7 @@
         };
         if let Some(conn) = self.pools.get_mut(connection) {
             request_trace::tell(id, trace, State::PlaceAsked(conn.to));
-            conn.patience.set(self.now + PLACE, key(Ring::Worker(connection)), self.effects);
+            conn.timeout.set(self.now + PLACE, TimerKey::Worker(connection), self.effects);
         }
         let (held, mut context) = self.held();
         held.asked(id, trace, (at, connection), &mut context);
@@ -86,7 +86,7 @@
             return;
         };
         if let Some(conn) = self.pools.get_mut(connection) {
-            conn.patience.set(self.now + self.terms.dial, key(Ring::Worker(connection)), self.effects);
+            conn.timeout.set(self.now + self.terms.dial, TimerKey::Worker(connection), self.effects);
         }
     }
 
@@ -280,6 +280,6 @@
     }
 
     fn set_timer(&mut self, at: Micros, timer: Timer) {
-        self.effects.set_timer(at, key(Ring::RequestLifecycle(timer)));
+        TimerKey::from(timer).set(at, self.effects);
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, RequestId};
-use tideroute_lifecycle::{short, RequestLifecycle, Timer};
+use tideroute_lifecycle::{RequestLifecycle, Timer};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
@@ -16,6 +16,7 @@
 use crate::request_head::Asked;
 use crate::request_trace::{self, State};
 use crate::reserved_state::{Context, Held};
+use crate::timers::TimerKey;
 use crate::worker_connection::Job;
 use crate::worker_pool::Pools;
 
@@ -38,40 +39,6 @@
 const STALE: Micros = 10_000_000;
 /// Microseconds between two tellings of what is believed, one line each.
 const TELLS: Micros = 1_000_000;
-/// The kind of a timer stands in the top byte of its key, what it is for beneath.
-const KIND: u32 = 56;
-
-/// What a timer is for.
-#[derive(Clone, Copy)]
-pub(crate) enum Ring {
-    RequestLifecycle(Timer),
-    Client(ConnectionId),
-    Worker(ConnectionId),
-    /// What is held for a request, by the short form of its id.
-    Held(u64),
-    Watch,
-    /// The time for new submissions after a signal to end.
-    Grace,
-    /// What is believed is told.
-    Belief,
-}
-
-pub(crate) fn key(ring: Ring) -> u64 {
-    let (kind, what) = match ring {
-        Ring::RequestLifecycle(Timer::SchedulerWake) => (0, 0),
-        Ring::RequestLifecycle(Timer::Deadline(id)) => (1, short(id)),
-        Ring::RequestLifecycle(Timer::HealthCheck(nonce)) => (2, nonce),
-        Ring::RequestLifecycle(Timer::Admission) => (3, 0),
-        Ring::Client(connection) => (4, connection.number()),
-        Ring::Worker(connection) => (5, connection.number()),
-        Ring::Held(id) => (6, id),
-        Ring::Watch => (7, 0),
-        Ring::Grace => (8, 0),
-        Ring::Belief => (9, 0),
-    };
-    kind << KIND | what
-}
-
 pub struct Platform {
     pub(crate) terms: Terms,
     pub(crate) lifecycle: RequestLifecycle<Asked>,
@@ -193,7 +160,7 @@
         if believed != carried {
             tracing::debug!(?believed, ?carried, "belief and traffic differ");
         }
-        effects.set_timer(now + TELLS, key(Ring::Belief));
+        TimerKey::Statistics.set(now + TELLS, effects);
     }
 }
 
@@ -269,7 +236,7 @@
         conn.written = true;
         let (place, job, to) = (conn.place.take(), conn.job, conn.to);
         if conn.silent() && matches!(job, Some(Job::Attempt { .. })) {
-            conn.patience.set(Micros::MAX, key(Ring::Worker(connection)), effects);
+            conn.timeout.clear();
         }
         let Some(Job::Attempt { id, number, .. }) = job else { return };
         let Some(trace) = self.lifecycle.requests.get(id).map(|s| s.context.trace.clone()) else { return };
@@ -312,7 +279,7 @@
                 // Nothing is read from the worker meanwhile: it is the client that is waited for.
                 let until = now + if crowded { STALLED } else { SILENCE };
                 if let Some(conn) = self.pools.get_mut(worker) {
-                    conn.patience.set(until, key(Ring::Worker(worker)), effects);
+                    conn.timeout.set(until, TimerKey::Worker(worker), effects);
                 }
             }
         }
@@ -320,37 +287,31 @@
 
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         self.now = now;
-        let what = key & ((1 << KIND) - 1);
-        let timer = match key >> KIND {
-            0 => Timer::SchedulerWake,
-            1 => Timer::Deadline(self.lifecycle.requests.expand_id(what)),
-            2 => Timer::HealthCheck(what),
-            3 => Timer::Admission,
-            4 => return self.client_rang(now, ConnectionId(what), effects),
-            5 => return self.worker_rang(now, ConnectionId::outbound(what), effects),
-            6 => {
-                let id = self.lifecycle.requests.expand_id(what);
+        let Some(timer) = TimerKey::decode(key) else { return };
+        let timer = match timer {
+            TimerKey::SchedulerWake => Timer::SchedulerWake,
+            TimerKey::RequestDeadline(id) => Timer::Deadline(self.lifecycle.requests.expand_id(id.0)),
+            TimerKey::HealthCheck(nonce) => Timer::HealthCheck(nonce),
+            TimerKey::Admission => Timer::Admission,
+            TimerKey::Client(connection) => return self.client_rang(now, connection, effects),
+            TimerKey::Worker(connection) => return self.worker_rang(now, connection, effects),
+            TimerKey::ReservedState(id) => {
+                let id = self.lifecycle.requests.expand_id(id.0);
                 let (held, mut context) = self.held(now, effects);
                 return held.rang(id, &mut context);
             }
-            7 => {
+            TimerKey::DiscoveryWatch => {
                 if self.watch.rang(now, effects) {
-                    self.watch.begin(
-                        now,
-                        self.terms.discovery,
-                        self.lifecycle.endpoint_list_version(),
-                        effects,
-                    );
+                    let version = self.lifecycle.endpoint_list_version();
+                    self.watch.begin(now, self.terms.discovery, version, effects);
                 }
                 return;
             }
-            8 => {
+            TimerKey::ShutdownGrace => {
                 self.grace_over = true;
                 return self.lifecycle.shut_down();
             }
-            9 => return self.tell_belief(now, effects),
-            // The turn that follows looks after it.
-            _ => return,
+            TimerKey::Statistics => return self.tell_belief(now, effects),
         };
         let (lifecycle, mut exit) = self.parts(now, effects);
         lifecycle.timer_fired(now, timer, &mut exit);
@@ -406,7 +367,7 @@
             let first_request_by = since + FIRST_REQUEST;
             if !asked && now < first_request_by {
                 if let Some(client) = self.clients.get_mut(connection) {
-                    client.patience.set(first_request_by, key(Ring::Client(connection)), effects);
+                    client.timeout.set(first_request_by, TimerKey::Client(connection), effects);
                 }
                 continue;
             }
@@ -414,7 +375,7 @@
             effects.close(connection, "the router ends");
         }
         self.pools.ends(now, effects);
-        effects.set_timer(now + GRACE, key(Ring::Grace));
+        TimerKey::ShutdownGrace.set(now + GRACE, effects);
     }
 
     fn is_finished(&self) -> bool {
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -10,10 +10,11 @@
 use crate::capacity::{BODY, HEAD};
 use crate::clients::At;
 use crate::egress::said;
-use crate::gateway::{key, Platform, Ring};
+use crate::gateway::Platform;
 use crate::headers;
 use crate::request_head::{is_json, Ask, Asked, Refusal};
 use crate::request_trace::{self, State};
+use crate::timers::TimerKey;
 
 /// What a request may have.
 const BOUNDS: Bounds = Bounds { head: HEAD, fields: 64, body: BODY as u64 };
@@ -47,7 +48,7 @@
             }
         }
         let client = self.clients.accepted(connection, now);
-        client.patience.set(now + WHOLE, key(Ring::Client(connection)), effects);
+        client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
     }
 
     pub(crate) fn client_heard(
@@ -66,7 +67,7 @@
         let begins = client.arrived.is_empty() && matches!(client.at, At::Head);
         client.arrived.extend_from_slice(bytes);
         if begins {
-            client.patience.set(now + WHOLE, key(Ring::Client(connection)), effects);
+            client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
         }
         self.requests(now, connection, effects);
     }
@@ -74,7 +75,7 @@
     /// A client's answer is complete: what came behind its request is looked at now, and has its time from now on.
     pub(crate) fn next_request(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if let Some(client) = self.clients.get_mut(connection) {
-            client.patience.set(now + WHOLE, key(Ring::Client(connection)), effects);
+            client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
         }
         self.requests(now, connection, effects);
     }
@@ -101,7 +102,7 @@
         }
         let Some(client) = self.clients.get_mut(connection) else { return };
         if matches!(client.at, At::Head) && client.arrived.is_empty() && client.asked {
-            client.patience.set(now + IDLE, key(Ring::Client(connection)), effects);
+            client.timeout.set(now + IDLE, TimerKey::Client(connection), effects);
         }
     }
 
@@ -285,7 +286,7 @@
     /// The wait for a client may be over.
     pub(crate) fn client_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let Some(client) = self.clients.get_mut(connection) else { return };
-        if !client.patience.over(now, key(Ring::Client(connection)), effects)
+        if !client.timeout.has_expired(now, TimerKey::Client(connection), effects)
             || matches!(client.at, At::Response(..))
         {
             return;
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -13,14 +13,13 @@
 
 use tideroute::types::{RequestId, WorkerId};
 use tideroute_http::write;
-use tideroute_lifecycle::short;
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::gateway::{key, Ring};
 use crate::headers;
 use crate::request_trace::{self, State};
-use crate::timers::Patience;
+use crate::timers::Timeout;
+use crate::timers::TimerKey;
 use crate::worker_connection::Job;
 
 mod entry;
@@ -75,7 +74,7 @@
     /// The reader of a request has given a sign of life.
     pub fn reader_lives(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id).filter(|e| e.since().is_none()) else { return };
-        entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.effects);
+        entry.rests(at.now, self.allowed, TimerKey::ReservedState(id.into()), at.effects);
     }
 
     fn entry(&mut self, now: Micros, id: RequestId, trace: &Arc<str>) -> &mut Entry {
@@ -88,7 +87,7 @@
             rounds: 0,
             given_up: vec![],
             over: false,
-            patience: Patience::ENDLESS,
+            timeout: Timeout::NEVER,
             release: None,
         })
     }
@@ -98,7 +97,7 @@
         let Some(entry) = self.entries.get_mut(&id) else { return };
         stop(entry, None, at);
         entry.clock = Clock::Runs(since);
-        entry.patience.set(entry.due(since, self.allowed), key(Ring::Held(short(id))), at.effects);
+        entry.timeout.set(entry.due(since, self.allowed), TimerKey::ReservedState(id.into()), at.effects);
     }
 
     /// A read has ended well: its state takes the turn of whatever was held before.
@@ -174,7 +173,7 @@
             self.unwanted(id, at);
         } else if known && reading && entry.release.is_none() {
             // The read is out at a worker that runs: the time rests.
-            entry.rests(at.now, self.allowed, key(Ring::Held(short(id))), at.effects);
+            entry.rests(at.now, self.allowed, TimerKey::ReservedState(id.into()), at.effects);
         } else if !none {
             // It may be held from now on; of a read that was taken to be out nobody there knows.
             entry.rounds = 0;
@@ -252,8 +251,8 @@
     /// The entry is looked at after so long, if that is not done before.
     fn looks_again(&mut self, id: RequestId, after: Micros, at: &mut Context) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            let until = (at.now + after).min(entry.patience.until());
-            entry.patience.set(until, key(Ring::Held(short(id))), at.effects);
+            let until = (at.now + after).min(entry.timeout.expires_at());
+            entry.timeout.set(until, TimerKey::ReservedState(id.into()), at.effects);
         }
     }
 
@@ -287,7 +286,7 @@
             return;
         }
         stop(entry, None, at);
-        entry.patience.set(due, key(Ring::Held(short(id))), at.effects);
+        entry.timeout.set(due, TimerKey::ReservedState(id.into()), at.effects);
     }
 
     /// Nobody wants what is held. Without an entry there is nothing to do.
@@ -337,13 +336,13 @@
                 release.in_flight.pop_front().into_iter().for_each(|oldest| at.pools.end(oldest, at.effects));
             }
         }
-        entry.patience.set(at.now + TRY, key(Ring::Held(short(id))), at.effects);
+        entry.timeout.set(at.now + TRY, TimerKey::ReservedState(id.into()), at.effects);
     }
 
     /// The time of an entry is over, or a worker has not answered in time: the next ones are asked too.
     pub fn rang(&mut self, id: RequestId, at: &mut Context) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if !entry.patience.over(at.now, key(Ring::Held(short(id))), at.effects) {
+        if !entry.timeout.has_expired(at.now, TimerKey::ReservedState(id.into()), at.effects) {
             return;
         }
         let Some(release) = &mut entry.release else { return self.comes_due(id, at) };
@@ -379,7 +378,7 @@
         if at.now >= next {
             return self.unwanted(id, at);
         }
-        entry.patience.set(next, key(Ring::Held(short(id))), at.effects);
+        entry.timeout.set(next, TimerKey::ReservedState(id.into()), at.effects);
     }
 
     /// A connection with a release on it came to nothing.
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -7,7 +7,7 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::timers::Patience;
+use crate::timers::{Timeout, TimerKey};
 use crate::worker_pool::Pools;
 
 /// Microseconds in which a reader that runs answers a probe, and a writer that knows of a read a call for its place.
@@ -44,7 +44,7 @@
     pub given_up: Vec<GivenUp>,
     /// Nobody will want it again.
     pub over: bool,
-    pub patience: Patience,
+    pub timeout: Timeout,
     pub release: Option<Release>,
 }
 
@@ -68,9 +68,9 @@
     }
 
     /// A read is known to be out now: the time rests.
-    pub fn rests(&mut self, now: Micros, allowed: Micros, key: u64, effects: &mut Effects) {
+    pub fn rests(&mut self, now: Micros, allowed: Micros, key: TimerKey, effects: &mut Effects) {
         self.clock = Clock::Rests { since: now, asked: false };
-        self.patience.set(unsure_at(now, allowed), key, effects);
+        self.timeout.set(unsure_at(now, allowed), key, effects);
     }
 
     /// When what is held since then has to be released, of the time allowed for it.
--- /dev/null
+++ b/crates/gateway/src/timers/tests.rs
@@ -0,0 +1,25 @@
+//! Keys of timers are read back as they were written.
+
+use super::*;
+
+#[test]
+fn a_key_is_decoded_to_the_timer_that_it_was_encoded_from() {
+    let timers = [
+        TimerKey::SchedulerWake,
+        TimerKey::RequestDeadline(ShortRequestId(7)),
+        TimerKey::HealthCheck(8),
+        TimerKey::Admission,
+        TimerKey::Client(ConnectionId(9)),
+        TimerKey::Worker(ConnectionId::outbound(10)),
+        TimerKey::ReservedState(ShortRequestId(11)),
+        TimerKey::DiscoveryWatch,
+        TimerKey::ShutdownGrace,
+        TimerKey::Statistics,
+    ];
+    for (kind, timer) in timers.into_iter().enumerate() {
+        let key = timer.encode();
+        assert_eq!(key >> PAYLOAD_BITS, kind as u64, "{timer:?}");
+        assert_eq!(TimerKey::decode(key), Some(timer));
+    }
+    assert_eq!(TimerKey::decode(10 << PAYLOAD_BITS), None);
+}
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -6,7 +6,7 @@
 use tideroute_wire::{Address, Micros};
 
 use crate::headers;
-use crate::timers::Patience;
+use crate::timers::Timeout;
 
 /// What an answer of a worker may have.
 const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
@@ -67,7 +67,7 @@
     pub streams: bool,
     /// The start of a stream, until an event of it is whole; or a load report.
     pub first: BytesMut,
-    pub patience: Patience,
+    pub timeout: Timeout,
     pub opened: Micros,
     /// When it last brought something.
     pub heard: Micros,
@@ -103,7 +103,7 @@
             place: None,
             streams: false,
             first: BytesMut::new(),
-            patience: Patience::ENDLESS,
+            timeout: Timeout::NEVER,
             opened: now,
             heard: 0,
             rests_since: 0,
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -6,11 +6,12 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects};
 use tideroute_wire::Micros;
 
-use crate::gateway::{key, Platform, Ring};
+use crate::gateway::Platform;
 use crate::headers;
 use crate::request_head::Asked;
 use crate::request_trace::{self, State};
 use crate::reserved_state::{Context, EndedBy, Place};
+use crate::timers::TimerKey;
 use crate::worker_connection::{Heard, Job};
 
 /// Microseconds without a byte after which a stream is taken for dead. Its client must not be left waiting for
@@ -63,7 +64,7 @@
     fn events(&mut self, now: Micros, connection: ConnectionId, piece: Bytes, effects: &mut Effects) -> bool {
         let Some(conn) = self.pools.get_mut(connection) else { return true };
         let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
-        conn.patience.set(now + SILENCE, key(Ring::Worker(connection)), effects);
+        conn.timeout.set(now + SILENCE, TimerKey::Worker(connection), effects);
         let Some(s) = self.lifecycle.requests.get(id) else { return true };
         if s.finished {
             // Nobody reads it: it ends like a stream whose client goes.
@@ -259,7 +260,7 @@
     /// The wait on a connection to a worker may be over.
     pub(crate) fn worker_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let Some(conn) = self.pools.get_mut(connection) else { return };
-        if !conn.patience.over(now, key(Ring::Worker(connection)), effects) {
+        if !conn.timeout.has_expired(now, TimerKey::Worker(connection), effects) {
             return;
         }
         match conn.job {
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -8,7 +8,7 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
-use crate::gateway::{key, Ring};
+use crate::timers::TimerKey;
 use crate::worker_connection::{Conn, Job};
 
 /// Microseconds after which a worker that says nothing is taken for gone, and not only to hang.
@@ -234,7 +234,7 @@
         self.late.retain(|l| self.conns.get(l).is_some_and(|c| matches!(c.job, Some(Job::Place { .. }))));
         self.late.push_back(connection);
         let until = now + self.hangs;
-        self.get_mut(connection)?.patience.set(until, key(Ring::Worker(connection)), effects);
+        self.get_mut(connection)?.timeout.set(until, TimerKey::Worker(connection), effects);
         if self.late.len() > self.most / LATE_PART {
             self.late.pop_front()
         } else {
@@ -247,7 +247,7 @@
         self.hangs = HANGS_AT_END;
         for &connection in &self.late {
             if let Some(conn) = self.conns.get_mut(&connection) {
-                conn.patience.set(now + HANGS_AT_END, key(Ring::Worker(connection)), effects);
+                conn.timeout.set(now + HANGS_AT_END, TimerKey::Worker(connection), effects);
             }
         }
     }
@@ -306,9 +306,9 @@
         conn.rested = if conn.used { now - conn.rests_since } else { 0 };
         (conn.place, conn.streams, conn.heads) = (None, false, 0);
         conn.leaves_by = leaves_by;
-        conn.patience.set(Micros::MAX, 0, effects);
+        conn.timeout.clear();
         if let Job::Attempt { id, .. } = job {
-            conn.patience.set(leaves_by, key(Ring::Worker(connection)), effects);
+            conn.timeout.set(leaves_by, TimerKey::Worker(connection), effects);
             self.attempts.insert(id, (connection, now));
         }
         if let Job::Probe { .. } = job {
@@ -342,7 +342,7 @@
             conn.arrived = BytesMut::new();
             conn.rests_since = now;
             conn.settled_by = if conn.streams { now + SETTLES } else { now };
-            conn.patience.set(now + self.idle, key(Ring::Worker(connection)), effects);
+            conn.timeout.set(now + self.idle, TimerKey::Worker(connection), effects);
             self.rests.insert((now, connection));
             self.resting.entry(conn.worker).or_default().push(connection);
         }
