--- a/crates/command/src/platform.rs
+++ b/crates/command/src/platform.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use tideroute_gateway::Platform;
+use tideroute_gateway::{Config, Gateway};
 use tideroute_reactor::{Ended as Loop, Reactor};
 
 use crate::Ended;
@@ -23,13 +23,13 @@
         return Err(named(format!("{size} bytes are more than a configuration may have")));
     }
     let text = std::fs::read(&path).map_err(|e| named(e.to_string()))?;
-    let terms = tideroute_gateway::read(&text).map_err(|e| named(e.to_string()))?;
-    let mut reactor = Reactor::new(&[terms.listen]).map_err(|e| e.to_string())?;
-    reactor.raw(terms.rooms.lingering);
+    let config = Config::parse(&text).map_err(|e| named(e.to_string()))?;
+    let mut reactor = Reactor::new(&[config.listen]).map_err(|e| e.to_string())?;
+    reactor.raw(config.capacity.lingering_connections);
     reactor.patient();
     reactor.catch_signals().map_err(|e| e.to_string())?;
     reactor.reread(path).map_err(|e| e.to_string())?;
-    tracing::info!(name = terms.lifecycle.name, listen = %terms.listen, rooms = ?terms.rooms, "the router is there");
-    let mut program = Platform::new(terms, reactor.clock().now());
+    tracing::info!(name = config.lifecycle.name, listen = %config.listen, capacity = ?config.capacity, "the router is there");
+    let mut program = Gateway::new(config, reactor.clock().now());
     Ok(reactor.run(&mut program).map_err(|e| e.to_string())? == Loop::Done)
 }
--- a/crates/command/tests/soak/stories.rs
+++ b/crates/command/tests/soak/stories.rs
@@ -19,7 +19,7 @@
 fn kind_of(state: &str) -> Option<&'static str> {
     match state {
         "attempt-chosen" => Some("attempt"),
-        "place-asked" => Some("place"),
+        "reservation-requested" => Some("place"),
         "release-sent" => Some("release"),
         _ => None,
     }
--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -1,55 +1,55 @@
-//! How the process shares out what it may use. Memory and descriptors are budgets of the configuration; what
-//! comes beyond a part is told no, and a reserve always lets one more be accepted for that.
+//! How the process divides the descriptors and the memory that the configuration allows it. What exceeds a part is
+//! rejected; a reserve always allows one more connection to be accepted for that.
 
-/// Descriptors that the loop itself, the logs, discovery and signals take, with some to spare.
-const OWN: usize = 20;
-/// The reserve for connections that are only told no, as a part of all.
-const RESERVE: usize = 16;
-/// Bytes a connection that lingers or waits may hold beside its counted buffers; and heads that wait to be whole.
-pub const HEAD: usize = 8 << 10;
-/// Bytes of a body that the protocol allows.
-pub const BODY: usize = 256 << 10;
+/// Descriptors for the event loop itself, logs, discovery and signals, with some to spare.
+const PROCESS_DESCRIPTORS: usize = 20;
+/// One in so many descriptors is reserved for connections that are only rejected or being closed.
+const LINGERING_DIVISOR: usize = 16;
+/// Descriptors reserved for that at least.
+const MIN_LINGERING: usize = 4;
+/// Descriptors divided between clients and workers at least.
+const MIN_SHARED: usize = 8;
+/// Percent of the descriptors divided that clients get: reservations, releases and health checks go out to workers
+/// beside the attempts.
+const CLIENT_PERCENT: usize = 48;
+/// Bytes of a request's head at most. A connection that waits or lingers may hold as much beside its accounted buffers.
+pub const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Bytes of a request's body at most, by the protocol.
+pub const MAX_BODY_BYTES: usize = 256 << 10;
 
+/// Capacity limits of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Rooms {
+pub struct Capacity {
     /// Connections of clients.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Connections to workers.
-    pub workers: usize,
-    /// Connections that end in two steps, and those accepted only to be told no.
-    pub lingering: usize,
-    /// Submissions open at once: each needs a connection to a worker, and some calls are made beside them.
-    pub open: usize,
-    /// Bytes of requests that are being read or kept for another shot.
-    pub held: usize,
+    pub worker_connections: usize,
+    /// Connections that are being closed in two steps, and those accepted only to be rejected.
+    pub lingering_connections: usize,
+    /// Requests open at once: each needs a connection to a worker, and some calls are made beside them.
+    pub open_requests: usize,
+    /// Bytes of requests that are being received, or kept for a retry.
+    pub buffered_bytes: usize,
 }
 
-impl Rooms {
-    /// From the limits of the configuration, descriptors and megabytes. The clients' part is the smaller one:
-    /// places, releases and probes go out beside the shots.
-    pub fn new(sockets: usize, memory_mb: usize) -> Rooms {
-        let lingering = (sockets / RESERVE).max(4);
-        let rest = sockets.saturating_sub(OWN + lingering).max(8);
-        let clients = rest * 48 / 100;
-        let workers = rest - clients;
-        // A quarter of memory: buffers on their way out may take as much, the program itself some megabytes.
-        Rooms { clients, workers, lingering, open: workers * 5 / 6, held: (memory_mb << 20) / 4 }
+impl Capacity {
+    /// Divides the limits of the configuration: descriptors, and memory in mebibytes.
+    pub fn new(descriptors: usize, memory_mb: usize) -> Capacity {
+        let lingering_connections = (descriptors / LINGERING_DIVISOR).max(MIN_LINGERING);
+        let shared = descriptors.saturating_sub(PROCESS_DESCRIPTORS + lingering_connections).max(MIN_SHARED);
+        let client_connections = shared * CLIENT_PERCENT / 100;
+        let worker_connections = shared - client_connections;
+        Capacity {
+            client_connections,
+            worker_connections,
+            lingering_connections,
+            // A sixth of the connections is left for reservations, releases and health checks.
+            open_requests: worker_connections * 5 / 6,
+            // A quarter of memory: outbound buffers may take as much, the program itself some megabytes.
+            buffered_bytes: (memory_mb << 20) / 4,
+        }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn parts_stay_within_the_limits() {
-        for sockets in [64, 256, 1_024, 65_536] {
-            let rooms = Rooms::new(sockets, 32);
-            assert!(rooms.clients + rooms.workers + rooms.lingering + OWN <= sockets, "{rooms:?}");
-            assert!(rooms.open < rooms.workers, "{rooms:?}");
-        }
-        // A third of the descriptors may be held by requests.
-        assert!(Rooms::new(256, 32).open >= 256 / 3);
-        assert!(Rooms::new(256, 32).held >= 8 << 20);
-    }
-}
+mod tests;
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,165 +1,158 @@
-//! The clients' connections.
+//! All clients' connections, with the trace ids that are open on them and the bytes that they hold.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use bytes::{Bytes, BytesMut};
+use bytes::BytesMut;
 use tideroute::types::RequestId;
-use tideroute_http::Body;
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::request_head::Ask;
-use crate::timers::Timeout;
-
-/// What a client's connection is at.
-pub enum At {
-    /// The next head; what has arrived of it waits in `arrived`.
-    Head,
-    /// The rest of a body.
-    Body(Box<(Ask, Body, BytesMut)>),
-    /// The answer. Its events have begun if that is said.
-    Response(RequestId, Arc<str>, bool),
-}
-
-pub struct Client {
-    pub at: At,
-    pub arrived: BytesMut,
-    pub timeout: Timeout,
-    /// Nothing more is taken from it after the answer.
-    pub last: bool,
-    /// Bytes that came ahead of their turn and were thrown away.
-    pub wasted: usize,
-    /// A request came on it before.
-    pub asked: bool,
-    /// Its place among those that wait for a client, by when that began.
-    since: Option<Micros>,
-    /// Bytes of its own that the budget counts.
-    counted: usize,
+use crate::client_connection::{ClientConnection, ClientState};
+
+/// A connection on which no byte of a request is there.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct IdleClient {
+    /// The connection.
+    pub connection: ConnectionId,
+    /// A request has come on it before.
+    pub has_sent_request: bool,
+    /// Since when it has had no open request.
+    pub idle_since: Micros,
 }
 
+/// All clients' connections.
 #[derive(Default)]
 pub struct Clients {
-    connections: HashMap<ConnectionId, Client>,
-    /// Those with no request open, the longest wait first: they are the first to go when room is needed.
-    waiting: BTreeSet<(Micros, ConnectionId)>,
-    /// Trace ids that are open.
-    traces: HashMap<Arc<str>, RequestId>,
-    /// Bytes that have arrived and are not gone again.
-    pub held: usize,
+    connections: HashMap<ConnectionId, ClientConnection>,
+    /// Those with no open request, the longest idle first: they are the first to be closed for others.
+    idle: BTreeSet<(Micros, ConnectionId)>,
+    /// Trace ids of open requests.
+    open_trace_ids: HashMap<Arc<str>, RequestId>,
+    buffered_bytes: usize,
 }
 
 impl Clients {
-    pub fn accepted(&mut self, connection: ConnectionId, now: Micros) -> &mut Client {
-        self.waiting.insert((now, connection));
-        let client = Client {
-            at: At::Head,
-            arrived: BytesMut::new(),
-            timeout: Timeout::NEVER,
-            last: false,
-            wasted: 0,
-            asked: false,
-            since: Some(now),
-            counted: 0,
-        };
-        self.connections.entry(connection).or_insert(client)
+    /// Adds a connection that has just been accepted.
+    pub fn insert(&mut self, connection: ConnectionId, now: Micros) -> &mut ClientConnection {
+        self.idle.insert((now, connection));
+        self.connections.entry(connection).or_insert(ClientConnection::new(now))
     }
 
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Client> {
-        self.connections.get_mut(&connection)
+    /// Bytes of requests that all connections hold.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
     }
 
-    pub fn get(&self, connection: ConnectionId) -> Option<&Client> {
+    /// A connection, if it is open.
+    pub fn get(&self, connection: ConnectionId) -> Option<&ClientConnection> {
         self.connections.get(&connection)
     }
 
-    /// Of those with no request open, the one that has waited longest.
+    /// A connection to change, if it is open.
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut ClientConnection> {
+        self.connections.get_mut(&connection)
+    }
+
+    /// Of those with no open request, the one that has been idle for longest.
     pub fn longest_idle(&self) -> Option<ConnectionId> {
-        self.waiting.first().map(|(_, connection)| *connection)
+        self.idle.first().map(|(_, connection)| *connection)
     }
 
-    /// Those with nothing of a request there, whether one was asked on them before, and since when they wait.
-    pub fn idle(&self) -> Vec<(ConnectionId, bool, Micros)> {
-        let idle = |&(since, connection): &(Micros, ConnectionId)| {
-            let client = self.connections.get(&connection)?;
-            let nothing_there = client.arrived.is_empty() && matches!(client.at, At::Head);
-            nothing_there.then_some((connection, client.asked, since))
-        };
-        self.waiting.iter().filter_map(idle).collect()
+    /// Connections on which no byte of a request is there, the longest idle first.
+    pub fn idle(&self) -> Vec<IdleClient> {
+        let mut idle_clients = vec![];
+        for &(idle_since, connection) in &self.idle {
+            let Some(client) = self.connections.get(&connection) else { continue };
+            if client.has_no_request() {
+                let has_sent_request = client.has_sent_request;
+                idle_clients.push(IdleClient { connection, has_sent_request, idle_since });
+            }
+        }
+        idle_clients
     }
 
-    pub fn is_open(&self, trace: &str) -> bool {
-        self.traces.contains_key(trace)
+    /// Whether a request with that trace id is open.
+    pub fn is_open(&self, trace_id: &str) -> bool {
+        self.open_trace_ids.contains_key(trace_id)
     }
 
-    /// The client's submission is taken.
-    pub fn asked(&mut self, connection: ConnectionId, trace: Arc<str>, id: RequestId) {
-        if let Some(client) = self.connections.get_mut(&connection) {
-            client.since.take().map(|since| self.waiting.remove(&(since, connection)));
-            self.traces.insert(trace.clone(), id);
-            client.at = At::Response(id, trace, false);
+    /// The request on a connection has been admitted.
+    pub fn request_admitted(&mut self, connection: ConnectionId, trace_id: Arc<str>, id: RequestId) {
+        let Some(client) = self.connections.get_mut(&connection) else { return };
+        if let Some(idle_since) = client.idle_since.take() {
+            self.idle.remove(&(idle_since, connection));
         }
+        self.open_trace_ids.insert(trace_id.clone(), id);
+        client.state = ClientState::AwaitingResponse { id, trace_id, is_streaming: false };
     }
 
-    /// Its answer is complete, or its request was none: the next one may begin.
-    pub fn answered(&mut self, now: Micros, connection: ConnectionId) {
+    /// The response on a connection is complete: the next request may begin.
+    pub fn response_completed(&mut self, now: Micros, connection: ConnectionId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
-        if let At::Response(_, trace, _) = std::mem::replace(&mut client.at, At::Head) {
-            self.traces.remove(&trace);
+        let state = std::mem::replace(&mut client.state, ClientState::AwaitingHead);
+        if let ClientState::AwaitingResponse { trace_id, .. } = state {
+            self.open_trace_ids.remove(&trace_id);
         }
-        if let Some(before) = client.since.replace(now) {
-            self.waiting.remove(&(before, connection));
+        if let Some(idle_since) = client.idle_since.replace(now) {
+            self.idle.remove(&(idle_since, connection));
         }
-        self.waiting.insert((now, connection));
+        self.idle.insert((now, connection));
     }
 
-    /// Counts what the connection holds now.
-    pub fn count(&mut self, connection: ConnectionId) {
+    /// Accounts for the bytes that a connection holds now.
+    pub fn account(&mut self, connection: ConnectionId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
-        let body = if let At::Body(at) = &client.at { at.2.len() } else { 0 };
-        let holds = client.arrived.len() + body;
-        self.held = self.held + holds - std::mem::replace(&mut client.counted, holds);
-        if client.arrived.is_empty() {
-            // What once held much would keep it for as long as the connection is there.
-            client.arrived = BytesMut::new();
+        let bytes = client.buffered_bytes();
+        self.buffered_bytes += bytes;
+        self.buffered_bytes -= client.accounted_bytes;
+        client.accounted_bytes = bytes;
+        if client.received.is_empty() {
+            // A buffer that was once large would stay so for as long as the connection is open.
+            client.received = BytesMut::new();
         }
     }
 
-    /// The connection is gone; the submission that was open on it comes back.
-    pub fn lose(&mut self, connection: ConnectionId) -> Option<RequestId> {
+    /// Removes a connection that is gone or about to be closed. The request that was open on it is returned.
+    pub fn remove(&mut self, connection: ConnectionId) -> Option<RequestId> {
         let client = self.connections.remove(&connection)?;
-        client.since.map(|since| self.waiting.remove(&(since, connection)));
-        self.held -= client.counted;
-        let At::Response(id, trace, _) = client.at else { return None };
-        self.traces.remove(&trace);
+        if let Some(idle_since) = client.idle_since {
+            self.idle.remove(&(idle_since, connection));
+        }
+        self.buffered_bytes -= client.accounted_bytes;
+        let ClientState::AwaitingResponse { id, trace_id, .. } = client.state else { return None };
+        self.open_trace_ids.remove(&trace_id);
         Some(id)
     }
 
-    /// Whether the events of this submission have begun to go to the client.
-    pub fn streams(&self, connection: ConnectionId, id: RequestId) -> Option<bool> {
-        match self.connections.get(&connection)?.at {
-            At::Response(open, _, streams) if open == id => Some(streams),
+    /// Whether the response to that request has begun; none if it is not open on the connection.
+    pub fn is_streaming(&self, connection: ConnectionId, request: RequestId) -> Option<bool> {
+        match self.connections.get(&connection)?.state {
+            ClientState::AwaitingResponse { id, is_streaming, .. } if id == request => Some(is_streaming),
             _ => None,
         }
     }
 
-    /// They begin.
-    pub fn begin(&mut self, connection: ConnectionId) {
-        if let Some(Client { at: At::Response(.., streams), .. }) = self.connections.get_mut(&connection) {
-            *streams = true;
+    /// The response to the open request begins.
+    pub fn response_started(&mut self, connection: ConnectionId) {
+        let Some(client) = self.connections.get_mut(&connection) else { return };
+        if let ClientState::AwaitingResponse { is_streaming, .. } = &mut client.state {
+            *is_streaming = true;
         }
     }
-}
 
-/// A plain text as a body.
-pub fn text(what: &str) -> Bytes {
-    Bytes::from(format!("{what}\n"))
+    /// Whether the connection is closed after the next response; also if it is not open.
+    pub fn closes_after_response(&self, connection: ConnectionId) -> bool {
+        self.get(connection).is_none_or(|client| client.closes_after_response)
+    }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,162 +1,218 @@
-//! The configuration file, read into what the router works under.
+//! The configuration file, parsed and checked into [`Config`].
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use tideroute::types::Idempotency;
+use tideroute::types::{Idempotency, SchedulerConfig};
 use tideroute_lifecycle::LifecycleConfig;
 use tideroute_settings::Report;
 use tideroute_wire::{Address, Micros};
 
-use crate::capacity::Rooms;
-use crate::endpoint_list::{self, Names};
-use crate::headers::address;
+use crate::capacity::Capacity;
+use crate::endpoint_list::{ConfiguredNames, EndpointListError, EndpointUpdate};
+use crate::headers::{parse_address, socket_address};
 
-/// Microseconds: what an answer and a request need on their way between a client and its router.
-const TRAVEL: Micros = 5_000;
+/// Microseconds that a request and its response need on their way between a client and its router.
+const TRAVEL_TIME: Micros = 5_000;
+/// Microseconds in a tenth of a millisecond, the scheduler's unit of time.
+const MICROS_PER_TENTH: Micros = 100;
+/// Descriptors that a configuration must allow at least.
+const MIN_DESCRIPTORS: u64 = 64;
+/// Mebibytes of memory that a configuration must allow at least.
+const MIN_MEMORY_MB: u64 = 16;
+/// Milliseconds that a time in the configuration stays below.
+const MAX_MILLISECONDS: f64 = 1e12;
+/// Characters of a value that an error message shows.
+const MAX_SHOWN: usize = 60;
 
-/// Letters of a value that a message shows.
-const FOUND: usize = 60;
-
-/// Why a configuration can't be used: which field, and what was expected there.
+/// Why a configuration cannot be used: which field, and what was expected there.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum Unusable {
+pub enum ConfigError {
+    /// The file is no JSON.
     #[error("it is no JSON: {0}")]
     Json(String),
+    /// A field is missing or of a wrong form.
     #[error("{field}: expected {expected}, found {found}")]
-    Field { field: &'static str, expected: &'static str, found: String },
+    Field {
+        /// The path of the field.
+        field: &'static str,
+        /// What belongs there.
+        expected: &'static str,
+        /// What stands there, cut to some length.
+        found: String,
+    },
+    /// The scheduler's settings cannot be used.
     #[error("settings: {0}")]
     Settings(String),
+    /// The endpoint list in the file cannot be used.
     #[error("known: {0}")]
-    Known(endpoint_list::Unreadable),
+    Known(EndpointListError),
 }
 
+/// The configuration of a gateway.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct Config {
+    /// What the request lifecycle and the scheduler work under.
     pub lifecycle: LifecycleConfig,
+    /// The address that clients connect to.
     pub listen: SocketAddr,
+    /// The address of the discovery agent.
     pub discovery: Address,
-    pub rooms: Rooms,
-    pub names: Names,
-    /// A worker may close a connection that has stood idle for so long.
-    pub idle: Micros,
-    /// A connection that is not there by then never comes up.
-    pub dial: Micros,
-    /// What is held for a submission is let go within this time.
-    pub release: Micros,
-    pub travel: Micros,
-    /// What a probe brings of a worker's load.
-    pub report: Option<Report>,
-    /// The list as this router last had it.
-    pub known: Value,
+    /// Capacity limits of the process.
+    pub capacity: Capacity,
+    /// The names that discovery refers to.
+    pub names: ConfiguredNames,
+    /// A worker may close a connection that has been idle for so long.
+    pub worker_idle_timeout: Micros,
+    /// A connection that is not established within this time has failed.
+    pub connect_timeout: Micros,
+    /// What is reserved for a request is released within this time.
+    pub release_timeout: Micros,
+    /// The part of a client's time that its request and response spend on their way.
+    pub travel_time: Micros,
+    /// The column of load reports that says a worker's load, if health checks are answered with reports.
+    pub load_report: Option<Report>,
+    /// The endpoint list as this router last had it; null for none.
+    pub known_endpoints: Value,
 }
 
-impl Terms {
-    /// Where the settings leave no room, and what is done about it: the rules are kept by not doing what can't be done in
-    /// time.
-    pub fn without_room(&self) -> Vec<String> {
-        let mut found = vec![];
-        if self.release < self.dial {
-            found.push(format!(
-                "family_info.pin_limit_ms, {} ms, is less than the {} ms that a connection may take: what is held may be \
+impl Config {
+    /// Parses the configuration file. The first field that cannot be used is the error.
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+        let root: Value =
+            serde_json::from_slice(text).map_err(|error| ConfigError::Json(error.to_string()))?;
+        let file = ConfigFile { root: &root };
+        let name = file.text("name", "the router's name")?.to_string();
+        let listen = file.address("listen")?;
+        let discovery = file.address("discovery")?;
+        let seed = file.hexadecimal("seed")?;
+        let capacity = file.capacity()?;
+        let settings = file.get("settings").ok_or_else(|| file.error("settings", "the settings"))?;
+        let scheduler = tideroute_settings::terms(settings).map_err(ConfigError::Settings)?;
+        let load_report = tideroute_settings::report(settings).map_err(ConfigError::Settings)?;
+        let classes = file.class_names()?;
+        let names = ConfiguredNames {
+            zones: file.names("settings.failure_domains")?,
+            kinds: file.names("settings.kinds")?,
+        };
+        let connect_timeout = file.milliseconds("settings.caps.dial_timeout_ms")?;
+        let known_endpoints = file.get("known").cloned().unwrap_or_default();
+        if !known_endpoints.is_null() {
+            EndpointUpdate::from_json(&known_endpoints, &names).map_err(ConfigError::Known)?;
+        }
+        Ok(Config {
+            listen: socket_address(listen).into(),
+            discovery,
+            capacity,
+            names,
+            worker_idle_timeout: file.milliseconds("settings.caps.conn_idle_ms")?,
+            connect_timeout,
+            release_timeout: release_timeout(&scheduler),
+            travel_time: TRAVEL_TIME,
+            load_report,
+            known_endpoints,
+            lifecycle: LifecycleConfig {
+                name,
+                scheduler,
+                classes,
+                connect_timeout,
+                max_open_requests: capacity.open_requests,
+                tenants: None,
+                limits_share: 1.0,
+                max_admission_wait: 0,
+                seed,
+            },
+        })
+    }
+
+    /// Settings that cannot be met beside the others, each with what the router does about it: what can't be done in time
+    /// is not done.
+    pub fn infeasible_settings(&self) -> Vec<String> {
+        let mut problems = vec![];
+        if self.release_timeout < self.connect_timeout {
+            problems.push(format!(
+                "family_info.pin_limit_ms, {} ms, is less than the {} ms that a connection may take: reserved state may be \
                  released under an attempt that is still being connected",
-                self.release / 1_000,
-                self.dial / 1_000
+                self.release_timeout / 1_000,
+                self.connect_timeout / 1_000
             ));
         }
         for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.scheduler.classes) {
             if matches!(class.idempotency, Idempotency::IdempotentWithKey { window: 0, .. }) {
-                found.push(format!(
-                    "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never repeated",
-                    self.dial / 1_000
+                problems.push(format!(
+                    "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never \
+                     retried",
+                    self.connect_timeout / 1_000
                 ));
             }
         }
-        found
+        problems
     }
 }
 
-/// Reads the file.
-pub fn read(text: &[u8]) -> Result<Terms, Unusable> {
-    let root: Value = serde_json::from_slice(text).map_err(|e| Unusable::Json(e.to_string()))?;
-    let at = |path: &str| path.split('.').try_fold(&root, |value, key| value.get(key));
-    let field = |field, expected| {
-        let found = at(field).map_or("nothing".to_string(), |v| v.to_string().chars().take(FOUND).collect());
-        Unusable::Field { field, expected, found }
-    };
-    let word = |path: &'static str, expected| at(path).and_then(Value::as_str).ok_or(field(path, expected));
-    let whole = |path: &'static str, least: u64, expected| {
-        let number = at(path).and_then(Value::as_u64).filter(|n| *n >= least);
-        number.map(|n| n as usize).ok_or(field(path, expected))
-    };
-    let micros = |path: &'static str| {
-        let ms = at(path).and_then(Value::as_f64).filter(|ms| (0.0..1e12).contains(ms));
-        ms.map(|ms| (ms * 1000.0) as Micros).ok_or(field(path, "milliseconds"))
-    };
-    let names = |path: &'static str| {
-        let list = at(path).and_then(Value::as_array).ok_or(field(path, "a list of names"))?;
-        let names: Option<Vec<_>> = list.iter().map(|v| v.as_str().map(str::to_string)).collect();
-        names.ok_or(field(path, "a list of names"))
-    };
-    let name = word("name", "the router's name")?.to_string();
-    let listen = word("listen", "an IPv4 address with a port")?;
-    let listen = address(listen).ok_or(field("listen", "an IPv4 address with a port"))?;
-    let discovery = word("discovery", "an IPv4 address with a port")?;
-    let discovery = address(discovery).ok_or(field("discovery", "an IPv4 address with a port"))?;
-    let seed = word("seed", "hexadecimal digits")?;
-    let seed = u64::from_str_radix(seed, 16).map_err(|_| field("seed", "hexadecimal digits"))?;
-    let sockets = whole("limits.sockets", 64, "a number of descriptors, 64 or more")?;
-    let memory = whole("limits.memory_mb", 16, "megabytes, 16 or more")?;
-    let rooms = Rooms::new(sockets, memory);
-    let settings = at("settings").ok_or(field("settings", "the settings"))?;
-    let module = tideroute_settings::terms(settings).map_err(Unusable::Settings)?;
-    let report = tideroute_settings::report(settings).map_err(Unusable::Settings)?;
-    let class_settings =
-        at("settings.classes").and_then(Value::as_array).ok_or(field("settings.classes", "a list"))?;
-    let classes = class_settings.iter().map(|c| c["name"].as_str().unwrap_or_default().to_string()).collect();
-    let names = Names { zones: names("settings.failure_domains")?, kinds: names("settings.kinds")? };
-    let dial = micros("settings.caps.dial_timeout_ms")?;
-    let release = module.state_release_timeout.max(0) as Micros * 100;
-    let known = at("known").cloned().unwrap_or_default();
-    if !known.is_null() {
-        endpoint_list::hear(&known, &names, &mut Nobody).map_err(Unusable::Known)?;
-    }
-    let lifecycle = LifecycleConfig {
-        name,
-        scheduler: module,
-        classes,
-        connect_timeout: dial,
-        max_open_requests: rooms.open,
-        tenants: None,
-        limits_share: 1.0,
-        max_admission_wait: 0,
-        seed,
-    };
-    let [a, b, c, d, high, low] = listen;
-    let listen = ([a, b, c, d], u16::from_be_bytes([high, low])).into();
-    let idle = micros("settings.caps.conn_idle_ms")?;
-    Ok(Terms {
-        lifecycle,
-        listen,
-        discovery,
-        rooms,
-        names,
-        idle,
-        dial,
-        release,
-        travel: TRAVEL,
-        report,
-        known,
-    })
+fn release_timeout(scheduler: &SchedulerConfig) -> Micros {
+    scheduler.state_release_timeout.max(0) as Micros * MICROS_PER_TENTH
+}
+
+/// The file's JSON, read by paths of keys joined by dots.
+struct ConfigFile<'a> {
+    root: &'a Value,
 }
 
-/// Hears a list only to see that it can be read.
-struct Nobody;
+impl<'a> ConfigFile<'a> {
+    fn get(&self, path: &str) -> Option<&'a Value> {
+        path.split('.').try_fold(self.root, |value, key| value.get(key))
+    }
+
+    fn error(&self, field: &'static str, expected: &'static str) -> ConfigError {
+        let found = match self.get(field) {
+            Some(value) => value.to_string().chars().take(MAX_SHOWN).collect(),
+            None => "nothing".to_string(),
+        };
+        ConfigError::Field { field, expected, found }
+    }
+
+    fn text(&self, path: &'static str, expected: &'static str) -> Result<&'a str, ConfigError> {
+        self.get(path).and_then(Value::as_str).ok_or_else(|| self.error(path, expected))
+    }
 
-impl endpoint_list::Ear for Nobody {
-    fn page(&mut self, _version: u64, _whole: bool) -> bool {
-        false
+    fn address(&self, path: &'static str) -> Result<Address, ConfigError> {
+        let expected = "an IPv4 address with a port";
+        parse_address(self.text(path, expected)?).ok_or_else(|| self.error(path, expected))
     }
 
-    fn entry(&mut self, _listing: tideroute::types::Endpoint, _at: Address) {}
+    fn hexadecimal(&self, path: &'static str) -> Result<u64, ConfigError> {
+        let expected = "hexadecimal digits";
+        u64::from_str_radix(self.text(path, expected)?, 16).map_err(|_| self.error(path, expected))
+    }
+
+    fn integer(&self, path: &'static str, least: u64, expected: &'static str) -> Result<usize, ConfigError> {
+        let number = self.get(path).and_then(Value::as_u64).filter(|number| *number >= least);
+        number.map(|number| number as usize).ok_or_else(|| self.error(path, expected))
+    }
+
+    fn milliseconds(&self, path: &'static str) -> Result<Micros, ConfigError> {
+        let number = self.get(path).and_then(Value::as_f64).filter(|ms| (0.0..MAX_MILLISECONDS).contains(ms));
+        number.map(|ms| (ms * 1000.0) as Micros).ok_or_else(|| self.error(path, "milliseconds"))
+    }
+
+    fn names(&self, path: &'static str) -> Result<Vec<String>, ConfigError> {
+        let error = || self.error(path, "a list of names");
+        let list = self.get(path).and_then(Value::as_array).ok_or_else(error)?;
+        let names: Option<Vec<_>> = list.iter().map(|name| name.as_str().map(str::to_string)).collect();
+        names.ok_or_else(error)
+    }
+
+    fn class_names(&self) -> Result<Vec<String>, ConfigError> {
+        let path = "settings.classes";
+        let classes = self.get(path).and_then(Value::as_array).ok_or_else(|| self.error(path, "a list"))?;
+        Ok(classes.iter().map(|class| class["name"].as_str().unwrap_or_default().to_string()).collect())
+    }
+
+    fn capacity(&self) -> Result<Capacity, ConfigError> {
+        let descriptors =
+            self.integer("limits.sockets", MIN_DESCRIPTORS, "a number of descriptors, 64 or more")?;
+        let memory_mb = self.integer("limits.memory_mb", MIN_MEMORY_MB, "megabytes, 16 or more")?;
+        Ok(Capacity::new(descriptors, memory_mb))
+    }
 }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,8 +1,9 @@
-//! The open watch at discovery: one answer that never ends, a JSON object for each change.
+//! The watch at discovery: one HTTP response that never ends, with a JSON object for each change of the endpoint list.
 //!
-//! Whatever call fails or is given up, what discovery has is heard well within the six seconds after which it counts
-//! as told: a watch that falls silent is ended after [`SILENCE`], the next call after [`AGAIN_MOST`] at the latest,
-//! and a call that nobody takes or answers after [`DIAL`] or [`FIRST`]: 3 + 0.4 + 1 + 0.4 s with one call in vain.
+//! Whatever call fails or is given up, a change is received well within the six seconds after which a router counts as
+//! notified: a watch that falls silent is ended after [`SILENCE_TIMEOUT`], the next call is made after [`MAX_BACKOFF`]
+//! at the latest, and a call that nobody accepts or answers is given up after [`CONNECT_TIMEOUT`] or
+//! [`RESPONSE_TIMEOUT`]: 3 + 0.4 + 1 + 0.4 s with one call in vain.
 
 use bytes::{Bytes, BytesMut};
 use tideroute_http::{write, Body, Bounds, Problem};
@@ -10,121 +11,147 @@
 use tideroute_wire::{Address, Micros};
 
 use crate::headers;
-use crate::json_splitter::{NoObject, Objects};
-use crate::timers::Timeout;
-use crate::timers::TimerKey;
+use crate::json_splitter::{JsonSplitter, NotJson};
+use crate::timers::{Timeout, TimerKey};
 
-const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
+const RESPONSE_BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Bytes of one object: a list of some thousands of workers.
-const OBJECT: usize = 2 << 20;
-/// Microseconds that a dial to the agent on the same machine may take.
-const DIAL: Micros = 500_000;
+const MAX_OBJECT_BYTES: usize = 2 << 20;
+/// Microseconds to connect to the agent on the same machine.
+const CONNECT_TIMEOUT: Micros = 500_000;
 /// Microseconds in which a call must be answered: the agent has at hand what it answers with.
-const FIRST: Micros = 1_000_000;
-/// Microseconds without an object or an empty line after which the watch is opened anew, and in which an object that
-/// has begun must be whole; an empty line comes every two seconds.
-const SILENCE: Micros = 3_000_000;
-/// Microseconds until the next try after a watch ended; doubled up to the second one while none succeeds.
-const AGAIN: Micros = 100_000;
-const AGAIN_MOST: Micros = 400_000;
+const RESPONSE_TIMEOUT: Micros = 1_000_000;
+/// Microseconds without an object or an empty line after which the watch is opened again, and in which an object that
+/// has begun must be complete; an empty line comes every two seconds.
+const SILENCE_TIMEOUT: Micros = 3_000_000;
+/// Microseconds until the next call after a watch has ended; doubled up to [`MAX_BACKOFF`] while none succeeds.
+const MIN_BACKOFF: Micros = 100_000;
+const MAX_BACKOFF: Micros = 400_000;
 
-/// Why a watch can't be heard.
+/// Why what a watch brings cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Unheard {
+pub enum WatchError {
+    /// The response is no sound HTTP, or a refusal.
     #[error(transparent)]
     Http(#[from] Problem),
+    /// The body is no stream of JSON objects.
     #[error(transparent)]
-    Json(#[from] NoObject),
+    Json(#[from] NotJson),
 }
 
+/// The watch, open or waiting to be opened again.
 #[derive(Debug)]
-pub struct Watch {
+pub struct DiscoveryWatch {
     connection: Option<ConnectionId>,
-    body: Option<Body>,
-    arrived: BytesMut,
-    objects: Objects,
+    /// Decodes the response's body, once its head is there.
+    decoder: Option<Body>,
+    received: BytesMut,
+    splitter: JsonSplitter,
     timeout: Timeout,
-    pause: Micros,
+    /// How long the next pause is.
+    backoff: Micros,
 }
 
-impl Default for Watch {
+impl Default for DiscoveryWatch {
     fn default() -> Self {
-        let (arrived, objects) = (BytesMut::new(), Objects::default());
-        Watch { connection: None, body: None, arrived, objects, timeout: Timeout::NEVER, pause: AGAIN }
+        DiscoveryWatch {
+            connection: None,
+            decoder: None,
+            received: BytesMut::new(),
+            splitter: JsonSplitter::default(),
+            timeout: Timeout::NEVER,
+            backoff: MIN_BACKOFF,
+        }
     }
 }
 
-impl Watch {
-    pub fn is(&self, connection: ConnectionId) -> bool {
+impl DiscoveryWatch {
+    /// Whether the watch is open on that connection.
+    pub fn is_on(&self, connection: ConnectionId) -> bool {
         self.connection == Some(connection)
     }
 
-    /// Opens the watch for changes after that version, unless it is open.
-    pub fn begin(&mut self, now: Micros, to: Address, version: u64, effects: &mut Effects) {
+    /// Opens the watch for changes after a version of the list, unless it is open.
+    pub fn open(&mut self, now: Micros, to: Address, version: u64, effects: &mut Effects) {
         if self.connection.is_some() {
             return;
         }
-        let connection = effects.connect(to, DIAL);
-        let target = format!("{}{version}", headers::WATCH);
+        let connection = effects.connect(to, CONNECT_TIMEOUT);
+        let target = format!("{}{version}", headers::WATCH_PATH);
         effects.send(connection, write::request("GET", &target, [("host", "discovery")], None));
         self.connection = Some(connection);
-        self.timeout.set(now + FIRST, TimerKey::DiscoveryWatch, effects);
+        self.timeout.set(now + RESPONSE_TIMEOUT, TimerKey::DiscoveryWatch, effects);
     }
 
-    /// The objects that are whole now, however they are broken into lines; empty lines only show that discovery is
-    /// there.
-    pub fn heard(
+    /// Takes received bytes and returns the objects that are complete now, however they are broken into lines. Empty
+    /// lines only show that discovery is there.
+    pub fn on_data(
         &mut self,
         now: Micros,
         bytes: &Bytes,
         effects: &mut Effects,
-    ) -> Result<Vec<Bytes>, Unheard> {
-        self.arrived.extend_from_slice(bytes);
-        while self.body.is_none() {
-            let Some((head, length)) = tideroute_http::answer(&self.arrived, &BOUNDS)? else {
+    ) -> Result<Vec<Bytes>, WatchError> {
+        self.received.extend_from_slice(bytes);
+        while self.decoder.is_none() {
+            if !self.parse_head(now, effects)? {
                 return Ok(vec![]);
-            };
-            let _ = self.arrived.split_to(length);
-            if head.status == 200 {
-                self.body = Some(Body::new(head.framing, BOUNDS.body));
-                self.timeout.set(now + SILENCE, TimerKey::DiscoveryWatch, effects);
-            } else if head.status >= 200 {
-                return Err(Problem::Version.into());
             }
         }
-        let Some(body) = &mut self.body else { return Ok(vec![]) };
-        let pending = !self.objects.is_empty();
-        let mut whole = vec![];
-        while let Some(piece) = body.next(&mut self.arrived)? {
-            self.objects.push(&piece);
-            while let Some(object) = self.objects.next()? {
-                whole.push(object);
-            }
+        let was_pending = !self.splitter.is_empty();
+        let objects = self.split_objects()?;
+        if self.splitter.len() > MAX_OBJECT_BYTES {
+            return Err(Problem::BodyTooLarge(MAX_OBJECT_BYTES as u64).into());
         }
-        if self.objects.len() > OBJECT {
-            return Err(Problem::BodyTooLarge(OBJECT as u64).into());
+        // Guards against an object that is never complete, behind which empty lines still come.
+        if self.splitter.is_empty() || !objects.is_empty() || !was_pending {
+            self.timeout.set(now + SILENCE_TIMEOUT, TimerKey::DiscoveryWatch, effects);
+        }
+        // The watch works: after its next end it is opened again soon.
+        self.backoff = MIN_BACKOFF;
+        Ok(objects)
+    }
+
+    /// Parses one head, of the final response or of an interim one. False if it is not complete.
+    fn parse_head(&mut self, now: Micros, effects: &mut Effects) -> Result<bool, WatchError> {
+        let Some((head, length)) = tideroute_http::answer(&self.received, &RESPONSE_BOUNDS)? else {
+            return Ok(false);
+        };
+        let _ = self.received.split_to(length);
+        if head.status == 200 {
+            self.decoder = Some(Body::new(head.framing, RESPONSE_BOUNDS.body));
+            self.timeout.set(now + SILENCE_TIMEOUT, TimerKey::DiscoveryWatch, effects);
+        } else if head.status >= 200 {
+            return Err(Problem::Version.into());
         }
-        // Guards against an object that is never whole, behind which empty lines still come.
-        if self.objects.is_empty() || !whole.is_empty() || !pending {
-            self.timeout.set(now + SILENCE, TimerKey::DiscoveryWatch, effects);
+        Ok(true)
+    }
+
+    fn split_objects(&mut self) -> Result<Vec<Bytes>, WatchError> {
+        let mut objects = vec![];
+        let Some(decoder) = &mut self.decoder else { return Ok(objects) };
+        while let Some(piece) = decoder.next(&mut self.received)? {
+            self.splitter.push(&piece);
+            while let Some(object) = self.splitter.next_object()? {
+                objects.push(object);
+            }
         }
-        // It works: the next loss is tried again soon.
-        self.pause = AGAIN;
-        Ok(whole)
+        Ok(objects)
     }
 
-    /// The watch has ended, or is to end: a new one is opened after a pause.
+    /// The watch has ended, or is to be ended: it is opened again after a pause.
     pub fn end(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(connection) = self.connection.take() {
             effects.abort(connection);
         }
-        (self.body, self.arrived, self.objects) = (None, BytesMut::new(), Objects::default());
-        self.timeout.set(now + self.pause, TimerKey::DiscoveryWatch, effects);
-        self.pause = (self.pause * 2).min(AGAIN_MOST);
+        self.decoder = None;
+        self.received = BytesMut::new();
+        self.splitter = JsonSplitter::default();
+        self.timeout.set(now + self.backoff, TimerKey::DiscoveryWatch, effects);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// A timer rang: whether the watch is to be opened now.
-    pub fn rang(&mut self, now: Micros, effects: &mut Effects) -> bool {
+    /// The watch's timer has fired: whether the watch is to be opened now.
+    pub fn timer_fired(&mut self, now: Micros, effects: &mut Effects) -> bool {
         if !self.timeout.has_expired(now, TimerKey::DiscoveryWatch, effects) {
             return false;
         }
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -1,4 +1,4 @@
-//! The books' words as calls to workers and answers to clients.
+//! What the lifecycle decides, carried out: calls to workers and responses to clients.
 
 use std::sync::Arc;
 
@@ -10,273 +10,368 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::clients::{text, Clients};
-use crate::config::Terms;
-use crate::discovery_watch::Watch;
+use crate::clients::Clients;
+use crate::config::Config;
+use crate::discovery_watch::DiscoveryWatch;
 use crate::headers;
-use crate::request_head::Asked;
-use crate::request_trace::{self, State};
-use crate::reserved_state::{Context, EndedBy, Held};
+use crate::request_context::RequestContext;
+use crate::request_trace::{self, TraceEvent};
+use crate::reserved_state::{Context, DecodeFailure, EndedBy, ReservedStateManager};
 use crate::timers::TimerKey;
-use crate::worker_connection::Job;
-use crate::worker_pool::Pools;
+use crate::worker_connection::Call;
+use crate::worker_pool::WorkerPool;
 
-/// Microseconds: an answer on a place comes within 0.3 s, or after the read has ended.
-const PLACE: Micros = 1_000_000;
+/// Microseconds in which a reservation call is answered: within 0.3 s, or after the prefill has ended.
+const RESERVATION_TIMEOUT: Micros = 1_000_000;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What came of decisions while they were carried out, to be told to the books afterwards.
+/// What came of decisions while they were carried out. The lifecycle takes it up afterwards, for none of its calls may
+/// come back into it.
 #[derive(Default)]
-pub struct Later {
-    pub outcomes: Vec<(RequestId, u16, AttemptOutcome)>,
-    /// Clients whose answer is complete: their next request may be there already.
-    pub answered: Vec<ConnectionId>,
+pub struct DeferredEvents {
+    /// Attempts that ended before they could be sent.
+    pub attempt_outcomes: Vec<AttemptEnded>,
+    /// Clients whose response is complete: their next request may be there already.
+    pub completed_clients: Vec<ConnectionId>,
 }
 
-/// A plain text as an answer, with the microseconds that its client should stay away; 0 for no advice.
-pub fn said(status: u16, after: Micros, what: &str, last: bool) -> Bytes {
-    let after = (after > 0).then(|| format!("{:.3}", after as f64 / 1e6));
-    let fields = [("content-type", "text/plain")];
-    let fields = fields.into_iter().chain(after.iter().map(|a| ("retry-after", a.as_str())));
-    write::answer(status, fields, &text(what), last)
+impl DeferredEvents {
+    /// Whether there is nothing to take up.
+    pub fn is_empty(&self) -> bool {
+        self.attempt_outcomes.is_empty() && self.completed_clients.is_empty()
+    }
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct AttemptEnded {
+    /// The request.
+    pub id: RequestId,
+    /// Counts the request's attempts.
+    pub number: u16,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+}
+
+/// A text as the body of a response.
+fn text_body(text: &str) -> Bytes {
+    Bytes::from(format!("{text}\n"))
 }
 
-pub struct Exit<'a> {
-    pub terms: &'a Terms,
+/// A response of plain text, with the microseconds after which its client may retry; 0 for no Retry-After.
+pub fn text_response(status: u16, retry_after: Micros, text: &str, closes_connection: bool) -> Bytes {
+    let seconds = (retry_after > 0).then(|| format!("{:.3}", retry_after as f64 / MICROS_PER_SECOND));
+    let content_type = [("content-type", "text/plain")];
+    let retry_after = seconds.iter().map(|seconds| ("retry-after", seconds.as_str()));
+    let fields = content_type.into_iter().chain(retry_after);
+    write::answer(status, fields, &text_body(text), closes_connection)
+}
+
+/// The parts of the gateway that decisions are carried out with: its transport for the lifecycle.
+pub struct Egress<'a> {
+    /// The gateway's configuration.
+    pub config: &'a Config,
+    /// Clients' connections.
     pub clients: &'a mut Clients,
-    pub pools: &'a mut Pools,
-    pub held: &'a mut Held,
-    pub watch: &'a mut Watch,
-    pub later: &'a mut Later,
-    pub stopping: bool,
+    /// Connections to workers.
+    pub workers: &'a mut WorkerPool,
+    /// What is reserved at workers.
+    pub reserved_state: &'a mut ReservedStateManager,
+    /// The watch at discovery.
+    pub watch: &'a mut DiscoveryWatch,
+    /// What the lifecycle takes up afterwards.
+    pub deferred: &'a mut DeferredEvents,
+    /// No connection of a client is kept for a next request.
+    pub is_shutting_down: bool,
+    /// The time of the event.
     pub now: Micros,
+    /// What the event loop is to do.
     pub effects: &'a mut Effects,
 }
 
-impl Exit<'_> {
-    /// What is held, and what is needed to do something for it.
-    fn held(&mut self) -> (&mut Held, Context<'_>) {
-        let context = Context { now: self.now, pools: &mut *self.pools, effects: &mut *self.effects };
-        (&mut *self.held, context)
+impl Egress<'_> {
+    /// The manager of reserved state, and what it works with.
+    pub fn reserved_state(&mut self) -> (&mut ReservedStateManager, Context<'_, WorkerPool>) {
+        let context = Context { now: self.now, workers: &mut *self.workers, effects: &mut *self.effects };
+        (&mut *self.reserved_state, context)
     }
 
-    /// Asks for a place; only called once the reader has the whole request.
-    pub fn place(&mut self, id: RequestId, trace: &Arc<str>, at: WorkerId) {
-        // Guards against a worker that was told to drain while the reader's connection came up.
-        if !self.pools.takes(at) {
+    /// Asks a worker for a decode reservation. Only called once the prefill worker has the whole request.
+    pub fn request_reservation(&mut self, id: RequestId, trace_id: &Arc<str>, worker: WorkerId) {
+        // Guards against a worker that began to drain while the prefill worker's connection was dialled.
+        if !self.workers.is_serving(worker) {
             return;
         }
-        let target = format!("{}{trace}", headers::PLACES);
+        let target = format!("{}{trace_id}", headers::RESERVATION_PATH);
         let bytes = write::request("POST", &target, [("host", "worker")], Some(b""));
-        let Some(connection) = self.pools.call(self.now, at, Job::Place { id }, bytes, self.effects) else {
+        let call = Call::Reservation { id };
+        let Some(connection) = self.workers.send_call(self.now, worker, call, bytes, self.effects) else {
             return;
         };
-        if let Some(conn) = self.pools.get_mut(connection) {
-            request_trace::tell(id, trace, State::PlaceAsked(conn.to));
-            conn.timeout.set(self.now + PLACE, TimerKey::Worker(connection), self.effects);
+        if let Some(call) = self.workers.get_mut(connection) {
+            request_trace::record(id, trace_id, TraceEvent::ReservationRequested(call.to));
+            let expires_at = self.now + RESERVATION_TIMEOUT;
+            call.timeout.set(expires_at, TimerKey::Worker(connection), self.effects);
         }
-        let (held, mut context) = self.held();
-        held.asked(id, trace, (at, connection), &mut context);
+        let (reserved_state, mut context) = self.reserved_state();
+        reserved_state.reservation_requested(id, trace_id, worker, connection, &mut context);
     }
 
-    /// Probes the reader of a request, whose answer is a sign of life.
-    pub fn ask_for_sign(&mut self, id: RequestId, reader: WorkerId) {
-        let bytes = write::request("GET", headers::ALIVE, [("host", "worker")], None);
-        let Some(connection) = self.pools.call(self.now, reader, Job::Liveness { id }, bytes, self.effects)
-        else {
+    /// Checks whether the prefill worker of a request is alive.
+    pub fn check_liveness(&mut self, id: RequestId, worker: WorkerId) {
+        let bytes = write::request("GET", headers::HEALTH_PATH, [("host", "worker")], None);
+        let call = Call::LivenessCheck { id };
+        let Some(connection) = self.workers.send_call(self.now, worker, call, bytes, self.effects) else {
             return;
         };
-        if let Some(conn) = self.pools.get_mut(connection) {
-            conn.timeout.set(self.now + self.terms.dial, TimerKey::Worker(connection), self.effects);
+        if let Some(call) = self.workers.get_mut(connection) {
+            let expires_at = self.now + self.config.connect_timeout;
+            call.timeout.set(expires_at, TimerKey::Worker(connection), self.effects);
         }
     }
 
-    /// An attempt leaves on its connection, which is up: it tells how long its client waits from now.
-    pub fn attempt(&mut self, connection: ConnectionId, s: &RequestState<Asked>, _permit: AttemptPermit) {
-        let left = (s.deadline.saturating_sub(self.now) / 1_000).to_string();
-        let fields = s.context.fields.iter().map(|(name, value)| (name.as_str(), value.as_str()));
-        let fields = fields.chain([(headers::LEFT, left.as_str())]);
-        self.effects
-            .send(connection, write::request("POST", &s.context.target, fields, Some(&s.context.body)));
+    /// Sends an attempt on its connection, which is established. It says how long its client waits from now on.
+    pub fn send_attempt(
+        &mut self,
+        connection: ConnectionId,
+        request: &RequestState<RequestContext>,
+        _permit: AttemptPermit,
+    ) {
+        let context = &request.context;
+        let remaining_ms = (request.deadline.saturating_sub(self.now) / 1_000).to_string();
+        let forwarded = context.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()));
+        let fields = forwarded.chain([(headers::EXPIRES_IN_MS, remaining_ms.as_str())]);
+        let bytes = write::request("POST", &context.target, fields, Some(&context.body));
+        self.effects.send(connection, bytes);
+    }
+
+    /// Whether the last byte of an attempt may have left: nothing shows that it has not if its connection is not known.
+    fn may_have_left(&self, connection: ConnectionId) -> bool {
+        self.workers.is_written(connection).unwrap_or(true)
     }
 
-    /// Whether a shot's last byte has left; of one whose connection is not known nothing shows that it has not.
-    fn has_left(&mut self, connection: ConnectionId) -> bool {
-        self.pools.get_mut(connection).is_none_or(|conn| conn.written)
+    /// Whether a client's connection is closed after the response.
+    fn closes_after_response(&self, connection: ConnectionId) -> bool {
+        self.is_shutting_down || self.clients.closes_after_response(connection)
     }
 
-    /// An answer that is all there is to say, on a connection that goes on if it can.
-    pub fn say(&mut self, connection: ConnectionId, status: u16, after: Micros, what: &str) {
-        let last = self.stopping || self.clients.get(connection).is_none_or(|c| c.last);
-        self.effects.send(connection, said(status, after, what, last));
-        self.complete(connection, last);
+    /// Sends a response of plain text, on a connection that is kept if it can be.
+    pub fn respond_with_text(
+        &mut self,
+        connection: ConnectionId,
+        status: u16,
+        retry_after: Micros,
+        text: &str,
+    ) {
+        let closes = self.closes_after_response(connection);
+        self.effects.send(connection, text_response(status, retry_after, text, closes));
+        self.response_completed(connection, closes);
     }
 
-    /// The answer is complete.
-    fn complete(&mut self, connection: ConnectionId, last: bool) {
-        if last {
-            self.clients.lose(connection);
+    fn response_completed(&mut self, connection: ConnectionId, closes: bool) {
+        if closes {
+            self.clients.remove(connection);
             self.effects.close(connection, "its last answer");
         } else {
-            self.clients.answered(self.now, connection);
-            self.later.answered.push(connection);
+            self.clients.response_completed(self.now, connection);
+            self.deferred.completed_clients.push(connection);
         }
     }
+
+    /// What a failed attempt may have left at its worker.
+    fn attempt_failed(
+        &mut self,
+        id: RequestId,
+        request: &RequestState<RequestContext>,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
+        sent_at: Micros,
+    ) {
+        let trace_id = &request.context.trace_id;
+        // One that was sent with no state waiting for it has prefilled by itself.
+        let prefills = attempt.is_prefill || request.state_holder.is_none();
+        let (reserved_state, mut context) = self.reserved_state();
+        if prefills && !outcome.never_ran() {
+            reserved_state.prefill_failed(id, trace_id, attempt.worker, sent_at, &mut context);
+            return;
+        }
+        let failure = DecodeFailure {
+            state_holder: request.state_holder,
+            may_have_arrived: !matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent),
+            is_worker_response: matches!(
+                outcome,
+                AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
+            ),
+        };
+        reserved_state.decode_failed(id, trace_id, failure, &mut context);
+    }
 }
 
-impl Transport for Exit<'_> {
-    type Context = Asked;
+/// Who ended the connection of an attempt, if the worker may learn of that later than this router.
+fn ended_by(outcome: AttemptOutcome, is_streaming: bool) -> Option<EndedBy> {
+    match outcome {
+        AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => Some(EndedBy::ThisSide),
+        AttemptOutcome::ConnectionReset if !is_streaming => Some(EndedBy::Reset),
+        _ => None,
+    }
+}
+
+impl Transport for Egress<'_> {
+    type Context = RequestContext;
 
     fn dispatch(
         &mut self,
         id: RequestId,
-        s: &RequestState<Asked>,
+        request: &RequestState<RequestContext>,
         attempt: &Attempt,
-        _left: Micros,
+        _remaining_time: Micros,
         permit: AttemptPermit,
     ) {
+        let number = attempt.number;
         if !attempt.is_prefill {
-            // A place comes too late now.
-            let (held, mut context) = self.held();
-            held.unasked(id, &mut context);
+            // A reservation comes too late now.
+            let (reserved_state, mut context) = self.reserved_state();
+            reserved_state.cancel_unwritten_reservations(id, &mut context);
         }
-        let class = self.terms.lifecycle.scheduler.classes.get(usize::from(s.class));
-        let once = !attempt.is_prefill && class.is_some_and(|t| t.idempotency == Idempotency::NonIdempotent);
-        let job = Job::Attempt { id, number: attempt.number, reading: attempt.is_prefill, once };
-        let Some(connection) = self.pools.begin(self.now, attempt.worker, job, self.effects) else {
-            return self.later.outcomes.push((id, attempt.number, AttemptOutcome::NotSent));
+        let class = self.config.lifecycle.scheduler.classes.get(usize::from(request.class));
+        let is_idempotent = class.is_none_or(|class| class.idempotency != Idempotency::NonIdempotent);
+        let is_single_use = !attempt.is_prefill && !is_idempotent;
+        let call = Call::Attempt { id, number, is_prefill: attempt.is_prefill, is_single_use };
+        let Some(connection) = self.workers.begin_call(self.now, attempt.worker, call, self.effects) else {
+            let ended = AttemptEnded { id, number, outcome: AttemptOutcome::NotSent };
+            return self.deferred.attempt_outcomes.push(ended);
         };
-        if let Some(conn) = self.pools.get_mut(connection) {
-            request_trace::tell(id, &s.context.trace, State::AttemptChosen(attempt.number, conn.to));
+        if let Some(to) = self.workers.get_mut(connection).map(|connection| connection.to) {
+            let event = TraceEvent::AttemptChosen { number, to };
+            request_trace::record(id, &request.context.trace_id, event);
         }
-        if self.pools.attempt_is_connected(id) {
-            self.attempt(connection, s, permit);
-            let (held, mut context) = self.held();
-            held.pause(id, &mut context);
+        if self.workers.is_attempt_connected(id) {
+            self.send_attempt(connection, request, permit);
+            let (reserved_state, mut context) = self.reserved_state();
+            reserved_state.attempt_sent(id, &mut context);
         }
     }
 
     fn reserve(
         &mut self,
         id: RequestId,
-        s: &RequestState<Asked>,
-        at: WorkerId,
-        _reader: WorkerId,
+        request: &RequestState<RequestContext>,
+        worker: WorkerId,
+        _prefill_worker: WorkerId,
         _permit: ReservationPermit,
     ) {
-        let Some(conn) =
-            self.pools.attempt_connection(id).and_then(|connection| self.pools.get_mut(connection))
-        else {
-            return;
-        };
-        if conn.written {
-            self.place(id, &s.context.trace, at);
+        let Some(connection) = self.workers.attempt_connection(id) else { return };
+        let Some(attempt) = self.workers.get_mut(connection) else { return };
+        if attempt.is_written {
+            self.request_reservation(id, &request.context.trace_id, worker);
         } else {
-            conn.place = Some(at);
+            attempt.pending_reservation = Some(worker);
         }
     }
 
-    /// A new place or a shot elsewhere takes the old place's turn by itself; a word here would free the state too.
-    fn cancel_reservation(&mut self, _id: RequestId, _at: WorkerId, _tell: bool) {}
+    /// A new reservation or an attempt elsewhere takes the place of the old reservation by itself; a call here would
+    /// release the state too.
+    fn cancel_reservation(&mut self, _id: RequestId, _worker: WorkerId, _notify: bool) {}
 
     fn release(
         &mut self,
         id: RequestId,
-        _s: &RequestState<Asked>,
-        places: &[WorkerId],
-        state: Option<WorkerId>,
+        _request: &RequestState<RequestContext>,
+        reservations: &[WorkerId],
+        state_holder: Option<WorkerId>,
     ) {
-        let at = state.or(places.last().copied());
-        let (held, mut context) = self.held();
-        held.let_go(id, at, &mut context);
+        let worker = state_holder.or(reservations.last().copied());
+        let (reserved_state, mut context) = self.reserved_state();
+        reserved_state.release_at(id, worker, &mut context);
     }
 
     fn cancel(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
-        let Some(connection) = self.pools.attempt_connection(id) else { return true };
-        let left = self.has_left(connection);
-        self.pools.end(connection, self.effects);
-        !left
+        let Some(connection) = self.workers.attempt_connection(id) else { return true };
+        let may_have_left = self.may_have_left(connection);
+        self.workers.abort(connection, self.effects);
+        !may_have_left
     }
 
     fn cancel_if_unsent(&mut self, id: RequestId, attempt: &Attempt) -> bool {
-        let left = self.pools.attempt_connection(id).is_some_and(|connection| self.has_left(connection));
-        !left && self.cancel(id, attempt)
+        let connection = self.workers.attempt_connection(id);
+        if connection.is_some_and(|connection| self.may_have_left(connection)) {
+            return false;
+        }
+        self.cancel(id, attempt)
     }
 
     fn attempt_finished(
         &mut self,
         id: RequestId,
-        s: &RequestState<Asked>,
+        request: &RequestState<RequestContext>,
         attempt: &Attempt,
         outcome: AttemptOutcome,
     ) {
-        let sent = self.pools.over(id).unwrap_or(self.now);
-        let trace = &s.context.trace;
-        request_trace::tell(id, trace, State::AttemptEnded(attempt.number, outcome));
-        let (held, mut context) = self.held();
-        let failed = outcome != AttemptOutcome::Completed && !attempt.streaming;
-        // One that was sent with no state waiting for it has read the prompt itself.
-        let read = attempt.is_prefill || s.state_holder.is_none();
+        let sent_at = self.workers.attempt_finished(id).unwrap_or(self.now);
+        let trace_id = &request.context.trace_id;
+        let event = TraceEvent::AttemptEnded { number: attempt.number, outcome };
+        request_trace::record(id, trace_id, event);
         if outcome == AttemptOutcome::PrefillComplete {
-            held.read(id, trace, attempt.worker, &mut context);
-        } else if failed && read && !outcome.never_ran() {
-            held.read_badly(id, trace, (attempt.worker, sent), &mut context);
-        } else if failed {
-            let spoke = matches!(
-                outcome,
-                AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
-            );
-            let reached = !matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent);
-            held.stays(id, trace, (s.state_holder, reached, spoke), &mut context);
+            let (reserved_state, mut context) = self.reserved_state();
+            reserved_state.prefill_completed(id, trace_id, attempt.worker, &mut context);
+        } else if outcome != AttemptOutcome::Completed && !attempt.streaming {
+            self.attempt_failed(id, request, attempt, outcome, sent_at);
         }
-        let ended_by = match outcome {
-            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut => Some(EndedBy::ThisSide),
-            AttemptOutcome::ConnectionReset if !attempt.streaming => Some(EndedBy::Reset),
-            _ => None,
-        };
-        if let Some(by) = ended_by {
-            held.gave_up(id, attempt.worker, by, context.now);
+        if let Some(ended_by) = ended_by(outcome, attempt.streaming) {
+            self.reserved_state.attempt_abandoned(id, attempt.worker, ended_by, self.now);
         }
     }
 
     fn request_closed(&mut self, id: RequestId, _permit: ClosePermit) {
-        let (held, mut context) = self.held();
-        held.over(id, &mut context);
+        let (reserved_state, mut context) = self.reserved_state();
+        reserved_state.request_closed(id, &mut context);
     }
 
-    fn respond(&mut self, id: RequestId, s: &RequestState<Asked>, answer: Response, _permit: ResponsePermit) {
-        let connection = s.context.client;
-        request_trace::tell(id, &s.context.trace, State::Answered(answer));
-        let Some(streams) = self.clients.streams(connection, id) else { return };
-        match answer {
+    fn respond(
+        &mut self,
+        id: RequestId,
+        request: &RequestState<RequestContext>,
+        response: Response,
+        _permit: ResponsePermit,
+    ) {
+        let connection = request.context.client;
+        request_trace::record(id, &request.context.trace_id, TraceEvent::Responded(response));
+        let Some(is_streaming) = self.clients.is_streaming(connection, id) else { return };
+        match response {
             Response::Completed(_) => {
-                let last = self.stopping || self.clients.get(connection).is_none_or(|c| c.last);
+                let closes = self.closes_after_response(connection);
                 self.effects.send(connection, write::LAST_CHUNK.into());
-                self.complete(connection, last);
+                self.response_completed(connection, closes);
             }
             // The client sees from the missing last chunk that there was more.
-            Response::Failed if streams => {
-                self.clients.lose(connection);
+            Response::Failed if is_streaming => {
+                self.clients.remove(connection);
                 self.effects.close(connection, "its stream broke");
             }
-            Response::Failed if self.now >= s.deadline => self.say(connection, 504, 0, "no answer in time"),
-            Response::Failed => self.say(connection, 502, 0, "no worker answered it"),
-            Response::Rejected(after) => self.say(connection, 503, after, "turned back: it has not run"),
+            Response::Failed if self.now >= request.deadline => {
+                self.respond_with_text(connection, 504, 0, "no answer in time");
+            }
+            Response::Failed => self.respond_with_text(connection, 502, 0, "no worker answered it"),
+            Response::Rejected(retry_after) => {
+                self.respond_with_text(connection, 503, retry_after, "turned back: it has not run");
+            }
         }
     }
 
-    fn check_health(&mut self, nonce: u64, at: WorkerId) {
-        let path = if self.terms.report.is_some() { headers::LOAD } else { headers::ALIVE };
+    fn check_health(&mut self, nonce: u64, worker: WorkerId) {
+        let brings_report = self.config.load_report.is_some();
+        let path = if brings_report { headers::LOAD_REPORT_PATH } else { headers::HEALTH_PATH };
         let bytes = write::request("GET", path, [("host", "worker")], None);
-        self.pools.call(self.now, at, Job::Probe { nonce }, bytes, self.effects);
+        self.workers.send_call(self.now, worker, Call::HealthCheck { nonce }, bytes, self.effects);
     }
 
-    fn health_check_finished(&mut self, at: WorkerId) {
-        self.pools.end_probe(at, self.effects);
+    fn health_check_finished(&mut self, worker: WorkerId) {
+        self.workers.cancel_health_check(worker, self.effects);
     }
 
     /// Changes come by themselves once the watch is open, which it is whenever it can be.
     fn watch_endpoints(&mut self, version: u64) {
-        self.watch.begin(self.now, self.terms.discovery, version, self.effects);
+        self.watch.open(self.now, self.config.discovery, version, self.effects);
     }
 
     fn set_timer(&mut self, at: Micros, timer: Timer) {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -1,83 +1,118 @@
-//! Discovery's lines: one JSON object each, whose fields go straight into calls.
+//! The endpoint list, as discovery sends it: JSON objects, each a full snapshot or a change.
 
 use serde_json::Value;
 use tideroute::types::{Endpoint, EndpointStatus, WorkerId};
 use tideroute_wire::Address;
 
-use crate::headers::{address, number_of};
+use crate::headers::{hash_name, parse_address};
 
+/// Why an update of the endpoint list cannot be used.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum EndpointListError {
+    /// It is no JSON.
     #[error("the line is no JSON object")]
     Json,
+    /// A field is missing, or of another type or value than it should be.
     #[error("{0} is missing or is not what it should be")]
     Field(&'static str),
 }
 
-/// The names that discovery and the settings have in common.
+/// The names that the settings and discovery have in common; entries of the list refer to them by their place.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct ConfiguredNames {
+    /// Zones (failure domains).
     pub zones: Vec<String>,
+    /// Worker kinds.
     pub kinds: Vec<String>,
 }
 
-/// What hears a page of the list.
-pub trait Ear {
-    /// False if the page shall not be heard.
-    fn page(&mut self, version: u64, whole: bool) -> bool;
-    fn entry(&mut self, endpoint: Endpoint, at: Address);
+/// One entry of the list.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointEntry {
+    /// What the scheduler needs to know of the worker.
+    pub endpoint: Endpoint,
+    /// Where it is reached; all zeros for one that is removed.
+    pub address: Address,
 }
 
-/// What the module calls a worker: it ranks workers by it, so it comes from the name that every router sees, and
-/// not from the address.
-pub fn worker_of(name: &str) -> WorkerId {
-    let [a, b, c, d, e, f, ..] = number_of(name).to_le_bytes();
-    [a, b, c, d, e, f]
+/// One update of the endpoint list.
+#[derive(Clone, Debug)]
+pub struct EndpointUpdate {
+    /// The version that the list has with this update.
+    pub version: u64,
+    /// A full snapshot: workers that it does not name are gone.
+    pub is_full: bool,
+    /// Entries that can be used, in the order of the update.
+    pub entries: Vec<EndpointEntry>,
 }
 
-/// Takes one page apart and makes its calls, or none if any of it can't be read. Entries of a kind or zone that
-/// the settings do not name are passed over, for nothing is known of what they can do.
-pub fn hear(page: &Value, names: &Names, ear: &mut impl Ear) -> Result<(), Unreadable> {
-    let version = page["version"].as_u64().ok_or(Unreadable::Field("version"))?;
-    let whole = page["full"].as_bool().ok_or(Unreadable::Field("full"))?;
-    let servers = page["servers"].as_array().ok_or(Unreadable::Field("servers"))?;
-    let entries = servers.iter().map(|s| entry(s, names)).collect::<Result<Vec<_>, _>>()?;
-    if ear.page(version, whole) {
-        entries.into_iter().flatten().for_each(|(endpoint, at)| ear.entry(endpoint, at));
+impl EndpointUpdate {
+    /// Parses one JSON object. Entries of a kind or zone that the settings do not name are left out: nothing is known of
+    /// what they can do.
+    pub fn parse(line: &[u8], names: &ConfiguredNames) -> Result<EndpointUpdate, EndpointListError> {
+        let update = serde_json::from_slice(line).map_err(|_| EndpointListError::Json)?;
+        EndpointUpdate::from_json(&update, names)
+    }
+
+    /// The same of an object that is already a JSON value.
+    pub fn from_json(update: &Value, names: &ConfiguredNames) -> Result<EndpointUpdate, EndpointListError> {
+        let version = update["version"].as_u64().ok_or(EndpointListError::Field("version"))?;
+        let is_full = update["full"].as_bool().ok_or(EndpointListError::Field("full"))?;
+        let servers = update["servers"].as_array().ok_or(EndpointListError::Field("servers"))?;
+        let mut entries = Vec::with_capacity(servers.len());
+        for server in servers {
+            entries.extend(parse_entry(server, names)?);
+        }
+        Ok(EndpointUpdate { version, is_full, entries })
     }
-    Ok(())
 }
 
-/// The same of a line as it came.
-pub fn hear_line(line: &[u8], names: &Names, ear: &mut impl Ear) -> Result<(), Unreadable> {
-    hear(&serde_json::from_slice(line).map_err(|_| Unreadable::Json)?, names, ear)
+/// The id of a worker. Workers are ranked by it, so it comes from the name that every router sees, and not from the
+/// address.
+pub fn worker_id(name: &str) -> WorkerId {
+    let [a, b, c, d, e, f, ..] = hash_name(name).to_le_bytes();
+    [a, b, c, d, e, f]
 }
 
-fn entry(server: &Value, names: &Names) -> Result<Option<(Endpoint, Address)>, Unreadable> {
-    let word = |field| server[field].as_str().ok_or(Unreadable::Field(field));
-    let worker = worker_of(word("id")?);
-    let status = match word("state")? {
+/// None for an entry whose kind or zone the settings do not name.
+fn parse_entry(server: &Value, names: &ConfiguredNames) -> Result<Option<EndpointEntry>, EndpointListError> {
+    let text = |field| server[field].as_str().ok_or(EndpointListError::Field(field));
+    let worker = worker_id(text("id")?);
+    let status = match text("state")? {
         "SERVING" => EndpointStatus::Serving,
         "DRAINING" => EndpointStatus::Draining,
         "DELETED" => {
-            // One that is gone needs nothing but its name.
+            // The entry of a removed worker needs nothing but its name.
             let endpoint = Endpoint { worker, status: EndpointStatus::Removed, ..Endpoint::default() };
-            return Ok(Some((endpoint, [0; 6])));
+            return Ok(Some(EndpointEntry { endpoint, address: [0; 6] }));
         }
-        _ => return Err(Unreadable::Field("state")),
+        _ => return Err(EndpointListError::Field("state")),
     };
-    let at = address(word("addr")?).ok_or(Unreadable::Field("addr"))?;
-    let (kind, zone) = (word("kind")?, word("zone")?);
-    let cell =
-        server["cell"].as_u64().and_then(|c| u16::try_from(c).ok()).ok_or(Unreadable::Field("cell"))?;
-    let started = server["started_ms"].as_f64().ok_or(Unreadable::Field("started_ms"))?;
+    let address = parse_address(text("addr")?).ok_or(EndpointListError::Field("addr"))?;
+    let kind_name = text("kind")?;
+    let zone_name = text("zone")?;
+    let cell = server["cell"].as_u64().and_then(|cell| u16::try_from(cell).ok());
+    let cell = cell.ok_or(EndpointListError::Field("cell"))?;
+    let started_ms = server["started_ms"].as_f64().ok_or(EndpointListError::Field("started_ms"))?;
     let size = server["weight"].as_f64().unwrap_or(1.0);
-    let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
-    let (Some(kind), Some(zone)) = (place(&names.kinds, kind), place(&names.zones, zone)) else {
-        tracing::warn!(kind, zone, "a worker of a kind or zone that the settings do not name");
+    let kind = names.kinds.iter().position(|name| name == kind_name);
+    let zone = names.zones.iter().position(|name| name == zone_name);
+    let (Some(kind), Some(zone)) = (kind, zone) else {
+        tracing::warn!(
+            kind = kind_name,
+            zone = zone_name,
+            "a worker of a kind or zone that the settings do not name is ignored"
+        );
         return Ok(None);
     };
-    let (kind, zone) = (kind as u16, zone as u8);
-    let started = tideroute_settings::to_tenth_millis(started.max(0.0));
-    Ok(Some((Endpoint { worker, kind, size, status, cell, zone, start_time: started }, at)))
+    let endpoint = Endpoint {
+        worker,
+        kind: kind as u16,
+        size,
+        status,
+        cell,
+        zone: zone as u8,
+        start_time: tideroute_settings::to_tenth_millis(started_ms.max(0.0)),
+    };
+    Ok(Some(EndpointEntry { endpoint, address }))
 }
--- /dev/null
+++ b/crates/gateway/src/endpoint_updates.rs
@@ -0,0 +1,111 @@
+//! What the discovery watch brings: updates of the endpoint list, applied to the lifecycle and to connections.
+
+use bytes::Bytes;
+use tideroute::types::EndpointStatus;
+use tideroute_wire::event_loop::Effects;
+use tideroute_wire::Micros;
+
+use crate::endpoint_list::{EndpointEntry, EndpointListError, EndpointUpdate};
+use crate::state::GatewayState;
+
+/// Microseconds for which a full snapshot that is older than the list in force is ignored.
+const STALE_LIST_TIMEOUT: Micros = 10_000_000;
+
+impl GatewayState {
+    /// Opens the discovery watch, unless it is open.
+    pub fn open_watch(&mut self, now: Micros, effects: &mut Effects) {
+        let version = self.lifecycle.endpoint_list_version();
+        self.watch.open(now, self.config.discovery, version, effects);
+    }
+
+    /// Takes the list that the configuration brings, as the router last had it.
+    pub fn load_known_endpoints(&mut self, now: Micros, effects: &mut Effects) {
+        let known = std::mem::take(&mut self.config.known_endpoints);
+        if known.is_null() {
+            return;
+        }
+        // It was checked when the configuration was.
+        if let Ok(update) = EndpointUpdate::from_json(&known, &self.config.names) {
+            self.apply_update(now, update, effects);
+        }
+        self.lifecycle.finish_endpoint_update(now);
+    }
+
+    /// Bytes have come on the watch.
+    pub fn watch_data(&mut self, now: Micros, bytes: &Bytes, effects: &mut Effects) {
+        let lines = match self.watch.on_data(now, bytes, effects) {
+            Ok(lines) => lines,
+            Err(problem) => {
+                tracing::warn!(%problem, "discovery's answer cannot be read; the watch is opened anew");
+                return self.watch.end(now, effects);
+            }
+        };
+        for line in lines {
+            if let Err(problem) = self.update_endpoints(now, &line, effects) {
+                tracing::warn!(%problem, "a line of discovery cannot be read; the watch is opened anew");
+                return self.watch.end(now, effects);
+            }
+        }
+        self.lifecycle.discovery_synced(now);
+    }
+
+    fn update_endpoints(
+        &mut self,
+        now: Micros,
+        line: &[u8],
+        effects: &mut Effects,
+    ) -> Result<(), EndpointListError> {
+        let update = EndpointUpdate::parse(line, &self.config.names)?;
+        self.apply_update(now, update, effects);
+        self.lifecycle.finish_endpoint_update(now);
+        for connection in self.workers.dialling_unlisted_workers() {
+            self.drop_worker_connection(now, connection, effects);
+        }
+        self.is_discovery_heard = true;
+        Ok(())
+    }
+
+    fn apply_update(&mut self, now: Micros, update: EndpointUpdate, effects: &mut Effects) {
+        if self.is_stale(now, update.version, update.is_full) {
+            tracing::debug!(
+                version = update.version,
+                full = update.is_full,
+                "a stale endpoint list is ignored"
+            );
+            return;
+        }
+        self.stale_since = None;
+        if update.is_full {
+            self.workers.unlist_all();
+        }
+        self.lifecycle.begin_endpoint_update(now, update.version, update.is_full);
+        for entry in update.entries {
+            self.apply_entry(now, entry, effects);
+        }
+    }
+
+    /// After a gap discovery may be behind what it sent before. What is in force is newer then, and changes come again once
+    /// they are newer too. Only if that lasts has discovery begun to count anew.
+    fn is_stale(&mut self, now: Micros, version: u64, is_full: bool) -> bool {
+        if !self.is_discovery_heard || version >= self.lifecycle.endpoint_list_version() {
+            return false;
+        }
+        let since = *self.stale_since.get_or_insert(now);
+        !is_full || now < since + STALE_LIST_TIMEOUT
+    }
+
+    fn apply_entry(&mut self, now: Micros, entry: EndpointEntry, effects: &mut Effects) {
+        let EndpointEntry { endpoint, address } = entry;
+        if endpoint.status == EndpointStatus::Removed {
+            self.workers.worker_removed(endpoint.worker, effects);
+            return self.lifecycle.endpoint_removed(now, endpoint.worker);
+        }
+        let incarnation = self.lifecycle.endpoint_updated(now, endpoint);
+        let is_serving = endpoint.status == EndpointStatus::Serving;
+        let unusable =
+            self.workers.worker_listed(endpoint.worker, address, incarnation.replaced_before, is_serving);
+        for connection in unusable {
+            self.drop_worker_connection(now, connection, effects);
+        }
+    }
+}
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Clients: their requests read, and told no where they can't be taken.
+//! Bytes of clients become requests: heads and bodies are parsed, admitted to the lifecycle, or rejected.
 
 use bytes::{Buf, Bytes, BytesMut};
 use metrics::counter;
@@ -7,295 +7,329 @@
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-use crate::capacity::{BODY, HEAD};
-use crate::clients::At;
-use crate::egress::said;
-use crate::gateway::Platform;
+use crate::capacity::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::client_connection::{ClientState, PartialRequest};
+use crate::egress::text_response;
 use crate::headers;
-use crate::request_head::{is_json, Ask, Asked, Refusal};
-use crate::request_trace::{self, State};
+use crate::request_context::RequestContext;
+use crate::request_head::{is_json, Rejection, RequestHead};
+use crate::request_trace::{self, TraceEvent};
+use crate::state::GatewayState;
 use crate::timers::TimerKey;
 
 /// What a request may have.
-const BOUNDS: Bounds = Bounds { head: HEAD, fields: 64, body: BODY as u64 };
-/// Microseconds in which a request must be whole after its first byte, and in which a new connection must say
-/// something: clients send theirs at once.
-const WHOLE: Micros = 2_000_000;
-/// Microseconds that a connection may stand idle between requests.
-const IDLE: Micros = 15_000_000;
-/// Bytes that are kept ahead of an open request: one more of the largest. What comes on top is read and thrown away,
-/// for the end of a client that goes is seen behind it only.
-const BEHIND: usize = HEAD + BODY + (8 << 10);
-/// Bytes thrown away after which a client is sent away with its request: it sends without end.
-const WASTED: usize = 1 << 20;
+const REQUEST_BOUNDS: Bounds = Bounds { head: MAX_HEAD_BYTES, fields: 64, body: MAX_BODY_BYTES as u64 };
+/// Microseconds in which a request must be complete after its first byte, and in which a new connection must send
+/// something: clients send their requests at once.
+const REQUEST_TIMEOUT: Micros = 2_000_000;
+/// Microseconds that a connection may be idle between requests.
+const IDLE_TIMEOUT: Micros = 15_000_000;
+/// Bytes that are kept behind an open request: one more request of the largest size. What comes on top is read and
+/// discarded, for the end of a client that disconnects is seen behind it only.
+const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + (8 << 10);
+/// Bytes discarded after which a client is disconnected with its request: it sends without end.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
 /// Requests that need no worker answered in one go on a connection.
-const IN_A_ROW: usize = 16;
+const MAX_REQUESTS_AT_ONCE: usize = 16;
+const DUPLICATE_TRACE_ID: Rejection = Rejection::new(409, "a request with this x-trace-id is open");
 
-impl Platform {
-    pub(crate) fn client_came(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        if self.clients.len() >= self.terms.rooms.clients {
-            match self.clients.longest_idle() {
-                // One that is in the middle of its request is told why; one that says nothing is just closed.
-                Some(idle) if self.clients.get(idle).is_some_and(|c| c.arrived.is_empty()) => {
-                    self.clients.lose(idle);
-                    effects.close(idle, "idle, and others come");
-                }
-                Some(idle) => self.refuse(idle, Refusal(408, "others come, and this is not whole"), effects),
-                None => {
-                    counter!("tideroute_clients_sent_away_total").increment(1);
-                    return self.refuse(connection, Refusal(503, "too many connections"), effects);
-                }
-            }
+/// Whether more of a connection's bytes may be taken now.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    /// Another request may be there.
+    More,
+    /// More bytes have to arrive, a request is open, or the connection is closed.
+    Wait,
+}
+
+impl GatewayState {
+    /// A client has connected. Where no more connections are allowed, the longest idle one is closed for it.
+    pub fn client_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        if self.clients.len() >= self.config.capacity.client_connections {
+            let Some(idle) = self.clients.longest_idle() else {
+                counter!("tideroute_clients_sent_away_total").increment(1);
+                return self.reject(connection, Rejection::new(503, "too many connections"), effects);
+            };
+            self.close_for_others(idle, effects);
+        }
+        let client = self.clients.insert(connection, now);
+        client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
+    }
+
+    /// One that is in the middle of its request is told why; one that has sent nothing is just closed.
+    fn close_for_others(&mut self, idle: ConnectionId, effects: &mut Effects) {
+        if self.clients.get(idle).is_some_and(|client| client.received.is_empty()) {
+            self.clients.remove(idle);
+            effects.close(idle, "idle, and others come");
+        } else {
+            self.reject(idle, Rejection::new(408, "others come, and this is not whole"), effects);
         }
-        let client = self.clients.accepted(connection, now);
-        client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
     }
 
-    pub(crate) fn client_heard(
+    /// Bytes have come from a client.
+    pub fn client_data(
         &mut self,
         now: Micros,
         connection: ConnectionId,
         bytes: &Bytes,
         effects: &mut Effects,
     ) {
-        let over = self.clients.held > self.terms.rooms.held;
+        let is_memory_full = self.clients.buffered_bytes() > self.config.capacity.buffered_bytes;
         let Some(client) = self.clients.get_mut(connection) else { return };
-        let ahead = client.arrived.len() + bytes.len();
-        if matches!(client.at, At::Response(..)) && (over || client.wasted > 0 || ahead > BEHIND) {
-            return self.wasted(now, connection, bytes.len(), effects);
+        let pipelined_bytes = client.received.len() + bytes.len();
+        let must_discard =
+            is_memory_full || client.discarded_bytes > 0 || pipelined_bytes > MAX_PIPELINED_BYTES;
+        if client.awaits_response() && must_discard {
+            return self.discard(now, connection, bytes.len(), effects);
         }
-        let begins = client.arrived.is_empty() && matches!(client.at, At::Head);
-        client.arrived.extend_from_slice(bytes);
-        if begins {
-            client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
+        let is_first_byte = client.has_no_request();
+        client.received.extend_from_slice(bytes);
+        if is_first_byte {
+            client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
         }
-        self.requests(now, connection, effects);
+        self.take_requests(now, connection, effects);
     }
 
-    /// A client's answer is complete: what came behind its request is looked at now, and has its time from now on.
-    pub(crate) fn next_request(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+    /// The response to a client is complete: what came behind its request is looked at now, and has its time from now on.
+    pub fn next_request(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if let Some(client) = self.clients.get_mut(connection) {
-            client.timeout.set(now + WHOLE, TimerKey::Client(connection), effects);
+            client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
         }
-        self.requests(now, connection, effects);
+        self.take_requests(now, connection, effects);
     }
 
     /// Takes as many requests as can be taken now: one that is open is answered before the next.
-    pub(crate) fn requests(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        for _ in 0..IN_A_ROW {
+    fn take_requests(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        for _ in 0..MAX_REQUESTS_AT_ONCE {
             let Some(client) = self.clients.get_mut(connection) else { return };
-            let more = match &mut client.at {
-                At::Head => self.head(now, connection, effects),
-                At::Body(_) => self.body(now, connection, effects),
-                At::Response(..) => false,
+            let progress = match client.state {
+                ClientState::AwaitingHead => self.take_head(now, connection, effects),
+                ClientState::ReceivingBody(_) => self.take_body(now, connection, effects),
+                ClientState::AwaitingResponse { .. } => Progress::Wait,
             };
-            self.clients.count(connection);
-            if !more {
+            self.clients.account(connection);
+            if progress == Progress::Wait {
                 break;
             }
         }
-        if self.clients.held > self.terms.rooms.held {
-            let full = self.clients.get(connection).is_some_and(|c| !matches!(c.at, At::Response(..)));
-            if full {
-                return self.refuse(connection, Refusal(503, "no memory for one more request"), effects);
-            }
+        if self.clients.buffered_bytes() > self.config.capacity.buffered_bytes
+            && self.clients.get(connection).is_some_and(|client| !client.awaits_response())
+        {
+            let rejection = Rejection::new(503, "no memory for one more request");
+            return self.reject(connection, rejection, effects);
         }
         let Some(client) = self.clients.get_mut(connection) else { return };
-        if matches!(client.at, At::Head) && client.arrived.is_empty() && client.asked {
-            client.timeout.set(now + IDLE, TimerKey::Client(connection), effects);
+        if client.has_no_request() && client.has_sent_request {
+            client.timeout.set(now + IDLE_TIMEOUT, TimerKey::Client(connection), effects);
         }
     }
 
-    /// So much came ahead of its turn and is not kept: after the open answer nothing more can be read there.
-    fn wasted(&mut self, now: Micros, connection: ConnectionId, bytes: usize, effects: &mut Effects) {
+    /// Bytes came ahead of their turn and are not kept: after the open response nothing more can be read there.
+    fn discard(&mut self, now: Micros, connection: ConnectionId, bytes: usize, effects: &mut Effects) {
         let Some(client) = self.clients.get_mut(connection) else { return };
-        client.last = true;
-        client.wasted += bytes + std::mem::take(&mut client.arrived).len();
-        let without_end = client.wasted > WASTED;
-        let streams = matches!(client.at, At::Response(.., true));
-        self.clients.count(connection);
-        if without_end {
-            let why = "sends without end while its request is open";
-            counter!("tideroute_clients_sent_away_total").increment(1);
-            self.client_gone(now, connection, effects);
-            // The request that is open was read: it gets an answer.
-            if !streams {
-                effects.send(connection, said(400, 0, why, true));
-            }
-            effects.close(connection, why);
+        client.closes_after_response = true;
+        client.discarded_bytes += bytes + std::mem::take(&mut client.received).len();
+        let sends_without_end = client.discarded_bytes > MAX_DISCARDED_BYTES;
+        let is_streaming = client.is_streaming();
+        self.clients.account(connection);
+        if !sends_without_end {
+            return;
+        }
+        let reason = "sends without end while its request is open";
+        counter!("tideroute_clients_sent_away_total").increment(1);
+        self.client_disconnected(now, connection, effects);
+        // The request that is open was read: it gets a response.
+        if !is_streaming {
+            effects.send(connection, text_response(400, 0, reason, true));
         }
+        effects.close(connection, reason);
     }
 
-    /// The client has gone, and what is open for it goes with it.
-    pub(crate) fn client_gone(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        if let Some(id) = self.clients.lose(connection) {
-            if let Some(s) = self.lifecycle.requests.get(id) {
-                request_trace::tell(id, &s.context.trace, State::ClientLeft);
-            }
-            let (lifecycle, mut exit) = self.parts(now, effects);
-            lifecycle.client_disconnected(now, id, &mut exit);
+    /// The client has disconnected: its open request is cancelled.
+    pub fn client_disconnected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(id) = self.clients.remove(connection) else { return };
+        if let Some(request) = self.lifecycle.requests.get(id) {
+            request_trace::record(id, &request.context.trace_id, TraceEvent::ClientDisconnected);
         }
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.client_disconnected(now, id, &mut egress);
     }
 
-    /// Takes a head. Whether there may be more to take now.
-    fn head(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> bool {
-        let Some(client) = self.clients.get_mut(connection) else { return false };
-        // RFC 9112, 2.2: empty lines before a request are passed over.
-        while client.arrived.starts_with(b"\r\n") {
-            client.arrived.advance(2);
+    fn take_head(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Progress {
+        let Some(client) = self.clients.get_mut(connection) else { return Progress::Wait };
+        // RFC 9112, 2.2: empty lines before a request are ignored.
+        while client.received.starts_with(b"\r\n") {
+            client.received.advance(2);
         }
-        let (request, length) = match tideroute_http::request(&client.arrived, &BOUNDS) {
+        let (request, length) = match tideroute_http::request(&client.received, &REQUEST_BOUNDS) {
             Ok(Some(head)) => head,
-            Ok(None) => return false,
+            Ok(None) => return Progress::Wait,
             Err(problem) => {
-                let refusal = Refusal(problem.status(), "the request cannot be read");
+                let rejection = Rejection::new(problem.status(), "the request cannot be read");
                 tracing::debug!(connection = connection.0, %problem, "a request that cannot be read");
-                self.refuse(connection, refusal, effects);
-                return false;
+                return self.reject_and_wait(connection, rejection, effects);
             }
         };
-        client.arrived.advance(length);
-        client.last = request.last;
-        client.asked = true;
+        client.received.advance(length);
+        client.closes_after_response = request.last;
+        client.has_sent_request = true;
+        self.route_request(now, connection, request, effects)
+    }
+
+    fn route_request(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        request: Request,
+        effects: &mut Effects,
+    ) -> Progress {
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
-            ("GET", headers::UP) if request.framing == Framing::Length(0) => {
-                let up = self.is_up();
-                let (status, what) = if up { (200, "up") } else { (503, "not now") };
-                self.parts(now, effects).1.say(connection, status, 0, what);
-                true
+            ("GET", headers::READY_PATH) if request.framing == Framing::Length(0) => {
+                let (status, text) = if self.is_ready() { (200, "up") } else { (503, "not now") };
+                self.egress(now, effects).respond_with_text(connection, status, 0, text);
+                Progress::More
             }
-            ("POST", headers::CHAT) => self.request(connection, request, effects),
-            (_, headers::UP | headers::CHAT) => {
-                self.refuse(connection, Refusal(405, "not with this method"), effects);
-                false
-            }
-            _ => {
-                self.refuse(connection, Refusal(404, "nothing is here"), effects);
-                false
+            ("POST", headers::CHAT_PATH) => self.begin_body(connection, request, effects),
+            (_, headers::READY_PATH | headers::CHAT_PATH) => {
+                self.reject_and_wait(connection, Rejection::new(405, "not with this method"), effects)
             }
+            _ => self.reject_and_wait(connection, Rejection::new(404, "nothing is here"), effects),
         }
     }
 
-    /// The head of a submission: its body follows.
-    fn request(&mut self, connection: ConnectionId, request: Request, effects: &mut Effects) -> bool {
-        let framing = request.framing;
-        let continues = request.fields.one("expect").map(|e| e.eq_ignore_ascii_case("100-continue"));
-        let ask = match Ask::read(request, &self.terms.lifecycle.classes) {
-            Ok(ask) if continues != Some(false) => ask,
-            Ok(_) => {
-                self.refuse(connection, Refusal(417, "what is expected is not known here"), effects);
-                return false;
-            }
-            Err(refusal) => {
-                self.refuse(connection, refusal, effects);
-                return false;
-            }
+    /// Checks the head of a request whose body follows.
+    fn begin_body(&mut self, connection: ConnectionId, request: Request, effects: &mut Effects) -> Progress {
+        let decoder = Body::new(request.framing, MAX_BODY_BYTES as u64);
+        let expects_continue = request.fields.one("expect").map(|e| e.eq_ignore_ascii_case("100-continue"));
+        let head = match RequestHead::parse(request, &self.config.lifecycle.classes) {
+            Ok(head) => head,
+            Err(rejection) => return self.reject_and_wait(connection, rejection, effects),
         };
-        if self.clients.is_open(&ask.trace) {
-            self.refuse(connection, Refusal(409, "a request with this x-trace-id is open"), effects);
-            return false;
+        if expects_continue == Some(false) {
+            let rejection = Rejection::new(417, "what is expected is not known here");
+            return self.reject_and_wait(connection, rejection, effects);
+        }
+        if self.clients.is_open(&head.trace_id) {
+            return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
         }
-        if continues.is_some() {
+        if expects_continue.is_some() {
             effects.send(connection, write::answer(100, [], b"", false));
         }
-        let body = Body::new(framing, BODY as u64);
         if let Some(client) = self.clients.get_mut(connection) {
-            client.at = At::Body(Box::new((ask, body, BytesMut::new())));
+            let request = PartialRequest { head, decoder, body: BytesMut::new() };
+            client.state = ClientState::ReceivingBody(Box::new(request));
         }
-        true
+        Progress::More
     }
 
-    fn body(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> bool {
-        let Some(client) = self.clients.get_mut(connection) else { return false };
-        let At::Body(at) = &mut client.at else { return false };
-        let (_, body, got) = at.as_mut();
+    fn take_body(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Progress {
+        let Some(client) = self.clients.get_mut(connection) else { return Progress::Wait };
+        let ClientState::ReceivingBody(request) = &mut client.state else { return Progress::Wait };
         loop {
-            match body.next(&mut client.arrived) {
-                Ok(Some(piece)) if got.is_empty() && body.done() => *got = piece.into(),
-                Ok(Some(piece)) => got.extend_from_slice(&piece),
+            match request.decoder.next(&mut client.received) {
+                // A body that arrives in one piece is not copied.
+                Ok(Some(piece)) if request.body.is_empty() && request.decoder.done() => {
+                    request.body = piece.into();
+                }
+                Ok(Some(piece)) => request.body.extend_from_slice(&piece),
                 Ok(None) => break,
                 Err(problem) => {
-                    let refusal = Refusal(problem.status(), "the body cannot be read");
-                    self.refuse(connection, refusal, effects);
-                    return false;
+                    let rejection = Rejection::new(problem.status(), "the body cannot be read");
+                    return self.reject_and_wait(connection, rejection, effects);
                 }
             }
         }
-        if !body.done() {
-            return false;
+        if !request.decoder.done() {
+            return Progress::Wait;
         }
-        let At::Body(at) = std::mem::replace(&mut client.at, At::Head) else { return false };
-        let (ask, _, got) = *at;
-        self.whole(now, connection, ask, got.freeze(), effects)
+        let state = std::mem::replace(&mut client.state, ClientState::AwaitingHead);
+        let ClientState::ReceivingBody(request) = state else { return Progress::Wait };
+        self.admit(now, connection, request.head, request.body.freeze(), effects)
     }
 
-    /// A request is whole: the books take it, unless all that may be open is.
-    fn whole(
+    /// A request is complete: the lifecycle admits it, unless it sheds load.
+    fn admit(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        ask: Ask,
+        head: RequestHead,
         body: Bytes,
         effects: &mut Effects,
-    ) -> bool {
+    ) -> Progress {
         if !is_json(&body) {
-            self.refuse(connection, Refusal(400, "the body is no JSON"), effects);
-            return false;
+            return self.reject_and_wait(connection, Rejection::new(400, "the body is no JSON"), effects);
         }
         // The same id may have come on another connection while the body did.
-        if self.clients.is_open(&ask.trace) {
-            self.refuse(connection, Refusal(409, "a request with this x-trace-id is open"), effects);
-            return false;
+        if self.clients.is_open(&head.trace_id) {
+            return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
         }
-        if let Some((why, after)) = self.lifecycle.rejection(false) {
-            self.parts(now, effects).1.say(connection, 503, after, why);
-            return true;
+        if let Some((reason, retry_after)) = self.lifecycle.rejection(false) {
+            self.egress(now, effects).respond_with_text(connection, 503, retry_after, reason);
+            return Progress::More;
         }
-        let left = self.lifecycle.remaining_time(ask.left).saturating_sub(self.terms.travel);
-        let tokens = ask.prompt_tokens(body.len());
-        let (trace, target, fields) = (ask.trace.clone(), ask.target, ask.fields);
-        let asked = Asked { client: connection, trace: ask.trace, target, fields, body };
-        let s =
-            RequestState::new(asked, ask.class, (ask.session, ask.prefix), tokens).with_deadline(now, left);
+        let trace_id = head.trace_id.clone();
+        let request = self.request_state(now, connection, head, body);
         let id = self.lifecycle.requests.next_id();
-        request_trace::tell(id, &trace, State::Taken);
+        request_trace::record(id, &trace_id, TraceEvent::Admitted);
         tracing::debug!(id, connection = connection.0, "takes a request");
-        self.clients.asked(connection, trace, id);
-        let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.accept(now, s, None, &mut exit);
-        false
+        self.clients.request_admitted(connection, trace_id, id);
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.accept(now, request, None, &mut egress);
+        Progress::Wait
+    }
+
+    /// The request as the lifecycle keeps it.
+    fn request_state(
+        &self,
+        now: Micros,
+        client: ConnectionId,
+        head: RequestHead,
+        body: Bytes,
+    ) -> RequestState<RequestContext> {
+        let remaining_time = self.lifecycle.remaining_time(head.remaining_time);
+        let remaining_time = remaining_time.saturating_sub(self.config.travel_time);
+        let prompt_tokens = head.prompt_tokens(body.len());
+        let RequestHead { trace_id, class, session, prefix, target, headers, .. } = head;
+        let context = RequestContext { client, trace_id, target, headers, body };
+        RequestState::new(context, class, (session, prefix), prompt_tokens).with_deadline(now, remaining_time)
     }
 
-    /// Tells a client no, and when to come back if that is for want of room, and ends its connection: nobody
-    /// knows what else it would bring.
-    pub(crate) fn refuse(
+    /// Rejects a request, with Retry-After if that is for want of capacity, and closes its connection: nobody knows what
+    /// else it would bring.
+    fn reject(&mut self, connection: ConnectionId, rejection: Rejection, effects: &mut Effects) {
+        let Rejection { status, reason } = rejection;
+        counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
+        tracing::debug!(connection = connection.0, status, why = reason, "rejects a request");
+        let retry_after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
+        effects.send(connection, text_response(status, retry_after, reason, true));
+        self.clients.remove(connection);
+        effects.close(connection, reason);
+    }
+
+    fn reject_and_wait(
         &mut self,
         connection: ConnectionId,
-        Refusal(status, why): Refusal,
+        rejection: Rejection,
         effects: &mut Effects,
-    ) {
-        counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
-        tracing::debug!(connection = connection.0, status, why, "refuses a request");
-        let after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
-        effects.send(connection, said(status, after, why, true));
-        self.clients.lose(connection);
-        effects.close(connection, why);
+    ) -> Progress {
+        self.reject(connection, rejection, effects);
+        Progress::Wait
     }
 
-    /// The wait for a client may be over.
-    pub(crate) fn client_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+    /// The timer of a client's connection has fired.
+    pub fn client_timer_fired(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         let Some(client) = self.clients.get_mut(connection) else { return };
-        if !client.timeout.has_expired(now, TimerKey::Client(connection), effects)
-            || matches!(client.at, At::Response(..))
-        {
+        let has_expired = client.timeout.has_expired(now, TimerKey::Client(connection), effects);
+        if !has_expired || client.awaits_response() {
             return;
         }
-        if matches!(client.at, At::Head) && client.arrived.is_empty() {
-            self.clients.lose(connection);
+        if client.has_no_request() {
+            self.clients.remove(connection);
             effects.close(connection, "idle");
         } else {
-            self.refuse(connection, Refusal(408, "the request was not whole in time"), effects);
+            let rejection = Rejection::new(408, "the request was not whole in time");
+            self.reject(connection, rejection, effects);
         }
     }
 }
--- a/crates/gateway/src/json_splitter.rs
+++ b/crates/gateway/src/json_splitter.rs
@@ -1,16 +1,17 @@
-//! A stream of JSON objects, however it is cut into pieces and lines: each byte is looked at once.
+//! Splits a byte stream into JSON objects, however it is divided into pieces and lines. Each byte is scanned once.
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// What comes between objects is none.
+/// Something other than white space stands between two objects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-#[error("what it brings is no JSON")]
-pub struct NoObject;
+#[error("what stands between two objects is no JSON")]
+pub struct NotJson;
 
-/// The objects that have arrived, and how far the one that has begun was looked at.
+/// The bytes received that are not yet taken, and how far the object that has begun was scanned.
 #[derive(Debug, Default)]
-pub struct Objects {
-    arrived: BytesMut,
+pub struct JsonSplitter {
+    received: BytesMut,
+    /// Bytes of the object that have been scanned.
     scanned: usize,
     /// Brackets that are open.
     depth: usize,
@@ -18,32 +19,34 @@
     escaped: bool,
 }
 
-impl Objects {
+impl JsonSplitter {
+    /// Appends bytes as they were received.
     pub fn push(&mut self, piece: &[u8]) {
-        self.arrived.extend_from_slice(piece);
+        self.received.extend_from_slice(piece);
     }
 
-    /// Bytes of an object that has begun.
+    /// Bytes received that are not yet taken.
     pub fn len(&self) -> usize {
-        self.arrived.len()
+        self.received.len()
     }
 
+    /// Whether no object has begun.
     pub fn is_empty(&self) -> bool {
-        self.arrived.is_empty()
+        self.received.is_empty()
     }
 
-    /// Takes the next object that is whole, and the space before it.
-    pub fn next(&mut self) -> Result<Option<Bytes>, NoObject> {
+    /// Takes the next object that is complete, without the white space before it.
+    pub fn next_object(&mut self) -> Result<Option<Bytes>, NotJson> {
         if self.depth == 0 {
-            let space = self.arrived.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-            self.arrived.advance(space);
+            let space = self.received.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            self.received.advance(space);
             self.scanned = 0;
         }
-        while let Some(&byte) = self.arrived.get(self.scanned) {
+        while let Some(&byte) = self.received.get(self.scanned) {
             self.scanned += 1;
-            self.look_at(byte)?;
+            self.scan(byte)?;
             if self.depth == 0 {
-                let object = self.arrived.split_to(self.scanned).freeze();
+                let object = self.received.split_to(self.scanned).freeze();
                 self.scanned = 0;
                 return Ok(Some(object));
             }
@@ -51,7 +54,7 @@
         Ok(None)
     }
 
-    fn look_at(&mut self, byte: u8) -> Result<(), NoObject> {
+    fn scan(&mut self, byte: u8) -> Result<(), NotJson> {
         if self.in_string {
             self.in_string = self.escaped || byte != b'"';
             self.escaped = !self.escaped && byte == b'\\';
@@ -59,7 +62,7 @@
         }
         match byte {
             b'{' | b'[' => self.depth += 1,
-            _ if self.depth == 0 => return Err(NoObject),
+            _ if self.depth == 0 => return Err(NotJson),
             b'}' | b']' => self.depth -= 1,
             b'"' => self.in_string = true,
             _ => {}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,29 +1,50 @@
-//! The platform's protocol: clients, workers and discovery over HTTP/1.1. [`Platform`] is a
-//! [`EventHandler`](tideroute_wire::link::Program) on raw links, without socket and clock; what it is told goes to the
-//! books of `tideroute-lifecycle`, which pull the module's decisions, and what those say goes out as this protocol's
-//! words. It translates and decides nothing.
+//! The HTTP router: clients, workers and discovery over HTTP/1.1.
 //!
-//! [`read`] takes the configuration file into [`Terms`]; what the process itself may use of memory and
-//! descriptors is shared out in [`Rooms`].
+//! [`Gateway`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) on raw connections, without sockets and
+//! without a clock. What it receives goes to the request lifecycle of `tideroute-lifecycle`, which asks the scheduler for
+//! decisions; what those say goes out in the words of this protocol. The gateway translates and decides nothing about
+//! where and when a request runs.
+//!
+//! [`Config`] is the parsed configuration file; [`Capacity`] is how the process divides the memory and the descriptors that
+//! it may use.
+//!
+//! The modules stand on floors, each of which uses only those beneath it:
+//!
+//! 1. `timers`, `headers`, `request_trace`, `capacity`, `json_splitter`
+//! 2. `config`, `request_head`, `request_context`, `endpoint_list`, `worker_connection`, `client_connection`
+//! 3. `worker_pool`, `clients`, `discovery_watch`, `reserved_state`, and `release_calls`, which connects two of them
+//! 4. `egress` (decisions to calls) and `state` (all parts together), then what each kind of event does: `ingress`,
+//!    `streaming`, `worker_events`, `endpoint_updates`, `shutdown`
+//! 5. `gateway`, which implements the event loop's trait
+
+#![warn(missing_docs)]
 
 mod capacity;
+mod client_connection;
 mod clients;
 mod config;
 mod discovery_watch;
 mod egress;
 mod endpoint_list;
+mod endpoint_updates;
 mod gateway;
 mod headers;
 mod ingress;
 mod json_splitter;
+mod release_calls;
+mod request_context;
 mod request_head;
 mod request_trace;
 mod reserved_state;
+mod shutdown;
+mod state;
+mod streaming;
 mod timers;
 mod worker_connection;
 mod worker_events;
 mod worker_pool;
 
-pub use capacity::Rooms;
-pub use config::{read, Terms, Unusable};
-pub use gateway::Platform;
+pub use capacity::Capacity;
+pub use config::{Config, ConfigError};
+pub use endpoint_list::{ConfiguredNames, EndpointListError};
+pub use gateway::Gateway;
--- /dev/null
+++ b/crates/gateway/src/request_context.rs
@@ -0,0 +1,20 @@
+//! What the gateway keeps of a request beside its state in the lifecycle.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use tideroute_wire::event_loop::ConnectionId;
+
+/// Who sent a request, and what of it goes on to workers.
+pub struct RequestContext {
+    /// The connection that its response goes to.
+    pub client: ConnectionId,
+    /// The trace id by which the client and the workers name it.
+    pub trace_id: Arc<str>,
+    /// The request target, as the client sent it.
+    pub target: String,
+    /// Header fields that are forwarded to workers.
+    pub headers: Vec<(String, String)>,
+    /// The body, kept while a retry may need it.
+    pub body: Bytes,
+}
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -1,111 +1,149 @@
-//! What a client asks, out of the head of its request.
+//! The head of a client's request, parsed and checked.
 
 use std::sync::Arc;
 
-use bytes::Bytes;
 use tideroute_http::{number, Fields, Request};
-use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::headers::{self, is_trace, number_of};
+use crate::headers::{self, hash_name, is_valid_trace_id};
 
-/// Microseconds: a day is longer than any client waits, and keeps sums of times far from their ends.
-const DAY: Micros = 86_400_000_000;
-/// Letters of a prompt for each of its tokens, where the client does not say how long it is.
-const LETTERS: usize = 4;
+/// Microseconds that a client may wait at most: a day is longer than any client waits, and keeps sums of times far from
+/// overflow.
+const MAX_REMAINING_TIME: Micros = 86_400_000_000;
+/// Bytes of a body for each token of the prompt, where the client does not say how long the prompt is.
+const BYTES_PER_TOKEN: usize = 4;
+const BAD_REQUEST: u16 = 400;
 
-/// What the protocol keeps of a submission beside the books.
-pub struct Asked {
-    pub client: ConnectionId,
-    pub trace: Arc<str>,
-    pub target: String,
-    /// Fields that go on to workers.
-    pub fields: Vec<(String, String)>,
-    /// Kept while another shot may need it.
-    pub body: Bytes,
+/// Why a request is not admitted, with the status that says so.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct Rejection {
+    /// The HTTP status.
+    pub status: u16,
+    /// The text of the response.
+    pub reason: &'static str,
 }
 
-/// A request's head, understood.
+impl Rejection {
+    /// A rejection with that status and text.
+    pub const fn new(status: u16, reason: &'static str) -> Rejection {
+        Rejection { status, reason }
+    }
+
+    const fn bad_request(reason: &'static str) -> Rejection {
+        Rejection::new(BAD_REQUEST, reason)
+    }
+}
+
+/// A request's head, parsed.
 #[derive(Debug)]
-pub struct Ask {
-    pub trace: Arc<str>,
+pub struct RequestHead {
+    /// The client's name for the request.
+    pub trace_id: Arc<str>,
+    /// The request class, by its place in the settings.
     pub class: u8,
+    /// The session as a number, 0 for none.
     pub session: u64,
+    /// The prompt's prefix as a number, 0 for none.
     pub prefix: u64,
+    /// The prompt's length, if the client says it.
     pub prompt_tokens: Option<u32>,
-    pub left: Micros,
+    /// How long the client waits.
+    pub remaining_time: Micros,
+    /// The request target, as it was sent.
     pub target: String,
-    pub fields: Vec<(String, String)>,
+    /// Header fields that are forwarded to workers.
+    pub headers: Vec<(String, String)>,
 }
 
-/// Why a request is not taken, with the status that says so.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Refusal(pub u16, pub &'static str);
-
-const BAD: u16 = 400;
-
-impl Ask {
-    /// Understands the head of a submission; the names of tracks come in their order.
-    pub fn read(request: Request, classes: &[String]) -> Result<Ask, Refusal> {
+impl RequestHead {
+    /// Parses a head; `classes` are the names of the request classes in the order of the settings.
+    pub fn parse(request: Request, classes: &[String]) -> Result<RequestHead, Rejection> {
         let fields = &request.fields;
-        let trace = fields.one(headers::TRACE).filter(|t| is_trace(t));
-        let trace = trace.ok_or(Refusal(BAD, "x-trace-id must be there once, as letters and digits"))?;
-        let class = fields.one(headers::CLASS).and_then(|name| classes.iter().position(|t| t == name));
-        let class = class.ok_or(Refusal(BAD, "x-qos must name a class of this deployment"))?;
-        let left = fields.one(headers::LEFT).and_then(number);
-        let left = left.ok_or(Refusal(BAD, "x-expires-in-ms must be whole milliseconds"))?;
-        let session = match (fields.one(headers::SESSION), fields.has(headers::SESSION)) {
-            (Some(name), _) => number_of(name),
-            (None, false) => 0,
-            (None, true) => return Err(Refusal(BAD, "x-object must be there once at most")),
-        };
-        let (prefix, prompt_tokens) = sizes(fields)?;
-        // Workers are told anew how long the router waits; all else is theirs to understand, as the key by which they
-        // know a repeat again.
-        let passed = fields.end_to_end().filter(|(name, _)| *name != headers::LEFT);
-        Ok(Ask {
-            trace: trace.into(),
+        let trace_id = fields
+            .one(headers::TRACE_ID)
+            .filter(|trace_id| is_valid_trace_id(trace_id))
+            .ok_or(Rejection::bad_request("x-trace-id must be there once, as letters and digits"))?;
+        let class = fields
+            .one(headers::CLASS)
+            .and_then(|name| classes.iter().position(|class| class == name))
+            .ok_or(Rejection::bad_request("x-qos must name a class of this deployment"))?;
+        let remaining_ms = fields
+            .one(headers::EXPIRES_IN_MS)
+            .and_then(number)
+            .ok_or(Rejection::bad_request("x-expires-in-ms must be whole milliseconds"))?;
+        let session = parse_session(fields)?;
+        let prompt = PromptProperties::parse(fields)?;
+        Ok(RequestHead {
+            trace_id: trace_id.into(),
             class: class as u8,
             session,
-            prefix,
-            prompt_tokens,
-            left: left.saturating_mul(1_000).min(DAY),
-            fields: passed.map(|(name, value)| (name.to_string(), value.to_string())).collect(),
+            prefix: prompt.prefix,
+            prompt_tokens: prompt.tokens,
+            remaining_time: remaining_ms.saturating_mul(1_000).min(MAX_REMAINING_TIME),
+            headers: forwarded_headers(fields),
             target: request.target,
         })
     }
 
-    /// How long the prompt is, by what the client said or else by its body.
-    pub fn prompt_tokens(&self, body: usize) -> u32 {
-        self.prompt_tokens.unwrap_or((body / LETTERS) as u32)
+    /// How long the prompt is, by what the client said or else by the length of its body.
+    pub fn prompt_tokens(&self, body_length: usize) -> u32 {
+        self.prompt_tokens.unwrap_or((body_length / BYTES_PER_TOKEN) as u32)
     }
 }
 
-/// The prefix as a number, 0 for none, and the prompt's length if it is told. What else is named there is not
-/// needed.
-fn sizes(fields: &Fields) -> Result<(u64, Option<u32>), Refusal> {
-    let bad = Refusal(BAD, "x-props must be pairs of name=value, with lengths as numbers");
-    let (mut prefix, mut prompt) = (0, None);
-    if !fields.has(headers::SIZES) {
-        return Ok((prefix, prompt));
+fn parse_session(fields: &Fields) -> Result<u64, Rejection> {
+    match (fields.one(headers::SESSION), fields.has(headers::SESSION)) {
+        (Some(name), _) => Ok(hash_name(name)),
+        (None, false) => Ok(0),
+        (None, true) => Err(Rejection::bad_request("x-object must be there once at most")),
     }
-    for pair in fields.one(headers::SIZES).ok_or(bad)?.split(',').map(str::trim).filter(|p| !p.is_empty()) {
-        let (name, value) = pair.split_once('=').ok_or(bad)?;
-        match name.trim() {
-            "prefix" => prefix = number_of(value.trim()).max(1),
-            "prompt_len" => prompt = Some(length(value).ok_or(bad)?),
-            "prefix_len" | "max_out" => drop(length(value).ok_or(bad)?),
-            _ => {}
+}
+
+/// Workers are told anew how long the client waits. All else is forwarded, also the key by which they deduplicate.
+fn forwarded_headers(fields: &Fields) -> Vec<(String, String)> {
+    fields
+        .end_to_end()
+        .filter(|(name, _)| *name != headers::EXPIRES_IN_MS)
+        .map(|(name, value)| (name.to_string(), value.to_string()))
+        .collect()
+}
+
+/// What a client says of its prompt.
+#[derive(Default)]
+struct PromptProperties {
+    /// The prefix as a number, 0 for none.
+    prefix: u64,
+    tokens: Option<u32>,
+}
+
+impl PromptProperties {
+    /// Properties that are not needed are ignored, after a check of those whose form is known.
+    fn parse(fields: &Fields) -> Result<PromptProperties, Rejection> {
+        let rejection =
+            Rejection::bad_request("x-props must be pairs of name=value, with lengths as numbers");
+        let mut properties = PromptProperties::default();
+        if !fields.has(headers::PROPERTIES) {
+            return Ok(properties);
+        }
+        let list = fields.one(headers::PROPERTIES).ok_or(rejection)?;
+        for pair in list.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
+            let (name, value) = pair.split_once('=').ok_or(rejection)?;
+            match name.trim() {
+                "prefix" => properties.prefix = hash_name(value.trim()).max(1),
+                "prompt_len" => properties.tokens = Some(parse_length(value).ok_or(rejection)?),
+                "prefix_len" | "max_out" => drop(parse_length(value).ok_or(rejection)?),
+                _ => {}
+            }
         }
+        Ok(properties)
     }
-    Ok((prefix, prompt))
 }
 
-fn length(value: &str) -> Option<u32> {
+fn parse_length(value: &str) -> Option<u32> {
     u32::try_from(number(value.trim())?).ok()
 }
 
-/// Whether a body is one JSON value: one that was cut by a wrong length is not, and goes to no worker.
+/// Whether a body is one JSON value. One that a wrong length has cut is not, and goes to no worker.
 pub fn is_json(body: &[u8]) -> bool {
     serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
 }
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -1,114 +1,131 @@
-//! The story of each request in the log: one event for each change of state of the request, its attempts, and what is
-//! held for it. All have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed
-//! list, so that the log alone tells what was sent where, when, and why it ended.
-
-use std::net::SocketAddrV4;
+//! The request trace: one log event for each change of state of a request, its attempts, and what is reserved for it.
+//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed list, so
+//! that the log alone shows what was sent where, when, and why it ended.
 
 use tideroute::types::{AttemptOutcome, RequestId};
 use tideroute_lifecycle::Response;
 use tideroute_wire::Address;
 
-/// The target of all events here, by which they can be chosen.
+use crate::headers::socket_address;
+
+/// The target of all trace events, by which a log filter selects them.
 pub const TARGET: &str = "tideroute::request";
 
-/// What has become of a request, or of something that was done for it.
+/// A change of state of a request, or of something that was done for it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum State {
-    Taken,
-    /// An attempt has a worker, whose connection may have to be dialled.
-    AttemptChosen(u16, Address),
-    /// The last byte of an attempt has left.
-    AttemptWritten(u16, Address),
-    AttemptEnded(u16, AttemptOutcome),
-    /// Its answer has begun to go to the client.
-    Began,
-    PlaceAsked(Address),
-    /// A worker is told to free what is held, and has answered.
+pub enum TraceEvent {
+    /// The lifecycle has admitted it.
+    Admitted,
+    /// An attempt has a worker, whose connection may have to be dialled first.
+    AttemptChosen {
+        /// Counts the request's attempts.
+        number: u16,
+        /// The worker's address.
+        to: Address,
+    },
+    /// The last byte of an attempt has been written.
+    AttemptWritten {
+        /// Counts the request's attempts.
+        number: u16,
+        /// The worker's address.
+        to: Address,
+    },
+    /// An attempt has ended.
+    AttemptEnded {
+        /// Counts the request's attempts.
+        number: u16,
+        /// How it ended.
+        outcome: AttemptOutcome,
+    },
+    /// The first bytes of the response are on their way to the client.
+    ResponseStarted,
+    /// A worker is asked for a decode reservation.
+    ReservationRequested(Address),
+    /// A worker is told to release what is reserved.
     ReleaseSent(Address),
+    /// A worker has answered a release.
     Released,
-    Answered(Response),
-    ClientLeft,
+    /// The final response.
+    Responded(Response),
+    /// The client has closed its connection before that.
+    ClientDisconnected,
 }
 
-impl State {
-    fn name(self) -> &'static str {
+impl TraceEvent {
+    fn state(self) -> &'static str {
         match self {
-            State::Taken => "taken",
-            State::AttemptChosen(..) => "attempt-chosen",
-            State::AttemptWritten(..) => "attempt-written",
-            State::AttemptEnded(..) => "attempt-ended",
-            State::Began => "began",
-            State::PlaceAsked(_) => "place-asked",
-            State::ReleaseSent(_) => "release-sent",
-            State::Released => "released",
-            State::Answered(_) => "answered",
-            State::ClientLeft => "client-left",
+            TraceEvent::Admitted => "admitted",
+            TraceEvent::AttemptChosen { .. } => "attempt-chosen",
+            TraceEvent::AttemptWritten { .. } => "attempt-written",
+            TraceEvent::AttemptEnded { .. } => "attempt-ended",
+            TraceEvent::ResponseStarted => "response-started",
+            TraceEvent::ReservationRequested(_) => "reservation-requested",
+            TraceEvent::ReleaseSent(_) => "release-sent",
+            TraceEvent::Released => "released",
+            TraceEvent::Responded(_) => "responded",
+            TraceEvent::ClientDisconnected => "client-disconnected",
         }
     }
 
     fn attempt(self) -> Option<u16> {
         match self {
-            State::AttemptChosen(number, _)
-            | State::AttemptWritten(number, _)
-            | State::AttemptEnded(number, _) => Some(number),
+            TraceEvent::AttemptChosen { number, .. }
+            | TraceEvent::AttemptWritten { number, .. }
+            | TraceEvent::AttemptEnded { number, .. } => Some(number),
             _ => None,
         }
     }
 
-    fn worker(self) -> Option<SocketAddrV4> {
+    fn worker(self) -> Option<Address> {
         match self {
-            State::AttemptChosen(_, at)
-            | State::AttemptWritten(_, at)
-            | State::PlaceAsked(at)
-            | State::ReleaseSent(at) => Some(socket_of(at)),
+            TraceEvent::AttemptChosen { to, .. }
+            | TraceEvent::AttemptWritten { to, .. }
+            | TraceEvent::ReservationRequested(to)
+            | TraceEvent::ReleaseSent(to) => Some(to),
             _ => None,
         }
     }
 
     fn reason(self) -> Option<&'static str> {
         match self {
-            State::AttemptEnded(_, outcome) => Some(reason_of(outcome)),
-            State::Answered(Response::Completed(_)) => Some("served"),
-            State::Answered(Response::Rejected(_)) => Some("refused"),
-            State::Answered(Response::Failed) => Some("failed"),
+            TraceEvent::AttemptEnded { outcome, .. } => Some(outcome_name(outcome)),
+            TraceEvent::Responded(Response::Completed(_)) => Some("completed"),
+            TraceEvent::Responded(Response::Rejected(_)) => Some("rejected"),
+            TraceEvent::Responded(Response::Failed) => Some("failed"),
             _ => None,
         }
     }
 }
 
-fn reason_of(outcome: AttemptOutcome) -> &'static str {
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        AttemptOutcome::Completed => "served",
-        AttemptOutcome::ServerError => "error",
-        AttemptOutcome::Rejected => "turned-away",
-        AttemptOutcome::StateMissing => "no-state",
+        AttemptOutcome::Completed => "completed",
+        AttemptOutcome::ServerError => "server-error",
+        AttemptOutcome::Rejected => "rejected",
+        AttemptOutcome::StateMissing => "state-missing",
         AttemptOutcome::TimedOut => "timed-out",
-        AttemptOutcome::Unreachable => "could-not-connect",
-        AttemptOutcome::ConnectionReset => "reset",
-        AttemptOutcome::Cancelled => "called-back",
-        AttemptOutcome::NotSent => "never-sent",
-        AttemptOutcome::PrefillComplete => "read",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::ConnectionReset => "connection-reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "not-sent",
+        AttemptOutcome::PrefillComplete => "prefill-complete",
     }
 }
 
-fn socket_of([a, b, c, d, high, low]: Address) -> SocketAddrV4 {
-    SocketAddrV4::new([a, b, c, d].into(), u16::from_be_bytes([high, low]))
-}
-
-/// Tells that a request, or something done for it, is in another state.
-pub fn tell(id: RequestId, trace: &str, state: State) {
-    // Nothing is made up for a log that does not want it.
+/// Writes an event to the log.
+pub fn record(id: RequestId, trace_id: &str, event: TraceEvent) {
+    // Nothing is formatted for a log that filters it out.
     if !tracing::enabled!(target: TARGET, tracing::Level::DEBUG) {
         return;
     }
-    let (attempt, worker, reason) = (state.attempt(), state.worker(), state.reason());
+    let worker = event.worker().map(socket_address);
     tracing::debug!(
         target: TARGET,
         id,
-        trace,
-        state = state.name(),
-        attempt,
+        trace = trace_id,
+        state = event.state(),
+        attempt = event.attempt(),
         worker = worker.map(tracing::field::display),
-        reason,
+        reason = event.reason(),
     );
 }
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -1,394 +1,381 @@
-//! What may be held for each request at workers, read states and places, and the calls that release it.
+//! What may be reserved for each request at workers, KV state and decode reservations, and the calls that release it.
 //!
-//! An entry stands from the moment in which something may be held until a worker shows that nothing is: events have
-//! begun, a worker that runs has answered a release, or one has said that it never held anything. It is paid in one
-//! way whatever ended before it: at once where nobody wants it any more, else early enough before its time is over.
-//! That time runs on while an attempt is out of which nothing is heard, for a connection may lead nowhere. It rests
-//! while a read is known to be out: as long as its reader gives signs of life or, where it may not be probed, the
-//! writer that holds the place is asked for it again and still knows of the read. What an attempt waits with is released again and again, for it outlives
-//! a release and may outlive the attempt.
+//! An entry stands from the moment in which something may be reserved until a worker shows that nothing is: the response
+//! has begun, a running worker has answered a release, or one has said that it never reserved anything. Release follows
+//! the same path however an attempt ended: at once where nobody wants the state any more, else early enough before the
+//! release timeout ends.
+//!
+//! The timeout runs while an attempt is out of which nothing is heard, for a connection may lead nowhere. It is suspended
+//! while a prefill is known to be under way: as long as its worker answers liveness checks or, where it must not be
+//! checked, the decode worker that holds the reservation is asked for it again and still knows of the prefill. State that
+//! an attempt waits with is released again and again, for it outlives a release and may outlive the attempt.
+//!
+//! The manager decides what is to be released, when and by whom. It reaches workers by the trait [`Workers`] only.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use tideroute::types::{RequestId, WorkerId};
-use tideroute_http::write;
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::headers;
-use crate::request_trace::{self, State};
-use crate::timers::Timeout;
+use crate::request_trace::{self, TraceEvent};
 use crate::timers::TimerKey;
-use crate::worker_connection::Job;
 
 mod entry;
+mod release;
+mod workers;
+
+pub use entry::EndedBy;
+use entry::{liveness_check_at, liveness_lost_at, AbandonedAttempt, Entry, ReleaseClock, CLOSE_SEEN_WITHIN};
+pub use workers::{Context, Workers};
+
+/// Microseconds in which a dialled connection is established, unless something is wrong on its way: some round trips and
+/// what the worker needs for it.
+const USUAL_CONNECT_TIME: Micros = 50_000;
+/// Answered releases after which the pause before the next one is no longer doubled.
+const MAX_RELEASE_ROUNDS: u32 = 6;
+
+/// What came of a reservation call.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum ReservationOutcome {
+    /// The worker holds the reservation.
+    Granted,
+    /// A worker that knows of the prefill has none to give.
+    Refused,
+    /// The call never arrived, or did nothing.
+    NotReserved,
+    /// The reservation may be held.
+    Unknown,
+}
 
-use entry::{round, stop, unsure_at, Clock, Entry, GivenUp, Release, AHEAD, AWAY, SEES};
-pub use entry::{Context, EndedBy, Place};
-
-/// Microseconds after which a worker that has not answered is not waited for alone: some round trips and a
-/// handshake, and short enough that several can be tried within any release time.
-const TRY: Micros = 100_000;
-/// Calls at most that are out for one request: each time as many more as were made before, so that of a fleet of
-/// which half can't be reached one is found within any release time.
-const CALLS: usize = 16;
-/// Microseconds in which a dialled connection is there, unless something is wrong on its way: some round trips
-/// and what the worker needs for it.
-const COMES_UP: Micros = 50_000;
-/// Times that the pause between two releases is doubled at most.
-const ROUNDS: u32 = 6;
-/// Microseconds that the protocol allows beyond the settings' time.
-const BEYOND: Micros = 300_000;
+/// A decode attempt has ended and may have left state where it was.
+#[derive(Clone, Copy, Debug)]
+pub struct DecodeFailure {
+    /// The worker that holds the request's state, as far as is known.
+    pub state_holder: Option<WorkerId>,
+    /// The attempt may have arrived at its worker.
+    pub may_have_arrived: bool,
+    /// The worker has said that it ended, with which the timeout begins anew.
+    pub is_worker_response: bool,
+}
 
-pub struct Held {
+/// What may be reserved, for all requests.
+pub struct ReservedStateManager {
     entries: BTreeMap<RequestId, Entry>,
-    /// Requests of which a read has just ended badly.
-    doubtful: Vec<RequestId>,
-    /// Requests of which it has to be asked whether their reads are still out.
-    unsure: Vec<RequestId>,
-    /// The time allowed, by the settings.
-    allowed: Micros,
+    /// Requests of which a prefill has failed since the last look.
+    failed_prefills: Vec<RequestId>,
+    /// Requests of which it has to be checked whether their prefills are still under way.
+    liveness_checks: Vec<RequestId>,
+    release_timeout: Micros,
 }
 
-impl Held {
-    pub fn new(allowed: Micros) -> Held {
-        Held { entries: BTreeMap::new(), doubtful: vec![], unsure: vec![], allowed }
+impl ReservedStateManager {
+    /// A manager that releases within so long.
+    pub fn new(release_timeout: Micros) -> ReservedStateManager {
+        ReservedStateManager {
+            entries: BTreeMap::new(),
+            failed_prefills: vec![],
+            liveness_checks: vec![],
+            release_timeout,
+        }
     }
 
+    /// Whether nothing is reserved for any request, nor may come to be.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Requests of which a read has ended badly since the last call.
-    pub fn doubtful(&mut self) -> Vec<RequestId> {
-        std::mem::take(&mut self.doubtful)
+    /// Requests of which a prefill has failed since the last call. What it left is to be released at once by
+    /// [`release_now`](Self::release_now) where no attempt follows.
+    pub fn take_failed_prefills(&mut self) -> Vec<RequestId> {
+        std::mem::take(&mut self.failed_prefills)
     }
 
-    /// Requests of which it has to be asked now whether their reads are still out, with their trace ids.
-    pub fn unsure(&mut self) -> Vec<(RequestId, Arc<str>)> {
-        let unsure = std::mem::take(&mut self.unsure);
-        unsure.into_iter().filter_map(|id| Some((id, self.entries.get(&id)?.trace.clone()))).collect()
+    /// Requests of which it has to be checked now whether their prefills are still under way, with their trace ids.
+    pub fn take_liveness_checks(&mut self) -> Vec<(RequestId, Arc<str>)> {
+        let mut checks = vec![];
+        for id in std::mem::take(&mut self.liveness_checks) {
+            if let Some(entry) = self.entries.get(&id) {
+                checks.push((id, entry.trace_id.clone()));
+            }
+        }
+        checks
     }
 
-    /// The reader of a request has given a sign of life.
-    pub fn reader_lives(&mut self, id: RequestId, at: &mut Context) {
-        let Some(entry) = self.entries.get_mut(&id).filter(|e| e.since().is_none()) else { return };
-        entry.rests(at.now, self.allowed, TimerKey::ReservedState(id.into()), at.effects);
+    /// The prefill worker of a request has answered a liveness check.
+    pub fn liveness_confirmed<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
+        let Some(entry) = self.entries.get_mut(&id) else { return };
+        if entry.running_since().is_none() {
+            entry.suspend_clock(id, self.release_timeout, context);
+        }
     }
 
-    fn entry(&mut self, now: Micros, id: RequestId, trace: &Arc<str>) -> &mut Entry {
-        self.entries.entry(id).or_insert_with(|| Entry {
-            trace: trace.clone(),
-            at: None,
-            clock: Clock::Runs(now),
-            asked: false,
-            asking: vec![],
-            rounds: 0,
-            given_up: vec![],
-            over: false,
-            timeout: Timeout::NEVER,
-            release: None,
-        })
+    fn entry(&mut self, since: Micros, id: RequestId, trace_id: &Arc<str>) -> &mut Entry {
+        self.entries.entry(id).or_insert_with(|| Entry::new(trace_id.clone(), since))
     }
 
-    /// The time runs since then, and a release under way, which may have come too early, is none.
-    fn runs(&mut self, id: RequestId, since: Micros, at: &mut Context) {
+    /// The clock runs since then; a release under way, which may have come too early, is none.
+    fn run_clock<W: Workers>(&mut self, id: RequestId, since: Micros, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        stop(entry, None, at);
-        entry.clock = Clock::Runs(since);
-        entry.timeout.set(entry.due(since, self.allowed), TimerKey::ReservedState(id.into()), at.effects);
+        entry.stop_release(None, context);
+        entry.clock = ReleaseClock::Running { since };
+        let due_at = entry.release_due_at(since, self.release_timeout);
+        entry.set_timeout(id, due_at, context.effects);
     }
 
-    /// A read has ended well: its state takes the turn of whatever was held before.
-    pub fn read(&mut self, id: RequestId, trace: &Arc<str>, worker: WorkerId, at: &mut Context) {
-        let entry = self.entry(at.now, id, trace);
-        (entry.at, entry.asked, entry.rounds) = (Some(worker), false, 0);
-        self.runs(id, at.now, at);
+    /// The entry is looked at after so long at the latest.
+    fn check_again_after<W>(&mut self, id: RequestId, time: Micros, context: &mut Context<W>) {
+        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let at = (context.now + time).min(entry.timeout.expires_at());
+        entry.set_timeout(id, at, context.effects);
     }
 
-    /// An attempt that read the prompt and went out then has ended badly: the read may have ended well over there at
-    /// any time since.
-    pub fn read_badly(
+    /// A prefill is complete: its state takes the place of whatever was reserved before.
+    pub fn prefill_completed<W: Workers>(
         &mut self,
         id: RequestId,
-        trace: &Arc<str>,
-        (worker, sent): (WorkerId, Micros),
-        at: &mut Context,
+        trace_id: &Arc<str>,
+        worker: WorkerId,
+        context: &mut Context<W>,
     ) {
-        let known = self.entries.get(&id).and_then(Entry::since);
-        let entry = self.entry(sent, id, trace);
-        (entry.at, entry.asked, entry.rounds) = (Some(worker), false, 0);
-        self.doubtful.push(id);
-        self.runs(id, known.map_or(sent, |since| since.min(sent)), at);
-        // The next attempt takes nothing while it does not come up.
-        self.looks_again(id, COMES_UP, at);
+        self.entry(context.now, id, trace_id).located_at(worker);
+        self.run_clock(id, context.now, context);
+    }
+
+    /// An attempt that was to prefill and was dispatched at `sent_at` has failed: its prefill may have become complete over
+    /// there at any time since.
+    pub fn prefill_failed<W: Workers>(
+        &mut self,
+        id: RequestId,
+        trace_id: &Arc<str>,
+        worker: WorkerId,
+        sent_at: Micros,
+        context: &mut Context<W>,
+    ) {
+        let running_since = self.entries.get(&id).and_then(Entry::running_since);
+        self.entry(sent_at, id, trace_id).located_at(worker);
+        self.failed_prefills.push(id);
+        let since = running_since.map_or(sent_at, |since| since.min(sent_at));
+        self.run_clock(id, since, context);
+        // The next attempt takes nothing while its connection is not established.
+        self.check_again_after(id, USUAL_CONNECT_TIME, context);
     }
 
     /// The connection of an attempt at a worker was ended.
-    pub fn gave_up(&mut self, id: RequestId, worker: WorkerId, by: EndedBy, now: Micros) {
+    pub fn attempt_abandoned(&mut self, id: RequestId, worker: WorkerId, ended_by: EndedBy, now: Micros) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.given_up.push(GivenUp { worker, when: now, by, heard: false });
+            let attempt = AbandonedAttempt { worker, ended_at: now, ended_by, is_worker_heard: false };
+            entry.abandoned_attempts.push(attempt);
         }
     }
 
-    /// The call that asks a worker for a place goes out on that link.
-    pub fn asked(
+    /// A reservation call goes out to a worker on that connection.
+    pub fn reservation_requested<W: Workers>(
         &mut self,
         id: RequestId,
-        trace: &Arc<str>,
-        (worker, on): (WorkerId, ConnectionId),
-        at: &mut Context,
+        trace_id: &Arc<str>,
+        worker: WorkerId,
+        connection: ConnectionId,
+        context: &mut Context<W>,
     ) {
-        let new = !self.entries.contains_key(&id);
-        let entry = self.entry(at.now, id, trace);
-        entry.asking.push(on);
-        entry.rounds = 0;
-        if new {
-            (entry.at, entry.asked) = (Some(worker), true);
-            self.runs(id, at.now, at);
+        let is_new = !self.entries.contains_key(&id);
+        let entry = self.entry(context.now, id, trace_id);
+        entry.reservation_calls.push(connection);
+        entry.release_rounds = 0;
+        if is_new {
+            entry.location = Some(worker);
+            entry.is_reservation_only = true;
+            self.run_clock(id, context.now, context);
         }
     }
 
-    /// That call is over; `reading` if its read is out.
-    pub fn answered(
+    /// A reservation call has ended; `is_prefilling` if the prefill that it is for is out.
+    pub fn reservation_call_ended<W: Workers>(
         &mut self,
         id: RequestId,
-        on: ConnectionId,
-        (place, reading): (Place, bool),
-        at: &mut Context,
+        connection: ConnectionId,
+        outcome: ReservationOutcome,
+        is_prefilling: bool,
+        context: &mut Context<W>,
     ) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        // An answer to an earlier call may be of an earlier read.
-        let known = entry.asking.last() == Some(&on) && matches!(place, Place::Held | Place::Refused);
-        let none = matches!(place, Place::Refused | Place::None);
-        entry.asking.retain(|connection| *connection != on);
-        entry.asked &= none;
+        // The answer to an earlier call may be about an earlier prefill.
+        let is_latest = entry.reservation_calls.last() == Some(&connection);
+        let is_answered = matches!(outcome, ReservationOutcome::Granted | ReservationOutcome::Refused);
+        let is_none = matches!(outcome, ReservationOutcome::Refused | ReservationOutcome::NotReserved);
+        entry.reservation_calls.retain(|call| *call != connection);
+        entry.is_reservation_only &= is_none;
         if entry.holds_nothing() {
-            stop(entry, None, at);
+            entry.stop_release(None, context);
             self.entries.remove(&id);
-        } else if (entry.over || entry.release.is_some()) && !none {
-            // A release may have been there before it.
-            self.runs(id, at.now, at);
-            self.unwanted(id, at);
-        } else if known && reading && entry.release.is_none() {
-            // The read is out at a worker that runs: the time rests.
-            entry.rests(at.now, self.allowed, TimerKey::ReservedState(id.into()), at.effects);
-        } else if !none {
-            // It may be held from now on; of a read that was taken to be out nobody there knows.
-            entry.rounds = 0;
-            let since = entry.since().unwrap_or(at.now);
-            self.runs(id, since, at);
+        } else if (entry.is_request_closed || entry.release.is_some()) && !is_none {
+            // A release may have arrived before it.
+            self.run_clock(id, context.now, context);
+            self.release_now(id, context);
+        } else if is_latest && is_answered && is_prefilling && entry.release.is_none() {
+            // The prefill is under way at a running worker.
+            entry.suspend_clock(id, self.release_timeout, context);
+        } else if !is_none {
+            // It may be held from now on; of a prefill that was taken to be under way nobody there knows.
+            entry.release_rounds = 0;
+            let since = entry.running_since().unwrap_or(context.now);
+            self.run_clock(id, since, context);
         }
     }
 
-    /// No place is wanted any more: calls for one that have not left never do.
-    pub fn unasked(&mut self, id: RequestId, at: &mut Context) {
+    /// No reservation is wanted any more: calls for one that have not been written never are.
+    pub fn cancel_unwritten_reservations<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.asking.retain(|connection| {
-            let left = at.pools.get_mut(*connection).is_some_and(|conn| conn.written);
-            if !left {
-                at.pools.end(*connection, at.effects);
-            }
-            left
-        });
+        entry.cancel_unwritten_reservations(context);
         if entry.holds_nothing() {
-            stop(entry, None, at);
+            entry.stop_release(None, context);
             self.entries.remove(&id);
         }
     }
 
-    /// An attempt has ended that left a state, or what else is held, where it was; `spoke` if its worker said so,
-    /// with which the time begins anew, and `reached` if it may have come there.
-    pub fn stays(
+    /// A decode attempt has ended without a response, and left where it was what is reserved.
+    pub fn decode_failed<W: Workers>(
         &mut self,
         id: RequestId,
-        trace: &Arc<str>,
-        (state, reached, spoke): (Option<WorkerId>, bool, bool),
-        at: &mut Context,
+        trace_id: &Arc<str>,
+        failure: DecodeFailure,
+        context: &mut Context<W>,
     ) {
-        let new = !self.entries.contains_key(&id);
-        if state.is_some() {
-            self.entry(at.now, id, trace).at = state;
+        let is_new = !self.entries.contains_key(&id);
+        if failure.state_holder.is_some() {
+            self.entry(context.now, id, trace_id).location = failure.state_holder;
         }
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if new || spoke || entry.since().is_none() {
-            self.runs(id, at.now, at);
-        } else if reached && entry.release.is_some() {
-            // The release may have come while the attempt still waited with the state, which it frees not then.
-            stop(entry, None, at);
-            self.unwanted(id, at);
+        if is_new || failure.is_worker_response || entry.running_since().is_none() {
+            self.run_clock(id, context.now, context);
+        } else if failure.may_have_arrived && entry.release.is_some() {
+            // The release may have come while the attempt still waited with the state, which it does not free then.
+            entry.stop_release(None, context);
+            self.release_now(id, context);
         }
     }
 
-    /// Events have begun, with which all that is held goes by itself.
-    pub fn taken(&mut self, id: RequestId, at: &mut Context) {
+    /// The response has begun, with which the worker frees all that was reserved.
+    pub fn response_started<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.over = true;
-        self.paid(id, None, at);
+        entry.is_request_closed = true;
+        self.mark_released(id, None, context);
     }
 
-    /// A worker has answered a release, on that link. It frees nothing that an attempt waits with.
-    pub fn released(&mut self, id: RequestId, on: ConnectionId, at: &mut Context) {
+    /// A worker has answered a release on that connection. The release frees nothing that an attempt waits with.
+    pub fn release_answered<W: Workers>(
+        &mut self,
+        id: RequestId,
+        connection: ConnectionId,
+        context: &mut Context<W>,
+    ) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        request_trace::tell(id, &entry.trace, State::Released);
-        let began = entry.release.as_ref().map_or(at.now, |release| release.began);
-        entry.forget_hung(at);
-        entry.given_up.retain_mut(|given_up| given_up.outlives(began, at));
-        if entry.given_up.is_empty() && !at.pools.writes(id) {
-            return self.paid(id, Some(on), at);
+        request_trace::record(id, &entry.trace_id, TraceEvent::Released);
+        let began_at = entry.release.as_ref().map_or(context.now, |release| release.began_at);
+        entry.forget_hung_workers(context);
+        entry.abandoned_attempts.retain_mut(|attempt| attempt.outlives_release(began_at, context));
+        if entry.abandoned_attempts.is_empty() && !context.workers.is_decoding(id) {
+            return self.mark_released(id, Some(connection), context);
         }
-        stop(entry, Some(on), at);
+        entry.stop_release(Some(connection), context);
         // It is told first from now on, for its answer is the sign that it runs.
-        entry.at = entry.given_up.first().map(|given_up| given_up.worker).or(entry.at);
-        let soon = entry.given_up.iter().any(|given_up| given_up.heard || began < given_up.when + SEES);
-        self.runs(id, at.now, at);
-        if soon {
-            self.looks_again(id, SEES, at);
+        if let Some(attempt) = entry.abandoned_attempts.first() {
+            entry.location = Some(attempt.worker);
         }
-    }
-
-    /// The entry is looked at after so long, if that is not done before.
-    fn looks_again(&mut self, id: RequestId, after: Micros, at: &mut Context) {
-        if let Some(entry) = self.entries.get_mut(&id) {
-            let until = (at.now + after).min(entry.timeout.expires_at());
-            entry.timeout.set(until, TimerKey::ReservedState(id.into()), at.effects);
+        let is_seen_soon = entry
+            .abandoned_attempts
+            .iter()
+            .any(|attempt| attempt.is_worker_heard || began_at < attempt.ended_at + CLOSE_SEEN_WITHIN);
+        self.run_clock(id, context.now, context);
+        if is_seen_soon {
+            self.check_again_after(id, CLOSE_SEEN_WITHIN, context);
         }
     }
 
-    /// Nothing is held any more, but for what a call for a place under way may hold yet.
-    fn paid(&mut self, id: RequestId, on: Option<ConnectionId>, at: &mut Context) {
+    /// Nothing is reserved any more, but for what a reservation call under way may reserve yet.
+    fn mark_released<W: Workers>(
+        &mut self,
+        id: RequestId,
+        answered: Option<ConnectionId>,
+        context: &mut Context<W>,
+    ) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        stop(entry, on, at);
-        entry.asked = true;
-        entry.rounds = if entry.asking.is_empty() { 0 } else { (entry.rounds + 1).min(ROUNDS) };
-        self.unasked(id, at);
-        self.runs(id, at.now, at);
-    }
-
-    /// The request is over, and nobody wants what is held for it.
-    pub fn over(&mut self, id: RequestId, at: &mut Context) {
-        if let Some(entry) = self.entries.get_mut(&id) {
-            entry.over = true;
-            // What comes of a call for a place is waited for, as long as its time lasts.
-            if !entry.asked {
-                self.unwanted(id, at);
-            }
+        entry.stop_release(answered, context);
+        entry.is_reservation_only = true;
+        if entry.reservation_calls.is_empty() {
+            entry.release_rounds = 0;
+        } else {
+            entry.release_rounds = (entry.release_rounds + 1).min(MAX_RELEASE_ROUNDS);
         }
+        self.cancel_unwritten_reservations(id, context);
+        self.run_clock(id, context.now, context);
     }
 
-    /// The next attempt is there. What it makes takes the turn of what is held, and must not be released under it,
-    /// unless the time is over.
-    pub fn pause(&mut self, id: RequestId, at: &mut Context) {
+    /// The request is closed, and nobody wants what is reserved for it.
+    pub fn request_closed<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        let Some(due) = entry.since().map(|since| entry.due(since, self.allowed)) else { return };
-        if at.now >= due {
-            return;
+        entry.is_request_closed = true;
+        // The answer to a reservation call is waited for, as long as its timeout lasts.
+        if !entry.is_reservation_only {
+            self.release_now(id, context);
         }
-        stop(entry, None, at);
-        entry.timeout.set(due, TimerKey::ReservedState(id.into()), at.effects);
-    }
-
-    /// Nobody wants what is held. Without an entry there is nothing to do.
-    pub fn unwanted(&mut self, id: RequestId, at: &mut Context) {
-        self.unasked(id, at);
-        let Some(entry) = self.entries.get_mut(&id).filter(|e| e.release.is_none()) else { return };
-        let since = entry.since().unwrap_or(at.now);
-        entry.clock = Clock::Runs(since);
-        let until = (since + self.allowed).max(at.now + AHEAD) + BEYOND;
-        tracing::debug!(id, at = ?entry.at, held = at.now - since, "releases what is held");
-        let left = round(entry.at, at.pools);
-        entry.release = Some(Release { began: at.now, left, calls: 0, in_flight: VecDeque::new(), until });
-        self.go(id, 1, at);
-    }
-
-    /// The same of what the books take to be held, there as far as they know. Without an entry nothing ever came to be: a
-    /// place that was wanted was never asked for, or a state was released since.
-    pub fn let_go(&mut self, id: RequestId, worker: Option<WorkerId>, at: &mut Context) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.at = worker.or(entry.at);
-        self.unwanted(id, at);
     }
 
-    /// Makes so many calls more, and sets the time for those after them.
-    fn go(&mut self, id: RequestId, more: usize, at: &mut Context) {
+    /// The next attempt has been sent. What it makes takes the place of what is reserved, which must not be released
+    /// under it, unless the timeout has ended.
+    pub fn attempt_sent<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        let Some(release) = &mut entry.release else { return };
-        if at.now >= release.until {
-            tracing::warn!(id, calls = release.calls, "nobody could be told to release what is held");
-            entry.forget_hung(at);
-            return self.paid(id, None, at);
-        }
-        let target = format!("{}{}", headers::PLACES, entry.trace);
-        let bytes = write::request("DELETE", &target, [("host", "worker")], None);
-        for _ in 0..more.min(CALLS) {
-            let mut called = None;
-            while let Some(worker) = called.is_none().then(|| release.left.pop_front()).flatten() {
-                called = at.pools.call(at.now, worker, Job::Release { id }, bytes.clone(), at.effects);
-                if let Some(conn) = called.and_then(|connection| at.pools.get_mut(connection)) {
-                    request_trace::tell(id, &entry.trace, State::ReleaseSent(conn.to));
-                }
-            }
-            let Some(connection) = called else { break };
-            release.calls += 1;
-            release.in_flight.push_back(connection);
-            if release.in_flight.len() > CALLS {
-                release.in_flight.pop_front().into_iter().for_each(|oldest| at.pools.end(oldest, at.effects));
-            }
+        let Some(since) = entry.running_since() else { return };
+        let due_at = entry.release_due_at(since, self.release_timeout);
+        if context.now >= due_at {
+            return;
         }
-        entry.timeout.set(at.now + TRY, TimerKey::ReservedState(id.into()), at.effects);
+        entry.stop_release(None, context);
+        entry.set_timeout(id, due_at, context.effects);
     }
 
-    /// The time of an entry is over, or a worker has not answered in time: the next ones are asked too.
-    pub fn rang(&mut self, id: RequestId, at: &mut Context) {
+    /// The timer of an entry has fired: its release is due, or a worker has not answered in time.
+    pub fn timer_fired<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if !entry.timeout.has_expired(at.now, TimerKey::ReservedState(id.into()), at.effects) {
+        let key = TimerKey::ReservedState(id.into());
+        if !entry.timeout.has_expired(context.now, key, context.effects) {
             return;
         }
-        let Some(release) = &mut entry.release else { return self.comes_due(id, at) };
-        if release.left.is_empty() {
-            release.left = round(entry.at, at.pools);
+        if entry.release.is_some() {
+            self.release_call_timed_out(id, context);
+        } else {
+            self.check_due(id, context);
         }
-        let more = release.calls.max(1);
-        self.go(id, more, at);
     }
 
-    /// The time of an entry that is not being released is over, or has to be looked at.
-    fn comes_due(&mut self, id: RequestId, at: &mut Context) {
+    /// Releases an entry if that is due, requests a liveness check if that is, and sets the next timer.
+    fn check_due<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        let next = match entry.clock {
-            Clock::Runs(since) if at.pools.attempt_is_connected(id) => entry.due(since, self.allowed),
-            Clock::Runs(_) => at.now,
-            Clock::Rests { since, asked } => {
-                let since = since.max(at.pools.reader_heard(id));
-                let renewal = unsure_at(since, self.allowed);
-                let asks = !asked && at.now >= renewal;
-                if asks {
-                    self.unsure.push(id);
+        let due_at = match entry.clock {
+            ReleaseClock::Running { since } if context.workers.is_attempt_connected(id) => {
+                entry.release_due_at(since, self.release_timeout)
+            }
+            ReleaseClock::Running { .. } => context.now,
+            ReleaseClock::Suspended { since, is_check_requested } => {
+                let since = since.max(context.workers.attempt_worker_last_heard(id));
+                let check_at = liveness_check_at(since, self.release_timeout);
+                let needs_check = !is_check_requested && context.now >= check_at;
+                if needs_check {
+                    self.liveness_checks.push(id);
                 }
-                entry.clock = Clock::Rests { since, asked: asked || asks };
-                if asked || asks {
-                    // What the protocol allows beyond the time is left for the release.
-                    since + self.allowed.min(AWAY)
+                let is_check_requested = is_check_requested || needs_check;
+                entry.clock = ReleaseClock::Suspended { since, is_check_requested };
+                if is_check_requested {
+                    liveness_lost_at(since, self.release_timeout)
                 } else {
-                    renewal
+                    check_at
                 }
             }
         };
-        if at.now >= next {
-            return self.unwanted(id, at);
-        }
-        entry.timeout.set(next, TimerKey::ReservedState(id.into()), at.effects);
-    }
-
-    /// A connection with a release on it came to nothing.
-    pub fn lost(&mut self, id: RequestId, connection: ConnectionId, at: &mut Context) {
-        let Some(release) = self.entries.get_mut(&id).and_then(|e| e.release.as_mut()) else { return };
-        release.in_flight.retain(|l| *l != connection);
-        // Beyond the first few, and where a round begins anew, it goes on by time alone, or refusals would follow each
-        // other without a pause, through all of a fleet that can't be reached.
-        if release.in_flight.is_empty() && !release.left.is_empty() && release.calls < CALLS {
-            self.go(id, 1, at);
+        if context.now >= due_at {
+            return self.release_now(id, context);
         }
+        entry.set_timeout(id, due_at, context.effects);
     }
 }
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -1,162 +1,216 @@
-//! One entry of what may be held, and its clock.
+//! What may be reserved for one request, and the clock by which it has to be released.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use tideroute::types::WorkerId;
+use tideroute::types::{RequestId, WorkerId};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
+use super::workers::{Context, Workers};
 use crate::timers::{Timeout, TimerKey};
-use crate::worker_pool::Pools;
 
-/// Microseconds in which a reader that runs answers a probe, and a writer that knows of a read a call for its place.
-const ANSWERS: Micros = 150_000;
-/// Microseconds for which a machine that vanishes is away at least: a sign of life is asked for so often that one falls
-/// into that time.
-pub const AWAY: Micros = 1_000_000;
+/// Microseconds in which a running prefill worker answers a liveness check, and a running decode worker that knows of the
+/// prefill a reservation call.
+const LIVENESS_ANSWER_TIME: Micros = 150_000;
+/// Microseconds for which a machine that vanishes is away at least: liveness is checked so often that one check falls into
+/// that time.
+const MIN_ABSENCE: Micros = 1_000_000;
 /// Microseconds in which a worker sees that a connection to it was ended: a round trip between zones and a busy loop.
-pub const SEES: Micros = 50_000;
-/// Microseconds before the end of its time at which what is held is released, whatever is out for it.
-pub const AHEAD: Micros = 200_000;
+pub const CLOSE_SEEN_WITHIN: Micros = 50_000;
+/// Microseconds before the end of the release timeout at which a release begins, whatever is out for the request.
+pub const RELEASE_LEAD_TIME: Micros = 200_000;
 
-/// How the time of an entry goes.
+/// The clock of the release timeout.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Clock {
-    /// It has run since then.
-    Runs(Micros),
-    /// It rests: a read was known to be out then. Whether a sign of that has been asked for since.
-    Rests { since: Micros, asked: bool },
-}
-
-pub struct Entry {
-    pub trace: Arc<str>,
-    /// Where it is held, as far as is known.
-    pub at: Option<WorkerId>,
-    pub clock: Clock,
-    /// Nothing but what a place that was asked for may hold.
-    pub asked: bool,
-    /// Calls that ask for a place and are out: what they hold they may hold after a release has passed them.
-    pub asking: Vec<ConnectionId>,
-    /// Releases that were answered while such calls were out: from the third each waits twice as long as the one before.
-    pub rounds: u32,
-    /// Attempts that were ended by this side or by a reset, until their workers have seen that.
-    pub given_up: Vec<GivenUp>,
-    /// Nobody will want it again.
-    pub over: bool,
-    pub timeout: Timeout,
-    pub release: Option<Release>,
-}
-
-impl Entry {
-    /// Since when its time runs, if it does.
-    pub fn since(&self) -> Option<Micros> {
-        match self.clock {
-            Clock::Runs(since) => Some(since),
-            Clock::Rests { .. } => None,
-        }
-    }
-
-    /// Nothing is held for it, nor may anything come to be.
-    pub fn holds_nothing(&self) -> bool {
-        self.asked && self.asking.is_empty() && self.given_up.is_empty()
-    }
-
-    /// Workers that have hung for too long are taken for gone.
-    pub fn forget_hung(&mut self, at: &Context) {
-        self.given_up.retain(|given_up| at.now < given_up.when + at.pools.hangs);
-    }
-
-    /// A read is known to be out now: the time rests.
-    pub fn rests(&mut self, now: Micros, allowed: Micros, key: TimerKey, effects: &mut Effects) {
-        self.clock = Clock::Rests { since: now, asked: false };
-        self.timeout.set(unsure_at(now, allowed), key, effects);
-    }
-
-    /// When what is held since then has to be released, of the time allowed for it.
-    pub fn due(&self, since: Micros, allowed: Micros) -> Micros {
-        since + ((allowed - AHEAD.min(allowed / 4)) << self.rounds.saturating_sub(1))
-    }
-}
-
-/// When something is done for what is held, and on which connections.
-pub struct Context<'a> {
-    pub now: Micros,
-    pub pools: &'a mut Pools,
-    pub effects: &'a mut Effects,
+pub enum ReleaseClock {
+    /// State may have been reserved since then, and the timeout runs.
+    Running {
+        /// When it began.
+        since: Micros,
+    },
+    /// A prefill was known to be under way then: the timeout does not run.
+    Suspended {
+        /// When the prefill was last known to be under way.
+        since: Micros,
+        /// A liveness check has been requested since.
+        is_check_requested: bool,
+    },
 }
 
 /// Who ended the connection of an attempt that was out.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndedBy {
+    /// This router.
     ThisSide,
     /// The worker or the network: both ends see it by themselves, at about the same time.
     Reset,
 }
 
 /// An attempt that this side has ended, or that was reset. Its worker may learn of that behind a release that was sent
-/// later, or first end well what it was at, after a hang: what it then holds outlives that release.
-pub struct GivenUp {
+/// later, or first complete what it was at, after a hang: what it then reserves outlives that release.
+pub struct AbandonedAttempt {
+    /// Where it was out.
     pub worker: WorkerId,
-    pub when: Micros,
-    pub by: EndedBy,
+    /// When its connection ended.
+    pub ended_at: Micros,
+    /// Who ended the connection.
+    pub ended_by: EndedBy,
     /// The worker has been heard since.
-    pub heard: bool,
+    pub is_worker_heard: bool,
 }
 
-impl GivenUp {
-    /// Whether a release that began then, and has been answered, leaves something of it.
-    pub fn outlives(&mut self, began: Micros, at: &Context) -> bool {
-        let seen = self.when + SEES;
-        if began >= seen && (self.heard || self.by == EndedBy::Reset) {
+impl AbandonedAttempt {
+    /// Whether something of it may be left after a release that began at `began_at` and has been answered.
+    pub fn outlives_release<W: Workers>(&mut self, began_at: Micros, context: &Context<W>) -> bool {
+        let seen_at = self.ended_at + CLOSE_SEEN_WITHIN;
+        let began_after_seen = began_at >= seen_at;
+        if began_after_seen && (self.is_worker_heard || self.ended_by == EndedBy::Reset) {
             return false;
         }
-        // It runs, but one that has hung may take up the release before it sees the end: one more will do.
-        self.heard = began >= seen && at.pools.heard_since(self.worker, seen);
+        // The worker runs, but one that has hung may take up the release before it sees the end: one more will do.
+        self.is_worker_heard = began_after_seen && context.workers.heard_since(self.worker, seen_at);
         true
     }
 }
 
-/// What has come of a call that asked for a place.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Place {
-    Held,
-    /// By a worker that knows of the read.
-    Refused,
-    /// It never came there, or did nothing.
-    None,
-    /// It may be held.
-    Unknown,
-}
-
 /// A release under way.
 pub struct Release {
-    pub began: Micros,
+    /// When it began.
+    pub began_at: Micros,
     /// Workers yet to be tried in this round.
-    pub left: VecDeque<WorkerId>,
-    /// Calls made, and those of them that are out, the oldest first.
+    pub remaining: VecDeque<WorkerId>,
+    /// Calls made so far.
     pub calls: usize,
+    /// Calls that are out, the oldest first.
     pub in_flight: VecDeque<ConnectionId>,
-    /// When trying ends.
-    pub until: Micros,
+    /// When it is given up.
+    pub gives_up_at: Micros,
+}
+
+/// What may be reserved for one request.
+pub struct Entry {
+    /// The name by which workers know the request.
+    pub trace_id: Arc<str>,
+    /// The worker that holds it, as far as is known.
+    pub location: Option<WorkerId>,
+    /// Since when the release timeout runs, if it does.
+    pub clock: ReleaseClock,
+    /// Nothing is reserved but what a reservation call may have brought.
+    pub is_reservation_only: bool,
+    /// Reservation calls that are out: what they reserve may outlive a release that has passed them.
+    pub reservation_calls: Vec<ConnectionId>,
+    /// Releases that were answered while such calls were out: from the third each waits twice as long as the one before.
+    pub release_rounds: u32,
+    /// Attempts whose workers may not have seen yet that they ended.
+    pub abandoned_attempts: Vec<AbandonedAttempt>,
+    /// The request is closed: nobody will want the state again.
+    pub is_request_closed: bool,
+    /// When the entry is looked at next.
+    pub timeout: Timeout,
+    /// The release under way, if there is one.
+    pub release: Option<Release>,
+}
+
+impl Entry {
+    /// An entry whose timeout runs since then.
+    pub fn new(trace_id: Arc<str>, since: Micros) -> Entry {
+        Entry {
+            trace_id,
+            location: None,
+            clock: ReleaseClock::Running { since },
+            is_reservation_only: false,
+            reservation_calls: vec![],
+            release_rounds: 0,
+            abandoned_attempts: vec![],
+            is_request_closed: false,
+            timeout: Timeout::NEVER,
+            release: None,
+        }
+    }
+
+    /// Since when the release timeout runs, if it does.
+    pub fn running_since(&self) -> Option<Micros> {
+        match self.clock {
+            ReleaseClock::Running { since } => Some(since),
+            ReleaseClock::Suspended { .. } => None,
+        }
+    }
+
+    /// A prefill has left state at a worker, which takes the place of all that was known before.
+    pub fn located_at(&mut self, worker: WorkerId) {
+        self.location = Some(worker);
+        self.is_reservation_only = false;
+        self.release_rounds = 0;
+    }
+
+    /// Nothing is reserved, nor may anything come to be.
+    pub fn holds_nothing(&self) -> bool {
+        self.is_reservation_only && self.reservation_calls.is_empty() && self.abandoned_attempts.is_empty()
+    }
+
+    /// Forgets attempts at workers that have hung for so long that they are taken for gone.
+    pub fn forget_hung_workers<W: Workers>(&mut self, context: &Context<W>) {
+        let hang_timeout = context.workers.hang_timeout();
+        self.abandoned_attempts.retain(|attempt| context.now < attempt.ended_at + hang_timeout);
+    }
+
+    /// Moves the entry's timer.
+    pub fn set_timeout(&mut self, id: RequestId, at: Micros, effects: &mut Effects) {
+        self.timeout.set(at, TimerKey::ReservedState(id.into()), effects);
+    }
+
+    /// A prefill is known to be under way now: the clock is suspended, until the next liveness check.
+    pub fn suspend_clock<W>(&mut self, id: RequestId, release_timeout: Micros, context: &mut Context<W>) {
+        self.clock = ReleaseClock::Suspended { since: context.now, is_check_requested: false };
+        self.set_timeout(id, liveness_check_at(context.now, release_timeout), context.effects);
+    }
+
+    /// When a release has to begin, if the clock runs since then.
+    pub fn release_due_at(&self, since: Micros, release_timeout: Micros) -> Micros {
+        let wait = release_timeout - RELEASE_LEAD_TIME.min(release_timeout / 4);
+        since + (wait << self.release_rounds.saturating_sub(1))
+    }
+
+    /// Ends the release under way and its calls that are out, but for the one that was answered.
+    pub fn stop_release<W: Workers>(&mut self, answered: Option<ConnectionId>, context: &mut Context<W>) {
+        let Some(release) = self.release.take() else { return };
+        for connection in release.in_flight {
+            if Some(connection) != answered {
+                context.workers.abort(connection, context.effects);
+            }
+        }
+    }
+
+    /// Ends reservation calls that have not been written.
+    pub fn cancel_unwritten_reservations<W: Workers>(&mut self, context: &mut Context<W>) {
+        self.reservation_calls.retain(|connection| {
+            let is_written = context.workers.is_written(*connection);
+            if !is_written {
+                context.workers.abort(*connection, context.effects);
+            }
+            is_written
+        });
+    }
 }
 
-/// When it has to be asked whether a read that was out then still is, so that the answer is there in time.
-pub fn unsure_at(since: Micros, allowed: Micros) -> Micros {
-    since + allowed.min(AWAY) - ANSWERS.min(allowed / 2)
+/// When to check whether a prefill that was under way then still is, so that the answer is there in time.
+pub fn liveness_check_at(since: Micros, release_timeout: Micros) -> Micros {
+    let answer_time = LIVENESS_ANSWER_TIME.min(release_timeout / 2);
+    liveness_lost_at(since, release_timeout) - answer_time
 }
 
-/// Who is told, in order: where it is held, then who was heard last, for one call at any worker that runs will do.
-pub fn round(at: Option<WorkerId>, pools: &Pools) -> VecDeque<WorkerId> {
-    let known = at.filter(|w| pools.address(*w).is_some());
-    known.into_iter().chain(pools.heard_last().filter(|w| Some(*w) != known)).collect()
+/// When a prefill that was under way then, and of which nothing was heard since, counts as lost. What the protocol allows
+/// beyond the release timeout is left for the release.
+pub fn liveness_lost_at(since: Micros, release_timeout: Micros) -> Micros {
+    since + release_timeout.min(MIN_ABSENCE)
 }
 
-/// Ends the calls that are out, but for the one that was answered.
-pub fn stop(entry: &mut Entry, answered: Option<ConnectionId>, at: &mut Context) {
-    let calls = entry.release.take().map(|r| r.in_flight).unwrap_or_default();
-    calls
-        .into_iter()
-        .filter(|connection| Some(*connection) != answered)
-        .for_each(|connection| at.pools.end(connection, at.effects));
+/// Who is told to release, in order: the worker that holds the state, then whoever was heard last, for one call to any
+/// worker that runs will do.
+pub fn release_order<W: Workers>(location: Option<WorkerId>, workers: &W) -> VecDeque<WorkerId> {
+    let first = location.filter(|worker| workers.is_listed(*worker));
+    let mut order: VecDeque<_> = first.into_iter().collect();
+    order.extend(workers.workers_by_last_heard().into_iter().filter(|worker| Some(*worker) != first));
+    order
 }
--- /dev/null
+++ b/crates/gateway/src/state.rs
@@ -0,0 +1,160 @@
+//! The parts of the gateway, and how an event borrows them. Files beside this one say what each kind of event does with
+//! them.
+
+use std::collections::BTreeMap;
+
+use tideroute::types::WorkerId;
+use tideroute_lifecycle::RequestLifecycle;
+use tideroute_wire::event_loop::Effects;
+use tideroute_wire::Micros;
+
+use crate::clients::Clients;
+use crate::config::Config;
+use crate::discovery_watch::DiscoveryWatch;
+use crate::egress::{AttemptEnded, DeferredEvents, Egress};
+use crate::request_context::RequestContext;
+use crate::reserved_state::{Context, ReservedStateManager};
+use crate::timers::TimerKey;
+use crate::worker_pool::WorkerPool;
+
+/// An idle connection is closed after this part of the time for which its worker would keep it.
+const IDLE_TIMEOUT_DIVISOR: Micros = 2;
+/// Microseconds for which a router that starts waits for discovery before it serves by the list in its configuration.
+const DISCOVERY_WAIT: Micros = 1_000_000;
+/// Microseconds between two log lines of statistics.
+const STATISTICS_INTERVAL: Micros = 1_000_000;
+
+/// All that the gateway owns.
+pub struct GatewayState {
+    /// The configuration in force.
+    pub config: Config,
+    /// Requests, and the scheduler that decides on them.
+    pub lifecycle: RequestLifecycle<RequestContext>,
+    /// Clients' connections.
+    pub clients: Clients,
+    /// Connections to workers.
+    pub workers: WorkerPool,
+    /// What is reserved at workers.
+    pub reserved_state: ReservedStateManager,
+    /// The watch at discovery.
+    pub watch: DiscoveryWatch,
+    /// What the lifecycle takes up after it has decided.
+    pub deferred: DeferredEvents,
+    /// Since when discovery offers versions of the list that are older than the one in force.
+    pub stale_since: Option<Micros>,
+    /// Discovery has sent an update.
+    pub is_discovery_heard: bool,
+    /// When the gateway was created.
+    pub started_at: Micros,
+    /// The time of the last event.
+    pub now: Micros,
+    /// The router was told to shut down.
+    pub is_shutting_down: bool,
+    /// New requests are no longer admitted.
+    pub is_grace_over: bool,
+}
+
+impl GatewayState {
+    /// The state of a gateway that has not started.
+    pub fn new(config: Config, now: Micros) -> GatewayState {
+        let idle_timeout = config.worker_idle_timeout / IDLE_TIMEOUT_DIVISOR;
+        let max_connections = config.capacity.worker_connections;
+        GatewayState {
+            lifecycle: RequestLifecycle::new(config.lifecycle.clone(), now),
+            clients: Clients::default(),
+            workers: WorkerPool::new(max_connections, config.connect_timeout, idle_timeout),
+            reserved_state: ReservedStateManager::new(config.release_timeout),
+            config,
+            watch: DiscoveryWatch::default(),
+            deferred: DeferredEvents::default(),
+            stale_since: None,
+            is_discovery_heard: false,
+            started_at: now,
+            now,
+            is_shutting_down: false,
+            is_grace_over: false,
+        }
+    }
+
+    /// The lifecycle, and the transport that carries out what it decides.
+    pub fn lifecycle<'a>(
+        &'a mut self,
+        now: Micros,
+        effects: &'a mut Effects,
+    ) -> (&'a mut RequestLifecycle<RequestContext>, Egress<'a>) {
+        let egress = Egress {
+            config: &self.config,
+            clients: &mut self.clients,
+            workers: &mut self.workers,
+            reserved_state: &mut self.reserved_state,
+            watch: &mut self.watch,
+            deferred: &mut self.deferred,
+            is_shutting_down: self.is_shutting_down,
+            now,
+            effects,
+        };
+        (&mut self.lifecycle, egress)
+    }
+
+    /// The transport alone.
+    pub fn egress<'a>(&'a mut self, now: Micros, effects: &'a mut Effects) -> Egress<'a> {
+        self.lifecycle(now, effects).1
+    }
+
+    /// The manager of reserved state, and what it works with.
+    pub fn reserved_state<'a>(
+        &'a mut self,
+        now: Micros,
+        effects: &'a mut Effects,
+    ) -> (&'a mut ReservedStateManager, Context<'a, WorkerPool>) {
+        (&mut self.reserved_state, Context { now, workers: &mut self.workers, effects })
+    }
+
+    /// Whether it can serve: it knows workers, from discovery or, if that is silent, from its configuration.
+    pub fn is_ready(&self) -> bool {
+        let has_workers = self.workers.workers().next().is_some();
+        let is_list_current = self.is_discovery_heard || self.now >= self.started_at + DISCOVERY_WAIT;
+        !self.is_shutting_down && has_workers && is_list_current
+    }
+
+    /// Tells the lifecycle how an attempt ended.
+    pub fn finish_attempt(&mut self, now: Micros, ended: AttemptEnded, effects: &mut Effects) {
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.finish_attempt(now, ended.id, ended.number, ended.outcome, &mut egress);
+    }
+
+    /// Logs, where the log asks for it, what the lifecycle knows to be out at each worker and what is out on connections.
+    /// The two never differ between events, or one of them is wrong.
+    pub fn log_statistics(&mut self, now: Micros, effects: &mut Effects) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        let expected = self.attempts_by_worker();
+        let pool = self.workers.statistics();
+        tracing::debug!(
+            open = self.lifecycle.requests.len(),
+            clients = self.clients.len(),
+            held = self.clients.buffered_bytes(),
+            connections = pool.connections,
+            resting = pool.idle,
+            workers = self.workers.workers().count(),
+            carried = ?pool.attempts,
+            "believes"
+        );
+        if expected != pool.attempts {
+            tracing::debug!(believed = ?expected, carried = ?pool.attempts, "belief and traffic differ");
+        }
+        TimerKey::Statistics.set(now + STATISTICS_INTERVAL, effects);
+    }
+
+    /// The attempts that the lifecycle knows to be out.
+    fn attempts_by_worker(&self) -> BTreeMap<WorkerId, usize> {
+        let mut attempts = BTreeMap::new();
+        for (_, request) in self.lifecycle.requests.iter() {
+            if let Some(attempt) = &request.attempt {
+                *attempts.entry(attempt.worker).or_default() += 1;
+            }
+        }
+        attempts
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/streaming.rs
@@ -0,0 +1,111 @@
+//! Streams of decode workers, forwarded to their clients. A response begins only once a first event is complete.
+
+use bytes::{Bytes, BytesMut};
+use tideroute::types::{AttemptOutcome, RequestId};
+use tideroute_http::write;
+use tideroute_wire::event_loop::{ConnectionId, Effects};
+use tideroute_wire::Micros;
+
+use crate::egress::AttemptEnded;
+use crate::request_trace::{self, TraceEvent};
+use crate::state::GatewayState;
+use crate::timers::TimerKey;
+use crate::worker_connection::Call;
+
+/// Microseconds without a byte after which a stream is taken for dead. Its client must not be left waiting for five
+/// seconds; a worker that takes a response back into its queue may well be silent for some.
+pub const SILENCE_TIMEOUT: Micros = 4_500_000;
+/// Bytes in which a stream's first event must end.
+const MAX_FIRST_EVENT_BYTES: usize = 64 << 10;
+
+/// How a stream of events may begin: with data, or with a comment.
+const EVENT_PREFIXES: [&[u8]; 2] = [b"data:", b":"];
+
+/// The start of a stream, before it is forwarded.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum StreamStart {
+    /// It can't be the start of an event.
+    Invalid,
+    Incomplete,
+    /// The first event is complete.
+    Complete,
+}
+
+impl StreamStart {
+    fn of(buffered: &BytesMut) -> StreamStart {
+        let may_begin_with = |prefix: &[u8]| buffered.starts_with(prefix) || prefix.starts_with(buffered);
+        if !EVENT_PREFIXES.into_iter().any(may_begin_with) || buffered.len() > MAX_FIRST_EVENT_BYTES {
+            StreamStart::Invalid
+        } else if buffered.windows(2).any(|pair| pair == b"\n\n") {
+            StreamStart::Complete
+        } else {
+            StreamStart::Incomplete
+        }
+    }
+}
+
+impl GatewayState {
+    /// Forwards a piece of a stream. False if it can't be the stream of a response.
+    pub fn stream_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        piece: Bytes,
+        effects: &mut Effects,
+    ) -> bool {
+        let Some(stream) = self.workers.get_mut(connection) else { return true };
+        let Some(Call::Attempt { id, number, .. }) = stream.call else { return true };
+        stream.timeout.set(now + SILENCE_TIMEOUT, TimerKey::Worker(connection), effects);
+        let Some(request) = self.lifecycle.requests.get(id) else { return true };
+        if request.finished {
+            // Nobody reads it: it ends like a stream whose client disconnects.
+            self.workers.abort(connection, effects);
+            let ended = AttemptEnded { id, number, outcome: AttemptOutcome::Cancelled };
+            self.finish_attempt(now, ended, effects);
+            return true;
+        }
+        let client = request.context.client;
+        if stream.is_streaming {
+            effects.send(client, write::chunk(&piece));
+            return true;
+        }
+        stream.buffered.extend_from_slice(&piece);
+        match StreamStart::of(&stream.buffered) {
+            StreamStart::Invalid => false,
+            StreamStart::Incomplete => true,
+            StreamStart::Complete => {
+                stream.is_streaming = true;
+                let first_event = std::mem::take(&mut stream.buffered);
+                self.start_response(now, id, client, &first_event, effects);
+                true
+            }
+        }
+    }
+
+    fn start_response(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        client: ConnectionId,
+        first_event: &[u8],
+        effects: &mut Effects,
+    ) {
+        let closes = self.is_shutting_down || self.clients.closes_after_response(client);
+        let fields = [("content-type", "text/event-stream"), ("cache-control", "no-store")];
+        effects.send(client, write::chunked_head(200, fields, closes));
+        effects.send(client, write::chunk(first_event));
+        self.clients.response_started(client);
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.response_started(now, id, &mut egress);
+        if let Some(request) = lifecycle.requests.get(id) {
+            request_trace::record(id, &request.context.trace_id, TraceEvent::ResponseStarted);
+        }
+        let (reserved_state, mut context) = egress.reserved_state();
+        reserved_state.response_started(id, &mut context);
+        if let Some(request) = lifecycle.requests.get_mut(id) {
+            // No retry will need them.
+            request.context.body = Bytes::new();
+            request.context.headers = vec![];
+        }
+    }
+}
