--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker, and the answers that come on it.
+//! One connection to a worker: the call that it carries, and the response that arrives on it.
 
 use bytes::{Bytes, BytesMut};
 use tideroute::types::{RequestId, WorkerId};
@@ -8,157 +8,225 @@
 use crate::headers;
 use crate::timers::Timeout;
 
-/// What an answer of a worker may have.
-const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
-/// Bytes of an answer that is no stream.
-const SHORT: u64 = 256 << 10;
-/// Heads of status 1xx ahead of an answer.
-const AHEAD: u8 = 16;
+/// What the head of a worker's response may have, and the bytes that a stream may have.
+const RESPONSE_BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
+/// Bytes of a response that is no stream.
+const MAX_PLAIN_RESPONSE_BYTES: u64 = 256 << 10;
+/// Interim responses (1xx) before the final one.
+const MAX_INTERIM_RESPONSES: u8 = 16;
 
-/// What a connection is there for now.
+/// What a connection is used for now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Job {
-    /// `once` for the writing of a submission that may run but once.
+pub enum Call {
+    /// An attempt of a request.
     Attempt {
+        /// The request.
         id: RequestId,
+        /// Counts the request's attempts.
         number: u16,
-        reading: bool,
-        once: bool,
+        /// A prefill worker is to read the prompt; else the response is to be decoded.
+        is_prefill: bool,
+        /// It decodes a request that must not run twice.
+        is_single_use: bool,
     },
-    Place {
+    /// Asks a decode worker for a reservation.
+    Reservation {
+        /// The request that it is for.
         id: RequestId,
     },
+    /// Tells a worker to release what is reserved.
     Release {
+        /// The request that it was reserved for.
         id: RequestId,
     },
-    Probe {
+    /// A health check that the scheduler asked for.
+    HealthCheck {
+        /// Tells the answer from those to other health checks.
         nonce: u64,
     },
-    /// Asks the reader of a request for a sign of life.
-    Liveness {
+    /// Checks whether the prefill worker of a request is alive.
+    LivenessCheck {
+        /// The request.
         id: RequestId,
     },
 }
 
-/// An answer of which the head is there.
-pub struct Coming {
+/// A response whose head has arrived.
+pub struct IncomingResponse {
     status: u16,
     never_ran: bool,
-    pub last: bool,
+    /// The worker closes the connection after it.
+    pub closes_connection: bool,
     body: Body,
 }
 
-pub struct Conn {
+/// One connection to a worker.
+pub struct WorkerConnection {
+    /// Who is reached by it.
     pub worker: WorkerId,
     /// Where it was dialled.
     pub to: Address,
-    pub job: Option<Job>,
-    /// The connection is there, and not only dialled.
-    pub up: bool,
-    /// The request's last byte has been written.
-    pub written: bool,
+    /// What it is used for; none while it is idle.
+    pub call: Option<Call>,
+    /// It is established, and not only dialled.
+    pub is_connected: bool,
+    /// The last byte of the call has been written.
+    pub is_written: bool,
     /// It has carried a call before this one.
-    pub used: bool,
-    /// By then its last byte has left, or it is given up.
-    pub leaves_by: Micros,
-    /// The writer that is asked for a place once the request is written.
-    pub place: Option<WorkerId>,
-    /// The events pass on to the client.
-    pub streams: bool,
-    /// The start of a stream, until an event of it is whole; or a load report.
-    pub first: BytesMut,
+    pub is_reused: bool,
+    /// The last byte of the call is written by then, or the call is given up.
+    pub dispatch_deadline: Micros,
+    /// The decode worker that is asked for a reservation once the call is written.
+    pub pending_reservation: Option<WorkerId>,
+    /// The response is forwarded to the client.
+    pub is_streaming: bool,
+    /// The start of a stream until its first event is complete; or a load report.
+    pub buffered: BytesMut,
+    /// How long the connection is waited for.
     pub timeout: Timeout,
-    pub opened: Micros,
-    /// When it last brought something.
-    pub heard: Micros,
-    pub rests_since: Micros,
-    /// From then on nothing comes any more that belongs to its last call.
-    pub settled_by: Micros,
-    /// How long it had rested before this call.
-    pub rested: Micros,
-    pub arrived: BytesMut,
-    pub heads: u8,
-    pub coming: Option<Coming>,
+    /// When it was dialled.
+    pub opened_at: Micros,
+    /// When bytes last arrived on it; 0 for never.
+    pub last_received_at: Micros,
+    /// Since when it was last idle.
+    pub idle_since: Micros,
+    /// How long it had been idle before this call.
+    pub idle_time: Micros,
+    /// Bytes received that are not yet parsed.
+    pub received: BytesMut,
+    /// Interim responses to this call so far.
+    pub interim_responses: u8,
+    /// The response, once its head is parsed.
+    pub response: Option<IncomingResponse>,
 }
 
-/// What a connection brought.
-pub enum Heard {
-    Nothing,
-    /// A piece of the body of an answer with that status.
-    Piece(u16, Bytes),
-    /// The answer is whole; whether it proves that the request never ran.
-    End(u16, bool),
+/// What a complete response says beside its body.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct ResponseStatus {
+    /// The HTTP status.
+    pub status: u16,
+    /// It proves that the request has not run.
+    pub never_ran: bool,
+}
+
+/// The next part of what has arrived on a connection.
+pub enum ResponseEvent {
+    /// More bytes have to arrive.
+    Incomplete,
+    /// A piece of the body of a response with that status.
+    Body(u16, Bytes),
+    /// The response is complete.
+    Complete(ResponseStatus),
 }
 
-impl Conn {
-    pub fn new(worker: WorkerId, to: Address, now: Micros) -> Conn {
-        Conn {
+impl WorkerConnection {
+    /// A connection that is being dialled and has no call yet.
+    pub fn new(worker: WorkerId, to: Address, now: Micros) -> WorkerConnection {
+        WorkerConnection {
             worker,
             to,
-            job: None,
-            up: false,
-            written: false,
-            used: false,
-            leaves_by: Micros::MAX,
-            place: None,
-            streams: false,
-            first: BytesMut::new(),
+            call: None,
+            is_connected: false,
+            is_written: false,
+            is_reused: false,
+            dispatch_deadline: Micros::MAX,
+            pending_reservation: None,
+            is_streaming: false,
+            buffered: BytesMut::new(),
             timeout: Timeout::NEVER,
-            opened: now,
-            heard: 0,
-            rests_since: 0,
-            settled_by: 0,
-            rested: 0,
-            arrived: BytesMut::new(),
-            heads: 0,
-            coming: None,
+            opened_at: now,
+            last_received_at: 0,
+            idle_since: 0,
+            idle_time: 0,
+            received: BytesMut::new(),
+            interim_responses: 0,
+            response: None,
         }
     }
 
-    /// Whether its call is one that a worker which drains must not get.
-    pub fn brings_new(&self) -> bool {
-        matches!(self.job, Some(Job::Attempt { .. } | Job::Place { .. }))
+    /// Begins a call on the connection, which was idle since `idle_since` if it has carried one before.
+    pub fn begin_call(&mut self, now: Micros, call: Call, is_reused: bool, dispatch_deadline: Micros) {
+        self.call = Some(call);
+        self.is_written = false;
+        self.is_reused = is_reused;
+        self.idle_time = if is_reused { now - self.idle_since } else { 0 };
+        self.pending_reservation = None;
+        self.is_streaming = false;
+        self.interim_responses = 0;
+        self.dispatch_deadline = dispatch_deadline;
+        self.timeout.clear();
+    }
+
+    /// Whether its call is one that a draining worker must not get.
+    pub fn is_new_work(&self) -> bool {
+        matches!(self.call, Some(Call::Attempt { .. } | Call::Reservation { .. }))
+    }
+
+    /// Whether it carries an attempt to be decoded.
+    pub fn is_decode_attempt(&self) -> bool {
+        matches!(self.call, Some(Call::Attempt { is_prefill: false, .. }))
     }
 
-    pub fn heard(&mut self, bytes: &Bytes) {
-        self.arrived.extend_from_slice(bytes);
+    /// Takes bytes as they were received.
+    pub fn on_data(&mut self, bytes: &Bytes) {
+        self.received.extend_from_slice(bytes);
     }
 
-    /// Takes the next of what has arrived.
-    pub fn next(&mut self) -> Result<Heard, Problem> {
-        while self.coming.is_none() {
-            let Some((head, length)) = tideroute_http::answer(&self.arrived, &BOUNDS)? else {
-                return Ok(Heard::Nothing);
-            };
-            let _ = self.arrived.split_to(length);
-            if (100..200).contains(&head.status) {
-                self.heads += 1;
-                if self.heads > AHEAD {
-                    return Err(Problem::HeadTooLarge(BOUNDS.head));
-                }
-                continue;
+    /// Parses the next part of what has been received.
+    pub fn next_event(&mut self) -> Result<ResponseEvent, Problem> {
+        while self.response.is_none() {
+            if !self.parse_head()? {
+                return Ok(ResponseEvent::Incomplete);
             }
-            let stream = matches!(self.job, Some(Job::Attempt { reading: false, .. })) && head.status == 200;
-            let most = if stream { BOUNDS.body } else { SHORT };
-            let never_ran = head.fields.one(headers::NEVER_RAN) == Some("1");
-            let body = Body::new(head.framing, most);
-            self.coming = Some(Coming { status: head.status, never_ran, last: head.last, body });
         }
-        let Some(coming) = &mut self.coming else { return Ok(Heard::Nothing) };
-        if let Some(piece) = coming.body.next(&mut self.arrived)? {
-            return Ok(Heard::Piece(coming.status, piece));
+        let Some(response) = &mut self.response else { return Ok(ResponseEvent::Incomplete) };
+        if let Some(piece) = response.body.next(&mut self.received)? {
+            return Ok(ResponseEvent::Body(response.status, piece));
+        }
+        if !response.body.done() {
+            return Ok(ResponseEvent::Incomplete);
         }
-        let (status, never_ran) = (coming.status, coming.never_ran);
-        Ok(if coming.body.done() { Heard::End(status, never_ran) } else { Heard::Nothing })
+        Ok(ResponseEvent::Complete(response.status()))
     }
 
-    /// The answer that the connection's end completes, if it does.
-    pub fn silent(&self) -> bool {
-        self.arrived.is_empty() && self.coming.is_none()
+    /// Parses one head, of the final response or of an interim one. False if it is not complete.
+    fn parse_head(&mut self) -> Result<bool, Problem> {
+        let Some((head, length)) = tideroute_http::answer(&self.received, &RESPONSE_BOUNDS)? else {
+            return Ok(false);
+        };
+        let _ = self.received.split_to(length);
+        if (100..200).contains(&head.status) {
+            self.interim_responses += 1;
+            if self.interim_responses > MAX_INTERIM_RESPONSES {
+                return Err(Problem::HeadTooLarge(RESPONSE_BOUNDS.head));
+            }
+            return Ok(true);
+        }
+        let is_stream = self.is_decode_attempt() && head.status == 200;
+        let max_body_bytes = if is_stream { RESPONSE_BOUNDS.body } else { MAX_PLAIN_RESPONSE_BYTES };
+        self.response = Some(IncomingResponse {
+            status: head.status,
+            never_ran: head.fields.one(headers::NEVER_RAN) == Some("1"),
+            closes_connection: head.last,
+            body: Body::new(head.framing, max_body_bytes),
+        });
+        Ok(true)
+    }
+
+    /// Whether no part of a response has arrived.
+    pub fn is_silent(&self) -> bool {
+        self.received.is_empty() && self.response.is_none()
     }
 
-    pub fn ends_with(&self) -> Option<(u16, bool)> {
-        let coming = self.coming.as_ref().filter(|c| c.body.may_end())?;
-        Some((coming.status, coming.never_ran))
+    /// The response that the end of the connection completes, if it does.
+    pub fn completed_by_close(&self) -> Option<ResponseStatus> {
+        let response = self.response.as_ref().filter(|response| response.body.may_end())?;
+        Some(response.status())
+    }
+}
+
+impl IncomingResponse {
+    fn status(&self) -> ResponseStatus {
+        ResponseStatus { status: self.status, never_ran: self.never_ran }
     }
 }
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -1,325 +1,373 @@
-//! Connections to workers: what comes on them goes to the books and to what is held, and what ends on them too.
+//! Events on connections to workers become outcomes: responses that arrive, connections that end, calls that time out.
 
 use bytes::Bytes;
 use tideroute::types::AttemptOutcome;
-use tideroute_http::write;
+use tideroute_lifecycle::RequestState;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects};
 use tideroute_wire::Micros;
 
-use crate::gateway::Platform;
+use crate::client_connection::ClientState;
+use crate::egress::AttemptEnded;
 use crate::headers;
-use crate::request_head::Asked;
-use crate::request_trace::{self, State};
-use crate::reserved_state::{Context, EndedBy, Place};
+use crate::request_context::RequestContext;
+use crate::request_trace::{self, TraceEvent};
+use crate::reserved_state::{EndedBy, ReservationOutcome};
+use crate::state::GatewayState;
+use crate::streaming::SILENCE_TIMEOUT;
 use crate::timers::TimerKey;
-use crate::worker_connection::{Heard, Job};
+use crate::worker_connection::{Call, ResponseEvent, ResponseStatus};
 
-/// Microseconds without a byte after which a stream is taken for dead. Its client must not be left waiting for
-/// five seconds; a worker that takes an answer back into its queue may well be silent for some.
-pub(crate) const SILENCE: Micros = 4_500_000;
-/// Bytes in which a stream's first event must end.
-const EVENT: usize = 64 << 10;
+/// Microseconds for which a client may read nothing of its response, as long as a connection may be idle: then the
+/// response is ended.
+const CLIENT_READ_TIMEOUT: Micros = 15_000_000;
 
-impl Platform {
-    pub(crate) fn worker_heard(
+impl GatewayState {
+    /// A connection to a worker is established. An attempt that waits for it is sent now.
+    pub fn worker_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(established) = self.workers.get_mut(connection) else { return };
+        established.is_connected = true;
+        let dispatch_deadline = established.dispatch_deadline;
+        let Some(call @ Call::Attempt { id, number, .. }) = established.call else { return };
+        let is_current =
+            self.lifecycle.requests.get(id).is_some_and(|request| request.is_current_attempt(number));
+        if now > dispatch_deadline || !is_current {
+            // Guards against a loop that comes to it late, and an attempt that nobody waits for.
+            self.workers.abort(connection, effects);
+            return self.call_failed(now, connection, call, AttemptOutcome::Unreachable, effects);
+        }
+        let permit = self.lifecycle.permit_transmission(now, id, number);
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        let (Some(permit), Some(request)) = (permit, lifecycle.requests.get(id)) else {
+            self.workers.abort(connection, effects);
+            return self.call_failed(now, connection, call, AttemptOutcome::NotSent, effects);
+        };
+        egress.send_attempt(connection, request, permit);
+        let (reserved_state, mut context) = self.reserved_state(now, effects);
+        reserved_state.attempt_sent(id, &mut context);
+    }
+
+    /// All that was sent to a worker has been written. A reservation that waits for it is requested now.
+    pub fn call_written(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(written) = self.workers.get_mut(connection) else { return };
+        written.is_written = true;
+        let reservation = written.pending_reservation.take();
+        let to = written.to;
+        let Some(Call::Attempt { id, number, .. }) = written.call else { return };
+        if written.is_silent() {
+            written.timeout.clear();
+        }
+        let Some(request) = self.lifecycle.requests.get(id) else { return };
+        let trace_id = request.context.trace_id.clone();
+        request_trace::record(id, &trace_id, TraceEvent::AttemptWritten { number, to });
+        if let Some(worker) = reservation {
+            self.egress(now, effects).request_reservation(id, &trace_id, worker);
+        }
+    }
+
+    /// Bytes have come from a worker.
+    pub fn worker_data(
         &mut self,
         now: Micros,
         connection: ConnectionId,
         bytes: &Bytes,
         effects: &mut Effects,
     ) {
-        let Some(conn) = self.pools.hears(now, connection) else { return };
-        if conn.job.is_none() {
+        let Some(receiving) = self.workers.on_data(now, connection) else { return };
+        if receiving.call.is_none() {
             // Nothing was asked on it: whatever comes next could not be told from it.
-            return self.pools.end(connection, effects);
+            return self.workers.abort(connection, effects);
         }
-        conn.heard(bytes);
+        receiving.on_data(bytes);
         loop {
-            let Some(conn) = self.pools.get_mut(connection) else { return };
-            match conn.next() {
-                Ok(Heard::Nothing) => return,
-                Ok(Heard::Piece(200, piece))
-                    if matches!(conn.job, Some(Job::Attempt { reading: false, .. })) =>
-                {
-                    if !self.events(now, connection, piece, effects) {
-                        return self.spoilt(now, connection, effects);
+            let Some(receiving) = self.workers.get_mut(connection) else { return };
+            match receiving.next_event() {
+                Ok(ResponseEvent::Incomplete) => return,
+                Ok(ResponseEvent::Body(200, piece)) if receiving.is_decode_attempt() => {
+                    if !self.stream_data(now, connection, piece, effects) {
+                        return self.response_invalid(now, connection, effects);
                     }
                 }
-                Ok(Heard::Piece(200, piece)) if matches!(conn.job, Some(Job::Probe { .. })) => {
-                    conn.first.extend_from_slice(&piece);
+                Ok(ResponseEvent::Body(200, piece))
+                    if matches!(receiving.call, Some(Call::HealthCheck { .. })) =>
+                {
+                    receiving.buffered.extend_from_slice(&piece);
                 }
-                Ok(Heard::Piece(..)) => {}
-                Ok(Heard::End(status, never_ran)) => {
-                    return self.whole_answer(now, connection, status, never_ran, effects)
+                Ok(ResponseEvent::Body(..)) => {}
+                Ok(ResponseEvent::Complete(response)) => {
+                    return self.response_complete(now, connection, response, effects)
                 }
                 Err(problem) => {
-                    tracing::debug!(worker = ?conn.worker, %problem, "an answer that cannot be read");
-                    return self.spoilt(now, connection, effects);
+                    tracing::debug!(worker = ?receiving.worker, %problem, "a response that cannot be read");
+                    return self.response_invalid(now, connection, effects);
                 }
             }
         }
     }
 
-    /// Passes a piece of a stream on; its start only once a first event is whole. False if that is none.
-    fn events(&mut self, now: Micros, connection: ConnectionId, piece: Bytes, effects: &mut Effects) -> bool {
-        let Some(conn) = self.pools.get_mut(connection) else { return true };
-        let Some(Job::Attempt { id, number, .. }) = conn.job else { return true };
-        conn.timeout.set(now + SILENCE, TimerKey::Worker(connection), effects);
-        let Some(s) = self.lifecycle.requests.get(id) else { return true };
-        if s.finished {
-            // Nobody reads it: it ends like a stream whose client goes.
-            self.pools.end(connection, effects);
-            self.settle(now, id, number, AttemptOutcome::Cancelled, effects);
-            return true;
-        }
-        let client = s.context.client;
-        if conn.streams {
-            effects.send(client, write::chunk(&piece));
-            return true;
-        }
-        conn.first.extend_from_slice(&piece);
-        let begins = |with: &[u8]| conn.first.starts_with(with) || with.starts_with(&conn.first);
-        if !(begins(b"data:") || begins(b":")) || conn.first.len() > EVENT {
-            return false;
-        }
-        if !conn.first.windows(2).any(|w| w == b"\n\n") {
-            return true;
-        }
-        conn.streams = true;
-        let first = std::mem::take(&mut conn.first);
-        let last = self.stopping || self.clients.get(client).is_none_or(|c| c.last);
-        let fields = [("content-type", "text/event-stream"), ("cache-control", "no-store")];
-        effects.send(client, write::chunked_head(200, fields, last));
-        effects.send(client, write::chunk(&first));
-        self.clients.begin(client);
-        let (lifecycle, mut exit) = self.parts(now, effects);
-        lifecycle.response_started(now, id, &mut exit);
-        if let Some(s) = lifecycle.requests.get(id) {
-            request_trace::tell(id, &s.context.trace, State::Began);
-        }
-        let mut context = Context { now, pools: exit.pools, effects: exit.effects };
-        exit.held.taken(id, &mut context);
-        if let Some(s) = lifecycle.requests.get_mut(id) {
-            // No other shot will need it.
-            s.context.body = Bytes::new();
-            s.context.fields = vec![];
-        }
-        true
-    }
-
-    /// An answer is whole.
-    fn whole_answer(
+    /// A response is complete.
+    fn response_complete(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        status: u16,
-        never_ran: bool,
+        response: ResponseStatus,
         effects: &mut Effects,
     ) {
-        let Some(conn) = self.pools.get_mut(connection) else { return };
-        let (worker, streamed, report) = (conn.worker, conn.streams, std::mem::take(&mut conn.first));
-        let Some(job) = self.pools.ended(now, connection, effects) else { return };
-        match job {
-            Job::Attempt { id, number, reading, .. } => {
-                let outcome = match status {
-                    202 if reading => AttemptOutcome::PrefillComplete,
-                    200 if !reading && streamed => AttemptOutcome::Completed,
-                    410 if never_ran => AttemptOutcome::StateMissing,
-                    503 | 504 if never_ran => AttemptOutcome::Rejected,
-                    _ => AttemptOutcome::ServerError,
-                };
-                self.settle(now, id, number, outcome, effects);
+        let Some(finished) = self.workers.get_mut(connection) else { return };
+        let worker = finished.worker;
+        let is_streaming = finished.is_streaming;
+        let report = std::mem::take(&mut finished.buffered);
+        let Some(call) = self.workers.call_finished(now, connection, effects) else { return };
+        match call {
+            Call::Attempt { id, number, is_prefill, .. } => {
+                let outcome = attempt_outcome(response, is_prefill, is_streaming);
+                self.finish_attempt(now, AttemptEnded { id, number, outcome }, effects);
             }
-            Job::Place { id } => {
-                let place = match status {
-                    200 => Place::Held,
-                    409 => Place::Refused,
-                    404 => Place::None,
-                    _ if never_ran => Place::None,
-                    // With 204 too, though nobody there knows of a read.
-                    _ => Place::Unknown,
-                };
-                let asked = self.lifecycle.requests.get(id).and_then(|s| s.reservations.last());
-                let reading = asked == Some(&worker) && self.pools.reads(id);
-                let (held, mut context) = self.held(now, effects);
-                held.answered(id, connection, (place, reading), &mut context);
-                if matches!(place, Place::Held | Place::Refused) {
-                    let (lifecycle, mut exit) = self.parts(now, effects);
-                    lifecycle.reservation_answered(now, id, worker, place == Place::Held, &mut exit);
+            Call::Reservation { id } => {
+                let outcome = reservation_outcome(response);
+                let request = self.lifecycle.requests.get(id);
+                let is_last = request.and_then(|request| request.reservations.last()) == Some(&worker);
+                let is_prefilling = is_last && self.workers.is_prefilling(id);
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.reservation_call_ended(id, connection, outcome, is_prefilling, &mut context);
+                if matches!(outcome, ReservationOutcome::Granted | ReservationOutcome::Refused) {
+                    let is_granted = outcome == ReservationOutcome::Granted;
+                    let (lifecycle, mut egress) = self.lifecycle(now, effects);
+                    lifecycle.reservation_answered(now, id, worker, is_granted, &mut egress);
                 }
             }
-            Job::Release { id } => {
-                let (held, mut context) = self.held(now, effects);
-                held.released(id, connection, &mut context);
+            Call::Release { id } => {
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.release_answered(id, connection, &mut context);
             }
-            Job::Liveness { id } => {
-                let (held, mut context) = self.held(now, effects);
-                held.reader_lives(id, &mut context);
+            Call::LivenessCheck { id } => {
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.liveness_confirmed(id, &mut context);
             }
-            Job::Probe { nonce } => {
-                let column = self.terms.report.as_ref();
-                let amount = column.and_then(|c| c.amount(headers::reported(&report, &c.name)?));
-                let (lifecycle, mut exit) = self.parts(now, effects);
-                amount.into_iter().for_each(|amount| lifecycle.load_reported(now, nonce, amount));
-                lifecycle.health_check_finished(now, nonce, status == 200, &mut exit);
+            Call::HealthCheck { nonce } => {
+                let load = self.reported_load(&report);
+                let (lifecycle, mut egress) = self.lifecycle(now, effects);
+                if let Some(load) = load {
+                    lifecycle.load_reported(now, nonce, load);
+                }
+                lifecycle.health_check_finished(now, nonce, response.status == 200, &mut egress);
             }
         }
     }
 
-    /// What comes on the connection can't be read, or no longer comes: the request may have run.
-    fn spoilt(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some((job, streams)) = self.pools.get_mut(connection).and_then(|c| Some((c.job?, c.streams)))
-        else {
-            return;
-        };
-        self.pools.end(connection, effects);
-        // A stream that began well is given up by this side; only an answer that never was one is a fault.
-        let outcome = if streams { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
-        self.came_to_nothing(now, connection, job, outcome, effects);
+    /// The load that a worker reports, if the settings name a column for it.
+    fn reported_load(&self, report: &[u8]) -> Option<f64> {
+        let column = self.config.load_report.as_ref()?;
+        column.amount(headers::reported_value(report, &column.name)?)
     }
 
-    pub(crate) fn came_to_nothing(
+    /// What comes on the connection can't be used, or nothing comes any more: the request may have run.
+    fn response_invalid(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(failed) = self.workers.get_mut(connection) else { return };
+        let Some(call) = failed.call else { return };
+        // A stream that began well is ended by this side; only a response that never was one speaks against its worker.
+        let is_streaming = failed.is_streaming;
+        let outcome = if is_streaming { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
+        self.workers.abort(connection, effects);
+        self.call_failed(now, connection, call, outcome, effects);
+    }
+
+    /// A call has ended without a complete response.
+    fn call_failed(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        job: Job,
+        call: Call,
         outcome: AttemptOutcome,
         effects: &mut Effects,
     ) {
-        match job {
-            Job::Attempt { id, number, .. } => self.settle(now, id, number, outcome, effects),
-            Job::Place { id } => {
-                let place = if outcome.never_ran() { Place::None } else { Place::Unknown };
-                let (held, mut context) = self.held(now, effects);
-                held.answered(id, connection, (place, false), &mut context);
+        match call {
+            Call::Attempt { id, number, .. } => {
+                self.finish_attempt(now, AttemptEnded { id, number, outcome }, effects);
+            }
+            Call::Reservation { id } => {
+                let never_ran = outcome.never_ran();
+                let outcome =
+                    if never_ran { ReservationOutcome::NotReserved } else { ReservationOutcome::Unknown };
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.reservation_call_ended(id, connection, outcome, false, &mut context);
             }
-            Job::Release { id } => {
-                let (held, mut context) = self.held(now, effects);
-                held.lost(id, connection, &mut context);
+            Call::Release { id } => {
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.release_call_failed(id, connection, &mut context);
             }
-            Job::Liveness { .. } => {}
-            Job::Probe { nonce } => {
-                let (lifecycle, mut exit) = self.parts(now, effects);
-                lifecycle.health_check_finished(now, nonce, false, &mut exit);
+            Call::LivenessCheck { .. } => {}
+            Call::HealthCheck { nonce } => {
+                let (lifecycle, mut egress) = self.lifecycle(now, effects);
+                lifecycle.health_check_finished(now, nonce, false, &mut egress);
             }
         }
     }
 
-    /// A connection to a worker has ended, or never came about.
-    pub(crate) fn worker_lost(
+    /// A connection to a worker has ended, or could not be established.
+    pub fn worker_disconnected(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        loss: DisconnectReason,
+        reason: DisconnectReason,
         effects: &mut Effects,
     ) {
-        let Some(conn) = self.pools.get_mut(connection) else { return };
-        if conn.written {
-            if let Some((status, never_ran)) = conn.ends_with() {
-                return self.whole_answer(now, connection, status, never_ran, effects);
+        let Some(ended) = self.workers.get_mut(connection) else { return };
+        if ended.is_written {
+            if let Some(response) = ended.completed_by_close() {
+                return self.response_complete(now, connection, response, effects);
             }
         }
-        let Some(conn) = self.pools.lose(connection) else { return };
-        let Some(job) = conn.job else {
-            tracing::debug!(worker = ?conn.worker, "a resting connection ended");
+        let Some(ended) = self.workers.remove(connection) else { return };
+        let Some(call) = ended.call else {
+            tracing::debug!(worker = ?ended.worker, "an idle connection ended");
             return;
         };
         tracing::debug!(
-            worker = ?conn.worker,
-            ?job,
-            written = conn.written,
-            used = conn.used,
-            rested = conn.rested,
-            silent = conn.silent(),
+            worker = ?ended.worker,
+            ?call,
+            written = ended.is_written,
+            used = ended.is_reused,
+            rested = ended.idle_time,
+            silent = ended.is_silent(),
             "a connection ended under its call"
         );
-        if conn.used && conn.silent() {
-            self.pools.broke_after(now, conn.rested);
+        if ended.is_reused && ended.is_silent() {
+            self.workers.broke_after_idle(now, ended.idle_time);
         }
-        // An old connection that was found dead says nothing of the worker, nor does one that could not be dialled here.
-        let outcome = match (conn.written, conn.used, loss) {
-            (true, ..) => AttemptOutcome::ConnectionReset,
-            (false, true, _) | (false, false, DisconnectReason::LocalFailure) => AttemptOutcome::NotSent,
-            (false, false, _) => AttemptOutcome::Unreachable,
-        };
-        self.came_to_nothing(now, connection, job, outcome, effects);
+        let outcome = disconnect_outcome(ended.is_written, ended.is_reused, reason);
+        self.call_failed(now, connection, call, outcome, effects);
     }
 
-    /// By what the list says, what was out on a connection has broken, or must never come to be.
-    pub(crate) fn worker_ends(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let attempt =
-            self.pools.get_mut(connection).filter(|conn| conn.written).map(|conn| (conn.worker, conn.job));
-        self.worker_lost(now, connection, DisconnectReason::Reset, effects);
+    /// By what the endpoint list says, what is out on a connection has failed, or must never be sent.
+    pub fn drop_worker_connection(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let dropped = self.workers.get_mut(connection).filter(|dropped| dropped.is_written);
+        let written_call = dropped.and_then(|dropped| Some((dropped.worker, dropped.call?)));
+        self.worker_disconnected(now, connection, DisconnectReason::Reset, effects);
         effects.abort(connection);
-        // Guards against a process that did get it, on a connection that came up behind its start.
-        if let Some((worker, Some(Job::Attempt { id, .. }))) = attempt {
-            self.held.gave_up(id, worker, EndedBy::ThisSide, now);
+        // Guards against a process that did get it, on a connection that was established behind its start.
+        if let Some((worker, Call::Attempt { id, .. })) = written_call {
+            self.reserved_state.attempt_abandoned(id, worker, EndedBy::ThisSide, now);
         }
     }
 
-    /// The wait on a connection to a worker may be over.
-    pub(crate) fn worker_rang(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some(conn) = self.pools.get_mut(connection) else { return };
-        if !conn.timeout.has_expired(now, TimerKey::Worker(connection), effects) {
+    /// The timer of a connection to a worker has fired.
+    pub fn worker_timer_fired(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(waiting) = self.workers.get_mut(connection) else { return };
+        if !waiting.timeout.has_expired(now, TimerKey::Worker(connection), effects) {
             return;
         }
-        match conn.job {
-            Some(job @ Job::Attempt { .. }) if !conn.written && conn.silent() => {
-                tracing::debug!(worker = ?conn.worker, "an attempt has not left in time");
-                self.pools.end(connection, effects);
-                self.came_to_nothing(now, connection, job, AttemptOutcome::Unreachable, effects);
+        match waiting.call {
+            Some(call @ Call::Attempt { .. }) if !waiting.is_written && waiting.is_silent() => {
+                tracing::debug!(worker = ?waiting.worker, "an attempt has not been written in time");
+                self.workers.abort(connection, effects);
+                self.call_failed(now, connection, call, AttemptOutcome::Unreachable, effects);
             }
-            // Also one whose first event is not whole: its request may have run.
-            Some(Job::Attempt { .. }) => {
-                tracing::debug!(worker = ?conn.worker, "a stream is silent");
-                self.spoilt(now, connection, effects);
+            // Also one whose first event is not complete: its request may have run.
+            Some(Call::Attempt { .. }) => {
+                tracing::debug!(worker = ?waiting.worker, "a stream is silent");
+                self.response_invalid(now, connection, effects);
             }
-            Some(job @ Job::Place { .. }) if !conn.written => {
-                self.pools.end(connection, effects);
-                self.came_to_nothing(now, connection, job, AttemptOutcome::NotSent, effects);
+            Some(call @ Call::Reservation { .. }) if !waiting.is_written => {
+                self.workers.abort(connection, effects);
+                self.call_failed(now, connection, call, AttemptOutcome::NotSent, effects);
             }
-            Some(Job::Place { .. }) => {
-                if let Some(oldest) = self.pools.is_late(now, connection, effects) {
-                    self.forget_place(now, oldest, effects);
+            Some(Call::Reservation { .. }) => {
+                let given_up = self.workers.reservation_timed_out(now, connection, effects);
+                if let Some(connection) = given_up {
+                    self.give_up_reservation_call(now, connection, effects);
                 }
             }
-            _ => self.pools.end(connection, effects),
+            _ => self.workers.abort(connection, effects),
+        }
+    }
+
+    /// A reservation call is waited for no longer: the reservation may be held.
+    fn give_up_reservation_call(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let call = self.workers.get_mut(connection).and_then(|waiting| waiting.call);
+        if let Some(call @ Call::Reservation { .. }) = call {
+            self.workers.abort(connection, effects);
+            self.call_failed(now, connection, call, AttemptOutcome::ConnectionReset, effects);
         }
     }
 
-    /// A call for a place is waited for no longer: it may be held.
-    fn forget_place(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        if let Some(job @ Job::Place { .. }) = self.pools.get_mut(connection).and_then(|conn| conn.job) {
-            self.pools.end(connection, effects);
-            self.came_to_nothing(now, connection, job, AttemptOutcome::ConnectionReset, effects);
+    /// A client reads its response slowly, or no longer does: that slows its own stream only.
+    pub fn client_backpressure(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        is_congested: bool,
+        effects: &mut Effects,
+    ) {
+        let Some(client) = self.clients.get(connection) else { return };
+        let ClientState::AwaitingResponse { id, .. } = client.state else { return };
+        let Some(worker) = self.workers.attempt_connection(id) else { return };
+        effects.pause_reading(worker, is_congested);
+        // Nothing is read from the worker meanwhile: it is the client that is waited for.
+        let timeout = if is_congested { CLIENT_READ_TIMEOUT } else { SILENCE_TIMEOUT };
+        if let Some(attempt) = self.workers.get_mut(worker) {
+            attempt.timeout.set(now + timeout, TimerKey::Worker(worker), effects);
         }
     }
 
-    /// Asks for signs that reads under which places are held are still out: of the reader where it may be probed, else
-    /// of the writer, which is asked for the place again.
-    pub(crate) fn ask_for_signs(&mut self, now: Micros, effects: &mut Effects) {
-        for (id, trace) in self.held.unsure() {
-            let place = self.lifecycle.requests.get(id).and_then(|s| s.reservations.last().copied());
-            let (Some(reader), Some(place)) = (self.pools.reader(id), place) else { continue };
-            let (_, mut exit) = self.parts(now, effects);
-            if exit.terms.lifecycle.scheduler.health_checks_enabled {
-                exit.ask_for_sign(id, reader);
+    /// Checks whether prefills for which a reservation is held are still under way: at the prefill worker where it may be
+    /// checked, else at the decode worker, which is asked for the reservation again.
+    pub fn check_prefills(&mut self, now: Micros, effects: &mut Effects) {
+        for (id, trace_id) in self.reserved_state.take_liveness_checks() {
+            let request = self.lifecycle.requests.get(id);
+            let reservation = request.and_then(|request| request.reservations.last().copied());
+            let Some(prefill_worker) = self.workers.prefill_worker(id) else { continue };
+            let Some(decode_worker) = reservation else { continue };
+            let mut egress = self.egress(now, effects);
+            if egress.config.lifecycle.scheduler.health_checks_enabled {
+                egress.check_liveness(id, prefill_worker);
             } else {
-                exit.place(id, &trace, place);
+                egress.request_reservation(id, &trace_id, decode_worker);
             }
         }
     }
 
-    /// What a read that ended badly may have left is released at once where no attempt follows it.
-    pub(crate) fn clean_up(&mut self, now: Micros, effects: &mut Effects) {
-        for id in self.held.doubtful() {
-            let wanted = |s: &tideroute_lifecycle::RequestState<Asked>| {
-                s.attempt.is_some() || s.state_holder.is_some()
-            };
-            if !self.lifecycle.requests.get(id).is_some_and(wanted) {
-                let (held, mut context) = self.held(now, effects);
-                held.unwanted(id, &mut context);
+    /// What a failed prefill may have left is released at once where no attempt follows it.
+    pub fn release_failed_prefills(&mut self, now: Micros, effects: &mut Effects) {
+        let is_wanted = |request: &RequestState<RequestContext>| {
+            request.attempt.is_some() || request.state_holder.is_some()
+        };
+        for id in self.reserved_state.take_failed_prefills() {
+            if !self.lifecycle.requests.get(id).is_some_and(is_wanted) {
+                let (reserved_state, mut context) = self.reserved_state(now, effects);
+                reserved_state.release_now(id, &mut context);
             }
         }
     }
 }
+
+fn attempt_outcome(response: ResponseStatus, is_prefill: bool, is_streaming: bool) -> AttemptOutcome {
+    match response.status {
+        202 if is_prefill => AttemptOutcome::PrefillComplete,
+        200 if !is_prefill && is_streaming => AttemptOutcome::Completed,
+        410 if response.never_ran => AttemptOutcome::StateMissing,
+        503 | 504 if response.never_ran => AttemptOutcome::Rejected,
+        _ => AttemptOutcome::ServerError,
+    }
+}
+
+fn reservation_outcome(response: ResponseStatus) -> ReservationOutcome {
+    match response.status {
+        200 => ReservationOutcome::Granted,
+        409 => ReservationOutcome::Refused,
+        404 => ReservationOutcome::NotReserved,
+        _ if response.never_ran => ReservationOutcome::NotReserved,
+        // With 204 too, though nobody there knows of a prefill.
+        _ => ReservationOutcome::Unknown,
+    }
+}
+
+/// An old connection that was found dead says nothing of the worker, nor does one that could not be dialled here.
+fn disconnect_outcome(is_written: bool, is_reused: bool, reason: DisconnectReason) -> AttemptOutcome {
+    if is_written {
+        AttemptOutcome::ConnectionReset
+    } else if is_reused || reason == DisconnectReason::LocalFailure {
+        AttemptOutcome::NotSent
+    } else {
+        AttemptOutcome::Unreachable
+    }
+}
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to workers. Each carries one call at a time; one whose call ended well rests until the next, and is
-//! put away long before its worker would.
+//! Connections to workers. Each carries one call at a time; one whose call ended well is kept idle for the next, and is
+//! closed long before its worker would close it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -9,364 +9,345 @@
 use tideroute_wire::{Address, Micros};
 
 use crate::timers::TimerKey;
-use crate::worker_connection::{Conn, Job};
+use crate::worker_connection::{Call, WorkerConnection};
+
+mod attempts;
+mod idle_connections;
+
+use idle_connections::{IdleConnections, TakenIdle};
 
 /// Microseconds after which a worker that says nothing is taken for gone, and not only to hang.
-const HANGS: Micros = 20_000_000;
-/// The same after a signal to end, which leaves little more.
-const HANGS_AT_END: Micros = 3_500_000;
-/// Microseconds for which a connection whose stream has ended takes no other call: a second answer may come some
+const HANG_TIMEOUT: Micros = 20_000_000;
+/// The same during shutdown, which leaves little more.
+const HANG_TIMEOUT_AT_SHUTDOWN: Micros = 3_500_000;
+/// Microseconds for which a connection whose stream has ended takes no other call: a second response may come some
 /// milliseconds behind the first, and would pass for the next call's.
-const SETTLES: Micros = 30_000;
-/// Calls for places that are long in being answered take this part of all connections at most.
-const LATE_PART: usize = 8;
-
-#[derive(Default)]
-pub struct Pools {
-    conns: BTreeMap<ConnectionId, Conn>,
-    resting: BTreeMap<WorkerId, Vec<ConnectionId>>,
-    /// Resting connections of all workers, the longest rest first.
-    rests: BTreeSet<(Micros, ConnectionId)>,
-    /// The connection that each request's attempt is out on, and since when.
-    attempts: HashMap<RequestId, (ConnectionId, Micros)>,
-    /// When each worker was last heard.
-    heard: HashMap<WorkerId, Micros>,
-    places: BTreeMap<WorkerId, Address>,
-    /// Those of them that take nothing new.
-    drains: BTreeSet<WorkerId>,
-    probes: HashMap<WorkerId, ConnectionId>,
-    most: usize,
-    dial: Micros,
-    idle: Micros,
-    /// A worker that says nothing for so long is taken for gone.
-    pub hangs: Micros,
-    /// Calls for places that workers are long in answering, the oldest first.
-    late: VecDeque<ConnectionId>,
-    /// Connections that have rested longer are not trusted, since when; none after `idle` of that.
-    doubt: Option<(Micros, Micros)>,
+const LATE_RESPONSE_WINDOW: Micros = 30_000;
+/// Reservation calls that wait for a slow worker take one in so many of all connections at most.
+const LATE_RESERVATIONS_DIVISOR: usize = 8;
+
+/// An attempt that is out.
+#[derive(Clone, Copy, Debug)]
+struct Dispatched {
+    connection: ConnectionId,
+    at: Micros,
 }
 
-impl Pools {
-    /// At most so many connections; how long a dial may take, and how long a connection rests.
-    pub fn new(most: usize, dial: Micros, idle: Micros) -> Pools {
-        Pools { most, dial, idle, hangs: HANGS, ..Pools::default() }
-    }
-
-    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut Conn> {
-        self.conns.get_mut(&connection)
-    }
+/// What connections carry, in numbers.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct PoolStatistics {
+    /// Attempts out at each worker.
+    pub attempts: BTreeMap<WorkerId, usize>,
+    /// Connections, with those being dialled.
+    pub connections: usize,
+    /// Idle ones among them.
+    pub idle: usize,
+}
 
-    /// The connection that a submission's shot is out on.
-    pub fn attempt_connection(&self, id: RequestId) -> Option<ConnectionId> {
-        self.attempts.get(&id).map(|(connection, _)| *connection)
-    }
+/// All connections to workers.
+#[derive(Default)]
+pub struct WorkerPool {
+    connections: BTreeMap<ConnectionId, WorkerConnection>,
+    idle: IdleConnections,
+    /// The attempt that is out for each request.
+    attempts: HashMap<RequestId, Dispatched>,
+    /// When bytes last came from each worker.
+    last_heard: HashMap<WorkerId, Micros>,
+    /// Where each listed worker is reached.
+    addresses: BTreeMap<WorkerId, Address>,
+    /// Listed workers that take nothing new.
+    draining: BTreeSet<WorkerId>,
+    health_checks: HashMap<WorkerId, ConnectionId>,
+    max_connections: usize,
+    connect_timeout: Micros,
+    hang_timeout: Micros,
+    /// Reservation calls that workers are slow to answer, the oldest first.
+    late_reservations: VecDeque<ConnectionId>,
+}
 
-    /// How many shots are out on connections to each worker, and how many connections there are and rest.
-    pub fn carried(&self) -> (BTreeMap<WorkerId, usize>, usize, usize) {
-        let mut attempts = BTreeMap::new();
-        for conn in self.conns.values().filter(|c| matches!(c.job, Some(Job::Attempt { .. }))) {
-            *attempts.entry(conn.worker).or_default() += 1;
+impl WorkerPool {
+    /// An empty pool of at most so many connections; how long dialling may take, and how long a connection may be idle.
+    pub fn new(max_connections: usize, connect_timeout: Micros, idle_timeout: Micros) -> WorkerPool {
+        WorkerPool {
+            max_connections,
+            connect_timeout,
+            idle: IdleConnections::new(idle_timeout),
+            hang_timeout: HANG_TIMEOUT,
+            ..WorkerPool::default()
         }
-        (attempts, self.conns.len(), self.rests.len())
-    }
-
-    /// Whether a submission's shot has a connection that is there.
-    pub fn attempt_is_connected(&self, id: RequestId) -> bool {
-        self.attempt_connection(id)
-            .and_then(|connection| self.conns.get(&connection))
-            .is_some_and(|conn| conn.up)
     }
 
-    /// Whether a submission's attempt to be read has left.
-    pub fn reads(&self, id: RequestId) -> bool {
-        self.attempt(id).is_some_and(|(conn, reading)| reading && conn.written)
+    /// A worker that says nothing for so long is taken for gone.
+    pub fn hang_timeout(&self) -> Micros {
+        self.hang_timeout
     }
 
-    /// The worker that reads it.
-    pub fn reader(&self, id: RequestId) -> Option<WorkerId> {
-        self.attempt(id).filter(|(_, reading)| *reading).map(|(conn, _)| conn.worker)
+    /// A connection to change, if it is there.
+    pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut WorkerConnection> {
+        self.connections.get_mut(&connection)
     }
 
-    /// Whether it is out to be answered.
-    pub fn writes(&self, id: RequestId) -> bool {
-        self.attempt(id).is_some_and(|(_, reading)| !reading)
+    /// Whether the call on a connection has been written; none if the connection is not there.
+    pub fn is_written(&self, connection: ConnectionId) -> Option<bool> {
+        self.connections.get(&connection).map(|connection| connection.is_written)
     }
 
-    fn attempt(&self, id: RequestId) -> Option<(&Conn, bool)> {
-        let conn = self.conns.get(&self.attempt_connection(id)?)?;
-        match conn.job {
-            Some(Job::Attempt { reading, .. }) => Some((conn, reading)),
-            _ => None,
+    /// What the connections carry now.
+    pub fn statistics(&self) -> PoolStatistics {
+        let mut attempts = BTreeMap::new();
+        for connection in self.connections.values() {
+            if matches!(connection.call, Some(Call::Attempt { .. })) {
+                *attempts.entry(connection.worker).or_default() += 1;
+            }
         }
-    }
-
-    /// When the worker of a submission's attempt was last heard, on connections that were there before the attempt, 0 if
-    /// it never was: a process that has started since would be heard on later ones only.
-    pub fn reader_heard(&self, id: RequestId) -> Micros {
-        let (Some((_, sent)), Some((attempt, _))) = (self.attempts.get(&id), self.attempt(id)) else {
-            return 0;
-        };
-        let before = self.conns.values().filter(|c| c.worker == attempt.worker && c.opened <= *sent);
-        before.map(|c| c.heard).max().unwrap_or(0)
-    }
-
-    /// A submission's attempt is over: when it went out, if it did.
-    pub fn over(&mut self, id: RequestId) -> Option<Micros> {
-        self.attempts.remove(&id).map(|(_, sent)| sent)
+        PoolStatistics { attempts, connections: self.connections.len(), idle: self.idle.len() }
     }
 
     /// Bytes have come from the worker on that connection.
-    pub fn hears(&mut self, now: Micros, connection: ConnectionId) -> Option<&mut Conn> {
-        let conn = self.conns.get_mut(&connection)?;
-        conn.heard = now;
-        self.heard.insert(conn.worker, now);
-        Some(conn)
+    pub fn on_data(&mut self, now: Micros, connection: ConnectionId) -> Option<&mut WorkerConnection> {
+        let connection = self.connections.get_mut(&connection)?;
+        connection.last_received_at = now;
+        self.last_heard.insert(connection.worker, now);
+        Some(connection)
     }
 
-    /// Whether a worker was heard at that time or later.
+    /// Whether bytes have come from a worker at that time or later.
     pub fn heard_since(&self, worker: WorkerId, time: Micros) -> bool {
-        self.heard.get(&worker).is_some_and(|heard| *heard >= time)
+        self.last_heard.get(&worker).is_some_and(|heard| *heard >= time)
     }
 
-    /// Workers that are not gone, the one that was heard last first.
-    pub fn heard_last(&self) -> impl Iterator<Item = WorkerId> {
+    /// Listed workers, the one that was heard last first.
+    pub fn workers_by_last_heard(&self) -> Vec<WorkerId> {
         let mut workers: Vec<_> = self.workers().collect();
-        workers.sort_by_key(|w| std::cmp::Reverse(self.heard.get(w).copied()));
-        workers.into_iter()
+        workers.sort_by_key(|worker| std::cmp::Reverse(self.last_heard.get(worker).copied()));
+        workers
     }
 
-    /// Where a worker is reached. Connections that can't serve any more come back: those that led to a process which
-    /// its present one has replaced, those that rest where it no longer is, and, to one that takes nothing new, those
-    /// under way with what is new: their first byte might leave after its grace.
-    pub fn listed(
+    /// A worker is listed. Connections that can't serve any more are returned: those that led to a process which another
+    /// one has replaced, idle ones to another address, and, if the worker drains, those being dialled for new work, whose
+    /// first byte might leave after its grace period.
+    pub fn worker_listed(
         &mut self,
         worker: WorkerId,
-        at: Address,
-        replaces_until: Option<Micros>,
-        takes: bool,
+        address: Address,
+        replaced_before: Option<Micros>,
+        is_serving: bool,
     ) -> Vec<ConnectionId> {
-        self.places.insert(worker, at);
-        if takes {
-            self.drains.remove(&worker);
+        self.addresses.insert(worker, address);
+        if is_serving {
+            self.draining.remove(&worker);
         } else {
-            self.drains.insert(worker);
+            self.draining.insert(worker);
         }
-        let dead = |c: &Conn| {
-            replaces_until.is_some_and(|until| c.opened < until)
-                || c.job.is_none() && c.to != at
-                || !takes && !c.up && c.brings_new()
+        let is_unusable = |connection: &WorkerConnection| {
+            let is_replaced = replaced_before.is_some_and(|time| connection.opened_at < time);
+            let is_idle_elsewhere = connection.call.is_none() && connection.to != address;
+            let is_late_for_drain = !is_serving && !connection.is_connected && connection.is_new_work();
+            is_replaced || is_idle_elsewhere || is_late_for_drain
         };
-        self.conns
+        self.connections
             .iter()
-            .filter(|(_, c)| c.worker == worker && dead(c))
-            .map(|(connection, _)| *connection)
+            .filter(|(_, connection)| connection.worker == worker && is_unusable(connection))
+            .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Connections under way, with what is new, to workers that are gone.
-    pub fn under_way_to_none(&self) -> Vec<ConnectionId> {
-        let lost = |c: &Conn| !c.up && c.brings_new() && !self.places.contains_key(&c.worker);
-        self.conns.iter().filter(|(_, c)| lost(c)).map(|(connection, _)| *connection).collect()
+    /// Connections that are being dialled for new work to workers that are no longer listed.
+    pub fn dialling_unlisted_workers(&self) -> Vec<ConnectionId> {
+        let is_affected = |connection: &WorkerConnection| {
+            !connection.is_connected
+                && connection.is_new_work()
+                && !self.addresses.contains_key(&connection.worker)
+        };
+        let affected = self.connections.iter().filter(|(_, connection)| is_affected(connection));
+        affected.map(|(id, _)| *id).collect()
     }
 
-    /// A worker is gone: nothing new reaches it, and what rests there is put away.
-    pub fn gone(&mut self, worker: WorkerId, effects: &mut Effects) {
-        self.places.remove(&worker);
-        self.drains.remove(&worker);
-        self.heard.remove(&worker);
-        for connection in self.resting.remove(&worker).unwrap_or_default() {
-            self.end(connection, effects);
+    /// A worker is removed from the list: nothing new reaches it, and its idle connections are closed.
+    pub fn worker_removed(&mut self, worker: WorkerId, effects: &mut Effects) {
+        self.addresses.remove(&worker);
+        self.draining.remove(&worker);
+        self.last_heard.remove(&worker);
+        for connection in self.idle.take_all(worker) {
+            self.abort(connection, effects);
         }
     }
 
-    /// A whole list that may not name the worker any more begins.
-    pub fn unlist(&mut self, worker: WorkerId) {
-        self.places.remove(&worker);
+    /// A full snapshot of the list begins: workers that it does not name are unlisted.
+    pub fn unlist_all(&mut self) {
+        self.addresses.clear();
     }
 
-    /// Whether something new may go to a worker.
-    pub fn takes(&self, worker: WorkerId) -> bool {
-        self.places.contains_key(&worker) && !self.drains.contains(&worker)
+    /// Whether new work may go to a worker.
+    pub fn is_serving(&self, worker: WorkerId) -> bool {
+        self.addresses.contains_key(&worker) && !self.draining.contains(&worker)
     }
 
+    /// Where a worker is reached, if it is listed.
     pub fn address(&self, worker: WorkerId) -> Option<Address> {
-        self.places.get(&worker).copied()
+        self.addresses.get(&worker).copied()
     }
 
-    /// Workers that are not gone, in an order that is the same each time.
+    /// Listed workers, in an order that is the same each time.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
-        self.places.keys().copied()
-    }
-
-    /// Nobody waits for the probe of a worker any more.
-    pub fn end_probe(&mut self, worker: WorkerId, effects: &mut Effects) {
-        let Some(connection) = self.probes.remove(&worker) else { return };
-        if self.conns.get(&connection).is_some_and(|c| matches!(c.job, Some(Job::Probe { .. }))) {
-            self.end(connection, effects);
-        }
+        self.addresses.keys().copied()
     }
 
-    /// A connection that had rested so long broke under its next call with no byte of an answer: something on
-    /// the way forgets connections sooner than the workers say. Half of that is trusted until it is old news.
-    pub fn broke_after(&mut self, now: Micros, rested: Micros) {
-        let trusted = self.trusted(now);
-        if rested / 2 <= trusted {
-            self.doubt = Some((rested / 2, now));
+    /// Nobody waits for the health check of a worker any more.
+    pub fn cancel_health_check(&mut self, worker: WorkerId, effects: &mut Effects) {
+        let Some(id) = self.health_checks.remove(&worker) else { return };
+        let Some(connection) = self.connections.get(&id) else { return };
+        if matches!(connection.call, Some(Call::HealthCheck { .. })) {
+            self.abort(id, effects);
         }
     }
 
-    fn trusted(&self, now: Micros) -> Micros {
-        self.doubt.filter(|(_, since)| now < since + self.idle).map_or(self.idle, |(rest, _)| rest)
+    /// A connection broke under its call, after it had been idle for so long before it.
+    pub fn broke_after_idle(&mut self, now: Micros, idle_time: Micros) {
+        self.idle.broke_after(now, idle_time);
     }
 
-    /// A call for a place has not been answered in time. Its worker may hang and grant it later, so it is waited for;
-    /// the call that has waited longest comes back where so many wait that others would lack the connections.
-    pub fn is_late(
+    /// A reservation call has not been answered in time. Its worker may hang and grant it later, so it is waited for
+    /// still; returned is the call to give up: this one after a second timeout, or the one that has waited for longest
+    /// where so many wait that other calls would lack connections.
+    pub fn reservation_timed_out(
         &mut self,
         now: Micros,
         connection: ConnectionId,
         effects: &mut Effects,
     ) -> Option<ConnectionId> {
-        if self.late.contains(&connection) {
-            self.late.retain(|l| *l != connection);
+        if self.late_reservations.contains(&connection) {
+            self.late_reservations.retain(|late| *late != connection);
             return Some(connection);
         }
-        self.late.retain(|l| self.conns.get(l).is_some_and(|c| matches!(c.job, Some(Job::Place { .. }))));
-        self.late.push_back(connection);
-        let until = now + self.hangs;
-        self.get_mut(connection)?.timeout.set(until, TimerKey::Worker(connection), effects);
-        if self.late.len() > self.most / LATE_PART {
-            self.late.pop_front()
-        } else {
-            None
+        let connections = &self.connections;
+        self.late_reservations.retain(|late| {
+            connections.get(late).is_some_and(|late| matches!(late.call, Some(Call::Reservation { .. })))
+        });
+        self.late_reservations.push_back(connection);
+        let expires_at = now + self.hang_timeout;
+        self.get_mut(connection)?.timeout.set(expires_at, TimerKey::Worker(connection), effects);
+        if self.late_reservations.len() <= self.max_connections / LATE_RESERVATIONS_DIVISOR {
+            return None;
         }
+        self.late_reservations.pop_front()
     }
 
-    /// The router is to end: workers that hang are waited for no longer than that allows.
-    pub fn ends(&mut self, now: Micros, effects: &mut Effects) {
-        self.hangs = HANGS_AT_END;
-        for &connection in &self.late {
-            if let Some(conn) = self.conns.get_mut(&connection) {
-                conn.timeout.set(now + HANGS_AT_END, TimerKey::Worker(connection), effects);
+    /// The router shuts down: workers that hang are waited for no longer than that allows.
+    pub fn begin_shutdown(&mut self, now: Micros, effects: &mut Effects) {
+        self.hang_timeout = HANG_TIMEOUT_AT_SHUTDOWN;
+        let expires_at = now + HANG_TIMEOUT_AT_SHUTDOWN;
+        for late in &self.late_reservations {
+            if let Some(connection) = self.connections.get_mut(late) {
+                connection.timeout.set(expires_at, TimerKey::Worker(*late), effects);
             }
         }
     }
 
-    /// Takes the connection to a worker that rested last, if it can be trusted.
-    fn rested(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
-        let connections = self.resting.get_mut(&worker)?;
-        let settled =
-            |connection: &ConnectionId| self.conns.get(connection).is_some_and(|conn| conn.settled_by <= now);
-        let connection = connections.remove(connections.iter().rposition(settled)?);
-        let since = self.conns.get(&connection)?.rests_since;
-        if now.saturating_sub(since) <= self.trusted(now) {
-            return Some(connection);
-        }
-        // Those below it have rested longer still.
-        let others = self.resting.remove(&worker).unwrap_or_default();
-        others.into_iter().chain([connection]).for_each(|connection| self.end(connection, effects));
-        None
-    }
-
-    /// Begins a call. None if there is no way to the worker, or no descriptor left for one.
-    pub fn call(
+    /// Begins a call and sends it. None if the worker is not listed, or no connection is left for it.
+    pub fn send_call(
         &mut self,
         now: Micros,
         worker: WorkerId,
-        job: Job,
+        call: Call,
         bytes: Bytes,
         effects: &mut Effects,
     ) -> Option<ConnectionId> {
-        let connection = self.begin(now, worker, job, effects)?;
+        let connection = self.begin_call(now, worker, call, effects)?;
         effects.send(connection, bytes);
         Some(connection)
     }
 
-    /// Takes a connection for a call whose bytes are still to be sent: an attempt's once it is up, for they tell how
-    /// long there is.
-    pub fn begin(
+    /// Takes a connection for a call whose bytes are still to be sent. Those of an attempt are sent once the connection is
+    /// established, for they say how much time is left.
+    pub fn begin_call(
         &mut self,
         now: Micros,
         worker: WorkerId,
-        job: Job,
+        call: Call,
         effects: &mut Effects,
     ) -> Option<ConnectionId> {
-        // Whether a request on an old connection that breaks has run is never known. One that may run but once
-        // goes on a new one.
-        let fresh = matches!(job, Job::Attempt { once: true, .. });
-        let rested = if fresh { None } else { self.rested(now, worker, effects) };
-        let connection = match rested {
+        // Whether a request has run on an old connection that breaks is never known. One that must not run twice goes on a
+        // new connection.
+        let needs_new = matches!(call, Call::Attempt { is_single_use: true, .. });
+        let reused = if needs_new { None } else { self.take_idle(now, worker, effects) };
+        let id = match reused {
             Some(connection) => connection,
-            None => self.dial(now, worker, effects)?,
+            None => self.connect(now, worker, effects)?,
         };
-        let leaves_by = now + self.dial;
-        let conn = self.conns.get_mut(&connection)?;
-        self.rests.remove(&(conn.rests_since, connection));
-        (conn.job, conn.written, conn.used) = (Some(job), false, rested.is_some());
-        conn.rested = if conn.used { now - conn.rests_since } else { 0 };
-        (conn.place, conn.streams, conn.heads) = (None, false, 0);
-        conn.leaves_by = leaves_by;
-        conn.timeout.clear();
-        if let Job::Attempt { id, .. } = job {
-            conn.timeout.set(leaves_by, TimerKey::Worker(connection), effects);
-            self.attempts.insert(id, (connection, now));
+        let dispatch_deadline = now + self.connect_timeout;
+        let connection = self.connections.get_mut(&id)?;
+        connection.begin_call(now, call, reused.is_some(), dispatch_deadline);
+        match call {
+            Call::Attempt { id: request, .. } => {
+                connection.timeout.set(dispatch_deadline, TimerKey::Worker(id), effects);
+                self.attempts.insert(request, Dispatched { connection: id, at: now });
+            }
+            Call::HealthCheck { .. } => {
+                self.health_checks.insert(worker, id);
+            }
+            _ => {}
         }
-        if let Job::Probe { .. } = job {
-            self.probes.insert(worker, connection);
+        Some(id)
+    }
+
+    fn take_idle(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
+        match self.idle.take(now, worker) {
+            TakenIdle::None => None,
+            TakenIdle::Reusable(connection) => Some(connection),
+            TakenIdle::Expired(connections) => {
+                for connection in connections {
+                    self.abort(connection, effects);
+                }
+                None
+            }
         }
-        Some(connection)
     }
 
-    fn dial(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
-        let at = self.address(worker)?;
-        if self.conns.len() >= self.most {
-            let (_, oldest) = *self.rests.first()?;
-            self.end(oldest, effects);
+    fn connect(&mut self, now: Micros, worker: WorkerId, effects: &mut Effects) -> Option<ConnectionId> {
+        let address = self.address(worker)?;
+        if self.connections.len() >= self.max_connections {
+            let oldest = self.idle.oldest()?;
+            self.abort(oldest, effects);
         }
-        let connection = effects.connect(at, self.dial);
-        self.conns.insert(connection, Conn::new(worker, at, now));
+        let connection = effects.connect(address, self.connect_timeout);
+        self.connections.insert(connection, WorkerConnection::new(worker, address, now));
         Some(connection)
     }
 
-    /// The call is over. The connection rests, unless it must not be used again.
-    pub fn ended(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Option<Job> {
-        let conn = self.conns.get_mut(&connection)?;
-        let job = conn.job.take();
-        let coming = conn.coming.take();
-        conn.first = BytesMut::new();
-        let gone = !self.places.contains_key(&conn.worker);
-        // Bytes behind the answer were not asked for; those of a request that was answered early may still leave.
-        if gone || coming.is_none_or(|c| c.last) || !conn.arrived.is_empty() || !conn.written {
-            self.end(connection, effects);
-        } else {
-            conn.arrived = BytesMut::new();
-            conn.rests_since = now;
-            conn.settled_by = if conn.streams { now + SETTLES } else { now };
-            conn.timeout.set(now + self.idle, TimerKey::Worker(connection), effects);
-            self.rests.insert((now, connection));
-            self.resting.entry(conn.worker).or_default().push(connection);
+    /// The call on a connection has ended with a complete response. The connection is kept idle, unless it must not be
+    /// used again.
+    pub fn call_finished(&mut self, now: Micros, id: ConnectionId, effects: &mut Effects) -> Option<Call> {
+        let connection = self.connections.get_mut(&id)?;
+        let call = connection.call.take();
+        let response = connection.response.take();
+        connection.buffered = BytesMut::new();
+        let is_unlisted = !self.addresses.contains_key(&connection.worker);
+        let closes = response.is_none_or(|response| response.closes_connection);
+        // Bytes behind the response were not asked for; those of a call that was answered early may still leave.
+        if is_unlisted || closes || !connection.received.is_empty() || !connection.is_written {
+            self.abort(id, effects);
+            return call;
         }
-        job
+        connection.received = BytesMut::new();
+        connection.idle_since = now;
+        connection.timeout.set(now + self.idle.idle_timeout(), TimerKey::Worker(id), effects);
+        let reusable_at = if connection.is_streaming { now + LATE_RESPONSE_WINDOW } else { now };
+        self.idle.insert(now, connection.worker, id, reusable_at);
+        call
     }
 
-    /// Ends a connection at once, whatever it is at.
-    pub fn end(&mut self, connection: ConnectionId, effects: &mut Effects) {
-        if self.lose(connection).is_some() {
+    /// Ends a connection at once, whatever it is used for.
+    pub fn abort(&mut self, connection: ConnectionId, effects: &mut Effects) {
+        if self.remove(connection).is_some() {
             effects.abort(connection);
         }
     }
 
-    /// The connection is gone.
-    pub fn lose(&mut self, connection: ConnectionId) -> Option<Conn> {
-        let conn = self.conns.remove(&connection)?;
-        if self.rests.remove(&(conn.rests_since, connection)) {
-            if let Some(connections) = self.resting.get_mut(&conn.worker) {
-                connections.retain(|l| *l != connection);
-                if connections.is_empty() {
-                    self.resting.remove(&conn.worker);
-                }
-            }
-        }
-        Some(conn)
+    /// Removes a connection that is gone.
+    pub fn remove(&mut self, id: ConnectionId) -> Option<WorkerConnection> {
+        let connection = self.connections.remove(&id)?;
+        self.idle.remove(connection.worker, id, connection.idle_since);
+        Some(connection)
     }
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
-use tideroute_gateway::Platform;
+use tideroute_gateway::{Config, Gateway};
 pub use tideroute_test_support::fixture::*;
 pub use tideroute_test_support::text::*;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
 pub struct Stage {
-    pub program: Platform,
+    pub program: Gateway,
     pub now: Micros,
     effects: Effects,
     rings: BTreeSet<(Micros, u64)>,
@@ -50,9 +50,9 @@
     }
 
     pub fn with(file: &serde_json::Value) -> Stage {
-        let terms = tideroute_gateway::read(file.to_string().as_bytes()).expect("a sound configuration");
+        let config = Config::parse(file.to_string().as_bytes()).expect("a sound configuration");
         let mut stage = Stage {
-            program: Platform::new(terms, BEGAN),
+            program: Gateway::new(config, BEGAN),
             now: BEGAN,
             effects: Effects::default(),
             rings: BTreeSet::new(),
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -530,8 +530,11 @@
     ] {
         let mut bad = file();
         *bad.pointer_mut(path).expect("there") = value;
-        let problem = tideroute_gateway::read(bad.to_string().as_bytes()).expect_err(path);
+        let problem = tideroute_gateway::Config::parse(bad.to_string().as_bytes()).expect_err(path);
         assert_eq!(problem.to_string(), told);
     }
-    assert!(tideroute_gateway::read(b"{").expect_err("cut").to_string().starts_with("it is no JSON"));
+    assert!(tideroute_gateway::Config::parse(b"{")
+        .expect_err("cut")
+        .to_string()
+        .starts_with("it is no JSON"));
 }
--- a/crates/gateway/tests/scheduling_settings.rs
+++ b/crates/gateway/tests/scheduling_settings.rs
@@ -229,10 +229,14 @@
 #[test]
 fn settings_that_leave_no_room_are_told_and_kept_by_not_doing_it() {
     let mut file = file();
-    assert!(tideroute_gateway::read(file.to_string().as_bytes()).expect("sound").without_room().is_empty());
+    assert!(tideroute_gateway::Config::parse(file.to_string().as_bytes())
+        .expect("sound")
+        .infeasible_settings()
+        .is_empty());
     file["settings"]["family_info"]["pin_limit_ms"] = json!(200.0);
     file["settings"]["classes"][2]["key_ttl_ms"] = json!(250.0);
-    let found = tideroute_gateway::read(file.to_string().as_bytes()).expect("sound").without_room();
+    let found =
+        tideroute_gateway::Config::parse(file.to_string().as_bytes()).expect("sound").infeasible_settings();
     assert!(found.len() == 2 && found[0].contains("pin_limit_ms, 200 ms"), "{found:?}");
     assert!(found[1].contains("key_ttl_ms of class keyed"), "{found:?}");
     // A repeat might come when nobody remembers the first.
