--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -87,9 +87,7 @@
         let discovery = file.address("discovery")?;
         let seed = file.hexadecimal("seed")?;
         let capacity = file.capacity()?;
-        let settings = file.get("settings").ok_or_else(|| file.error("settings", "the settings"))?;
-        let scheduler = tideroute_settings::terms(settings).map_err(ConfigError::Settings)?;
-        let load_report = tideroute_settings::report(settings).map_err(ConfigError::Settings)?;
+        let (scheduler, load_report) = file.scheduler_settings()?;
         let classes = file.class_names()?;
         let names = ConfiguredNames {
             zones: file.names("settings.failure_domains")?,
@@ -209,6 +207,13 @@
         Ok(classes.iter().map(|class| class["name"].as_str().unwrap_or_default().to_string()).collect())
     }
 
+    fn scheduler_settings(&self) -> Result<(SchedulerConfig, Option<Report>), ConfigError> {
+        let settings = self.get("settings").ok_or_else(|| self.error("settings", "the settings"))?;
+        let scheduler = tideroute_settings::terms(settings).map_err(ConfigError::Settings)?;
+        let load_report = tideroute_settings::report(settings).map_err(ConfigError::Settings)?;
+        Ok((scheduler, load_report))
+    }
+
     fn capacity(&self) -> Result<Capacity, ConfigError> {
         let descriptors =
             self.integer("limits.sockets", MIN_DESCRIPTORS, "a number of descriptors, 64 or more")?;
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -235,8 +235,8 @@
         }
         let class = self.config.lifecycle.scheduler.classes.get(usize::from(request.class));
         let is_idempotent = class.is_none_or(|class| class.idempotency != Idempotency::NonIdempotent);
-        let is_single_use = !attempt.is_prefill && !is_idempotent;
-        let call = Call::Attempt { id, number, is_prefill: attempt.is_prefill, is_single_use };
+        let is_non_idempotent = !attempt.is_prefill && !is_idempotent;
+        let call = Call::Attempt { id, number, is_prefill: attempt.is_prefill, is_non_idempotent };
         let Some(connection) = self.workers.begin_call(self.now, attempt.worker, call, self.effects) else {
             let ended = AttemptEnded { id, number, outcome: AttemptOutcome::NotSent };
             return self.deferred.attempt_outcomes.push(ended);
@@ -318,7 +318,7 @@
             self.attempt_failed(id, request, attempt, outcome, sent_at);
         }
         if let Some(ended_by) = ended_by(outcome, attempt.streaming) {
-            self.reserved_state.attempt_abandoned(id, attempt.worker, ended_by, self.now);
+            self.reserved_state.attempt_disconnected(id, attempt.worker, ended_by, self.now);
         }
     }
 
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -27,7 +27,9 @@
 mod workers;
 
 pub use entry::EndedBy;
-use entry::{liveness_check_at, liveness_lost_at, AbandonedAttempt, Entry, ReleaseClock, CLOSE_SEEN_WITHIN};
+use entry::{
+    liveness_check_at, liveness_lost_at, DisconnectedAttempt, Entry, ReleaseClock, CLOSE_SEEN_WITHIN,
+};
 pub use workers::{Context, Workers};
 
 /// Microseconds in which a dialled connection is established, unless something is wrong on its way: some round trips and
@@ -163,10 +165,10 @@
     }
 
     /// The connection of an attempt at a worker was ended.
-    pub fn attempt_abandoned(&mut self, id: RequestId, worker: WorkerId, ended_by: EndedBy, now: Micros) {
+    pub fn attempt_disconnected(&mut self, id: RequestId, worker: WorkerId, ended_by: EndedBy, now: Micros) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            let attempt = AbandonedAttempt { worker, ended_at: now, ended_by, is_worker_heard: false };
-            entry.abandoned_attempts.push(attempt);
+            let attempt = DisconnectedAttempt { worker, ended_at: now, ended_by, is_worker_heard: false };
+            entry.disconnected_attempts.push(attempt);
         }
     }
 
@@ -274,17 +276,17 @@
         request_trace::record(id, &entry.trace_id, TraceEvent::Released);
         let began_at = entry.release.as_ref().map_or(context.now, |release| release.began_at);
         entry.forget_hung_workers(context);
-        entry.abandoned_attempts.retain_mut(|attempt| attempt.outlives_release(began_at, context));
-        if entry.abandoned_attempts.is_empty() && !context.workers.is_decoding(id) {
+        entry.disconnected_attempts.retain_mut(|attempt| attempt.outlives_release(began_at, context));
+        if entry.disconnected_attempts.is_empty() && !context.workers.is_decoding(id) {
             return self.mark_released(id, Some(connection), context);
         }
         entry.stop_release(Some(connection), context);
         // It is told first from now on, for its answer is the sign that it runs.
-        if let Some(attempt) = entry.abandoned_attempts.first() {
+        if let Some(attempt) = entry.disconnected_attempts.first() {
             entry.location = Some(attempt.worker);
         }
         let is_seen_soon = entry
-            .abandoned_attempts
+            .disconnected_attempts
             .iter()
             .any(|attempt| attempt.is_worker_heard || began_at < attempt.ended_at + CLOSE_SEEN_WITHIN);
         self.run_clock(id, context.now, context);
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -49,7 +49,7 @@
 
 /// An attempt that this side has ended, or that was reset. Its worker may learn of that behind a release that was sent
 /// later, or first complete what it was at, after a hang: what it then reserves outlives that release.
-pub struct AbandonedAttempt {
+pub struct DisconnectedAttempt {
     /// Where it was out.
     pub worker: WorkerId,
     /// When its connection ended.
@@ -60,7 +60,7 @@
     pub is_worker_heard: bool,
 }
 
-impl AbandonedAttempt {
+impl DisconnectedAttempt {
     /// Whether something of it may be left after a release that began at `began_at` and has been answered.
     pub fn outlives_release<W: Workers>(&mut self, began_at: Micros, context: &Context<W>) -> bool {
         let seen_at = self.ended_at + CLOSE_SEEN_WITHIN;
@@ -103,7 +103,7 @@
     /// Releases that were answered while such calls were out: from the third each waits twice as long as the one before.
     pub release_rounds: u32,
     /// Attempts whose workers may not have seen yet that they ended.
-    pub abandoned_attempts: Vec<AbandonedAttempt>,
+    pub disconnected_attempts: Vec<DisconnectedAttempt>,
     /// The request is closed: nobody will want the state again.
     pub is_request_closed: bool,
     /// When the entry is looked at next.
@@ -122,7 +122,7 @@
             is_reservation_only: false,
             reservation_calls: vec![],
             release_rounds: 0,
-            abandoned_attempts: vec![],
+            disconnected_attempts: vec![],
             is_request_closed: false,
             timeout: Timeout::NEVER,
             release: None,
@@ -146,13 +146,13 @@
 
     /// Nothing is reserved, nor may anything come to be.
     pub fn holds_nothing(&self) -> bool {
-        self.is_reservation_only && self.reservation_calls.is_empty() && self.abandoned_attempts.is_empty()
+        self.is_reservation_only && self.reservation_calls.is_empty() && self.disconnected_attempts.is_empty()
     }
 
     /// Forgets attempts at workers that have hung for so long that they are taken for gone.
     pub fn forget_hung_workers<W: Workers>(&mut self, context: &Context<W>) {
         let hang_timeout = context.workers.hang_timeout();
-        self.abandoned_attempts.retain(|attempt| context.now < attempt.ended_at + hang_timeout);
+        self.disconnected_attempts.retain(|attempt| context.now < attempt.ended_at + hang_timeout);
     }
 
     /// Moves the entry's timer.
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -27,7 +27,7 @@
         /// A prefill worker is to read the prompt; else the response is to be decoded.
         is_prefill: bool,
         /// It decodes a request that must not run twice.
-        is_single_use: bool,
+        is_non_idempotent: bool,
     },
     /// Asks a decode worker for a reservation.
     Reservation {
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -1,7 +1,7 @@
 //! Events on connections to workers become outcomes: responses that arrive, connections that end, calls that time out.
 
 use bytes::Bytes;
-use tideroute::types::AttemptOutcome;
+use tideroute::types::{AttemptOutcome, RequestId, WorkerId};
 use tideroute_lifecycle::RequestState;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects};
 use tideroute_wire::Micros;
@@ -124,16 +124,7 @@
             }
             Call::Reservation { id } => {
                 let outcome = reservation_outcome(response);
-                let request = self.lifecycle.requests.get(id);
-                let is_last = request.and_then(|request| request.reservations.last()) == Some(&worker);
-                let is_prefilling = is_last && self.workers.is_prefilling(id);
-                let (reserved_state, mut context) = self.reserved_state(now, effects);
-                reserved_state.reservation_call_ended(id, connection, outcome, is_prefilling, &mut context);
-                if matches!(outcome, ReservationOutcome::Granted | ReservationOutcome::Refused) {
-                    let is_granted = outcome == ReservationOutcome::Granted;
-                    let (lifecycle, mut egress) = self.lifecycle(now, effects);
-                    lifecycle.reservation_answered(now, id, worker, is_granted, &mut egress);
-                }
+                self.reservation_answered(now, connection, id, worker, outcome, effects);
             }
             Call::Release { id } => {
                 let (reserved_state, mut context) = self.reserved_state(now, effects);
@@ -154,6 +145,27 @@
         }
     }
 
+    fn reservation_answered(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        id: RequestId,
+        worker: WorkerId,
+        outcome: ReservationOutcome,
+        effects: &mut Effects,
+    ) {
+        let request = self.lifecycle.requests.get(id);
+        let is_last = request.and_then(|request| request.reservations.last()) == Some(&worker);
+        let is_prefilling = is_last && self.workers.is_prefilling(id);
+        let (reserved_state, mut context) = self.reserved_state(now, effects);
+        reserved_state.reservation_call_ended(id, connection, outcome, is_prefilling, &mut context);
+        if matches!(outcome, ReservationOutcome::Granted | ReservationOutcome::Refused) {
+            let is_granted = outcome == ReservationOutcome::Granted;
+            let (lifecycle, mut egress) = self.lifecycle(now, effects);
+            lifecycle.reservation_answered(now, id, worker, is_granted, &mut egress);
+        }
+    }
+
     /// The load that a worker reports, if the settings name a column for it.
     fn reported_load(&self, report: &[u8]) -> Option<f64> {
         let column = self.config.load_report.as_ref()?;
@@ -246,7 +258,7 @@
         effects.abort(connection);
         // Guards against a process that did get it, on a connection that was established behind its start.
         if let Some((worker, Call::Attempt { id, .. })) = written_call {
-            self.reserved_state.attempt_abandoned(id, worker, EndedBy::ThisSide, now);
+            self.reserved_state.attempt_disconnected(id, worker, EndedBy::ThisSide, now);
         }
     }
 
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -269,7 +269,7 @@
     ) -> Option<ConnectionId> {
         // Whether a request has run on an old connection that breaks is never known. One that must not run twice goes on a
         // new connection.
-        let needs_new = matches!(call, Call::Attempt { is_single_use: true, .. });
+        let needs_new = matches!(call, Call::Attempt { is_non_idempotent: true, .. });
         let reused = if needs_new { None } else { self.take_idle(now, worker, effects) };
         let id = match reused {
             Some(connection) => connection,
