--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -6,8 +6,8 @@
 use tideroute_wire::event_loop::ConnectionId;
 
 /// What passes to workers so far.
-fn attempts(stage: &mut Stage) -> usize {
-    stage.calls("POST /v1").len()
+fn attempts(harness: &mut Harness) -> usize {
+    harness.calls("POST /v1").len()
 }
 
 #[test]
@@ -48,236 +48,241 @@
         (417, with("Host:", "Expect: wonders\r\nHost:")),
     ] {
         for split in [1, request.len()] {
-            let mut stage = Stage::new();
-            let client = stage.come();
-            request.as_bytes().chunks(split).for_each(|piece| stage.say(client, piece));
-            assert_eq!(stage.statuses(client), [status], "{}", request.get(..300).unwrap_or(&request));
-            assert_eq!(stage.ended.get(&client), Some(&false), "told, then closed in two steps");
-            assert_eq!(attempts(&mut stage), 0, "{request:?}");
+            let mut harness = Harness::new();
+            let client = harness.connect_client();
+            request.as_bytes().chunks(split).for_each(|piece| harness.deliver(client, piece));
+            assert_eq!(harness.statuses(client), [status], "{}", request.get(..300).unwrap_or(&request));
+            assert_eq!(harness.ended.get(&client), Some(&false), "told, then closed in two steps");
+            assert_eq!(attempts(&mut harness), 0, "{request:?}");
         }
     }
 }
 
 #[test]
 fn a_body_hides_no_second_request() {
-    let mut stage = Stage::new();
-    let client = stage.come();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let hidden = ask("hidden", "once");
     let body = format!("0\r\n\r\n{hidden}");
     let outer =
         ask_for("outer", "safe", 4_000, &body).replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
-    stage.say(client, outer);
-    assert_eq!(stage.statuses(client), [400]);
-    assert_eq!(attempts(&mut stage), 0);
+    harness.deliver(client, outer);
+    assert_eq!(harness.statuses(client), [400]);
+    assert_eq!(attempts(&mut harness), 0);
 }
 
 #[test]
 fn a_chunked_body_goes_on_with_its_length() {
-    let mut stage = Stage::new();
-    let client = stage.come();
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
     let whole = ask("id", "safe");
     let (head, _) = whole.split_once("Content-Length").expect("a length");
     let body = r#"{"model":"m"}"#;
-    stage.say(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
-    assert_eq!(stage.statuses(client), [100]);
-    stage.say(client, format!("{}{}0\r\n\r\n", chunk(&body[..5]), chunk(&body[5..])));
-    let (reader, _) = stage.attempt();
+    harness.deliver(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
+    assert_eq!(harness.statuses(client), [100]);
+    harness.deliver(client, format!("{}{}0\r\n\r\n", chunk(&body[..5]), chunk(&body[5..])));
+    let (prefill, _) = harness.attempt();
     assert!(
-        stage.text(reader).ends_with(&format!("content-length: 13\r\n\r\n{body}")),
+        harness.sent_text(prefill).ends_with(&format!("content-length: 13\r\n\r\n{body}")),
         "{}",
-        stage.text(reader)
+        harness.sent_text(prefill)
     );
 }
 
 #[test]
 fn an_id_that_is_open_gets_an_error_and_the_first_is_left_alone() {
-    let mut stage = Stage::new();
-    let (first, second) = (stage.come(), stage.come());
-    stage.say(first, ask("id", "safe"));
-    let (reader, _) = stage.attempt();
-    stage.say(second, ask("id", "safe"));
-    assert_eq!(stage.statuses(second), [409]);
-    stage.say(reader, READ);
-    let (writer, _) = stage.attempt();
-    stage.say(writer, stream());
-    assert_eq!(unchunked(&stage.text(first)), (EVENTS.concat(), true));
+    let mut harness = Harness::new();
+    let (first, second) = (harness.connect_client(), harness.connect_client());
+    harness.deliver(first, ask("id", "safe"));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(second, ask("id", "safe"));
+    assert_eq!(harness.statuses(second), [409]);
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!(unchunked(&harness.sent_text(first)), (EVENTS.concat(), true));
     // Once it is over, nothing of it is kept.
-    let third = stage.come();
-    stage.say(third, ask("id", "safe"));
-    assert_eq!(attempts(&mut stage), 1);
+    let third = harness.connect_client();
+    harness.deliver(third, ask("id", "safe"));
+    assert_eq!(attempts(&mut harness), 1);
 }
 
 #[test]
 fn sound_requests_behind_each_other_are_answered_whole_and_in_order() {
-    let mut stage = Stage::new();
-    stage.discover(&list(5));
-    let client = stage.come();
-    let asked = ["a", "b", "c"].map(|id| ask(id, "safe")).concat();
-    stage.say(client, format!("{asked}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
+    let mut harness = Harness::new();
+    harness.send_update(&list(5));
+    let client = harness.connect_client();
+    let request = ["a", "b", "c"].map(|id| ask(id, "safe")).concat();
+    harness.deliver(client, format!("{request}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
     for id in ["a", "b", "c"] {
-        let (reader, _) = stage.attempt();
-        assert!(stage.text(reader).contains(&format!("x-trace-id: {id}\r\n")));
-        stage.say(reader, READ);
-        let (writer, _) = stage.attempt();
-        stage.say(writer, stream());
+        let (prefill, _) = harness.attempt();
+        assert!(harness.sent_text(prefill).contains(&format!("x-trace-id: {id}\r\n")));
+        harness.deliver(prefill, READ);
+        let (decode, _) = harness.attempt();
+        harness.deliver(decode, stream());
     }
-    assert_eq!(stage.statuses(client), [200, 200, 200, 200]);
-    assert_eq!(stage.text(client).matches("data: [DONE]").count(), 3);
-    assert!(!stage.ended.contains_key(&client));
+    assert_eq!(harness.statuses(client), [200, 200, 200, 200]);
+    assert_eq!(harness.sent_text(client).matches("data: [DONE]").count(), 3);
+    assert!(!harness.ended.contains_key(&client));
 }
 
 #[test]
 fn who_goes_behind_what_it_sent_ahead_is_seen_to_go_and_costs_bounded_memory() {
-    let mut stage = Stage::new();
-    let client = stage.come();
-    stage.say(client, ask("a", "safe"));
-    let (reader, _) = stage.attempt();
-    (0..60).for_each(|_| stage.say(client, vec![b'x'; 10_000]));
-    assert!(stage.hushed.is_empty(), "its end could not be seen behind what is not read");
-    assert!(!stage.ended.contains_key(&reader), "its request goes on");
-    stage.lose(client);
-    stage.pass(20 * MS);
-    assert!(stage.ended.contains_key(&reader), "and ends with it");
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.deliver(client, ask("a", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..60).for_each(|_| harness.deliver(client, vec![b'x'; 10_000]));
+    assert!(harness.paused.is_empty(), "its end could not be seen behind what is not read");
+    assert!(!harness.ended.contains_key(&prefill), "its request goes on");
+    harness.reset(client);
+    harness.advance(20 * MS);
+    assert!(harness.ended.contains_key(&prefill), "and ends with it");
     // One that does not go is answered, and its connection ends: what was thrown away can't be read.
-    let patient = stage.come();
-    stage.say(patient, ask("b", "safe"));
-    let (reader, _) = stage.attempt();
-    (0..60).for_each(|_| stage.say(patient, vec![b'x'; 10_000]));
-    stage.say(reader, READ);
-    let (writer, _) = stage.attempt();
-    stage.say(writer, stream());
-    assert_eq!((stage.statuses(patient), stage.ended.get(&patient)), (vec![200], Some(&false)));
+    let waiting = harness.connect_client();
+    harness.deliver(waiting, ask("b", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..60).for_each(|_| harness.deliver(waiting, vec![b'x'; 10_000]));
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!((harness.statuses(waiting), harness.ended.get(&waiting)), (vec![200], Some(&false)));
     // One that sends without end is sent away.
-    let endless = stage.come();
-    stage.say(endless, ask("c", "safe"));
-    let (reader, _) = stage.attempt();
-    (0..140).for_each(|_| stage.say(endless, vec![b'x'; 10_000]));
-    assert!(stage.ended.contains_key(&endless));
-    assert_eq!(stage.statuses(endless), [400], "its request was read, and is answered");
-    stage.pass(20 * MS);
-    assert!(stage.ended.contains_key(&reader));
+    let endless = harness.connect_client();
+    harness.deliver(endless, ask("c", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..140).for_each(|_| harness.deliver(endless, vec![b'x'; 10_000]));
+    assert!(harness.ended.contains_key(&endless));
+    assert_eq!(harness.statuses(endless), [400], "its request was read, and is answered");
+    harness.advance(20 * MS);
+    assert!(harness.ended.contains_key(&prefill));
 }
 
 #[test]
 fn a_request_far_ahead_of_its_turn_is_answered_when_that_comes() {
-    let mut stage = Stage::new();
-    let client = stage.come();
-    stage.say(client, ask("a", "safe"));
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.deliver(client, ask("a", "safe"));
     let behind = ask_for("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
-    behind.as_bytes().chunks(10_000).for_each(|piece| stage.say(client, piece));
-    let (reader, _) = stage.attempt();
-    stage.say(reader, READ);
-    let (writer, _) = stage.attempt();
-    stage.say(writer, stream());
-    assert_eq!(attempts(&mut stage), 1, "the second follows");
+    behind.as_bytes().chunks(10_000).for_each(|piece| harness.deliver(client, piece));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!(attempts(&mut harness), 1, "the second follows");
 }
 
 #[test]
 fn silent_and_half_connections_end_in_time() {
-    let mut stage = Stage::new();
-    let (silent, half, body) = (stage.come(), stage.come(), stage.come());
-    stage.say(half, "POST /v1/chat");
+    let mut harness = Harness::new();
+    let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
+    harness.deliver(half, "POST /v1/chat");
     let whole = ask("id", "safe");
-    stage.say(body, &whole[..whole.len() - 5]);
+    harness.deliver(body, &whole[..whole.len() - 5]);
     for _ in 0..25 {
-        stage.pass(100 * MS);
+        harness.advance(100 * MS);
         // One that drips gets no more time for it.
-        stage.say(half, "x");
+        harness.deliver(half, "x");
     }
-    assert_eq!((stage.statuses(silent), stage.ended.get(&silent)), (vec![], Some(&false)));
-    assert_eq!((stage.statuses(half), stage.statuses(body)), (vec![408], vec![408]));
-    assert_eq!(attempts(&mut stage), 0);
+    assert_eq!((harness.statuses(silent), harness.ended.get(&silent)), (vec![], Some(&false)));
+    assert_eq!((harness.statuses(half), harness.statuses(body)), (vec![408], vec![408]));
+    assert_eq!(attempts(&mut harness), 0);
 }
 
 #[test]
 fn connections_beyond_the_room_take_that_of_the_idle_and_never_of_an_open_request() {
-    let mut stage = Stage::new();
+    let mut harness = Harness::new();
     let open: Vec<_> = (0..60)
         .map(|n| {
-            let client = stage.come();
-            stage.say(client, ask(&format!("id{n}"), "safe"));
+            let client = harness.connect_client();
+            harness.deliver(client, ask(&format!("id{n}"), "safe"));
             client
         })
         .collect();
-    let silent: Vec<_> = (0..400).map(|_| stage.come()).collect();
-    assert!(open.iter().all(|c| !stage.ended.contains_key(c) || stage.statuses(*c) == [503]));
-    assert!(silent[..200].iter().all(|c| stage.ended.contains_key(c)), "the idle that came first");
-    assert!(!stage.ended.contains_key(&silent[399]), "one more is always taken");
+    let silent: Vec<_> = (0..400).map(|_| harness.connect_client()).collect();
+    assert!(open.iter().all(|c| !harness.ended.contains_key(c) || harness.statuses(*c) == [503]));
+    assert!(silent[..200].iter().all(|c| harness.ended.contains_key(c)), "the idle that came first");
+    assert!(!harness.ended.contains_key(&silent[399]), "one more is always taken");
     // And still one that asks is served.
-    let client = stage.come();
-    stage.say(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(stage.statuses(client).len(), 1);
+    let client = harness.connect_client();
+    harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(harness.statuses(client).len(), 1);
 }
 
 #[test]
 fn more_than_may_be_open_is_turned_back_with_a_time() {
-    let mut stage = Stage::new();
+    let mut harness = Harness::new();
     let mut full = None;
     for n in 0..107 {
-        let client = stage.come();
-        stage.say(client, ask_for(&format!("id{n}"), "safe", 4_000, "{}"));
-        if stage.statuses(client) == [503] {
+        let client = harness.connect_client();
+        harness.deliver(client, ask_for(&format!("id{n}"), "safe", 4_000, "{}"));
+        if harness.statuses(client) == [503] {
             full = Some(client);
             break;
         }
     }
     let client = full.expect("one that is turned back");
-    assert!(stage.text(client).contains("retry-after: 0."), "{}", stage.text(client));
-    assert!(!stage.ended.contains_key(&client), "the connection goes on");
+    assert!(harness.sent_text(client).contains("retry-after: 0."), "{}", harness.sent_text(client));
+    assert!(!harness.ended.contains_key(&client), "the connection goes on");
 }
 
 #[test]
 fn bodies_that_are_being_read_take_no_more_than_their_part_of_memory() {
-    let mut stage = Stage::new();
+    let mut harness = Harness::new();
     let body = format!("\"{}\"", "x".repeat(250_000));
-    let mut told = 0;
+    let mut rejected = 0;
     for n in 0..60 {
-        let client = stage.come();
+        let client = harness.connect_client();
         let whole = ask_for(&format!("id{n}"), "safe", 4_000, &body);
         // All but the last byte: it is held and can go nowhere.
-        stage.say(client, &whole[..whole.len() - 1]);
-        told += usize::from(stage.statuses(client) == [503]);
+        harness.deliver(client, &whole[..whole.len() - 1]);
+        rejected += usize::from(harness.statuses(client) == [503]);
     }
-    assert!((20..40).contains(&told), "{told} of 60 bodies of 250 KB are told no where 8 MB may be held");
+    assert!(
+        (20..40).contains(&rejected),
+        "{rejected} of 60 bodies of 250 KB are told no where 8 MB may be held"
+    );
 }
 
 #[test]
 fn who_finds_no_room_is_told_when_to_come_back_where_the_settings_allow() {
-    for (advice, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
-        let mut terms = file();
-        terms["settings"]["caps"]["retry_after"] = advice.into();
-        terms["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
+    for (sends_retry_after, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
+        let mut config = file();
+        config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
+        config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
         let body = format!("\"{}\"", "x".repeat(250_000));
         let whole = ask_for("id", "safe", 4_000, &body);
         // Open submissions fill the one room, bodies without their last byte the other.
-        for (why, much) in [("full", ""), ("no memory for one more request", &whole[..whole.len() - 1])] {
-            let mut stage = Stage::with(&terms);
-            let told = (0..200).find_map(|n| {
-                let client = stage.come();
-                let asked = if much.is_empty() { ask(&format!("id{n}"), "safe") } else { much.to_string() };
-                stage.say(client, asked);
-                (stage.statuses(client) == [503]).then(|| stage.text(client))
+        for (reason, request) in [("full", ""), ("no memory for one more request", &whole[..whole.len() - 1])]
+        {
+            let mut harness = Harness::with_config(&config);
+            let response = (0..200).find_map(|n| {
+                let client = harness.connect_client();
+                let sent =
+                    if request.is_empty() { ask(&format!("id{n}"), "safe") } else { request.to_string() };
+                harness.deliver(client, sent);
+                (harness.statuses(client) == [503]).then(|| harness.sent_text(client))
             });
-            let told = told.expect("one that finds no room");
-            assert!(told.ends_with(&format!("{why}\n")) && told.contains(field), "{told}");
-            assert_eq!(told.contains("retry-after"), advice, "{told}");
+            let response = response.expect("one that finds no room");
+            assert!(response.ends_with(&format!("{reason}\n")) && response.contains(field), "{response}");
+            assert_eq!(response.contains("retry-after"), sends_retry_after, "{response}");
         }
     }
 }
 
 /// A request behind one that is answered, of which only a part has come, and the wait before the answer.
-fn half_a_request_behind_an_answer(part: &str, answered_after: u64) -> (Stage, ConnectionId) {
-    let mut stage = Stage::without_places();
-    let client = stage.come();
-    stage.say(client, format!("{}{part}", ask("first", "safe")));
-    let (reader, _) = stage.attempt();
-    stage.say(reader, READ);
-    let (writer, _) = stage.attempt();
-    stage.say(writer, format!("{HEAD}{}", chunk(EVENTS[0])));
-    stage.pass(answered_after * MS);
-    stage.say(writer, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
-    assert_eq!(stage.statuses(client), [200]);
-    (stage, client)
+fn half_a_request_behind_an_answer(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
+    let mut harness = Harness::without_reservations();
+    let client = harness.connect_client();
+    harness.deliver(client, format!("{}{part}", ask("first", "safe")));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.advance(answered_after * MS);
+    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    assert_eq!(harness.statuses(client), [200]);
+    (harness, client)
 }
 
 #[test]
@@ -286,10 +291,10 @@
     let (head, _) = whole.split_once("\r\n\r\n").expect("a head");
     for part in [&whole[..20], head, &whole[..whole.len() - 1]] {
         for answered_after in [100, 1_999, 2_500, 4_000] {
-            let (mut stage, client) = half_a_request_behind_an_answer(part, answered_after);
-            stage.pass(3_000 * MS);
-            assert_eq!(stage.statuses(client), [200, 408], "{part:?} behind {answered_after} ms");
-            assert_eq!(stage.ended.get(&client), Some(&false));
+            let (mut harness, client) = half_a_request_behind_an_answer(part, answered_after);
+            harness.advance(3_000 * MS);
+            assert_eq!(harness.statuses(client), [200, 408], "{part:?} behind {answered_after} ms");
+            assert_eq!(harness.ended.get(&client), Some(&false));
         }
     }
 }
--- a/crates/gateway/tests/shutdown_obligations.rs
+++ b/crates/gateway/tests/shutdown_obligations.rs
@@ -16,15 +16,15 @@
 /// Worlds that are drawn; the first of them that breaks a rule is told by its seed.
 const WORLDS: u64 = 12_000;
 /// The settings' second and what the protocol allows beyond, and how late a loop may be.
-const HELD: Micros = 1_300 * MS;
-const LATE: Micros = 50 * MS;
+const RELEASE_TIMEOUT: Micros = 1_300 * MS;
+const LOOP_LAG: Micros = 50 * MS;
 /// After which a client's close counts as seen, and a drain as told, by the settings.
-const GONE: Micros = 100 * MS;
-const GRACE: Micros = 200 * MS;
-const DIAL: Micros = 250 * MS;
+const DISCONNECT_GRACE: Micros = 100 * MS;
+const DRAIN_GRACE: Micros = 200 * MS;
+const CONNECT_TIMEOUT: Micros = 250 * MS;
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
-enum Next {
+enum Event {
     Ask(usize),
     Leave(usize),
     Up(ConnectionId),
@@ -57,168 +57,170 @@
 }
 
 struct World {
-    stage: Stage,
-    draw: Rng,
-    queue: BinaryHeap<Reverse<(Micros, u64, Next)>>,
+    harness: Harness,
+    rng: Rng,
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     events: u64,
     requests: BTreeMap<String, Request>,
     clients: BTreeMap<usize, Client>,
-    silent: BTreeSet<usize>,
+    unreachable: BTreeSet<usize>,
     drains: BTreeMap<usize, Micros>,
     version: u64,
     /// Links met, whether they are up, and how many bytes on them were looked at; links on which nothing passes.
     connections: BTreeMap<ConnectionId, (bool, usize)>,
-    void: BTreeSet<ConnectionId>,
+    blackholed: BTreeSet<ConnectionId>,
     broken: Option<String>,
 }
 
 impl World {
     fn new(seed: u64) -> World {
-        let (mut draw, mut file) = (Rng::new(seed), file());
-        file["settings"]["family_info"]["ahead"] = (draw.unit() < 0.7).into();
-        file["settings"]["caps"]["probing"] = (draw.unit() < 0.8).into();
-        let mut stage = Stage::with(&file);
-        stage.eager = false;
+        let (mut rng, mut file) = (Rng::new(seed), file());
+        file["settings"]["family_info"]["ahead"] = (rng.unit() < 0.7).into();
+        file["settings"]["caps"]["probing"] = (rng.unit() < 0.8).into();
+        let mut harness = Harness::with_config(&file);
+        harness.is_immediate = false;
         let mut world = World {
-            stage,
-            draw,
+            harness,
+            rng,
             queue: BinaryHeap::new(),
             events: 0,
             requests: BTreeMap::new(),
             clients: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             drains: BTreeMap::new(),
             version: 4,
             connections: BTreeMap::new(),
-            void: BTreeSet::new(),
+            blackholed: BTreeSet::new(),
             broken: None,
         };
-        let (watch, _) = world.stage.watch();
-        world.stage.written(watch);
-        world.stage.discover(&list(4));
-        for n in 0..world.whole(1, 6) {
-            let at = world.whole(0, 1_500);
-            world.after(at, Next::Ask(n as usize));
+        let (watch, _) = world.harness.watch();
+        world.harness.complete_write(watch);
+        world.harness.send_update(&list(4));
+        for n in 0..world.random_range(1, 6) {
+            let at = world.random_range(0, 1_500);
+            world.schedule(at, Event::Ask(n as usize));
         }
         // Two workers, a reader and a writer, always run: somebody can be told.
-        for _ in 0..world.whole(0, 4) {
-            let (worker, at) = (1 + world.whole(0, 5) as usize % 5, world.whole(0, 1_500));
-            let last = at + world.whole(50, 2_500);
+        for _ in 0..world.random_range(0, 4) {
+            let (worker, at) = (1 + world.random_range(0, 5) as usize % 5, world.random_range(0, 1_500));
+            let last = at + world.random_range(50, 2_500);
             if worker != 2 {
-                world.after(at, Next::Silent(worker));
-                world.after(last, Next::Back(worker));
+                world.schedule(at, Event::Silent(worker));
+                world.schedule(last, Event::Back(worker));
             }
         }
-        if world.chance(0.3) {
-            let at = world.whole(0, 1_500);
-            world.after(at, Next::Drain(1));
+        if world.random_bool(0.3) {
+            let at = world.random_range(0, 1_500);
+            world.schedule(at, Event::Drain(1));
         }
-        (0..140).for_each(|n| world.after(n * 50, Next::Tick));
+        (0..140).for_each(|n| world.schedule(n * 50, Event::Tick));
         world
     }
 
-    fn chance(&mut self, of: f64) -> bool {
-        self.draw.unit() < of
+    fn random_bool(&mut self, probability: f64) -> bool {
+        self.rng.unit() < probability
     }
 
-    fn whole(&mut self, least: u64, below: u64) -> u64 {
-        least + (self.draw.unit() * (below - least) as f64) as u64
+    fn random_range(&mut self, least: u64, below: u64) -> u64 {
+        least + (self.rng.unit() * (below - least) as f64) as u64
     }
 
     /// So many milliseconds from now.
-    fn after(&mut self, ms: u64, next: Next) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.events += 1;
-        self.queue.push(Reverse((self.stage.now + ms * MS, self.events, next)));
+        self.queue.push(Reverse((self.harness.now + ms * MS, self.events, event)));
     }
 
-    fn breaks(&mut self, what: String) {
-        let at = (self.stage.now - BEGAN) / MS;
-        self.broken.get_or_insert(format!("at {at} ms: {what}"));
+    fn rule_broken(&mut self, description: String) {
+        let at = (self.harness.now - BEGAN) / MS;
+        self.broken.get_or_insert(format!("at {at} ms: {description}"));
     }
 
     fn worker(&self, connection: ConnectionId) -> Option<usize> {
-        self.stage.dialled.get(&connection).filter(|to| to[2] == 1).map(|to| usize::from(to[3]) - 1)
+        self.harness.outbound.get(&connection).filter(|to| to[2] == 1).map(|to| usize::from(to[3]) - 1)
     }
 
     fn passes(&self, connection: ConnectionId) -> bool {
-        !self.void.contains(&connection) && self.worker(connection).is_some_and(|w| !self.silent.contains(&w))
+        !self.blackholed.contains(&connection)
+            && self.worker(connection).is_some_and(|w| !self.unreachable.contains(&w))
     }
 
-    fn say(&mut self, connection: ConnectionId, text: &str) {
-        if self.passes(connection) && !self.stage.ended.contains_key(&connection) {
-            self.stage.say(connection, text);
+    fn deliver(&mut self, connection: ConnectionId, text: &str) {
+        if self.passes(connection) && !self.harness.ended.contains_key(&connection) {
+            self.harness.deliver(connection, text);
         }
     }
 
     /// An attempt has had its outcome over there.
-    fn outcome(&mut self, connection: ConnectionId, trace: &str) {
-        let now = self.stage.now;
-        let r = self.requests.entry(trace.to_string()).or_default();
-        r.reads.remove(&connection);
-        r.writes.remove(&connection);
-        r.since = now;
+    fn attempt_ended(&mut self, connection: ConnectionId, trace: &str) {
+        let now = self.harness.now;
+        let request = self.requests.entry(trace.to_string()).or_default();
+        request.reads.remove(&connection);
+        request.writes.remove(&connection);
+        request.since = now;
     }
 
     /// Looks at what the router did: dials, bytes, and connections that it ended.
-    fn look(&mut self) {
+    fn observe(&mut self) {
         loop {
             let fresh: Vec<_> =
-                self.stage.dialled.keys().filter(|l| !self.connections.contains_key(l)).copied().collect();
+                self.harness.outbound.keys().filter(|l| !self.connections.contains_key(l)).copied().collect();
             for connection in &fresh {
                 self.connections.insert(*connection, (false, 0));
                 let Some(worker) = self.worker(*connection) else { continue };
-                if self.silent.contains(&worker) || self.chance(0.03) {
-                    self.after(DIAL / MS, Next::Unreached(*connection));
+                if self.unreachable.contains(&worker) || self.random_bool(0.03) {
+                    self.schedule(CONNECT_TIMEOUT / MS, Event::Unreached(*connection));
                 } else {
-                    let late = if self.chance(0.1) { self.whole(20, 240) } else { 1 };
-                    self.after(late, Next::Up(*connection));
+                    let late = if self.random_bool(0.1) { self.random_range(20, 240) } else { 1 };
+                    self.schedule(late, Event::Up(*connection));
                 }
             }
-            let gone: Vec<_> = self.stage.ended.keys().copied().collect();
-            for r in self.requests.values_mut() {
-                let ends = gone.iter().any(|l| r.reads.remove(l) | r.writes.remove(l));
-                r.since = if ends { self.stage.now } else { r.since };
+            let gone: Vec<_> = self.harness.ended.keys().copied().collect();
+            for request in self.requests.values_mut() {
+                let ends = gone.iter().any(|l| request.reads.remove(l) | request.writes.remove(l));
+                request.since = if ends { self.harness.now } else { request.since };
             }
-            let mut said = false;
+            let mut observed_call = false;
             for connection in
                 self.connections.iter().filter(|(_, (up, _))| *up).map(|(l, _)| *l).collect::<Vec<_>>()
             {
-                said |= self.heard(connection);
+                observed_call |= self.observe_call(connection);
             }
-            if fresh.is_empty() && !said {
+            if fresh.is_empty() && !observed_call {
                 return;
             }
         }
     }
 
     /// A connection has brought requests: they are written at once, and arrive unless nothing passes.
-    fn heard(&mut self, connection: ConnectionId) -> bool {
+    fn observe_call(&mut self, connection: ConnectionId) -> bool {
         let seen = self.connections.get(&connection).map_or(0, |l| l.1);
-        let all = self.stage.text(connection);
-        if all.len() <= seen || self.stage.ended.contains_key(&connection) {
+        let all = self.harness.sent_text(connection);
+        if all.len() <= seen || self.harness.ended.contains_key(&connection) {
             return false;
         }
         self.connections.insert(connection, (true, all.len()));
         let text = all[seen..].to_string();
         let Some(worker) = self.worker(connection) else { return true };
-        let now = self.stage.now;
+        let now = self.harness.now;
         let trace = |head: &str| text.split(head).nth(1)?.split(['\r', ' ']).next().map(str::to_string);
         if text.starts_with("POST /v1") {
             let trace = trace("x-trace-id: ").expect("an id");
             let number: usize = trace[1..].parse().expect("a number");
-            let late = self.clients.get(&number).and_then(|c| c.left).is_some_and(|at| now > at + GONE);
+            let late =
+                self.clients.get(&number).and_then(|c| c.left).is_some_and(|at| now > at + DISCONNECT_GRACE);
             if late {
-                self.breaks(format!("an attempt for {trace}, whose client has gone"));
+                self.rule_broken(format!("an attempt for {trace}, whose client has gone"));
             }
         }
         let new = text.starts_with("POST ");
-        if new && self.drains.get(&worker).is_some_and(|at| now > *at + GRACE) {
-            self.breaks(format!("{} to a worker that drains", &text[..30]));
+        if new && self.drains.get(&worker).is_some_and(|at| now > *at + DRAIN_GRACE) {
+            self.rule_broken(format!("{} to a worker that drains", &text[..30]));
         }
         if self.passes(connection) {
             self.arrives(connection, worker, &text);
         }
-        self.stage.written(connection);
+        self.harness.complete_write(connection);
         true
     }
 
@@ -226,203 +228,204 @@
         let after =
             |head: &str| text.split(head).nth(1).and_then(|t| t.split(['\r', ' ']).next()).unwrap_or("");
         if text.starts_with("GET ") {
-            return self.after(1, Next::Say(connection, plain(200, "", "")));
+            return self.schedule(1, Event::Say(connection, plain(200, "", "")));
         }
         if text.starts_with("DELETE ") {
-            let r = self.requests.entry(after("/internal/reservations/").into()).or_default();
-            (r.state, r.place) = (r.state && !r.writes.is_empty(), false);
-            return self.after(1, Next::Say(connection, "HTTP/1.1 204 No Content\r\n\r\n".into()));
+            let request = self.requests.entry(after("/internal/reservations/").into()).or_default();
+            (request.state, request.place) = (request.state && !request.writes.is_empty(), false);
+            return self.schedule(1, Event::Say(connection, "HTTP/1.1 204 No Content\r\n\r\n".into()));
         }
         if text.starts_with("POST /internal") {
             let trace = after("/internal/reservations/").to_string();
-            let knows = self.requests.get(&trace).is_some_and(|r| !r.reads.is_empty());
-            let takes = if knows { self.whole(1, 60) } else { 300 };
-            return self.after(takes, Next::Place(connection, trace, knows));
+            let knows = self.requests.get(&trace).is_some_and(|request| !request.reads.is_empty());
+            let takes = if knows { self.random_range(1, 60) } else { 300 };
+            return self.schedule(takes, Event::Place(connection, trace, knows));
         }
-        let (trace, lot) = (after("x-trace-id: ").to_string(), self.whole(0, 100) as u8);
-        let r = self.requests.entry(trace.clone()).or_default();
+        let (trace, roll) = (after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
+        let request = self.requests.entry(trace.clone()).or_default();
         if WORKERS[worker].1 == "reading" {
-            r.reads.insert(connection);
-            let takes = self.whole(2, 120);
-            self.after(takes, Next::ReadEnds(connection, trace, lot));
+            request.reads.insert(connection);
+            let takes = self.random_range(2, 120);
+            self.schedule(takes, Event::ReadEnds(connection, trace, roll));
         } else {
-            r.writes.insert(connection);
-            r.place = false;
-            let takes = if lot < 40 { self.whole(1, 900) } else { self.whole(1, 30) };
-            self.after(takes, Next::WriteEnds(connection, trace, lot));
+            request.writes.insert(connection);
+            request.place = false;
+            let takes = if roll < 40 { self.random_range(1, 900) } else { self.random_range(1, 30) };
+            self.schedule(takes, Event::WriteEnds(connection, trace, roll));
         }
     }
 
     /// The connection breaks, as the router learns if anything passes there.
-    fn breaks_off(&mut self, connection: ConnectionId) {
-        if self.passes(connection) && !self.stage.ended.contains_key(&connection) {
+    fn break_connection(&mut self, connection: ConnectionId) {
+        if self.passes(connection) && !self.harness.ended.contains_key(&connection) {
             self.connections.remove(&connection);
-            self.stage.lose(connection);
+            self.harness.reset(connection);
         }
     }
 
-    fn step(&mut self, next: Next) {
-        let now = self.stage.now;
-        match next {
-            Next::Ask(n) => {
-                let connection = self.stage.come();
-                let left = self.whole(800, 4_000);
-                let class = ["safe", "once", "keyed"][self.whole(0, 3) as usize];
+    fn step(&mut self, event: Event) {
+        let now = self.harness.now;
+        match event {
+            Event::Ask(n) => {
+                let connection = self.harness.connect_client();
+                let left = self.random_range(800, 4_000);
+                let class = ["safe", "once", "keyed"][self.random_range(0, 3) as usize];
                 let mut client = Client { connection, until: now + left * MS, left: None };
-                self.stage.say(connection, ask_for(&format!("t{n}"), class, left, "{}"));
-                if self.chance(0.3) {
-                    let at = self.whole(0, 1_500);
-                    self.after(at, Next::Leave(n));
+                self.harness.deliver(connection, ask_for(&format!("t{n}"), class, left, "{}"));
+                if self.random_bool(0.3) {
+                    let at = self.random_range(0, 1_500);
+                    self.schedule(at, Event::Leave(n));
                 }
-                client.until += LATE;
+                client.until += LOOP_LAG;
                 self.clients.insert(n, client);
             }
-            Next::Leave(n) => {
+            Event::Leave(n) => {
                 let Some(client) = self.clients.get_mut(&n) else { return };
-                if !self.stage.ended.contains_key(&client.connection) {
+                if !self.harness.ended.contains_key(&client.connection) {
                     client.left = Some(now);
-                    self.stage.lose(client.connection);
+                    self.harness.reset(client.connection);
                 }
             }
-            Next::Up(connection) => {
-                if !self.stage.ended.contains_key(&connection) && self.passes(connection) {
+            Event::Up(connection) => {
+                if !self.harness.ended.contains_key(&connection) && self.passes(connection) {
                     // One in fifty leads nowhere from here on, and nobody is told.
-                    if self.chance(0.02) {
-                        self.void.insert(connection);
+                    if self.random_bool(0.02) {
+                        self.blackholed.insert(connection);
                     }
                     self.connections.insert(connection, (true, 0));
-                    self.stage.opens(connection);
+                    self.harness.complete_connect(connection);
                 } else {
-                    self.after(DIAL / MS, Next::Unreached(connection));
+                    self.schedule(CONNECT_TIMEOUT / MS, Event::Unreached(connection));
                 }
             }
-            Next::Unreached(connection) => {
-                if !self.stage.ended.contains_key(&connection)
+            Event::Unreached(connection) => {
+                if !self.harness.ended.contains_key(&connection)
                     && self.connections.remove(&connection).is_some()
                 {
-                    self.stage.lose_as(connection, DisconnectReason::ConnectFailed);
+                    self.harness.disconnect(connection, DisconnectReason::ConnectFailed);
                 }
             }
-            Next::Say(connection, text) => self.say(connection, &text),
-            Next::ReadEnds(connection, trace, lot) => {
-                let out = self.requests.get(&trace).is_some_and(|r| r.reads.contains(&connection));
+            Event::Say(connection, text) => self.deliver(connection, &text),
+            Event::ReadEnds(connection, trace, roll) => {
+                let out =
+                    self.requests.get(&trace).is_some_and(|request| request.reads.contains(&connection));
                 if !out || !self.passes(connection) {
                     return;
                 }
-                self.outcome(connection, &trace);
-                let r = self.requests.entry(trace).or_default();
-                r.state |= lot < 90;
-                match lot {
-                    0..85 => self.say(connection, READ),
+                self.attempt_ended(connection, &trace);
+                let request = self.requests.entry(trace).or_default();
+                request.state |= roll < 90;
+                match roll {
+                    0..85 => self.deliver(connection, READ),
                     // It ends well just as its connection breaks.
-                    85..90 => self.breaks_off(connection),
-                    90..95 => self.say(connection, NEVER_RAN),
-                    _ => self.say(connection, &plain(500, "", "")),
+                    85..90 => self.break_connection(connection),
+                    90..95 => self.deliver(connection, NEVER_RAN),
+                    _ => self.deliver(connection, &plain(500, "", "")),
                 }
             }
-            Next::WriteEnds(connection, trace, lot) => {
+            Event::WriteEnds(connection, trace, roll) => {
                 let passes = self.passes(connection);
-                let r = self.requests.entry(trace.clone()).or_default();
-                if !r.writes.contains(&connection) || !passes {
+                let request = self.requests.entry(trace.clone()).or_default();
+                if !request.writes.contains(&connection) || !passes {
                     return;
                 }
-                if !r.state {
-                    self.outcome(connection, &trace);
-                    return self.say(connection, &NEVER_RAN.replace("503", "410"));
+                if !request.state {
+                    self.attempt_ended(connection, &trace);
+                    return self.deliver(connection, &NEVER_RAN.replace("503", "410"));
                 }
-                match lot {
+                match roll {
                     0..12 => {
-                        self.outcome(connection, &trace);
-                        self.say(connection, NEVER_RAN);
+                        self.attempt_ended(connection, &trace);
+                        self.deliver(connection, NEVER_RAN);
                     }
                     12..18 => {
-                        self.outcome(connection, &trace);
-                        self.breaks_off(connection);
+                        self.attempt_ended(connection, &trace);
+                        self.break_connection(connection);
                     }
                     _ => {
-                        (r.state, r.place, r.begun) = (false, false, true);
-                        self.say(connection, &format!("{HEAD}{}", chunk(EVENTS[0])));
-                        let takes = self.whole(1, 300);
+                        (request.state, request.place, request.begun) = (false, false, true);
+                        self.deliver(connection, &format!("{HEAD}{}", chunk(EVENTS[0])));
+                        let takes = self.random_range(1, 300);
                         let rest = format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2]));
-                        self.after(takes, Next::Say(connection, rest));
+                        self.schedule(takes, Event::Say(connection, rest));
                     }
                 }
             }
-            Next::Place(connection, trace, knew) => {
-                if !self.passes(connection) || self.stage.ended.contains_key(&connection) && knew {
+            Event::Place(connection, trace, knows_prefill) => {
+                if !self.passes(connection) || self.harness.ended.contains_key(&connection) && knows_prefill {
                     return;
                 }
-                let held = self.chance(0.5);
-                let r = self.requests.entry(trace).or_default();
-                if held && (r.writes.is_empty() || !knew) && !r.begun {
-                    (r.place, r.since) = (true, now);
+                let held = self.random_bool(0.5);
+                let request = self.requests.entry(trace).or_default();
+                if held && (request.writes.is_empty() || !knows_prefill) && !request.begun {
+                    (request.place, request.since) = (true, now);
                 }
-                let text = match (knew, held) {
+                let text = match (knows_prefill, held) {
                     (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
                     (true, true) => plain(200, "", ""),
                     (true, false) => plain(409, "", ""),
                 };
-                self.say(connection, &text);
+                self.deliver(connection, &text);
             }
-            Next::Silent(worker) => drop(self.silent.insert(worker)),
-            Next::Back(worker) => {
+            Event::Silent(worker) => drop(self.unreachable.insert(worker)),
+            Event::Back(worker) => {
                 // What was open there is reset.
-                self.silent.remove(&worker);
+                self.unreachable.remove(&worker);
                 let there: Vec<_> =
                     self.connections.keys().filter(|l| self.worker(**l) == Some(worker)).copied().collect();
                 for connection in there {
-                    self.requests.values_mut().for_each(|r| {
-                        let ends = r.reads.remove(&connection) | r.writes.remove(&connection);
-                        r.since = if ends { now } else { r.since };
+                    self.requests.values_mut().for_each(|request| {
+                        let ends = request.reads.remove(&connection) | request.writes.remove(&connection);
+                        request.since = if ends { now } else { request.since };
                     });
-                    self.breaks_off(connection);
+                    self.break_connection(connection);
                 }
             }
-            Next::Drain(worker) => {
+            Event::Drain(worker) => {
                 self.version += 1;
                 self.drains.insert(worker, now);
                 let line = json!({"version": self.version, "full": false, "servers": [entry(worker, "DRAINING", 0)]});
                 let line = format!("{line}\n");
-                let (watch, _) = self.stage.watch();
-                self.stage.say(watch, chunk(&line));
+                let (watch, _) = self.harness.watch();
+                self.harness.deliver(watch, chunk(&line));
             }
-            Next::Tick => {
-                let (watch, _) = self.stage.watch();
-                self.stage.say(watch, chunk("\n"));
+            Event::Tick => {
+                let (watch, _) = self.harness.watch();
+                self.harness.deliver(watch, chunk("\n"));
             }
         }
     }
 
     /// What the rules ask for at any moment.
-    fn judge(&mut self) {
-        let now = self.stage.now;
-        let held = self.requests.iter().find(|(_, r)| {
-            let out = !r.reads.is_empty() || !r.writes.is_empty();
-            (r.state || r.place) && !out && now > r.since + HELD
+    fn check_rules(&mut self) {
+        let now = self.harness.now;
+        let held = self.requests.iter().find(|(_, request)| {
+            let out = !request.reads.is_empty() || !request.writes.is_empty();
+            (request.state || request.place) && !out && now > request.since + RELEASE_TIMEOUT
         });
-        if let Some((trace, r)) = held {
-            let (since, what) = ((r.since - BEGAN) / MS, if r.state { "state" } else { "place" });
+        if let Some((trace, request)) = held {
+            let (since, what) = ((request.since - BEGAN) / MS, if request.state { "state" } else { "place" });
             let what = format!("a {what} of {trace} is held since {since} ms");
-            return self.breaks(what);
+            return self.rule_broken(what);
         }
         for (n, client) in &self.clients {
-            let text = self.stage.text(client.connection);
+            let text = self.harness.sent_text(client.connection);
             let heads = text.matches("HTTP/1.1 ").count();
             let none = heads == 0 && client.left.is_none() && now > client.until;
             if heads > 1 || none {
                 let what = format!("t{n} has {heads} answers");
-                return self.breaks(what);
+                return self.rule_broken(what);
             }
         }
     }
 
     fn play(mut self) -> Option<String> {
-        while let Some(Reverse((at, _, next))) = self.queue.pop() {
-            self.stage.pass(at.saturating_sub(self.stage.now));
-            self.look();
-            self.step(next);
-            self.look();
-            self.judge();
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
+            self.harness.advance(at.saturating_sub(self.harness.now));
+            self.observe();
+            self.step(event);
+            self.observe();
+            self.check_rules();
             if self.broken.is_some() {
                 return self.broken;
             }
