--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Settings that cannot be met beside the others, each with what the router does about it: what can't be done in time
-    /// is not done.
+    /// Settings that cannot be met beside the others, each with what the router does about it: what can't be done in
+    /// time is not done.
     pub fn infeasible_settings(&self) -> Vec<String> {
         let mut problems = vec![];
         if self.release_timeout < self.connect_timeout {
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -47,8 +47,8 @@
 }
 
 impl EndpointUpdate {
-    /// Parses one JSON object. Entries of a kind or zone that the settings do not name are left out: nothing is known of
-    /// what they can do.
+    /// Parses one JSON object. Entries of a kind or zone that the settings do not name are left out: nothing is known
+    /// of what they can do.
     pub fn parse(line: &[u8], names: &ConfiguredNames) -> Result<EndpointUpdate, EndpointListError> {
         let update = serde_json::from_slice(line).map_err(|_| EndpointListError::Json)?;
         EndpointUpdate::from_json(&update, names)
--- a/crates/gateway/src/endpoint_updates.rs
+++ b/crates/gateway/src/endpoint_updates.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// After a gap discovery may be behind what it sent before. What is in force is newer then, and changes come again once
-    /// they are newer too. Only if that lasts has discovery begun to count anew.
+    /// After a gap discovery may be behind what it sent before. What is in force is newer then, and changes come again
+    /// once they are newer too. Only if that lasts has discovery begun to count anew.
     fn is_stale(&mut self, now: Micros, version: u64, is_full: bool) -> bool {
         if !self.is_discovery_heard || version >= self.lifecycle.endpoint_list_version() {
             return false;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,8 +9,8 @@
 use crate::state::GatewayState;
 use crate::timers::TimerKey;
 
-/// The HTTP router: clients on one side, workers and discovery on the other. It has neither sockets nor a clock: the event
-/// loop calls it with each event and carries out the effects.
+/// The HTTP router: clients on one side, workers and discovery on the other. It has neither sockets nor a clock: the
+/// event loop calls it with each event and carries out the effects.
 pub struct Gateway {
     state: GatewayState,
 }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -90,7 +90,8 @@
         self.take_requests(now, connection, effects);
     }
 
-    /// The response to a client is complete: what came behind its request is looked at now, and has its time from now on.
+    /// The response to a client is complete: what came behind its request is looked at now, and has its time from now
+    /// on.
     pub fn next_request(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if let Some(client) = self.clients.get_mut(connection) {
             client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
@@ -295,8 +296,8 @@
         RequestState::new(context, class, (session, prefix), prompt_tokens).with_deadline(now, remaining_time)
     }
 
-    /// Rejects a request, with Retry-After if that is for want of capacity, and closes its connection: nobody knows what
-    /// else it would bring.
+    /// Rejects a request, with Retry-After if that is for want of capacity, and closes its connection: nobody knows
+    /// what else it would bring.
     fn reject(&mut self, connection: ConnectionId, rejection: Rejection, effects: &mut Effects) {
         let Rejection { status, reason } = rejection;
         counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,12 @@
 //! The HTTP router: clients, workers and discovery over HTTP/1.1.
 //!
-//! [`Gateway`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) on raw connections, without sockets and
-//! without a clock. What it receives goes to the request lifecycle of `tideroute-lifecycle`, which asks the scheduler for
-//! decisions; what those say goes out in the words of this protocol. The gateway translates and decides nothing about
-//! where and when a request runs.
+//! [`Gateway`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) on raw connections, without sockets
+//! and without a clock. What it receives goes to the request lifecycle of `tideroute-lifecycle`, which asks the
+//! scheduler for decisions; what those say goes out in the words of this protocol. The gateway translates and decides
+//! nothing about where and when a request runs.
 //!
-//! [`Config`] is the parsed configuration file; [`Capacity`] is how the process divides the memory and the descriptors that
-//! it may use.
+//! [`Config`] is the parsed configuration file; [`Capacity`] is how the process divides the memory and the descriptors
+//! that it may use.
 //!
 //! The modules stand on floors, each of which uses only those beneath it:
 //!
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -1,6 +1,6 @@
 //! The request trace: one log event for each change of state of a request, its attempts, and what is reserved for it.
-//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed list, so
-//! that the log alone shows what was sent where, when, and why it ended.
+//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed list,
+//! so that the log alone shows what was sent where, when, and why it ended.
 
 use tideroute::types::{AttemptOutcome, RequestId};
 use tideroute_lifecycle::Response;
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -1,14 +1,15 @@
 //! What may be reserved for each request at workers, KV state and decode reservations, and the calls that release it.
 //!
-//! An entry stands from the moment in which something may be reserved until a worker shows that nothing is: the response
-//! has begun, a running worker has answered a release, or one has said that it never reserved anything. Release follows
-//! the same path however an attempt ended: at once where nobody wants the state any more, else early enough before the
-//! release timeout ends.
+//! An entry stands from the moment in which something may be reserved until a worker shows that nothing is: the
+//! response has begun, a running worker has answered a release, or one has said that it never reserved anything.
+//! Release follows the same path however an attempt ended: at once where nobody wants the state any more, else early
+//! enough before the release timeout ends.
 //!
-//! The timeout runs while an attempt is out of which nothing is heard, for a connection may lead nowhere. It is suspended
-//! while a prefill is known to be under way: as long as its worker answers liveness checks or, where it must not be
-//! checked, the decode worker that holds the reservation is asked for it again and still knows of the prefill. State that
-//! an attempt waits with is released again and again, for it outlives a release and may outlive the attempt.
+//! The timeout runs while an attempt is out of which nothing is heard, for a connection may lead nowhere. It is
+//! suspended while a prefill is known to be under way: as long as its worker answers liveness checks or, where it must
+//! not be checked, the decode worker that holds the reservation is asked for it again and still knows of the prefill.
+//! State that an attempt waits with is released again and again, for it outlives a release and may outlive the
+//! attempt.
 //!
 //! The manager decides what is to be released, when and by whom. It reaches workers by the trait [`Workers`] only.
 
@@ -32,8 +33,8 @@
 };
 pub use workers::{Context, Workers};
 
-/// Microseconds in which a dialled connection is established, unless something is wrong on its way: some round trips and
-/// what the worker needs for it.
+/// Microseconds in which a dialled connection is established, unless something is wrong on its way: some round trips
+/// and what the worker needs for it.
 const USUAL_CONNECT_TIME: Micros = 50_000;
 /// Answered releases after which the pause before the next one is no longer doubled.
 const MAX_RELEASE_ROUNDS: u32 = 6;
@@ -145,8 +146,8 @@
         self.run_clock(id, context.now, context);
     }
 
-    /// An attempt that was to prefill and was dispatched at `sent_at` has failed: its prefill may have become complete over
-    /// there at any time since.
+    /// An attempt that was to prefill and was dispatched at `sent_at` has failed: its prefill may have become complete
+    /// over there at any time since.
     pub fn prefill_failed<W: Workers>(
         &mut self,
         id: RequestId,
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -10,11 +10,11 @@
 use super::workers::{Context, Workers};
 use crate::timers::{Timeout, TimerKey};
 
-/// Microseconds in which a running prefill worker answers a liveness check, and a running decode worker that knows of the
-/// prefill a reservation call.
+/// Microseconds in which a running prefill worker answers a liveness check, and a running decode worker that knows of
+/// the prefill a reservation call.
 const LIVENESS_ANSWER_TIME: Micros = 150_000;
-/// Microseconds for which a machine that vanishes is away at least: liveness is checked so often that one check falls into
-/// that time.
+/// Microseconds for which a machine that vanishes is away at least: liveness is checked so often that one check falls
+/// into that time.
 const MIN_ABSENCE: Micros = 1_000_000;
 /// Microseconds in which a worker sees that a connection to it was ended: a round trip between zones and a busy loop.
 pub const CLOSE_SEEN_WITHIN: Micros = 50_000;
@@ -100,7 +100,8 @@
     pub is_reservation_only: bool,
     /// Reservation calls that are out: what they reserve may outlive a release that has passed them.
     pub reservation_calls: Vec<ConnectionId>,
-    /// Releases that were answered while such calls were out: from the third each waits twice as long as the one before.
+    /// Releases that were answered while such calls were out: from the third each waits twice as long as the one
+    /// before.
     pub release_rounds: u32,
     /// Attempts whose workers may not have seen yet that they ended.
     pub disconnected_attempts: Vec<DisconnectedAttempt>,
@@ -200,8 +201,8 @@
     liveness_lost_at(since, release_timeout) - answer_time
 }
 
-/// When a prefill that was under way then, and of which nothing was heard since, counts as lost. What the protocol allows
-/// beyond the release timeout is left for the release.
+/// When a prefill that was under way then, and of which nothing was heard since, counts as lost. What the protocol
+/// allows beyond the release timeout is left for the release.
 pub fn liveness_lost_at(since: Micros, release_timeout: Micros) -> Micros {
     since + release_timeout.min(MIN_ABSENCE)
 }
--- a/crates/gateway/src/reserved_state/release.rs
+++ b/crates/gateway/src/reserved_state/release.rs
@@ -13,8 +13,8 @@
 /// Microseconds after which a worker that has not answered is no longer waited for alone: some round trips and a
 /// handshake, and short enough that several workers can be tried within any release timeout.
 const ANSWER_TIMEOUT: Micros = 100_000;
-/// Calls that are out at once for one request at most. Each time as many more are made as were made before, so that of a
-/// fleet of which half can't be reached one worker is found within any release timeout.
+/// Calls that are out at once for one request at most. Each time as many more are made as were made before, so that of
+/// a fleet of which half can't be reached one worker is found within any release timeout.
 const MAX_CALLS_IN_FLIGHT: usize = 16;
 /// Microseconds that the protocol allows beyond the release timeout of the settings.
 const GRACE_PERIOD: Micros = 300_000;
--- a/crates/gateway/src/reserved_state/workers.rs
+++ b/crates/gateway/src/reserved_state/workers.rs
@@ -6,8 +6,8 @@
 
 /// Connections to workers, as far as reserved state is concerned. No call comes back into the manager.
 pub trait Workers {
-    /// Tells a worker to release what is reserved for a request. None if the worker can't be reached, or no connection is
-    /// left for it.
+    /// Tells a worker to release what is reserved for a request. None if the worker can't be reached, or no connection
+    /// is left for it.
     fn send_release(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: open requests are finished, new ones are admitted for a short time still, and idle connections are
-//! closed.
+//! Graceful shutdown: open requests are finished, new ones are admitted for a short time still, and idle connections
+//! are closed.
 
 use tideroute_wire::event_loop::Effects;
 use tideroute_wire::Micros;
@@ -7,12 +7,12 @@
 use crate::state::GatewayState;
 use crate::timers::TimerKey;
 
-/// Microseconds after a signal to shut down in which new requests are still admitted. New connections come for 0.4 s more,
-/// and what is admitted over 0.7 s after the signal must be over before the process is killed, also by a router that was
-/// delayed by 0.15 s as this time ended.
+/// Microseconds after a signal to shut down in which new requests are still admitted. New connections come for 0.4 s
+/// more, and what is admitted over 0.7 s after the signal must be over before the process is killed, also by a router
+/// that was delayed by 0.15 s as this time ended.
 const GRACE_PERIOD: Micros = 500_000;
-/// Microseconds in which the first request of a new connection arrives: clients connect in order to send one, and what is
-/// on its way as the router is told to shut down would find its connection closed.
+/// Microseconds in which the first request of a new connection arrives: clients connect in order to send one, and what
+/// is on its way as the router is told to shut down would find its connection closed.
 const FIRST_REQUEST_TIMEOUT: Micros = 200_000;
 
 impl GatewayState {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -123,8 +123,8 @@
         lifecycle.finish_attempt(now, ended.id, ended.number, ended.outcome, &mut egress);
     }
 
-    /// Logs, where the log asks for it, what the lifecycle knows to be out at each worker and what is out on connections.
-    /// The two never differ between events, or one of them is wrong.
+    /// Logs, where the log asks for it, what the lifecycle knows to be out at each worker and what is out on
+    /// connections. The two never differ between events, or one of them is wrong.
     pub fn log_statistics(&mut self, now: Micros, effects: &mut Effects) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,7 +1,7 @@
 //! Timers of the gateway: which event each one is for, and timeouts that keep one timer set at a time.
 //!
-//! The event loop knows a timer by a `u64` only. [`TimerKey`] is its one encoding: the kind stands in the top byte, what
-//! the timer is for in the 56 bits beneath.
+//! The event loop knows a timer by a `u64` only. [`TimerKey`] is its one encoding: the kind stands in the top byte,
+//! what the timer is for in the 56 bits beneath.
 
 use tideroute::types::RequestId;
 use tideroute_lifecycle::{short, Timer};
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -321,8 +321,8 @@
         }
     }
 
-    /// Checks whether prefills for which a reservation is held are still under way: at the prefill worker where it may be
-    /// checked, else at the decode worker, which is asked for the reservation again.
+    /// Checks whether prefills for which a reservation is held are still under way: at the prefill worker where it may
+    /// be checked, else at the decode worker, which is asked for the reservation again.
     pub fn check_prefills(&mut self, now: Micros, effects: &mut Effects) {
         for (id, trace_id) in self.reserved_state.take_liveness_checks() {
             let request = self.lifecycle.requests.get(id);
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -123,9 +123,9 @@
         workers
     }
 
-    /// A worker is listed. Connections that can't serve any more are returned: those that led to a process which another
-    /// one has replaced, idle ones to another address, and, if the worker drains, those being dialled for new work, whose
-    /// first byte might leave after its grace period.
+    /// A worker is listed. Connections that can't serve any more are returned: those that led to a process which
+    /// another one has replaced, idle ones to another address, and, if the worker drains, those being dialled for new
+    /// work, whose first byte might leave after its grace period.
     pub fn worker_listed(
         &mut self,
         worker: WorkerId,
@@ -258,8 +258,8 @@
         Some(connection)
     }
 
-    /// Takes a connection for a call whose bytes are still to be sent. Those of an attempt are sent once the connection is
-    /// established, for they say how much time is left.
+    /// Takes a connection for a call whose bytes are still to be sent. Those of an attempt are sent once the
+    /// connection is established, for they say how much time is left.
     pub fn begin_call(
         &mut self,
         now: Micros,
@@ -267,8 +267,8 @@
         call: Call,
         effects: &mut Effects,
     ) -> Option<ConnectionId> {
-        // Whether a request has run on an old connection that breaks is never known. One that must not run twice goes on a
-        // new connection.
+        // Whether a request has run on an old connection that breaks is never known. One that must not run twice goes
+        // on a new connection.
         let needs_new = matches!(call, Call::Attempt { is_non_idempotent: true, .. });
         let reused = if needs_new { None } else { self.take_idle(now, worker, effects) };
         let id = match reused {
--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -1,17 +1,17 @@
-//! Clients that can't be trusted, and the limits of the process, on bytes in virtual time.
+//! Untrusted clients, and the capacity limits of the process, on bytes in virtual time.
 
 mod common;
 
 use common::*;
 use tideroute_wire::event_loop::ConnectionId;
 
-/// What passes to workers so far.
+/// How many attempts have gone to workers since the last call.
 fn attempts(harness: &mut Harness) -> usize {
     harness.calls("POST /v1").len()
 }
 
 #[test]
-fn what_is_no_sound_submission_gets_an_error_and_goes_to_no_worker() {
+fn an_invalid_request_is_rejected_and_goes_to_no_worker() {
     let sound = ask("id", "safe");
     let with = |from: &str, to: &str| sound.replace(from, to);
     for (status, request) in [
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_body_hides_no_second_request() {
+fn a_body_cannot_smuggle_a_second_request() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let hidden = ask("hidden", "once");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_chunked_body_goes_on_with_its_length() {
+fn a_chunked_body_is_forwarded_with_its_length() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     let whole = ask("id", "safe");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_gets_an_error_and_the_first_is_left_alone() {
+fn a_duplicate_trace_id_is_rejected_and_the_open_request_goes_on() {
     let mut harness = Harness::new();
     let (first, second) = (harness.connect_client(), harness.connect_client());
     harness.deliver(first, ask("id", "safe"));
@@ -101,14 +101,14 @@
     let (decode, _) = harness.attempt();
     harness.deliver(decode, stream());
     assert_eq!(unchunked(&harness.sent_text(first)), (EVENTS.concat(), true));
-    // Once it is over, nothing of it is kept.
+    // Once the request is closed, its trace id may be used again.
     let third = harness.connect_client();
     harness.deliver(third, ask("id", "safe"));
     assert_eq!(attempts(&mut harness), 1);
 }
 
 #[test]
-fn sound_requests_behind_each_other_are_answered_whole_and_in_order() {
+fn pipelined_requests_are_answered_in_order() {
     let mut harness = Harness::new();
     harness.send_update(&list(5));
     let client = harness.connect_client();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn who_goes_behind_what_it_sent_ahead_is_seen_to_go_and_costs_bounded_memory() {
+fn a_disconnect_behind_pipelined_bytes_is_seen_in_bounded_memory() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, ask("a", "safe"));
@@ -138,7 +138,7 @@
     harness.reset(client);
     harness.advance(20 * MS);
     assert!(harness.ended.contains_key(&prefill), "and ends with it");
-    // One that does not go is answered, and its connection ends: what was thrown away can't be read.
+    // One that stays is answered, and its connection is closed: what was discarded can't be parsed.
     let waiting = harness.connect_client();
     harness.deliver(waiting, ask("b", "safe"));
     let (prefill, _) = harness.attempt();
@@ -147,7 +147,7 @@
     let (decode, _) = harness.attempt();
     harness.deliver(decode, stream());
     assert_eq!((harness.statuses(waiting), harness.ended.get(&waiting)), (vec![200], Some(&false)));
-    // One that sends without end is sent away.
+    // One that sends without end is disconnected.
     let endless = harness.connect_client();
     harness.deliver(endless, ask("c", "safe"));
     let (prefill, _) = harness.attempt();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_request_far_ahead_of_its_turn_is_answered_when_that_comes() {
+fn a_large_pipelined_request_is_answered_in_its_turn() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, ask("a", "safe"));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn silent_and_half_connections_end_in_time() {
+fn silent_clients_and_incomplete_requests_time_out() {
     let mut harness = Harness::new();
     let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
     harness.deliver(half, "POST /v1/chat");
@@ -181,7 +181,7 @@
     harness.deliver(body, &whole[..whole.len() - 5]);
     for _ in 0..25 {
         harness.advance(100 * MS);
-        // One that drips gets no more time for it.
+        // One that sends byte by byte gets no more time for it.
         harness.deliver(half, "x");
     }
     assert_eq!((harness.statuses(silent), harness.ended.get(&silent)), (vec![], Some(&false)));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn connections_beyond_the_room_take_that_of_the_idle_and_never_of_an_open_request() {
+fn connections_beyond_capacity_replace_idle_ones_only() {
     let mut harness = Harness::new();
     let open: Vec<_> = (0..60)
         .map(|n| {
@@ -203,14 +203,14 @@
     assert!(open.iter().all(|c| !harness.ended.contains_key(c) || harness.statuses(*c) == [503]));
     assert!(silent[..200].iter().all(|c| harness.ended.contains_key(c)), "the idle that came first");
     assert!(!harness.ended.contains_key(&silent[399]), "one more is always taken");
-    // And still one that asks is served.
+    // And still a new client is served.
     let client = harness.connect_client();
     harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(harness.statuses(client).len(), 1);
 }
 
 #[test]
-fn more_than_may_be_open_is_turned_back_with_a_time() {
+fn requests_beyond_capacity_are_rejected_with_retry_after() {
     let mut harness = Harness::new();
     let mut full = None;
     for n in 0..107 {
@@ -227,14 +227,14 @@
 }
 
 #[test]
-fn bodies_that_are_being_read_take_no_more_than_their_part_of_memory() {
+fn incomplete_bodies_stay_within_their_part_of_memory() {
     let mut harness = Harness::new();
     let body = format!("\"{}\"", "x".repeat(250_000));
     let mut rejected = 0;
     for n in 0..60 {
         let client = harness.connect_client();
         let whole = ask_for(&format!("id{n}"), "safe", 4_000, &body);
-        // All but the last byte: it is held and can go nowhere.
+        // All but the last byte: it is buffered and can go nowhere.
         harness.deliver(client, &whole[..whole.len() - 1]);
         rejected += usize::from(harness.statuses(client) == [503]);
     }
@@ -245,14 +245,14 @@
 }
 
 #[test]
-fn who_finds_no_room_is_told_when_to_come_back_where_the_settings_allow() {
+fn rejections_for_capacity_carry_retry_after_where_the_settings_allow() {
     for (sends_retry_after, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
         let mut config = file();
         config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
         config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
         let body = format!("\"{}\"", "x".repeat(250_000));
         let whole = ask_for("id", "safe", 4_000, &body);
-        // Open submissions fill the one room, bodies without their last byte the other.
+        // Open requests exhaust one limit, bodies without their last byte the other.
         for (reason, request) in [("full", ""), ("no memory for one more request", &whole[..whole.len() - 1])]
         {
             let mut harness = Harness::with_config(&config);
@@ -270,8 +270,8 @@
     }
 }
 
-/// A request behind one that is answered, of which only a part has come, and the wait before the answer.
-fn half_a_request_behind_an_answer(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
+/// A part of a request behind an open one, which is answered after so many milliseconds.
+fn incomplete_pipelined_request(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, format!("{}{part}", ask("first", "safe")));
@@ -286,12 +286,12 @@
 }
 
 #[test]
-fn half_a_request_behind_an_open_one_gets_its_error_in_time() {
+fn an_incomplete_pipelined_request_times_out() {
     let whole = ask("second", "safe");
     let (head, _) = whole.split_once("\r\n\r\n").expect("a head");
     for part in [&whole[..20], head, &whole[..whole.len() - 1]] {
         for answered_after in [100, 1_999, 2_500, 4_000] {
-            let (mut harness, client) = half_a_request_behind_an_answer(part, answered_after);
+            let (mut harness, client) = incomplete_pipelined_request(part, answered_after);
             harness.advance(3_000 * MS);
             assert_eq!(harness.statuses(client), [200, 408], "{part:?} behind {answered_after} ms");
             assert_eq!(harness.ended.get(&client), Some(&false));
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router fed with bytes in virtual time: the test is its clients, workers, discovery and loop at once.
+//! A gateway fed with bytes in virtual time: the test is its clients, workers, discovery and event loop at once.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,22 +16,22 @@
     effects: Effects,
     timers: BTreeSet<(Micros, u64)>,
     accepted: u64,
-    /// Dialled links that are open or may come to be, and to whom.
+    /// Connections that the gateway dialled, open or being dialled, and to whom.
     pub outbound: BTreeMap<ConnectionId, Address>,
-    /// All that the router has sent on each link.
+    /// All that the gateway has sent on each connection.
     pub sent: BTreeMap<ConnectionId, Vec<u8>>,
-    /// Links that the router ended, and whether it cut them.
+    /// Connections that the gateway ended, and whether it aborted them.
     pub ended: BTreeMap<ConnectionId, bool>,
     pub paused: BTreeSet<ConnectionId>,
-    /// Dialled, and not yet told to be there.
+    /// Dialled, and not yet established.
     unconnected: BTreeSet<ConnectionId>,
-    /// Sent, and not yet told to be written.
+    /// Sent on, and not yet written.
     unwritten: BTreeSet<ConnectionId>,
-    /// Dials are answered at once, and what is sent is written at once.
+    /// Connections are established at once, and what is sent is written at once.
     pub is_immediate: bool,
-    /// How much of what was sent each worker's link has been asked for already.
+    /// How many bytes on each worker's connection the test has matched already.
     matched_bytes: BTreeMap<ConnectionId, usize>,
-    /// Connections under way that were taken for an attempt's: its bytes leave once they are up.
+    /// Connections being dialled that were taken for an attempt's: its bytes are sent once they are established.
     attempts: BTreeSet<ConnectionId>,
     /// Watches that discovery has begun to answer.
     answered_watches: BTreeSet<ConnectionId>,
@@ -42,7 +42,7 @@
         Harness::with_config(&file())
     }
 
-    /// One whose settings allow no places.
+    /// One whose settings allow no decode reservations.
     pub fn without_reservations() -> Harness {
         let mut file = file();
         file["settings"]["family_info"]["ahead"] = false.into();
@@ -73,7 +73,7 @@
         harness
     }
 
-    /// Carries out what the router asked for, as its loop does, until it asks for nothing more.
+    /// Executes the gateway's effects, as its event loop does, until there are none.
     fn run_until_idle(&mut self) {
         loop {
             self.gateway.on_iteration(self.now, &mut self.effects);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A dial led to a connection.
+    /// A connection that was dialled is established.
     pub fn complete_connect(&mut self, connection: ConnectionId) {
         if self.unconnected.remove(&connection) {
             self.gateway.on_connected(self.now, connection, &mut self.effects);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// What was sent on a link has been written.
+    /// What was sent on a connection has been written.
     pub fn complete_write(&mut self, connection: ConnectionId) {
         self.complete_connect(connection);
         self.unwritten.remove(&connection);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The other end closes or resets the link.
+    /// The other end closes or resets the connection.
     pub fn reset(&mut self, connection: ConnectionId) {
         self.disconnect(connection, DisconnectReason::Reset);
     }
@@ -181,12 +181,12 @@
         self.run_until_idle();
     }
 
-    /// When the next timer rings.
+    /// When the next timer fires.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Lets time pass; timers ring when they are due.
+    /// Lets time pass; timers fire when they are due.
     pub fn advance(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some(&(at, key)) = self.timers.first().filter(|(at, _)| *at <= until) {
@@ -202,13 +202,13 @@
         String::from_utf8_lossy(self.sent.get(&connection).map_or(&[], Vec::as_slice)).into_owned()
     }
 
-    /// Statuses of the answers that a client has got.
+    /// Statuses of the responses that a client has got.
     pub fn statuses(&self, connection: ConnectionId) -> Vec<u16> {
         let text = self.sent_text(connection);
         text.split("HTTP/1.1 ").skip(1).filter_map(|part| part.get(..3)?.parse().ok()).collect()
     }
 
-    /// Calls to workers that begin with these words and were not taken yet: the link and the worker.
+    /// Calls to workers that begin with a text and were not matched before: the connection and the worker.
     pub fn calls(&mut self, begin: &str) -> Vec<(ConnectionId, usize)> {
         let mut found = vec![];
         for (&connection, to) in &self.outbound {
@@ -229,8 +229,8 @@
         calls[0]
     }
 
-    /// Attempts that were not taken yet, also those whose connections are under way: nothing is sent on them before
-    /// they are up.
+    /// Attempts that were not matched before, also those whose connections are being dialled: nothing is sent on them
+    /// before they are established.
     pub fn attempts(&mut self) -> Vec<(ConnectionId, usize)> {
         let mut found = self.calls("POST /v1/chat");
         found.retain(|(connection, _)| !self.attempts.remove(connection));
@@ -252,7 +252,7 @@
         attempts[0]
     }
 
-    /// The link of the watch at discovery, if there is one now.
+    /// The connection of the discovery watch, if there is one now.
     pub fn watch_connection(&self) -> Option<ConnectionId> {
         let at = |(connection, to): (&ConnectionId, &Address)| {
             (to[2] == 9 || to[2] == 8) && !self.ended.contains_key(connection)
@@ -260,13 +260,13 @@
         self.outbound.iter().filter(|e| at(*e)).map(|(l, _)| *l).next_back()
     }
 
-    /// That link, and what was asked on it.
+    /// That connection, and what was sent on it.
     pub fn watch(&self) -> (ConnectionId, String) {
         let connection = self.watch_connection().expect("a watch");
         (connection, self.sent_text(connection))
     }
 
-    /// Discovery tells a line on the watch; its answer begins with the first one.
+    /// Discovery sends an update on the watch; its response begins with the first one.
     pub fn send_update(&mut self, line: &serde_json::Value) {
         let (connection, _) = self.watch();
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -274,3 +274,26 @@
         self.deliver(connection, format!("{head}{}", chunk(&format!("{line}\n"))));
     }
 }
+
+/// Completes the prefill of a request; its decode attempt is out afterwards.
+pub fn complete_prefill(harness: &mut Harness) {
+    let (prefill, _) = harness.attempt();
+    harness.deliver(prefill, READ);
+}
+
+/// A client whose request is prefilled and out at a decode worker.
+pub fn decoding_request(class: &str) -> (Harness, ConnectionId, ConnectionId) {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.deliver(client, ask("id", class));
+    complete_prefill(&mut harness);
+    let (decode, _) = harness.attempt();
+    (harness, client, decode)
+}
+
+/// The status of a readiness check.
+pub fn ready_status(harness: &mut Harness) -> u16 {
+    let client = harness.connect_client();
+    harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    harness.statuses(client)[0]
+}
--- /dev/null
+++ b/crates/gateway/tests/configuration.rs
@@ -0,0 +1,81 @@
+//! The configuration file and its reload, on bytes in virtual time.
+
+mod common;
+
+use common::*;
+use serde_json::json;
+
+#[test]
+fn a_config_reload_moves_the_watch_and_disturbs_no_request() {
+    let mut harness = Harness::new();
+    harness.send_update(&list(5));
+    let client = harness.connect_client();
+    harness.deliver(client, ask("id", "safe"));
+    let (prefill, _) = harness.attempt();
+    let (old, _) = harness.watch();
+    let mut fresh = file();
+    fresh["discovery"] = json!("127.0.8.8:85");
+    assert!(harness.reload_config(&fresh));
+    let (new, request) = harness.watch();
+    assert!(harness.ended.contains_key(&old) && request.contains("after=5 "));
+    assert_eq!(harness.outbound[&new], [127, 0, 8, 8, 0, 85]);
+    for bad in [json!({}), json!([]), json!({"name": "n1"})] {
+        assert!(!harness.reload_config(&bad));
+        assert_eq!(harness.watch().0, new, "a bad file changes nothing");
+    }
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert!(unchunked(&harness.sent_text(client)).1);
+}
+
+#[test]
+fn an_invalid_configuration_names_the_field() {
+    for (path, value, message) in [
+        ("/listen", json!("here"), "listen: expected an IPv4 address with a port, found \"here\""),
+        ("/discovery", json!(null), "discovery: expected an IPv4 address with a port, found null"),
+        ("/seed", json!("xyz"), "seed: expected hexadecimal digits, found \"xyz\""),
+        (
+            "/limits/sockets",
+            json!(12),
+            "limits.sockets: expected a number of descriptors, 64 or more, found 12",
+        ),
+        ("/limits/memory_mb", json!(-1), "limits.memory_mb: expected megabytes, 16 or more, found -1"),
+        ("/settings/kinds", json!("a"), "settings.kinds: expected a list of names, found \"a\""),
+        (
+            "/settings/caps/dial_timeout_ms",
+            json!(null),
+            "settings.caps.dial_timeout_ms: expected milliseconds, found null",
+        ),
+        (
+            "/settings/invariants/cold_share",
+            json!("x"),
+            "settings: invariants.cold_share in the settings is not a number of 0 or more",
+        ),
+        (
+            "/settings/classes/0/on_time_ms",
+            json!(null),
+            "settings: classes[0].on_time_ms in the settings is null: a number over 0 is needed",
+        ),
+        (
+            "/settings/classes/1/hard_limit_ms",
+            json!(0),
+            "settings: classes[1].hard_limit_ms in the settings is 0: a number over 0 is needed",
+        ),
+        (
+            "/settings/classes/2/key_ttl_ms",
+            json!(0.0),
+            "settings: classes[2].key_ttl_ms in the settings is 0.0: a number over 0 is needed",
+        ),
+        ("/known/servers/0/addr", json!("x"), "known: addr is missing or is not what it should be"),
+    ] {
+        let mut bad = file();
+        *bad.pointer_mut(path).expect("there") = value;
+        let problem = tideroute_gateway::Config::parse(bad.to_string().as_bytes()).expect_err(path);
+        assert_eq!(problem.to_string(), message);
+    }
+    assert!(tideroute_gateway::Config::parse(b"{")
+        .expect_err("cut")
+        .to_string()
+        .starts_with("it is no JSON"));
+}
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Discovery, new configurations and the end, on bytes in virtual time.
+//! The discovery watch and the endpoint list, on bytes in virtual time.
 
 mod common;
 
@@ -6,13 +6,7 @@
 use serde_json::json;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
-fn ready_status(harness: &mut Harness) -> u16 {
-    let client = harness.connect_client();
-    harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    harness.statuses(client)[0]
-}
-
-/// The worker to which a submission's read goes.
+/// The worker that a request's prefill goes to.
 fn prefill_worker_of(harness: &mut Harness, trace: &str) -> usize {
     let client = harness.connect_client();
     harness.deliver(client, ask(trace, "safe"));
@@ -30,7 +24,7 @@
 }
 
 #[test]
-fn it_is_up_once_discovery_has_spoken_or_is_silent_for_a_while() {
+fn the_router_is_ready_once_discovery_has_answered_or_timed_out() {
     let mut harness = Harness::new();
     assert_eq!(ready_status(&mut harness), 503);
     harness.send_update(&list(5));
@@ -46,7 +40,7 @@
 }
 
 #[test]
-fn lines_come_in_odd_pieces_and_changes_are_applied_in_order() {
+fn updates_split_anywhere_are_applied_in_order() {
     let mut harness = Harness::new();
     let (connection, request) = harness.watch();
     assert!(request.starts_with("GET /discovery/hosts?watch=1&after=4 HTTP/1.1\r\n"), "{request}");
@@ -71,7 +65,7 @@
 }
 
 #[test]
-fn a_watch_that_ends_is_silent_or_can_not_be_read_is_opened_anew() {
+fn a_watch_that_ends_falls_silent_or_is_malformed_is_reopened() {
     let ends: [fn(&mut Harness, ConnectionId); 6] = [
         |s, l| s.reset(l),
         |s, l| s.disconnect(l, DisconnectReason::ConnectFailed),
@@ -108,9 +102,9 @@
     }
 }
 
-/// What discovery has counts as told six seconds after it fell silent, or could be reached again, whatever failed.
+/// A router counts as notified six seconds after discovery fell silent, or could be reached again, whatever failed.
 #[test]
-fn what_a_silent_watch_missed_is_heard_well_within_six_seconds_though_the_next_call_comes_to_nothing() {
+fn updates_missed_by_a_silent_watch_arrive_within_six_seconds_despite_one_failed_reopening() {
     type Fails = fn(&mut Harness, ConnectionId);
     let fails: [(&str, Fails); 5] = [
         ("nobody takes it", |s, l| {
@@ -123,7 +117,7 @@
         ("it is reset", |s, l| s.reset(l)),
     ];
     for (what, fail) in fails {
-        // Failures before, as in a time without discovery, have made the pauses as long as they get.
+        // Failures before, as in a time without discovery, have raised the backoff to its maximum.
         let mut harness = Harness::new();
         for _ in 0..8 {
             let (connection, _) = harness.watch();
@@ -149,7 +143,7 @@
 }
 
 #[test]
-fn lists_may_come_indented_over_many_lines() {
+fn updates_may_be_indented_over_many_lines() {
     let mut harness = Harness::new();
     let mut newer = list(9);
     newer["servers"][0]["state"] = json!("DRAINING");
@@ -166,9 +160,9 @@
     }
 }
 
-/// A list of the largest fleet, as it may come in small pieces. Looked at anew with each of them, it took 4.5 s of processor time.
+/// A list of the largest fleet in small pieces. Scanned anew with each piece, it took 4.5 s of processor time.
 #[test]
-fn a_long_list_in_small_pieces_is_looked_at_once() {
+fn a_long_list_in_small_pieces_is_scanned_once() {
     let mut harness = Harness::new();
     let mut newer = list(9);
     let servers = newer["servers"].as_array_mut().expect("a list");
@@ -192,7 +186,7 @@
 }
 
 #[test]
-fn a_list_older_than_the_one_in_force_is_passed_over_until_it_lasts() {
+fn an_older_list_is_ignored_until_it_persists() {
     let mut harness = Harness::new();
     let mut newer = list(9);
     newer["servers"][0]["state"] = json!("DRAINING");
@@ -212,7 +206,7 @@
 }
 
 #[test]
-fn workers_are_ranked_by_their_names_and_not_by_their_addresses() {
+fn workers_are_ranked_by_name_and_not_by_address() {
     let mut moved = file();
     for (n, server) in moved["known"]["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         server["addr"] = json!(format!("127.0.1.{}:80", 6 - n));
@@ -228,132 +222,7 @@
 }
 
 #[test]
-fn a_new_start_under_an_old_name_makes_old_connections_dead() {
-    let mut harness = Harness::new();
-    harness.send_update(&list(5));
-    let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
-    let (prefill, at) = harness.attempt();
-    harness.advance(1_000 * MS);
-    let started = harness.now / MS - 100;
-    harness.send_update(&json!({"version": 6, "full": false, "servers": [entry(at, "SERVING", started)]}));
-    assert!(harness.ended.contains_key(&prefill));
-    harness.advance(20 * MS);
-    assert_ne!(harness.attempt().1, at, "it is read elsewhere: that one is cold");
-}
-
-/// Milliseconds in an hour, by which wall clocks may be stepped.
-const HOUR_MS: u64 = 3_600_000;
-
-/// By which clock a start is told.
-#[derive(Clone, Copy, PartialEq, Debug)]
-enum WorkerClock {
-    InStep,
-    Ahead,
-    Behind,
-}
-
-/// A start that was a moment ago, as that clock tells it.
-fn reported_start(harness: &Harness, clock: WorkerClock) -> u64 {
-    let started_ms = harness.now / MS - 10;
-    match clock {
-        WorkerClock::InStep => started_ms,
-        WorkerClock::Ahead => started_ms + HOUR_MS,
-        WorkerClock::Behind => started_ms - HOUR_MS,
-    }
-}
-
-/// A request is served whole; its reader.
-fn served_by(harness: &mut Harness, trace: &str) -> usize {
-    let client = harness.connect_client();
-    harness.deliver(client, ask(trace, "safe"));
-    let (prefill, at) = harness.attempt();
-    harness.deliver(prefill, READ);
-    let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert_eq!(harness.statuses(client), [200]);
-    at
-}
-
-/// A worker's entry is told with another start, by a clock that was stepped, while discovery has been heard all along.
-/// The worker and its entry, as told.
-fn restarts_by_a_stepped_clock(harness: &mut Harness, clock: WorkerClock) -> (usize, serde_json::Value) {
-    harness.send_update(&list(5));
-    let worker = served_by(harness, "home");
-    for version in 6..16 {
-        harness.advance(2_000 * MS);
-        harness.send_update(&list(version));
-    }
-    let restarted = entry(worker, "SERVING", reported_start(harness, clock));
-    harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
-    (worker, restarted)
-}
-
-#[test]
-fn a_start_told_by_a_stepped_clock_ends_what_was_out_there() {
-    for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
-        let mut harness = Harness::without_reservations();
-        harness.send_update(&list(5));
-        let client = harness.connect_client();
-        harness.deliver(client, ask("id", "safe"));
-        let (prefill, _) = harness.attempt();
-        harness.deliver(prefill, READ);
-        let (decode, at) = harness.attempt();
-        harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
-        // Longer than a list may be late: what was out then was out before the start.
-        for version in 6..11 {
-            harness.advance(2_000 * MS);
-            harness.send_update(&list(version));
-            harness.deliver(decode, chunk(EVENTS[1]));
-        }
-        let restarted = entry(at, "SERVING", reported_start(&harness, clock));
-        harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
-        assert!(harness.ended.contains_key(&decode), "{clock:?}; the process that had it is gone");
-        assert!(harness.ended.contains_key(&client));
-    }
-}
-
-/// Readers of many requests, just after a start and once the worker is warm; and the worker.
-fn prefill_workers_after_a_start(clock: WorkerClock) -> (usize, Vec<usize>, Vec<usize>) {
-    let mut harness = Harness::without_reservations();
-    let (worker, _) = restarts_by_a_stepped_clock(&mut harness, clock);
-    let cold = (0..40).map(|n| served_by(&mut harness, &format!("cold{n}"))).collect();
-    harness.advance(11_000 * MS);
-    let warm = (0..40).map(|n| served_by(&mut harness, &format!("warm{n}"))).collect();
-    (worker, cold, warm)
-}
-
-#[test]
-fn a_start_told_by_a_stepped_clock_is_cold_for_as_long_as_any() {
-    let (worker, cold, warm) = prefill_workers_after_a_start(WorkerClock::InStep);
-    assert!(cold.iter().filter(|prefill| **prefill == worker).count() < 20, "it is cold: {cold:?}");
-    for clock in [WorkerClock::Ahead, WorkerClock::Behind] {
-        assert_eq!(prefill_workers_after_a_start(clock), (worker, cold.clone(), warm.clone()), "{clock:?}");
-    }
-}
-
-#[test]
-fn a_start_told_by_a_stepped_clock_is_one_start_however_often_it_is_listed() {
-    for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
-        let mut harness = Harness::without_reservations();
-        let (worker, restarted) = restarts_by_a_stepped_clock(&mut harness, clock);
-        harness.advance(11_000 * MS);
-        let client = harness.connect_client();
-        harness.deliver(client, ask("out", "once"));
-        let (prefill, at) = harness.attempt();
-        assert_eq!(at, worker);
-        let mut whole = list(30);
-        whole["servers"][worker] = restarted;
-        harness.send_update(&whole);
-        assert!(
-            !harness.ended.contains_key(&prefill),
-            "{clock:?}; it was listed again, and has not started again"
-        );
-    }
-}
-
-#[test]
-fn what_is_under_way_to_a_worker_that_drains_or_is_gone_never_leaves() {
+fn calls_not_yet_sent_to_a_draining_or_removed_worker_never_are() {
     let removed = |is_full: bool, worker: usize| {
         let mut page = list(5);
         let servers = page["servers"].as_array_mut().expect("a list");
@@ -379,7 +248,7 @@
         assert!(harness.ended.contains_key(&prefill), "its first byte might leave after the grace");
         let (second, other) = harness.attempt();
         assert_ne!(at, other);
-        // The same of a place, once the read is at its reader.
+        // The same of a reservation call, once the prefill is at its worker.
         harness.complete_write(second);
         let (reservation, decode) = harness.call("POST /internal/reservations/id ");
         let mut line = update(decode);
@@ -388,13 +257,13 @@
         let line = format!("{line}\n");
         harness.deliver(watch, format!("{:x}\r\n{line}\r\n", line.len()));
         assert!(harness.ended.contains_key(&reservation));
-        // What has left runs to its end.
+        // What has been sent runs to its end.
         assert!(!harness.ended.contains_key(&second));
     }
 }
 
 #[test]
-fn what_rests_where_a_worker_no_longer_is_is_not_used_again() {
+fn idle_connections_to_a_workers_former_address_are_closed() {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, ask("a", "safe"));
@@ -407,155 +276,3 @@
     harness.send_update(&json!({"version": 5, "full": false, "servers": [moved]}));
     assert!(harness.ended.contains_key(&prefill));
 }
-
-#[test]
-fn a_new_configuration_moves_the_watch_and_disturbs_nothing() {
-    let mut harness = Harness::new();
-    harness.send_update(&list(5));
-    let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
-    let (prefill, _) = harness.attempt();
-    let (old, _) = harness.watch();
-    let mut fresh = file();
-    fresh["discovery"] = json!("127.0.8.8:85");
-    assert!(harness.reload_config(&fresh));
-    let (new, request) = harness.watch();
-    assert!(harness.ended.contains_key(&old) && request.contains("after=5 "));
-    assert_eq!(harness.outbound[&new], [127, 0, 8, 8, 0, 85]);
-    for bad in [json!({}), json!([]), json!({"name": "n1"})] {
-        assert!(!harness.reload_config(&bad));
-        assert_eq!(harness.watch().0, new, "a bad file changes nothing");
-    }
-    harness.deliver(prefill, READ);
-    let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert!(unchunked(&harness.sent_text(client)).1);
-}
-
-#[test]
-fn the_end_keeps_what_it_owes() {
-    let mut harness = Harness::new();
-    harness.send_update(&list(5));
-    let (open, idle) = (harness.connect_client(), harness.connect_client());
-    harness.deliver(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    harness.deliver(open, ask("open", "safe"));
-    complete_prefill(&mut harness);
-    let (decode, _) = harness.attempt();
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
-    harness.shut_down();
-    harness.shut_down();
-    assert!(harness.ended.contains_key(&idle) && !harness.ended.contains_key(&open));
-    assert_eq!(ready_status(&mut harness), 503);
-    // The others have not heard of the end yet: one that comes now is served.
-    harness.advance(300 * MS);
-    let late = harness.connect_client();
-    harness.deliver(late, ask("late", "safe"));
-    complete_prefill(&mut harness);
-    let (late_writer, _) = harness.attempt();
-    harness.deliver(late_writer, stream());
-    assert!(unchunked(&harness.sent_text(late)).1 && harness.sent_text(late).contains("connection: close"));
-    assert!(harness.ended.contains_key(&late), "its connection ends between requests");
-    harness.advance(500 * MS);
-    let too_late = harness.connect_client();
-    harness.deliver(too_late, ask("too-late", "safe"));
-    assert_eq!(harness.statuses(too_late), [503]);
-    assert!(!is_finished(&harness), "a stream is open");
-    harness.deliver(decode, format!("{}0\r\n\r\n", chunk(EVENTS[1])));
-    assert!(unchunked(&harness.sent_text(open)).1);
-    assert!(!is_finished(&harness), "nobody has said what became of the places");
-    for (reservation, _) in harness.calls("POST /internal/reservations/") {
-        assert!(!is_finished(&harness));
-        harness.deliver(reservation, plain(409, "", ""));
-    }
-    assert!(is_finished(&harness));
-}
-
-/// A request may be on its way on a connection that was made a moment before the end.
-#[test]
-fn who_has_come_just_before_the_end_is_answered_and_who_says_nothing_does_not_hold_it_up() {
-    let mut harness = Harness::without_reservations();
-    harness.send_update(&list(5));
-    let (old, asks, silent, half) = (
-        harness.connect_client(),
-        harness.connect_client(),
-        harness.connect_client(),
-        harness.connect_client(),
-    );
-    harness.deliver(old, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    harness.shut_down();
-    assert!(harness.ended.contains_key(&old), "it rested between requests");
-    assert!(!harness.ended.contains_key(&asks));
-    harness.deliver(half, &ask("half", "safe")[..40]);
-    harness.advance(150 * MS);
-    harness.deliver(asks, ask("asks", "safe"));
-    complete_prefill(&mut harness);
-    let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert!(unchunked(&harness.sent_text(asks)).1 && harness.sent_text(asks).contains("connection: close"));
-    harness.advance(450 * MS);
-    assert!(harness.ended.contains_key(&silent) && harness.statuses(silent).is_empty());
-    assert!(!harness.ended.contains_key(&half), "it has as long as ever to be whole");
-    harness.advance(1_500 * MS);
-    assert_eq!(harness.statuses(half), [408]);
-    assert!(is_finished(&harness));
-}
-
-fn complete_prefill(harness: &mut Harness) {
-    let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
-}
-
-fn is_finished(harness: &Harness) -> bool {
-    tideroute_wire::event_loop::EventHandler::is_finished(&harness.gateway)
-}
-
-#[test]
-fn a_configuration_that_lacks_something_says_what() {
-    for (path, value, message) in [
-        ("/listen", json!("here"), "listen: expected an IPv4 address with a port, found \"here\""),
-        ("/discovery", json!(null), "discovery: expected an IPv4 address with a port, found null"),
-        ("/seed", json!("xyz"), "seed: expected hexadecimal digits, found \"xyz\""),
-        (
-            "/limits/sockets",
-            json!(12),
-            "limits.sockets: expected a number of descriptors, 64 or more, found 12",
-        ),
-        ("/limits/memory_mb", json!(-1), "limits.memory_mb: expected megabytes, 16 or more, found -1"),
-        ("/settings/kinds", json!("a"), "settings.kinds: expected a list of names, found \"a\""),
-        (
-            "/settings/caps/dial_timeout_ms",
-            json!(null),
-            "settings.caps.dial_timeout_ms: expected milliseconds, found null",
-        ),
-        (
-            "/settings/invariants/cold_share",
-            json!("x"),
-            "settings: invariants.cold_share in the settings is not a number of 0 or more",
-        ),
-        (
-            "/settings/classes/0/on_time_ms",
-            json!(null),
-            "settings: classes[0].on_time_ms in the settings is null: a number over 0 is needed",
-        ),
-        (
-            "/settings/classes/1/hard_limit_ms",
-            json!(0),
-            "settings: classes[1].hard_limit_ms in the settings is 0: a number over 0 is needed",
-        ),
-        (
-            "/settings/classes/2/key_ttl_ms",
-            json!(0.0),
-            "settings: classes[2].key_ttl_ms in the settings is 0.0: a number over 0 is needed",
-        ),
-        ("/known/servers/0/addr", json!("x"), "known: addr is missing or is not what it should be"),
-    ] {
-        let mut bad = file();
-        *bad.pointer_mut(path).expect("there") = value;
-        let problem = tideroute_gateway::Config::parse(bad.to_string().as_bytes()).expect_err(path);
-        assert_eq!(problem.to_string(), message);
-    }
-    assert!(tideroute_gateway::Config::parse(b"{")
-        .expect_err("cut")
-        .to_string()
-        .starts_with("it is no JSON"));
-}
--- a/crates/gateway/tests/generated_deployments/servers.rs
+++ b/crates/gateway/tests/generated_deployments/servers.rs
@@ -1,9 +1,9 @@
-//! What workers do in a drawn world.
+//! The workers of a generated deployment.
 
 use super::*;
 
 impl World {
-    /// What was out on a connection is over, but a read may have ended well in that very moment.
+    /// What was out on a connection has ended, but a prefill may have completed in that very moment.
     pub(super) fn connection_ends(&mut self, on: Connection) {
         for (request, worker, writes) in self.checker.attempts_end(self.now, on) {
             let reads = !writes || self.checker.wants_state(request) && self.customer.reads_by_itself(worker);
@@ -55,7 +55,7 @@
         }
         match roll {
             0..86 => self.deliver(on, READ),
-            // It ends well just as its connection breaks.
+            // It completes just as its connection breaks.
             86..92 => self.break_connection(on),
             92..96 => self.deliver(on, NEVER_RAN),
             _ => self.deliver(on, &plain(500, "", "")),
@@ -114,7 +114,7 @@
         self.deliver(on, &text);
     }
 
-    /// A process starts at the worker's address; connections of the one before are reset, so many of them.
+    /// A process starts at the worker's address; the given part of the connections of the one before are reset.
     pub(super) fn restart(&mut self, worker: usize, resets: f64) {
         self.checker.worker_died(self.now, worker);
         self.servers[worker].vanished = false;
--- a/crates/gateway/tests/generated_deployments/world.rs
+++ b/crates/gateway/tests/generated_deployments/world.rs
@@ -1,4 +1,4 @@
-//! Routers, clients, workers and discovery of one drawn customer, in virtual time, with faults drawn between them.
+//! Routers, clients, workers and discovery of one generated deployment, in virtual time, with random faults.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,16 +15,16 @@
 #[path = "servers.rs"]
 mod servers;
 
-/// Milliseconds in which requests come and faults begin, and after which a world ends.
+/// Milliseconds in which requests come and faults begin, and after which a run ends.
 const BUSY_MS: f64 = 1_500.0;
 const END_MS: u64 = 9_000;
-/// Milliseconds that a client waits at most, so that a world ends.
+/// Milliseconds that a client waits at most, so that a run ends.
 const LONGEST_WAIT_MS: u64 = 3_000;
-/// Milliseconds after such a signal at which the process may be killed.
+/// Milliseconds after a signal to shut down at which the process may be killed.
 const KILLED_MS: u64 = 3_700;
 /// A machine that is away for less has kept its connections, or resets them (docs/assumptions.md).
 const AWAY: Micros = 1_000 * MS;
-/// Milliseconds after a signal to end in which clients still come.
+/// Time after a signal to shut down in which clients still come.
 const STILL_COMES: Micros = 500 * MS;
 
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -51,7 +51,7 @@
     Beat,
 }
 
-/// A request to come, and its client's connection once it has.
+/// A request to come, and its client's connection once it has come.
 struct Ask {
     router: usize,
     class: usize,
@@ -65,14 +65,14 @@
 struct RouterUnderTest {
     harness: Harness,
     version: u64,
-    /// When it was told that a worker takes nothing new.
+    /// Since when the router knows that a worker takes nothing new.
     draining_since: BTreeMap<usize, Micros>,
     stopped: Option<Micros>,
-    /// Connections to workers that are up, and how much of what was sent on them was looked at.
+    /// Established connections to workers, and how many bytes sent on them were looked at.
     up: BTreeMap<ConnectionId, usize>,
     seen_connections: BTreeSet<ConnectionId>,
     closed: BTreeSet<ConnectionId>,
-    /// Connections on which nothing passes.
+    /// Connections that lead nowhere.
     blackholed: BTreeSet<ConnectionId>,
     /// Calls whose last bytes wait in a full socket.
     unwritten_calls: BTreeMap<ConnectionId, String>,
@@ -83,7 +83,7 @@
     vanished: bool,
     vanished_at: Micros,
     hangs_until: Micros,
-    /// Counts its starts: what an earlier one was at is gone.
+    /// Counts the process's starts: what an earlier process was at is lost.
     start: u64,
 }
 
@@ -97,7 +97,7 @@
     asks: Vec<Ask>,
     queue: BinaryHeap<Reverse<(Micros, u64, u64, Event)>>,
     events: u64,
-    /// All that happens is printed.
+    /// All events are printed.
     is_verbose: bool,
 }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The first two workers, or one that does all, stay well: somebody can always be told to release.
+    /// The first two workers, or one with both roles, stay well: a release can always be answered.
     fn plan_faults(&mut self) {
         let many = self.servers.len() as u64;
         for _ in 0..self.random_range(0, 5) {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Plays, and prints the customer's settings and all that happened.
+    /// Plays, and prints the deployment's settings and all events.
     pub fn play_aloud(mut self) -> Option<Break> {
         let roles = self.customer.workers.iter().enumerate();
         let roles: Vec<_> = roles.map(|(n, w)| format!("{n}:{:?} {}/{}", w.role, w.zone, w.cell)).collect();
@@ -191,14 +191,14 @@
         least + (self.rng.unit() * (below - least) as f64) as u64
     }
 
-    /// So many milliseconds from now.
+    /// An event in so many milliseconds from now.
     fn schedule(&mut self, ms: u64, event: Event) {
         let start = worker_of(&event, &self.routers).map_or(0, |w| self.servers[w].start);
         self.events += 1;
         self.queue.push(Reverse((self.now + ms * MS, self.events, start, event)));
     }
 
-    /// Discovery tells each router of a worker, some time later.
+    /// Discovery notifies each router of a worker, some time later.
     fn tell_all(&mut self, ms: u64, worker: usize, state: &'static str, started_ms: u64) {
         for router in 0..self.routers.len() {
             let late = if self.random_bool(0.5) { 0 } else { self.random_range(0, 1_000) };
@@ -206,7 +206,7 @@
         }
     }
 
-    /// The rule that breaks first, if one does.
+    /// The rule that is broken first, if one is.
     pub fn play(mut self) -> Option<Break> {
         let end = BEGAN + END_MS * MS;
         loop {
@@ -306,7 +306,7 @@
             under_test.up.remove(&connection);
             under_test.unwritten_calls.remove(&connection);
             self.checker.gives_up((router, connection));
-            // Its worker learns of it some time later, before or behind what is sent on other connections.
+            // The worker learns of it some time later, before or behind what is sent on other connections.
             let late = self.random_range(0, 6);
             self.schedule(late, Event::EndIsSeen((router, connection)));
         }
@@ -327,7 +327,7 @@
         called
     }
 
-    /// The first bytes of a call leave a router; the last ones at once, unless the socket is full.
+    /// The first bytes of a call are sent; the last ones at once, unless the socket is full.
     fn call_started(&mut self, (router, connection): Connection, text: String) {
         let Some(worker) = self.worker((router, connection)) else { return };
         self.log(|| {
@@ -350,7 +350,7 @@
         }
     }
 
-    /// The last byte of a call has been handed over, and arrives where anything passes.
+    /// The last byte of a call has been written, and arrives unless the connection leads nowhere.
     fn written(&mut self, (router, connection): Connection) {
         let Some(text) = self.routers[router].unwritten_calls.remove(&connection) else { return };
         if self.passes((router, connection)) {
@@ -364,7 +364,7 @@
         (to[2] == 1).then(|| usize::from(to[3]) - 1)
     }
 
-    /// Whether a connection is there and its worker's machine can be reached on it.
+    /// Whether a connection is open and its worker's machine can be reached on it.
     fn passes(&self, on: Connection) -> bool {
         let under_test = &self.routers[on.0];
         let reached = self.worker(on).is_some_and(|w| !self.servers[w].vanished);
@@ -377,7 +377,7 @@
         }
     }
 
-    /// The worker's side of a connection ends, as its router learns if anything passes there.
+    /// The worker's side of a connection ends; the router sees it unless the connection leads nowhere.
     fn break_connection(&mut self, (router, connection): Connection) {
         if self.passes((router, connection)) {
             let under_test = &mut self.routers[router];
@@ -466,7 +466,7 @@
                 self.routers[router].harness.shut_down();
                 self.schedule(KILLED_MS, Event::Kill(router));
             }
-            // What it has not done by then is nobody's duty any more.
+            // What it has not done by then it is no longer responsible for.
             Event::Kill(router) => {
                 let numbers = self.asks.iter().filter(|a| a.router == router).filter_map(|a| a.number);
                 numbers.for_each(|number| self.checker.router_killed(number));
@@ -521,7 +521,7 @@
         if !self.passes((router, connection)) {
             return self.schedule(self.customer.dial / MS, Event::NotConnected((router, connection)));
         }
-        // Some lead nowhere from here on, and nobody is told.
+        // Some lead nowhere from here on, which nobody can see.
         if self.random_bool(0.02) {
             self.routers[router].blackholed.insert(connection);
         }
@@ -544,7 +544,7 @@
     }
 }
 
-/// A router that has just been told the whole list.
+/// A router that has just received the full endpoint list.
 fn router(customer: &Customer) -> RouterUnderTest {
     let mut harness = Harness::with_config(&customer.file);
     harness.is_immediate = false;
@@ -564,7 +564,7 @@
     }
 }
 
-/// The worker whose process does the event, if one does.
+/// The worker whose process handles the event, if one does.
 fn worker_of(event: &Event, routers: &[RouterUnderTest]) -> Option<usize> {
     let (Event::StreamEnds(on)
     | Event::EndIsSeen(on)
@@ -587,7 +587,7 @@
     Some(after(text, "x-trace-id: t").parse().expect("a number"))
 }
 
-/// The first line of a call, and what is told of it.
+/// The first line of a call, with its trace id and remaining time.
 fn summary(text: &str) -> String {
     let line = text.split("\r\n").next().unwrap_or("");
     format!("{line} {} {}", after(text, "x-trace-id: "), after(text, "x-expires-in-ms: "))
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -1,6 +1,6 @@
-//! The router under generated events: sound words, mangled ones, losses and time in any order. Nothing panics,
-//! no client hears more answers than it requests for, a single-use submission runs once at most, and in the end all
-//! is forgotten.
+//! The router under generated events: valid input, mangled input, disconnects and time in any order. Nothing panics,
+//! no client gets more responses than it sent requests, a non-idempotent request runs at most once, and in the end
+//! nothing is left of any request.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use quickcheck::{Gen, QuickCheck};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, EventHandler};
 
-/// Runs drawn, and events of each at most.
+/// Sequences generated, and events of each at most.
 const RUNS: u64 = 1_500;
 const EVENTS_A_RUN: usize = 120;
 
@@ -19,7 +19,7 @@
     clients: Vec<ConnectionId>,
     requests: BTreeMap<ConnectionId, usize>,
     count: usize,
-    /// By trace id of single-use submissions, how often a writer may have run it.
+    /// By trace id of non-idempotent requests, how often a decode worker may have run it.
     executions: BTreeMap<String, usize>,
     seen_attempts: BTreeMap<ConnectionId, usize>,
 }
@@ -66,7 +66,7 @@
         bytes
     }
 
-    /// Counts shots of single-use submissions that writers have whole and did not prove to be void.
+    /// Counts attempts of non-idempotent requests that decode workers have received and did not prove not to have run.
     fn count_executions(&mut self) {
         for (&connection, to) in &self.harness.outbound {
             let writing = WORKERS.get(usize::from(to[3]) - 1).is_some_and(|w| w.1 == "writing" && to[2] == 1);
@@ -110,7 +110,7 @@
                 let Some(connection) = self.worker(which) else { return };
                 let answers = [READ, &stream(), NEVER_RAN, &plain(200, "", ""), &plain(500, "", "x"), HEAD];
                 let answer = answers[usize::from(byte) % answers.len()];
-                // What proves that a shot is void takes it off the count.
+                // A proof that an attempt has not run takes it off the count.
                 if answer == NEVER_RAN {
                     let text = self.harness.sent_text(connection);
                     let last = text.rsplit("POST /v1/chat/completions").next().unwrap_or("");
@@ -167,7 +167,7 @@
         self.executions.values().all(|ran| *ran <= 1)
     }
 
-    /// All clients leave: nothing is owed, and the router ends when it is told to.
+    /// All clients disconnect: nothing is left, and the router shuts down when it is told to.
     fn finishes(&mut self) -> bool {
         for client in std::mem::take(&mut self.clients) {
             if !self.harness.ended.contains_key(&client) {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn any_events_leave_it_sound() {
+fn any_sequence_of_events_keeps_the_rules_and_ends_clean() {
     fn sound(mut steps: Vec<(u8, u8, u16)>) -> bool {
         steps.truncate(EVENTS_A_RUN);
         let mut input = MalformedInput::new();
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -1,5 +1,5 @@
-//! What is held for a request is released in time, however the attempts before it end, on bytes in virtual time. The
-//! settings allow 1 s, and the protocol 300 ms more.
+//! What is reserved for a request is released in time, however the attempts before it end, on bytes in virtual time.
+//! The settings allow 1 s, and the protocol 300 ms more.
 
 mod common;
 
@@ -11,7 +11,8 @@
 const RELEASE: &str = "DELETE /internal/reservations/id ";
 const FREED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A request that has just been read, with no place asked for, and the link and place of its reader.
+/// A request that has just been prefilled without a reservation, its client, and the connection and place of its
+/// prefill worker.
 fn prefilled_request(class: &str) -> (Harness, ConnectionId, ConnectionId, usize) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
@@ -21,7 +22,7 @@
     (harness, client, prefill, at)
 }
 
-/// Lets time pass in which workers answer probes: none is left for its silence alone.
+/// Lets time pass while workers answer health checks: none is suspected for its silence alone.
 fn advance_answering_health_checks(harness: &mut Harness, time: u64) {
     for _ in 0..time / 10 {
         harness.advance(10 * MS);
@@ -33,17 +34,17 @@
 }
 
 #[test]
-fn a_state_is_released_in_time_though_an_attempt_is_out_of_which_nothing_is_heard() {
+fn state_is_released_in_time_under_a_silent_attempt() {
     for class in ["safe", "keyed", "once"] {
         let (mut harness, client, prefill, _) = prefilled_request(class);
         let (decode, _) = harness.attempt();
         advance_answering_health_checks(&mut harness, 790);
         assert!(harness.calls(RELEASE).is_empty(), "{class}: the attempt may take it yet");
-        // Guards against a connection that leads nowhere: the time runs on.
+        // Guards against a connection that leads nowhere: the timeout runs on.
         advance_answering_health_checks(&mut harness, 20);
         assert_eq!(harness.call(RELEASE).0, prefill, "{class}: where it is held, and no handshake is needed");
         harness.deliver(prefill, FREED);
-        // Whoever has the attempt after all may answer it.
+        // A worker that has the attempt after all may answer it.
         harness.deliver(decode, stream());
         assert_eq!(unchunked(&harness.sent_text(client)), (EVENTS.concat(), true), "{class}");
         harness.advance(2_000 * MS);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn dials_that_fail_do_not_begin_the_time_anew_and_a_workers_word_does() {
+fn failed_connects_do_not_restart_the_release_timeout_and_a_workers_response_does() {
     let (mut harness, _, _, _) = prefilled_request("once");
     harness.is_immediate = false;
     let mut waited = 0;
@@ -77,13 +78,13 @@
 }
 
 #[test]
-fn a_state_that_outlives_a_release_is_released_again() {
+fn state_that_outlives_a_release_is_released_again() {
     let (mut harness, client, prefill, _) = prefilled_request("safe");
     let (decode, _) = harness.attempt();
     harness.advance(810 * MS);
     harness.call(RELEASE);
     harness.deliver(prefill, FREED);
-    // The attempt waited over there after all, with the state, which stays when it is turned away.
+    // The attempt waited over there after all, with the state, which stays when the attempt is rejected.
     harness.deliver(decode, NEVER_RAN);
     let (_second, _) = harness.attempt();
     harness.reset(client);
@@ -91,9 +92,9 @@
     harness.call(RELEASE);
 }
 
-/// A fleet that can't be reached is not dialled worker after worker for requests of which nothing ever left.
+/// A fleet that can't be reached is not dialled worker after worker for requests that were never sent.
 #[test]
-fn nothing_is_released_for_a_request_of_which_nothing_left() {
+fn nothing_is_released_for_a_request_that_was_never_sent() {
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
@@ -115,9 +116,10 @@
     assert_eq!((dials, harness.calls(RELEASE).len()), (0, 0));
 }
 
-/// A reset reaches both ends by itself: the release may be at the worker before that, and frees nothing under its attempt.
+/// Both ends see a reset by themselves: the release may be at the worker before that, and frees nothing under its
+/// attempt.
 #[test]
-fn a_release_behind_a_reset_is_sent_again_for_its_worker_may_see_that_later() {
+fn a_release_after_a_reset_is_repeated_once_the_worker_has_seen_it() {
     let (mut harness, client, _, _) = prefilled_request("once");
     let (decode, at) = harness.attempt();
     harness.advance(100 * MS);
@@ -134,7 +136,7 @@
 }
 
 #[test]
-fn what_a_read_left_is_released_in_time_under_the_next_attempt_that_says_nothing() {
+fn state_of_a_failed_prefill_is_released_in_time_under_a_silent_retry() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "safe"));
@@ -142,7 +144,7 @@
     harness.calls("POST /internal");
     harness.advance(100 * MS);
     harness.reset(first);
-    // The next one has its connection at once: what it makes takes the turn of what was left.
+    // The next attempt connects at once: what it makes takes the place of what was left.
     let (_second, _) = harness.attempt();
     harness.advance(690 * MS);
     assert!(harness.calls(RELEASE).is_empty());
@@ -151,8 +153,8 @@
 }
 
 #[test]
-fn a_place_of_which_nobody_spoke_is_given_back_in_time() {
-    // One that is known to be held is kept as long as its reader gives signs of life.
+fn an_unconfirmed_reservation_is_released_in_time() {
+    // One that is known to be held is kept as long as its prefill worker is heard.
     for (answer, alive, released) in
         [(None, true, true), (Some(FREED), true, true), (Some(""), true, false), (Some(""), false, true)]
     {
@@ -177,7 +179,7 @@
     }
 }
 
-/// A router with a read under way at the one reader, whose connection was there before what follows.
+/// A router with a prefill under way at its one prefill worker, on a connection that is older than what follows.
 fn with_an_older_connection_to_the_prefill_worker() -> (Harness, ConnectionId) {
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
@@ -188,7 +190,7 @@
     (harness, old)
 }
 
-/// A configuration with one reader and one writer.
+/// A configuration with one prefill worker and one decode worker.
 fn one_worker_of_each_role() -> serde_json::Value {
     let mut file = file();
     let mut known = list(4);
@@ -199,9 +201,9 @@
 }
 
 #[test]
-fn a_place_is_kept_under_a_long_read_whose_reader_answers_probes_and_for_no_longer() {
+fn a_reservation_is_kept_while_the_prefill_worker_answers_health_checks() {
     let mut file = file();
-    // Guards against a call back that would hide what is looked at.
+    // Guards against a cancellation that would hide what is tested.
     file["settings"]["classes"][0]["on_time_ms"] = 4_000.0.into();
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn a_place_is_asked_for_again_under_a_long_read_where_nobody_may_be_probed() {
+fn a_reservation_is_requested_again_during_a_long_prefill_without_health_checks() {
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "safe"));
@@ -234,7 +236,7 @@
     assert!(!harness.calls(RELEASE).is_empty());
 }
 
-/// A request whose client has gone while the call for a place is out; what was released of it is answered for.
+/// A request whose client has disconnected while the reservation call is out; the releases so far are answered.
 fn disconnected_while_a_reservation_call_is_out(written: bool) -> (Harness, ConnectionId) {
     let mut harness = Harness::new();
     harness.is_immediate = written;
@@ -252,7 +254,7 @@
     (harness, reservation)
 }
 
-/// The workers that are told to release something in the next 50 ms, and do.
+/// Answers the releases of the next 50 ms, and returns the workers that were told.
 fn answer_releases(harness: &mut Harness) -> Vec<usize> {
     harness.advance(50 * MS);
     let calls = harness.calls(RELEASE);
@@ -272,7 +274,7 @@
 }
 
 #[test]
-fn a_place_granted_behind_its_release_is_released_again() {
+fn a_reservation_granted_after_its_release_is_released_again() {
     for answer in [plain(200, "", ""), FREED.into()] {
         let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
         harness.advance(50 * MS);
@@ -280,19 +282,19 @@
         harness.deliver(reservation, &answer);
         harness.call(RELEASE);
     }
-    // What was refused, or never came there, is none.
+    // What was refused, or never arrived, is not held.
     let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
     harness.deliver(reservation, plain(409, "", ""));
     harness.advance(2_000 * MS);
     assert!(harness.calls(RELEASE).is_empty());
-    // Nobody says what came of it: it is released again within its time.
+    // The call is not answered: it is released again in time.
     let (mut harness, _) = disconnected_while_a_reservation_call_is_out(true);
     harness.advance(810 * MS);
     assert!(!harness.calls(RELEASE).is_empty());
 }
 
 #[test]
-fn a_call_for_a_place_that_has_not_left_never_does_once_nobody_wants_it() {
+fn an_unwritten_reservation_call_is_cancelled_when_no_longer_wanted() {
     let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(false);
     assert!(harness.ended.contains_key(&reservation), "it is taken back");
     harness.advance(2_000 * MS);
@@ -301,7 +303,7 @@
     harness.shut_down();
     harness.advance(700 * MS);
     assert!(harness.gateway.is_finished());
-    // The same when the attempt that writes goes out.
+    // The same when the decode attempt goes out.
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
@@ -315,7 +317,7 @@
 }
 
 #[test]
-fn a_place_that_may_come_to_be_held_under_a_stream_is_released() {
+fn a_reservation_that_may_be_held_during_the_stream_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "safe"));
@@ -333,7 +335,7 @@
 }
 
 #[test]
-fn nobody_can_be_told_for_a_while_and_it_goes_on_within_bounds_until_the_time_is_over() {
+fn a_release_without_answers_is_retried_within_bounds_until_it_expires() {
     let (mut harness, client, prefill, _) = prefilled_request("safe");
     let (decode, _) = harness.attempt();
     harness.reset(client);
@@ -355,7 +357,7 @@
 }
 
 #[test]
-fn who_was_heard_last_is_told_first_where_the_holder_is_silent() {
+fn the_worker_heard_last_is_told_next_when_the_holder_is_silent() {
     let (mut harness, client, prefill, at) = prefilled_request("safe");
     let (decode, _) = harness.attempt();
     // Another client's request is answered meanwhile, by others.
@@ -375,12 +377,12 @@
 }
 
 #[test]
-fn it_does_not_end_while_something_may_be_held() {
+fn shutdown_waits_for_reserved_state() {
     let (mut harness, client, _, _) = prefilled_request("safe");
     let (_, first) = harness.attempt();
     harness.shut_down();
     harness.advance(700 * MS);
-    // The first one is called back, for it has been silent for so long.
+    // The first one is cancelled, for it has been silent for so long.
     let (decode, second) = harness.attempt();
     harness.reset(client);
     harness.advance(MS);
--- a/crates/gateway/tests/scheduling_settings.rs
+++ b/crates/gateway/tests/scheduling_settings.rs
@@ -1,5 +1,5 @@
-//! What other customers' settings ask for, one cause at a time, on bytes in virtual time: each was problems by drawn
-//! customers (`customers.rs`) and fails on the code that broke there.
+//! Behaviour under unusual settings, one cause at a time, on bytes in virtual time. Each case was found by generated
+//! deployments (`customers.rs`) and fails on the code that was wrong there.
 
 mod common;
 
@@ -11,14 +11,14 @@
 const RESERVATION: &str = "POST /internal/reservations/id ";
 const FREED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A configuration in which both readers and writers do all.
+/// A configuration in which all workers prefill and decode.
 fn all_workers_do_both() -> Value {
     let mut file = file();
     file["settings"]["family_info"]["kind_role"] = json!(["both", "both"]);
     file
 }
 
-/// A configuration in which writers alone read, three of them in three cells, and one class is keyed within its cell.
+/// A configuration in which decode workers prefill too, in a cell each, and one class is deduplicated within its cell.
 fn decode_workers_prefill() -> Value {
     let mut file = file();
     let settings = &mut file["settings"];
@@ -32,7 +32,7 @@
     file
 }
 
-/// The milliseconds that an attempt tells its worker.
+/// The remaining milliseconds that an attempt carries.
 fn remaining_time_ms(harness: &Harness, attempt: ConnectionId) -> u64 {
     let text = harness.sent_text(attempt);
     let value = text.split("x-expires-in-ms: ").nth(1).and_then(|t| t.split("\r\n").next());
@@ -49,7 +49,7 @@
     harness.advance(1_500 * MS);
     assert!(harness.attempts().is_empty(), "no other worker knows a repeat");
     assert_eq!(harness.statuses(client), [502], "answered, and not with a refusal");
-    // What may run anywhere goes on elsewhere.
+    // What may run anywhere is retried elsewhere.
     let other = harness.connect_client();
     harness.deliver(other, ask("other", "safe"));
     let (attempt, _) = harness.attempt();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_an_attempt_that_read_by_itself_left_is_released() {
+fn state_of_an_attempt_that_prefilled_by_itself_is_released() {
     let mut harness = Harness::with_config(&all_workers_do_both());
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "once"));
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn a_state_with_which_an_attempt_waits_is_released_again_and_again() {
+fn state_that_a_silent_attempt_waits_with_is_released_repeatedly() {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "once"));
     let (prefill, _) = harness.attempt();
     harness.deliver(prefill, READ);
     harness.attempt();
-    // Guards against a writer that vanishes after the first release, which freed nothing that was waited with.
+    // Guards against a decode worker that vanishes after the first release, which freed nothing that was waited with.
     for round in 0..4 {
         harness.advance(810 * MS);
         let release = harness.calls(RELEASE).first().copied();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_place_that_a_worker_grants_long_after_it_was_asked_is_released() {
+fn a_reservation_granted_long_after_the_request_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "safe"));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn places_that_are_asked_for_in_vain_leave_connections_for_others() {
+fn unanswered_reservation_calls_leave_connections_for_other_calls() {
     let mut harness = Harness::new();
     for n in 0..100 {
         let client = harness.connect_client();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_attempt_whose_last_byte_does_not_leave_in_time_is_none() {
+fn an_attempt_not_written_in_time_is_given_up() {
     let mut file = file();
     file["settings"]["family_info"]["ahead"] = json!(false);
     file["settings"]["caps"]["dial_timeout_ms"] = json!(100.0);
@@ -142,7 +142,7 @@
     let (first, _) = harness.attempt();
     harness.is_immediate = false;
     harness.deliver(first, plain(500, "", ""));
-    // A repeat that waits in a full socket would come after its window.
+    // A retry that waits in a full socket would arrive after its deduplication window.
     let (second, _) = harness.attempt();
     harness.complete_connect(second);
     assert!(harness.sent_text(second).contains("x-trace-id: id"));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn no_attempt_begins_for_a_client_that_has_gone_where_nothing_may_be_called_back() {
+fn no_attempt_begins_for_a_disconnected_client_where_cancelling_is_off() {
     let mut file = file();
     file["settings"]["caps"]["cancel"] = json!(false);
     let mut harness = Harness::with_config(&file);
@@ -164,7 +164,7 @@
     let (unsent, _) = harness.attempt();
     harness.reset(client);
     assert!(harness.ended.contains_key(&unsent), "it has not left, so nothing is called back");
-    // What has left runs on, until its client would have waited no longer.
+    // What has been sent runs on until its client's deadline.
     let client = harness.connect_client();
     harness.deliver(client, ask_for("id", "safe", 2_000, "{}"));
     let (prefill, _) = harness.attempt();
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_stream_that_begins_for_a_client_that_has_gone_is_ended() {
+fn a_stream_that_begins_for_a_disconnected_client_is_ended() {
     let mut file = file();
     file["settings"]["caps"]["cancel"] = json!(false);
     let mut harness = Harness::with_config(&file);
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_worker_is_told_what_is_left_when_the_attempt_leaves() {
+fn an_attempt_carries_the_remaining_time_at_its_sending() {
     let mut file = file();
     file["settings"]["caps"]["dial_timeout_ms"] = json!(1_000.0);
     let mut harness = Harness::with_config(&file);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn no_place_is_asked_for_at_a_worker_that_drains_since_the_read_was_dialled() {
+fn no_reservation_is_requested_at_a_worker_that_began_to_drain() {
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn settings_that_leave_no_room_are_told_and_kept_by_not_doing_it() {
+fn infeasible_settings_are_reported_and_kept() {
     let mut file = file();
     assert!(tideroute_gateway::Config::parse(file.to_string().as_bytes())
         .expect("sound")
@@ -239,7 +239,7 @@
         tideroute_gateway::Config::parse(file.to_string().as_bytes()).expect("sound").infeasible_settings();
     assert!(problems.len() == 2 && problems[0].contains("pin_limit_ms, 200 ms"), "{problems:?}");
     assert!(problems[1].contains("key_ttl_ms of class keyed"), "{problems:?}");
-    // A repeat might come when nobody remembers the first.
+    // A retry might arrive when no worker remembers the first attempt.
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
     harness.deliver(client, ask("id", "keyed"));
--- a/crates/gateway/tests/shutdown_obligations.rs
+++ b/crates/gateway/tests/shutdown_obligations.rs
@@ -1,6 +1,6 @@
-//! Endings drawn by chance, in any order and overlap, beside a plain model of workers, clients and connections that knows
-//! nothing of the router: what is held is released or taken in time, each client gets one answer in its time, nothing
-//! begins for one that has gone, and nothing new reaches a worker that drains.
+//! Ways in which requests end, generated at random, in any order and overlap, beside a plain model of workers, clients
+//! and connections that knows nothing of the router: what is reserved is released or taken in time, each client gets
+//! one response in time, nothing begins for one that has disconnected, and nothing new reaches a draining worker.
 
 mod common;
 
@@ -13,12 +13,12 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 use tideroute_wire::Micros;
 
-/// Worlds that are drawn; the first of them that breaks a rule is told by its seed.
+/// Worlds that are generated; the first of them that breaks a rule is named by its seed.
 const WORLDS: u64 = 12_000;
-/// The settings' second and what the protocol allows beyond, and how late a loop may be.
+/// The release timeout of the settings and what the protocol allows beyond it, and how late the event loop may be.
 const RELEASE_TIMEOUT: Micros = 1_300 * MS;
 const LOOP_LAG: Micros = 50 * MS;
-/// After which a client's close counts as seen, and a drain as told, by the settings.
+/// Times after which a disconnect and a drain count as seen, by the settings, and the connect timeout.
 const DISCONNECT_GRACE: Micros = 100 * MS;
 const DRAIN_GRACE: Micros = 200 * MS;
 const CONNECT_TIMEOUT: Micros = 250 * MS;
@@ -39,7 +39,7 @@
     Tick,
 }
 
-/// What a running worker holds for a request, since when its time runs, and what is out for it at workers that run.
+/// What running workers hold for a request, since when its timeout runs, and which attempts are at workers that run.
 #[derive(Default)]
 struct Request {
     state: bool,
@@ -66,7 +66,7 @@
     unreachable: BTreeSet<usize>,
     drains: BTreeMap<usize, Micros>,
     version: u64,
-    /// Links met, whether they are up, and how many bytes on them were looked at; links on which nothing passes.
+    /// Connections seen, whether they are established, and how many bytes on them were looked at.
     connections: BTreeMap<ConnectionId, (bool, usize)>,
     blackholed: BTreeSet<ConnectionId>,
     broken: Option<String>,
@@ -100,7 +100,7 @@
             let at = world.random_range(0, 1_500);
             world.schedule(at, Event::Ask(n as usize));
         }
-        // Two workers, a reader and a writer, always run: somebody can be told.
+        // A prefill worker and a decode worker always run: a release can always be answered.
         for _ in 0..world.random_range(0, 4) {
             let (worker, at) = (1 + world.random_range(0, 5) as usize % 5, world.random_range(0, 1_500));
             let last = at + world.random_range(50, 2_500);
@@ -125,7 +125,7 @@
         least + (self.rng.unit() * (below - least) as f64) as u64
     }
 
-    /// So many milliseconds from now.
+    /// An event in so many milliseconds from now.
     fn schedule(&mut self, ms: u64, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((self.harness.now + ms * MS, self.events, event)));
@@ -151,7 +151,7 @@
         }
     }
 
-    /// An attempt has had its outcome over there.
+    /// An attempt has ended at its worker.
     fn attempt_ended(&mut self, connection: ConnectionId, trace: &str) {
         let now = self.harness.now;
         let request = self.requests.entry(trace.to_string()).or_default();
@@ -160,7 +160,7 @@
         request.since = now;
     }
 
-    /// Looks at what the router did: dials, bytes, and connections that it ended.
+    /// Looks at what the router did: connections dialled, bytes sent, and connections ended.
     fn observe(&mut self) {
         loop {
             let fresh: Vec<_> =
@@ -192,7 +192,7 @@
         }
     }
 
-    /// A connection has brought requests: they are written at once, and arrive unless nothing passes.
+    /// A connection carries calls: they are written at once, and arrive unless the connection leads nowhere.
     fn observe_call(&mut self, connection: ConnectionId) -> bool {
         let seen = self.connections.get(&connection).map_or(0, |l| l.1);
         let all = self.harness.sent_text(connection);
@@ -255,7 +255,7 @@
         }
     }
 
-    /// The connection breaks, as the router learns if anything passes there.
+    /// The worker's side of a connection ends; the router sees it unless the connection leads nowhere.
     fn break_connection(&mut self, connection: ConnectionId) {
         if self.passes(connection) && !self.harness.ended.contains_key(&connection) {
             self.connections.remove(&connection);
@@ -288,7 +288,7 @@
             }
             Event::Up(connection) => {
                 if !self.harness.ended.contains_key(&connection) && self.passes(connection) {
-                    // One in fifty leads nowhere from here on, and nobody is told.
+                    // One in fifty leads nowhere from here on, which nobody can see.
                     if self.random_bool(0.02) {
                         self.blackholed.insert(connection);
                     }
@@ -317,7 +317,7 @@
                 request.state |= roll < 90;
                 match roll {
                     0..85 => self.deliver(connection, READ),
-                    // It ends well just as its connection breaks.
+                    // It completes just as its connection breaks.
                     85..90 => self.break_connection(connection),
                     90..95 => self.deliver(connection, NEVER_RAN),
                     _ => self.deliver(connection, &plain(500, "", "")),
@@ -396,7 +396,7 @@
         }
     }
 
-    /// What the rules ask for at any moment.
+    /// What the rules require at any moment.
     fn check_rules(&mut self) {
         let now = self.harness.now;
         let held = self.requests.iter().find(|(_, request)| {
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn every_debt_is_paid_in_time_whatever_ends_when() {
+fn every_obligation_is_met_in_time_in_every_generated_world() {
     let threads: Vec<_> = (0..8)
         .map(|part| {
             std::thread::spawn(move || {
--- /dev/null
+++ b/crates/gateway/tests/worker_restarts.rs
@@ -0,0 +1,131 @@
+//! Restarts of workers, as the endpoint list reports them by any clock, on bytes in virtual time.
+
+mod common;
+
+use common::*;
+use serde_json::json;
+
+#[test]
+fn a_restarted_worker_invalidates_its_old_connections() {
+    let mut harness = Harness::new();
+    harness.send_update(&list(5));
+    let client = harness.connect_client();
+    harness.deliver(client, ask("id", "safe"));
+    let (prefill, at) = harness.attempt();
+    harness.advance(1_000 * MS);
+    let started = harness.now / MS - 100;
+    harness.send_update(&json!({"version": 6, "full": false, "servers": [entry(at, "SERVING", started)]}));
+    assert!(harness.ended.contains_key(&prefill));
+    harness.advance(20 * MS);
+    assert_ne!(harness.attempt().1, at, "it is read elsewhere: that one is cold");
+}
+
+/// Milliseconds in an hour, by which wall clocks may be stepped.
+const HOUR_MS: u64 = 3_600_000;
+
+/// The clock by which a worker reports its start.
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum WorkerClock {
+    InStep,
+    Ahead,
+    Behind,
+}
+
+/// A start that was a moment ago, as that clock reports it.
+fn reported_start(harness: &Harness, clock: WorkerClock) -> u64 {
+    let started_ms = harness.now / MS - 10;
+    match clock {
+        WorkerClock::InStep => started_ms,
+        WorkerClock::Ahead => started_ms + HOUR_MS,
+        WorkerClock::Behind => started_ms - HOUR_MS,
+    }
+}
+
+/// Serves a request whole and returns its prefill worker.
+fn served_by(harness: &mut Harness, trace: &str) -> usize {
+    let client = harness.connect_client();
+    harness.deliver(client, ask(trace, "safe"));
+    let (prefill, at) = harness.attempt();
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!(harness.statuses(client), [200]);
+    at
+}
+
+/// A worker's entry reports another start, by a clock that was stepped, while discovery was heard all along. Returns
+/// the worker and its entry.
+fn restart_with_clock(harness: &mut Harness, clock: WorkerClock) -> (usize, serde_json::Value) {
+    harness.send_update(&list(5));
+    let worker = served_by(harness, "home");
+    for version in 6..16 {
+        harness.advance(2_000 * MS);
+        harness.send_update(&list(version));
+    }
+    let restarted = entry(worker, "SERVING", reported_start(harness, clock));
+    harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
+    (worker, restarted)
+}
+
+#[test]
+fn a_restart_reported_by_a_stepped_clock_ends_streams_of_the_old_process() {
+    for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
+        let mut harness = Harness::without_reservations();
+        harness.send_update(&list(5));
+        let client = harness.connect_client();
+        harness.deliver(client, ask("id", "safe"));
+        let (prefill, _) = harness.attempt();
+        harness.deliver(prefill, READ);
+        let (decode, at) = harness.attempt();
+        harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+        // Longer than an update may be late: what was out then was out before the start.
+        for version in 6..11 {
+            harness.advance(2_000 * MS);
+            harness.send_update(&list(version));
+            harness.deliver(decode, chunk(EVENTS[1]));
+        }
+        let restarted = entry(at, "SERVING", reported_start(&harness, clock));
+        harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
+        assert!(harness.ended.contains_key(&decode), "{clock:?}; the process that had it is gone");
+        assert!(harness.ended.contains_key(&client));
+    }
+}
+
+/// The restarted worker, and the prefill workers of many requests just after the restart and once it is warm.
+fn prefill_workers_after_a_start(clock: WorkerClock) -> (usize, Vec<usize>, Vec<usize>) {
+    let mut harness = Harness::without_reservations();
+    let (worker, _) = restart_with_clock(&mut harness, clock);
+    let cold = (0..40).map(|n| served_by(&mut harness, &format!("cold{n}"))).collect();
+    harness.advance(11_000 * MS);
+    let warm = (0..40).map(|n| served_by(&mut harness, &format!("warm{n}"))).collect();
+    (worker, cold, warm)
+}
+
+#[test]
+fn a_restart_reported_by_a_stepped_clock_warms_up_as_long_as_any() {
+    let (worker, cold, warm) = prefill_workers_after_a_start(WorkerClock::InStep);
+    assert!(cold.iter().filter(|prefill| **prefill == worker).count() < 20, "it is cold: {cold:?}");
+    for clock in [WorkerClock::Ahead, WorkerClock::Behind] {
+        assert_eq!(prefill_workers_after_a_start(clock), (worker, cold.clone(), warm.clone()), "{clock:?}");
+    }
+}
+
+#[test]
+fn a_restart_reported_by_a_stepped_clock_counts_once_however_often_listed() {
+    for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
+        let mut harness = Harness::without_reservations();
+        let (worker, restarted) = restart_with_clock(&mut harness, clock);
+        harness.advance(11_000 * MS);
+        let client = harness.connect_client();
+        harness.deliver(client, ask("out", "once"));
+        let (prefill, at) = harness.attempt();
+        assert_eq!(at, worker);
+        let mut whole = list(30);
+        whole["servers"][worker] = restarted;
+        harness.send_update(&whole);
+        assert!(
+            !harness.ended.contains_key(&prefill),
+            "{clock:?}; it was listed again, and has not started again"
+        );
+    }
+}
--- a/crates/invariants/src/permits.rs
+++ b/crates/invariants/src/permits.rs
@@ -1,5 +1,5 @@
-//! Permits: proofs that the record of a request was asked. Only this package can make one, and doing what it permits uses
-//! it up.
+//! Permits: proofs that the record of a request was asked. Only this package can make one, and doing what it permits
+//! uses it up.
 
 /// An attempt may be sent.
 #[derive(PartialEq, Eq, Debug)]
