--- a/crates/gateway/tests/generated_deployments/servers.rs
+++ b/crates/gateway/tests/generated_deployments/servers.rs
@@ -14,16 +14,16 @@
     }
 
     pub(super) fn arrives(&mut self, on: Connection, text: String) {
-        let Some(request) = attempt_of(&text) else { return self.schedule(1, Event::Handle(on, text)) };
+        let Some(request) = attempt_of(&text) else { return self.schedule(1, Event::HandleCall(on, text)) };
         let Some(worker) = self.worker(on) else { return };
         let writes = self.customer.workers[worker].role != Role::Reads;
         self.checker.arrives(self.now, &self.customer, request, (worker, on), writes);
         if writes {
             let takes = between(&mut self.rng, 1.0, 1_200.0) as u64;
-            self.schedule(takes, Event::WriteEnds(on, request));
+            self.schedule(takes, Event::DecodeEnds(on, request));
         } else {
             let takes = between(&mut self.rng, 2.0, 1_500.0) as u64;
-            self.schedule(takes, Event::ReadEnds(on, request));
+            self.schedule(takes, Event::PrefillEnds(on, request));
         }
     }
 
@@ -40,10 +40,10 @@
         }
         let knows = self.checker.is_read(request);
         let takes = if knows { self.random_range(1, 60) } else { 300 };
-        self.schedule(takes, Event::PlaceAnswered(on, request, knows));
+        self.schedule(takes, Event::ReservationAnswered(on, request, knows));
     }
 
-    pub(super) fn read_ends(&mut self, on: Connection, request: usize) {
+    pub(super) fn prefill_ends(&mut self, on: Connection, request: usize) {
         let Some(worker) = self.worker(on).filter(|_| self.checker.has(request, on)) else { return };
         if self.routers[on.0].blackholed.contains(&on.1) {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    pub(super) fn write_ends(&mut self, on: Connection, request: usize) {
+    pub(super) fn decode_ends(&mut self, on: Connection, request: usize) {
         if !self.passes(on) || !self.checker.has(request, on) {
             return;
         }
@@ -100,7 +100,7 @@
         self.deliver(on, answer);
     }
 
-    pub(super) fn place_answered(&mut self, on: Connection, request: usize, knows_prefill: bool) {
+    pub(super) fn answer_reservation(&mut self, on: Connection, request: usize, knows_prefill: bool) {
         let worker = self.worker(on).unwrap_or(0);
         let held = self.checker.has_place(request, worker) || self.random_bool(0.6);
         if held && self.worker(on).is_some() {
@@ -120,7 +120,7 @@
         self.servers[worker].vanished = false;
         self.servers[worker].start += 1;
         for router in 0..self.routers.len() {
-            for link in self.routers[router].up.keys().copied().collect::<Vec<_>>() {
+            for link in self.routers[router].established.keys().copied().collect::<Vec<_>>() {
                 if self.worker((router, link)) != Some(worker) {
                     continue;
                 }
@@ -133,6 +133,11 @@
         }
         let started_ms = self.now / MS;
         let late = self.random_range(50, 2_000);
-        self.tell_all(late, worker, "SERVING", started_ms);
+        self.update_endpoint_everywhere(late, worker, "SERVING", started_ms);
+    }
+
+    pub(super) fn stream_ends(&mut self, on: Connection) {
+        self.checker.attempts_end(self.now, on);
+        self.deliver(on, &format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
     }
 }
