--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -10,11 +10,11 @@
     harness.calls("POST /v1").len()
 }
 
-#[test]
-fn an_invalid_request_is_rejected_and_goes_to_no_worker() {
+/// Requests that are not valid, with the status of their rejection.
+fn invalid_requests() -> Vec<(u16, String)> {
     let sound = ask("id", "safe");
     let with = |from: &str, to: &str| sound.replace(from, to);
-    for (status, request) in [
+    vec![
         (400, "\u{16}\u{3}\u{1}\u{0} noise\r\n\r\n".to_string()),
         (400, "GET\r\n\r\n".into()),
         (400, with("Host: service.internal\r\n", "")),
@@ -46,7 +46,12 @@
         (404, with("/v1/chat/completions", "/internal/reservations/id")),
         (505, with("HTTP/1.1", "HTTP/1.0")),
         (417, with("Host:", "Expect: wonders\r\nHost:")),
-    ] {
+    ]
+}
+
+#[test]
+fn an_invalid_request_is_rejected_and_goes_to_no_worker() {
+    for (status, request) in invalid_requests() {
         for split in [1, request.len()] {
             let mut harness = Harness::new();
             let client = harness.connect_client();
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::*;
-use serde_json::json;
+use serde_json::{json, Value};
+use tideroute_gateway::Config;
 
 #[test]
 fn a_config_reload_moves_the_watch_and_disturbs_no_request() {
@@ -29,9 +30,9 @@
     assert!(unchunked(&harness.sent_text(client)).1);
 }
 
-#[test]
-fn an_invalid_configuration_names_the_field() {
-    for (path, value, message) in [
+/// Values that a field can't have, by the field's path, with the message that names it.
+fn invalid_fields() -> Vec<(&'static str, Value, &'static str)> {
+    vec![
         ("/listen", json!("here"), "listen: expected an IPv4 address with a port, found \"here\""),
         ("/discovery", json!(null), "discovery: expected an IPv4 address with a port, found null"),
         ("/seed", json!("xyz"), "seed: expected hexadecimal digits, found \"xyz\""),
@@ -68,14 +69,16 @@
             "settings: classes[2].key_ttl_ms in the settings is 0.0: a number over 0 is needed",
         ),
         ("/known/servers/0/addr", json!("x"), "known: addr is missing or is not what it should be"),
-    ] {
+    ]
+}
+
+#[test]
+fn an_invalid_configuration_names_the_field() {
+    for (path, value, message) in invalid_fields() {
         let mut bad = file();
         *bad.pointer_mut(path).expect("there") = value;
-        let problem = tideroute_gateway::Config::parse(bad.to_string().as_bytes()).expect_err(path);
+        let problem = Config::parse(bad.to_string().as_bytes()).expect_err(path);
         assert_eq!(problem.to_string(), message);
     }
-    assert!(tideroute_gateway::Config::parse(b"{")
-        .expect_err("cut")
-        .to_string()
-        .starts_with("it is no JSON"));
+    assert!(Config::parse(b"{").expect_err("cut").to_string().starts_with("it is no JSON"));
 }
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -9,6 +9,7 @@
 use common::*;
 use quickcheck::{Gen, QuickCheck};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, EventHandler};
+use tideroute_wire::Address;
 
 /// Sequences generated, and events of each at most.
 const RUNS: u64 = 1_500;
@@ -24,6 +25,11 @@
     seen_attempts: BTreeMap<ConnectionId, usize>,
 }
 
+/// The trace id of an attempt.
+fn trace_id_in(attempt: &str) -> &str {
+    attempt.split("x-trace-id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap_or("")
+}
+
 impl MalformedInput {
     fn new() -> MalformedInput {
         let mut harness = Harness::new();
@@ -75,86 +81,95 @@
             let parts: Vec<_> = text.split("POST /v1/chat/completions").skip(1 + *seen).collect();
             *seen += parts.len();
             for part in parts.iter().filter(|p| writing && p.contains("x-qos: once")) {
-                let trace =
-                    part.split("x-trace-id: ").nth(1).and_then(|t| t.split("\r\n").next()).unwrap_or("");
+                let trace = trace_id_in(part);
                 *self.executions.entry(trace.to_string()).or_default() += 1;
             }
         }
     }
 
+    /// Plays one generated event: of which kind, with a byte and a number that it may use.
     fn step(&mut self, (kind, byte, which): (u8, u8, u16)) {
-        let class = ["safe", "once", "keyed"][usize::from(byte) % 3];
         match kind % 14 {
             0 => {
                 let client = self.harness.connect_client();
                 self.clients.push(client);
             }
-            1..=3 => {
+            1..=5 => self.client_event(kind % 14, byte, which),
+            6..=10 => self.worker_event(kind % 14, byte, which),
+            11 => self.harness.advance(u64::from(which) * 20),
+            12 => self.update_endpoint(byte, which),
+            _ => {
                 let Some(client) = self.client(which) else { return };
+                self.harness.set_backpressure(client, byte % 2 == 0);
+            }
+        }
+        self.count_executions();
+    }
+
+    /// A client sends a request or mangled bytes, or disconnects.
+    fn client_event(&mut self, kind: u8, byte: u8, which: u16) {
+        let class = ["safe", "once", "keyed"][usize::from(byte) % 3];
+        let Some(client) = self.client(which) else { return };
+        match kind {
+            1..=3 => {
                 self.count += 1;
                 *self.requests.entry(client).or_default() += 1;
                 self.harness.deliver(client, ask(&format!("id{}", self.count), class));
             }
             4 => {
-                let Some(client) = self.client(which) else { return };
                 // Mangled bytes may hold a request, and what follows them more.
                 *self.requests.entry(client).or_default() += 2;
                 self.harness.deliver(client, Self::mangle(&ask("mangled", class), byte, which));
             }
-            5 => {
-                let Some(client) = self.client(which) else { return };
-                self.clients.retain(|c| *c != client);
+            _ => {
+                self.clients.retain(|open| *open != client);
                 self.harness.reset(client);
             }
+        }
+    }
+
+    /// A worker responds, sends mangled bytes, or closes a connection.
+    fn worker_event(&mut self, kind: u8, byte: u8, which: u16) {
+        let Some(connection) = self.worker(which) else { return };
+        match kind {
             6..=8 => {
-                let Some(connection) = self.worker(which) else { return };
                 let answers = [READ, &stream(), NEVER_RAN, &plain(200, "", ""), &plain(500, "", "x"), HEAD];
                 let answer = answers[usize::from(byte) % answers.len()];
-                // A proof that an attempt has not run takes it off the count.
                 if answer == NEVER_RAN {
-                    let text = self.harness.sent_text(connection);
-                    let last = text.rsplit("POST /v1/chat/completions").next().unwrap_or("");
-                    let trace =
-                        last.split("x-trace-id: ").nth(1).and_then(|t| t.split("\r\n").next()).unwrap_or("");
-                    if let Some(ran) = self.executions.get_mut(trace) {
-                        *ran = ran.saturating_sub(1);
-                    }
+                    self.never_ran(connection);
                 }
                 self.harness.deliver(connection, answer);
             }
-            9 => {
-                let Some(connection) = self.worker(which) else { return };
-                self.harness.deliver(connection, Self::mangle(&stream(), byte, which));
-            }
-            10 => {
-                let Some(connection) = self.worker(which) else { return };
-                self.harness.disconnect(
-                    connection,
-                    if byte % 2 == 0 { DisconnectReason::Reset } else { DisconnectReason::ConnectFailed },
-                );
-            }
-            11 => self.harness.advance(u64::from(which) * 20),
-            12 => {
-                let state = ["SERVING", "DRAINING", "DELETED"][usize::from(byte) % 3];
-                let started = if which % 3 == 0 { self.harness.now / MS } else { 0 };
-                let changed = entry(usize::from(which) % WORKERS.len(), state, started);
-                let version = 6 + self.count as u64;
-                let line = serde_json::json!({"version": version, "full": false, "servers": [changed]});
-                if self
-                    .harness
-                    .outbound
-                    .iter()
-                    .any(|(l, to)| to[2] == 9 && !self.harness.ended.contains_key(l))
-                {
-                    self.harness.send_update(&line);
-                }
-            }
+            9 => self.harness.deliver(connection, Self::mangle(&stream(), byte, which)),
             _ => {
-                let Some(client) = self.client(which) else { return };
-                self.harness.set_backpressure(client, byte % 2 == 0);
+                let is_reset = byte.is_multiple_of(2);
+                let reason = if is_reset { DisconnectReason::Reset } else { DisconnectReason::ConnectFailed };
+                self.harness.disconnect(connection, reason);
             }
         }
-        self.count_executions();
+    }
+
+    /// A proof that the last attempt on a connection has not run takes it off the count.
+    fn never_ran(&mut self, connection: ConnectionId) {
+        let text = self.harness.sent_text(connection);
+        let last = text.rsplit("POST /v1/chat/completions").next().unwrap_or("");
+        if let Some(ran) = self.executions.get_mut(trace_id_in(last)) {
+            *ran = ran.saturating_sub(1);
+        }
+    }
+
+    fn update_endpoint(&mut self, byte: u8, which: u16) {
+        let state = ["SERVING", "DRAINING", "DELETED"][usize::from(byte) % 3];
+        let started = if which.is_multiple_of(3) { self.harness.now / MS } else { 0 };
+        let changed = entry(usize::from(which) % WORKERS.len(), state, started);
+        let version = 6 + self.count as u64;
+        let line = serde_json::json!({"version": version, "full": false, "servers": [changed]});
+        let ended = &self.harness.ended;
+        let is_open_watch =
+            |(connection, to): (&ConnectionId, &Address)| to[2] == 9 && !ended.contains_key(connection);
+        if self.harness.outbound.iter().any(is_open_watch) {
+            self.harness.send_update(&line);
+        }
     }
 
     fn holds(&mut self) -> bool {
