--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -156,7 +156,7 @@
             return false;
         }
         if self.connection.is_some() {
-            tracing::warn!("discovery is silent; the watch is opened anew");
+            tracing::warn!("discovery is silent; the watch is reopened");
             self.end(now, effects);
         }
         self.connection.is_none()
--- a/crates/gateway/src/endpoint_updates.rs
+++ b/crates/gateway/src/endpoint_updates.rs
@@ -36,13 +36,13 @@
         let lines = match self.watch.on_data(now, bytes, effects) {
             Ok(lines) => lines,
             Err(problem) => {
-                tracing::warn!(%problem, "discovery's answer cannot be read; the watch is opened anew");
+                tracing::warn!(%problem, "discovery's response is malformed; the watch is reopened");
                 return self.watch.end(now, effects);
             }
         };
         for line in lines {
             if let Err(problem) = self.update_endpoints(now, &line, effects) {
-                tracing::warn!(%problem, "a line of discovery cannot be read; the watch is opened anew");
+                tracing::warn!(%problem, "an endpoint list update is malformed; the watch is reopened");
                 return self.watch.end(now, effects);
             }
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -162,9 +162,9 @@
         };
         let in_force = &mut self.state.config;
         if config.capacity != in_force.capacity || config.listen != in_force.listen {
-            tracing::warn!("limits and the address to listen at take effect at the next start");
+            tracing::warn!("capacity limits and the listen address take effect at the next start");
         }
-        tracing::info!("the configuration was read again");
+        tracing::info!("the configuration was reloaded");
         in_force.discovery = config.discovery;
         in_force.travel_time = config.travel_time;
         self.state.watch.end(now, effects);
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -167,7 +167,7 @@
             Ok(None) => return Progress::Wait,
             Err(problem) => {
                 let rejection = Rejection::new(problem.status(), "the request cannot be read");
-                tracing::debug!(connection = connection.0, %problem, "a request that cannot be read");
+                tracing::debug!(connection = connection.0, %problem, "a malformed request");
                 return self.reject_and_wait(connection, rejection, effects);
             }
         };
@@ -273,7 +273,7 @@
         let request = self.request_state(now, connection, head, body);
         let id = self.lifecycle.requests.next_id();
         request_trace::record(id, &trace_id, TraceEvent::Admitted);
-        tracing::debug!(id, connection = connection.0, "takes a request");
+        tracing::debug!(id, connection = connection.0, "admits a request");
         self.clients.request_admitted(connection, trace_id, id);
         let (lifecycle, mut egress) = self.lifecycle(now, effects);
         lifecycle.accept(now, request, None, &mut egress);
@@ -301,7 +301,7 @@
     fn reject(&mut self, connection: ConnectionId, rejection: Rejection, effects: &mut Effects) {
         let Rejection { status, reason } = rejection;
         counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
-        tracing::debug!(connection = connection.0, status, why = reason, "rejects a request");
+        tracing::debug!(connection = connection.0, status, reason, "rejects a request");
         let retry_after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
         effects.send(connection, text_response(status, retry_after, reason, true));
         self.clients.remove(connection);
--- a/crates/gateway/src/reserved_state/release.rs
+++ b/crates/gateway/src/reserved_state/release.rs
@@ -30,7 +30,7 @@
         let since = entry.running_since().unwrap_or(context.now);
         entry.clock = ReleaseClock::Running { since };
         let lasts_until = (since + self.release_timeout).max(context.now + RELEASE_LEAD_TIME);
-        tracing::debug!(id, at = ?entry.location, held = context.now - since, "releases what is held");
+        tracing::debug!(id, worker = ?entry.location, reserved_for = context.now - since, "releases reserved state");
         entry.release = Some(Release {
             began_at: context.now,
             remaining: release_order(entry.location, context.workers),
@@ -59,7 +59,7 @@
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Some(release) = &mut entry.release else { return };
         if context.now >= release.gives_up_at {
-            tracing::warn!(id, calls = release.calls, "nobody could be told to release what is held");
+            tracing::warn!(id, calls = release.calls, "no worker could be told to release reserved state");
             entry.forget_hung_workers(context);
             return self.mark_released(id, None, context);
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -132,17 +132,17 @@
         let expected = self.attempts_by_worker();
         let pool = self.workers.statistics();
         tracing::debug!(
-            open = self.lifecycle.requests.len(),
+            open_requests = self.lifecycle.requests.len(),
             clients = self.clients.len(),
-            held = self.clients.buffered_bytes(),
+            buffered_bytes = self.clients.buffered_bytes(),
             connections = pool.connections,
-            resting = pool.idle,
+            idle_connections = pool.idle,
             workers = self.workers.workers().count(),
-            carried = ?pool.attempts,
-            "believes"
+            attempts = ?pool.attempts,
+            "statistics"
         );
         if expected != pool.attempts {
-            tracing::debug!(believed = ?expected, carried = ?pool.attempts, "belief and traffic differ");
+            tracing::debug!(?expected, attempts = ?pool.attempts, "attempts of the lifecycle and of connections differ");
         }
         TimerKey::Statistics.set(now + STATISTICS_INTERVAL, effects);
     }
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -97,7 +97,7 @@
                     return self.response_complete(now, connection, response, effects)
                 }
                 Err(problem) => {
-                    tracing::debug!(worker = ?receiving.worker, %problem, "a response that cannot be read");
+                    tracing::debug!(worker = ?receiving.worker, %problem, "a malformed response");
                     return self.response_invalid(now, connection, effects);
                 }
             }
@@ -238,10 +238,10 @@
             worker = ?ended.worker,
             ?call,
             written = ended.is_written,
-            used = ended.is_reused,
-            rested = ended.idle_time,
+            reused = ended.is_reused,
+            idle_time = ended.idle_time,
             silent = ended.is_silent(),
-            "a connection ended under its call"
+            "a connection ended during its call"
         );
         if ended.is_reused && ended.is_silent() {
             self.workers.broke_after_idle(now, ended.idle_time);
