--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -197,7 +197,10 @@
         }
         let failure = DecodeFailure {
             state_holder: request.state_holder,
-            may_have_arrived: !matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::NotSent),
+            may_have_reached_worker: !matches!(
+                outcome,
+                AttemptOutcome::Unreachable | AttemptOutcome::NotSent
+            ),
             is_worker_response: matches!(
                 outcome,
                 AttemptOutcome::Rejected | AttemptOutcome::StateMissing | AttemptOutcome::ServerError
--- a/crates/gateway/src/endpoint_updates.rs
+++ b/crates/gateway/src/endpoint_updates.rs
@@ -61,7 +61,7 @@
         for connection in self.workers.dialling_unlisted_workers() {
             self.drop_worker_connection(now, connection, effects);
         }
-        self.is_discovery_heard = true;
+        self.is_discovery_synced = true;
         Ok(())
     }
 
@@ -87,7 +87,7 @@
     /// After a gap discovery may be behind what it sent before. What is in force is newer then, and changes come again
     /// once they are newer too. Only if that lasts has discovery begun to count anew.
     fn is_stale(&mut self, now: Micros, version: u64, is_full: bool) -> bool {
-        if !self.is_discovery_heard || version >= self.lifecycle.endpoint_list_version() {
+        if !self.is_discovery_synced || version >= self.lifecycle.endpoint_list_version() {
             return false;
         }
         let since = *self.stale_since.get_or_insert(now);
--- a/crates/gateway/src/release_calls.rs
+++ b/crates/gateway/src/release_calls.rs
@@ -45,20 +45,20 @@
         self.is_decoding(id)
     }
 
-    fn attempt_worker_last_heard(&self, id: RequestId) -> Micros {
-        self.attempt_worker_last_heard(id)
+    fn attempt_worker_last_seen(&self, id: RequestId) -> Micros {
+        self.attempt_worker_last_seen(id)
     }
 
-    fn heard_since(&self, worker: WorkerId, time: Micros) -> bool {
-        self.heard_since(worker, time)
+    fn seen_since(&self, worker: WorkerId, time: Micros) -> bool {
+        self.seen_since(worker, time)
     }
 
     fn is_listed(&self, worker: WorkerId) -> bool {
         self.address(worker).is_some()
     }
 
-    fn workers_by_last_heard(&self) -> Vec<WorkerId> {
-        self.workers_by_last_heard()
+    fn workers_by_last_seen(&self) -> Vec<WorkerId> {
+        self.workers_by_last_seen()
     }
 
     fn hang_timeout(&self) -> Micros {
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -5,7 +5,7 @@
 //! Release follows the same path however an attempt ended: at once where nobody wants the state any more, else early
 //! enough before the release timeout ends.
 //!
-//! The timeout runs while an attempt is out of which nothing is heard, for a connection may lead nowhere. It is
+//! The timeout runs while an attempt is out that gives no sign of life, for a connection may lead nowhere. It is
 //! suspended while a prefill is known to be under way: as long as its worker answers liveness checks or, where it must
 //! not be checked, the decode worker that holds the reservation is asked for it again and still knows of the prefill.
 //! State that an attempt waits with is released again and again, for it outlives a release and may outlive the
@@ -58,7 +58,7 @@
     /// The worker that holds the request's state, as far as is known.
     pub state_holder: Option<WorkerId>,
     /// The attempt may have arrived at its worker.
-    pub may_have_arrived: bool,
+    pub may_have_reached_worker: bool,
     /// The worker has said that it ended, with which the timeout begins anew.
     pub is_worker_response: bool,
 }
@@ -168,7 +168,7 @@
     /// The connection of an attempt at a worker was ended.
     pub fn attempt_disconnected(&mut self, id: RequestId, worker: WorkerId, ended_by: EndedBy, now: Micros) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            let attempt = DisconnectedAttempt { worker, ended_at: now, ended_by, is_worker_heard: false };
+            let attempt = DisconnectedAttempt { worker, ended_at: now, ended_by, is_worker_seen: false };
             entry.disconnected_attempts.push(attempt);
         }
     }
@@ -252,7 +252,7 @@
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if is_new || failure.is_worker_response || entry.running_since().is_none() {
             self.run_clock(id, context.now, context);
-        } else if failure.may_have_arrived && entry.release.is_some() {
+        } else if failure.may_have_reached_worker && entry.release.is_some() {
             // The release may have come while the attempt still waited with the state, which it does not free then.
             entry.stop_release(None, context);
             self.release_now(id, context);
@@ -289,7 +289,7 @@
         let is_seen_soon = entry
             .disconnected_attempts
             .iter()
-            .any(|attempt| attempt.is_worker_heard || began_at < attempt.ended_at + CLOSE_SEEN_WITHIN);
+            .any(|attempt| attempt.is_worker_seen || began_at < attempt.ended_at + CLOSE_SEEN_WITHIN);
         self.run_clock(id, context.now, context);
         if is_seen_soon {
             self.check_again_after(id, CLOSE_SEEN_WITHIN, context);
@@ -361,7 +361,7 @@
             }
             ReleaseClock::Running { .. } => context.now,
             ReleaseClock::Suspended { since, is_check_requested } => {
-                let since = since.max(context.workers.attempt_worker_last_heard(id));
+                let since = since.max(context.workers.attempt_worker_last_seen(id));
                 let check_at = liveness_check_at(since, self.release_timeout);
                 let needs_check = !is_check_requested && context.now >= check_at;
                 if needs_check {
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -56,8 +56,8 @@
     pub ended_at: Micros,
     /// Who ended the connection.
     pub ended_by: EndedBy,
-    /// The worker has been heard since.
-    pub is_worker_heard: bool,
+    /// Bytes have come from the worker since.
+    pub is_worker_seen: bool,
 }
 
 impl DisconnectedAttempt {
@@ -65,11 +65,11 @@
     pub fn outlives_release<W: Workers>(&mut self, began_at: Micros, context: &Context<W>) -> bool {
         let seen_at = self.ended_at + CLOSE_SEEN_WITHIN;
         let began_after_seen = began_at >= seen_at;
-        if began_after_seen && (self.is_worker_heard || self.ended_by == EndedBy::Reset) {
+        if began_after_seen && (self.is_worker_seen || self.ended_by == EndedBy::Reset) {
             return false;
         }
         // The worker runs, but one that has hung may take up the release before it sees the end: one more will do.
-        self.is_worker_heard = began_after_seen && context.workers.heard_since(self.worker, seen_at);
+        self.is_worker_seen = began_after_seen && context.workers.seen_since(self.worker, seen_at);
         true
     }
 }
@@ -201,17 +201,17 @@
     liveness_lost_at(since, release_timeout) - answer_time
 }
 
-/// When a prefill that was under way then, and of which nothing was heard since, counts as lost. What the protocol
+/// When a prefill that was under way then, and of which no sign came since, counts as lost. What the protocol
 /// allows beyond the release timeout is left for the release.
 pub fn liveness_lost_at(since: Micros, release_timeout: Micros) -> Micros {
     since + release_timeout.min(MIN_ABSENCE)
 }
 
-/// Who is told to release, in order: the worker that holds the state, then whoever was heard last, for one call to any
+/// Who is told to release, in order: the worker that holds the state, then whoever was seen last, for one call to any
 /// worker that runs will do.
 pub fn release_order<W: Workers>(location: Option<WorkerId>, workers: &W) -> VecDeque<WorkerId> {
     let first = location.filter(|worker| workers.is_listed(*worker));
     let mut order: VecDeque<_> = first.into_iter().collect();
-    order.extend(workers.workers_by_last_heard().into_iter().filter(|worker| Some(*worker) != first));
+    order.extend(workers.workers_by_last_seen().into_iter().filter(|worker| Some(*worker) != first));
     order
 }
--- a/crates/gateway/src/reserved_state/workers.rs
+++ b/crates/gateway/src/reserved_state/workers.rs
@@ -30,16 +30,16 @@
     fn is_decoding(&self, id: RequestId) -> bool;
 
     /// When bytes last came from the worker of a request's attempt, on connections older than the attempt; 0 for never.
-    fn attempt_worker_last_heard(&self, id: RequestId) -> Micros;
+    fn attempt_worker_last_seen(&self, id: RequestId) -> Micros;
 
     /// Whether bytes have come from a worker at that time or later.
-    fn heard_since(&self, worker: WorkerId, time: Micros) -> bool;
+    fn seen_since(&self, worker: WorkerId, time: Micros) -> bool;
 
     /// Whether a worker is listed.
     fn is_listed(&self, worker: WorkerId) -> bool;
 
-    /// Listed workers, the one that was heard last first.
-    fn workers_by_last_heard(&self) -> Vec<WorkerId>;
+    /// Listed workers, the one that was seen last first.
+    fn workers_by_last_seen(&self) -> Vec<WorkerId>;
 
     /// A worker that says nothing for so long is taken for gone.
     fn hang_timeout(&self) -> Micros;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -43,7 +43,7 @@
     /// Since when discovery offers versions of the list that are older than the one in force.
     pub stale_since: Option<Micros>,
     /// Discovery has sent an update.
-    pub is_discovery_heard: bool,
+    pub is_discovery_synced: bool,
     /// When the gateway was created.
     pub started_at: Micros,
     /// The time of the last event.
@@ -68,7 +68,7 @@
             watch: DiscoveryWatch::default(),
             deferred: DeferredEvents::default(),
             stale_since: None,
-            is_discovery_heard: false,
+            is_discovery_synced: false,
             started_at: now,
             now,
             is_shutting_down: false,
@@ -113,7 +113,7 @@
     /// Whether it can serve: it knows workers, from discovery or, if that is silent, from its configuration.
     pub fn is_ready(&self) -> bool {
         let has_workers = self.workers.workers().next().is_some();
-        let is_list_current = self.is_discovery_heard || self.now >= self.started_at + DISCOVERY_WAIT;
+        let is_list_current = self.is_discovery_synced || self.now >= self.started_at + DISCOVERY_WAIT;
         !self.is_shutting_down && has_workers && is_list_current
     }
 
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -52,7 +52,7 @@
     /// The attempt that is out for each request.
     attempts: HashMap<RequestId, Dispatched>,
     /// When bytes last came from each worker.
-    last_heard: HashMap<WorkerId, Micros>,
+    last_seen: HashMap<WorkerId, Micros>,
     /// Where each listed worker is reached.
     addresses: BTreeMap<WorkerId, Address>,
     /// Listed workers that take nothing new.
@@ -107,19 +107,19 @@
     pub fn on_data(&mut self, now: Micros, connection: ConnectionId) -> Option<&mut WorkerConnection> {
         let connection = self.connections.get_mut(&connection)?;
         connection.last_received_at = now;
-        self.last_heard.insert(connection.worker, now);
+        self.last_seen.insert(connection.worker, now);
         Some(connection)
     }
 
     /// Whether bytes have come from a worker at that time or later.
-    pub fn heard_since(&self, worker: WorkerId, time: Micros) -> bool {
-        self.last_heard.get(&worker).is_some_and(|heard| *heard >= time)
+    pub fn seen_since(&self, worker: WorkerId, time: Micros) -> bool {
+        self.last_seen.get(&worker).is_some_and(|seen| *seen >= time)
     }
 
-    /// Listed workers, the one that was heard last first.
-    pub fn workers_by_last_heard(&self) -> Vec<WorkerId> {
+    /// Listed workers, the one that was seen last first.
+    pub fn workers_by_last_seen(&self) -> Vec<WorkerId> {
         let mut workers: Vec<_> = self.workers().collect();
-        workers.sort_by_key(|worker| std::cmp::Reverse(self.last_heard.get(worker).copied()));
+        workers.sort_by_key(|worker| std::cmp::Reverse(self.last_seen.get(worker).copied()));
         workers
     }
 
@@ -167,7 +167,7 @@
     pub fn worker_removed(&mut self, worker: WorkerId, effects: &mut Effects) {
         self.addresses.remove(&worker);
         self.draining.remove(&worker);
-        self.last_heard.remove(&worker);
+        self.last_seen.remove(&worker);
         for connection in self.idle.take_all(worker) {
             self.abort(connection, effects);
         }
--- a/crates/gateway/src/worker_pool/attempts.rs
+++ b/crates/gateway/src/worker_pool/attempts.rs
@@ -44,8 +44,8 @@
     }
 
     /// When bytes last came from the worker of a request's attempt, on connections that were there before the attempt;
-    /// 0 for never. A process that has started since would be heard on later connections only.
-    pub fn attempt_worker_last_heard(&self, id: RequestId) -> Micros {
+    /// 0 for never. A process that has started since would be seen on later connections only.
+    pub fn attempt_worker_last_seen(&self, id: RequestId) -> Micros {
         let Some(attempt) = self.attempts.get(&id) else { return 0 };
         let Some(carrier) = self.connections.get(&attempt.connection) else { return 0 };
         if !matches!(carrier.call, Some(Call::Attempt { .. })) {
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -57,8 +57,8 @@
         for there in ["\r\nidempotency-key: 29-55\r\n", "\r\nx-customer: a\r\nx-customer: b\r\n"] {
             assert!(request.contains(there), "{there:?} in {request}");
         }
-        for gone in ["x-hop", "keep-alive", "\r\nte:", "\r\nconnection:"] {
-            assert!(!request.contains(gone), "{gone:?} in {request}");
+        for hop_by_hop in ["x-hop", "keep-alive", "\r\nte:", "\r\nconnection:"] {
+            assert!(!request.contains(hop_by_hop), "{hop_by_hop:?} in {request}");
         }
         assert_eq!(request.matches("content-length:").count(), 1, "{request}");
         assert_eq!(request.matches("x-expires-in-ms:").count(), 1, "{request}");
--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -80,8 +80,8 @@
 fn a_chunked_body_is_forwarded_with_its_length() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let whole = ask("id", "safe");
-    let (head, _) = whole.split_once("Content-Length").expect("a length");
+    let complete = ask("id", "safe");
+    let (head, _) = complete.split_once("Content-Length").expect("a length");
     let body = r#"{"model":"m"}"#;
     harness.deliver(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
     assert_eq!(harness.statuses(client), [100]);
@@ -182,8 +182,8 @@
     let mut harness = Harness::new();
     let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
     harness.deliver(half, "POST /v1/chat");
-    let whole = ask("id", "safe");
-    harness.deliver(body, &whole[..whole.len() - 5]);
+    let complete = ask("id", "safe");
+    harness.deliver(body, &complete[..complete.len() - 5]);
     for _ in 0..25 {
         harness.advance(100 * MS);
         // One that sends byte by byte gets no more time for it.
@@ -238,9 +238,9 @@
     let mut rejected = 0;
     for n in 0..60 {
         let client = harness.connect_client();
-        let whole = ask_for(&format!("id{n}"), "safe", 4_000, &body);
+        let complete = ask_for(&format!("id{n}"), "safe", 4_000, &body);
         // All but the last byte: it is buffered and can go nowhere.
-        harness.deliver(client, &whole[..whole.len() - 1]);
+        harness.deliver(client, &complete[..complete.len() - 1]);
         rejected += usize::from(harness.statuses(client) == [503]);
     }
     assert!(
@@ -256,9 +256,10 @@
         config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
         config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
         let body = format!("\"{}\"", "x".repeat(250_000));
-        let whole = ask_for("id", "safe", 4_000, &body);
+        let complete = ask_for("id", "safe", 4_000, &body);
         // Open requests exhaust one limit, bodies without their last byte the other.
-        for (reason, request) in [("full", ""), ("no memory for one more request", &whole[..whole.len() - 1])]
+        for (reason, request) in
+            [("full", ""), ("no memory for one more request", &complete[..complete.len() - 1])]
         {
             let mut harness = Harness::with_config(&config);
             let response = (0..200).find_map(|n| {
@@ -292,9 +293,9 @@
 
 #[test]
 fn an_incomplete_pipelined_request_times_out() {
-    let whole = ask("second", "safe");
-    let (head, _) = whole.split_once("\r\n\r\n").expect("a head");
-    for part in [&whole[..20], head, &whole[..whole.len() - 1]] {
+    let complete = ask("second", "safe");
+    let (head, _) = complete.split_once("\r\n\r\n").expect("a head");
+    for part in [&complete[..20], head, &complete[..complete.len() - 1]] {
         for answered_after in [100, 1_999, 2_500, 4_000] {
             let (mut harness, client) = incomplete_pipelined_request(part, answered_after);
             harness.advance(3_000 * MS);
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -165,8 +165,8 @@
         self.run_until_idle();
     }
 
-    pub fn set_backpressure(&mut self, connection: ConnectionId, crowded: bool) {
-        self.gateway.on_backpressure(self.now, connection, crowded, &mut self.effects);
+    pub fn set_backpressure(&mut self, connection: ConnectionId, is_congested: bool) {
+        self.gateway.on_backpressure(self.now, connection, is_congested, &mut self.effects);
         self.run_until_idle();
     }
 
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn the_worker_heard_last_is_told_next_when_the_holder_is_silent() {
+fn the_worker_seen_last_is_told_next_when_the_holder_is_silent() {
     let (mut harness, client, prefill, at) = prefilled_request("safe");
     let (decode, _) = harness.attempt();
     // Another client's request is answered meanwhile, by others.
--- a/crates/gateway/tests/shutdown_obligations/workers.rs
+++ b/crates/gateway/tests/shutdown_obligations/workers.rs
@@ -83,7 +83,9 @@
                 self.break_connection(connection);
             }
             _ => {
-                (request.has_state, request.is_reserved, request.has_response) = (false, false, true);
+                request.has_state = false;
+                request.is_reserved = false;
+                request.has_response = true;
                 self.deliver(connection, &format!("{HEAD}{}", chunk(EVENTS[0])));
                 let takes = self.random_range(1, 300);
                 let rest = format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2]));
@@ -105,7 +107,8 @@
         let held = self.random_bool(0.5);
         let request = self.requests.entry(trace).or_default();
         if held && (request.decodes.is_empty() || !knows_prefill) && !request.has_response {
-            (request.is_reserved, request.since) = (true, now);
+            request.is_reserved = true;
+            request.since = now;
         }
         let text = match (knows_prefill, held) {
             (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
