--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -3,9 +3,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
+use tideroute_wire::endpoint_list::EndpointStatus;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
-use tideroute_wire::list::EndpointStatus;
-use tideroute_wire::{fetch, list, say_hello, worker, Address, Malformed, Micros, Origin, Party, Whose};
+use tideroute_wire::{
+    endpoint_list, say_hello, state_transfer, worker, Address, GlobalRequestId, Malformed, Micros, Origin,
+    Party,
+};
 
 use crate::reading::Reading;
 use crate::writing::Writing;
@@ -178,7 +181,7 @@
     pub(crate) writing: Writing,
     peers: BTreeMap<ConnectionId, Peer>,
     readers: BTreeMap<Address, ConnectionId>,
-    early: VecDeque<(u64, ConnectionId, Whose)>,
+    early: VecDeque<(u64, ConnectionId, GlobalRequestId)>,
     list: Option<ConnectionId>,
     silent: bool,
     stopping: bool,
@@ -218,7 +221,10 @@
         let t = &self.bench.terms;
         let standing = if self.bench.draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
         let started = if t.warm { 0 } else { self.bench.began };
-        effects.send(connection, list::here(t.address, t.kind, t.size, standing, t.cell, t.zone, started));
+        effects.send(
+            connection,
+            endpoint_list::register(t.address, t.kind, t.size, standing, t.cell, t.zone, started),
+        );
     }
 
     fn call_list(&mut self, effects: &mut Effects) {
@@ -259,12 +265,12 @@
     }
 
     /// A fetch for a read that is not here yet waits for it a little while.
-    fn fetch(&mut self, now: Micros, connection: ConnectionId, id: Whose, effects: &mut Effects) {
+    fn fetch(&mut self, now: Micros, connection: ConnectionId, id: GlobalRequestId, effects: &mut Effects) {
         if self.reading.fetch(connection, id, &self.bench, effects) {
             return;
         }
         if self.early.len() >= EARLY_FETCHES {
-            return effects.send(connection, fetch::missing(id));
+            return effects.send(connection, state_transfer::missing(id));
         }
         let serial = self.bench.serial();
         self.early.push_back((serial, connection, id));
@@ -289,14 +295,16 @@
                 self.peers.insert(connection, peer);
                 Ok(())
             }
-            Some(Peer::Router(origin)) => {
-                worker::hear_router(frame, &mut RouterLink { worker: self, now, connection, origin, effects })
-            }
-            Some(Peer::Fetcher) => {
-                fetch::hear_fetcher(frame, &mut FetcherLink { worker: self, now, connection, effects })
-            }
+            Some(Peer::Router(origin)) => worker::receive_from_router(
+                frame,
+                &mut RouterLink { worker: self, now, connection, origin, effects },
+            ),
+            Some(Peer::Fetcher) => state_transfer::receive_from_fetcher(
+                frame,
+                &mut FetcherLink { worker: self, now, connection, effects },
+            ),
             Some(Peer::Reader(_)) => {
-                fetch::hear_reader(frame, &mut ReaderLink { worker: self, now, effects })
+                state_transfer::receive_from_source(frame, &mut ReaderLink { worker: self, now, effects })
             }
             Some(Peer::List) => Err(Malformed::Order("a word from the list")),
             None => Ok(()),
@@ -388,7 +396,7 @@
             self.with_writing(|w, worker| w.rang(now, what, worker, effects));
         } else if let Some(at) = self.early.iter().position(|(serial, ..)| *serial == what) {
             if let Some((_, connection, id)) = self.early.remove(at) {
-                effects.send(connection, fetch::missing(id));
+                effects.send(connection, state_transfer::missing(id));
             }
         }
     }
@@ -423,7 +431,7 @@
 }
 
 impl worker::Worker for RouterLink<'_> {
-    fn read(
+    fn prefill(
         &mut self,
         id: u64,
         shot: u16,
@@ -438,7 +446,7 @@
         let id = (self.origin, id);
         let RouterLink { worker, now, connection, effects, .. } = self;
         if worker.bench.terms.does == Does::Write {
-            effects.send(*connection, worker::ended(id.1, shot, worker::How::Fault));
+            effects.send(*connection, worker::attempt_ended(id.1, shot, worker::AttemptFailure::ServerError));
             return Ok(());
         }
         worker.bench.press(*now, f64::from(prompt_tokens));
@@ -455,7 +463,7 @@
             effects,
         );
         if taken {
-            let early = |(_, _, wanted): &(u64, ConnectionId, Whose)| *wanted == id;
+            let early = |(_, _, wanted): &(u64, ConnectionId, GlobalRequestId)| *wanted == id;
             if let Some(at) = worker.early.iter().position(early) {
                 if let Some((_, fetcher, _)) = worker.early.remove(at) {
                     worker.reading.fetch(fetcher, id, &worker.bench, effects);
@@ -465,7 +473,7 @@
         Ok(())
     }
 
-    fn hold(
+    fn reserve(
         &mut self,
         id: u64,
         _prompt_tokens: u32,
@@ -478,7 +486,7 @@
         Ok(())
     }
 
-    fn write(
+    fn decode(
         &mut self,
         id: u64,
         shot: u16,
@@ -515,28 +523,29 @@
         Ok(())
     }
 
-    fn let_go(&mut self, id: u64) -> Result<(), Malformed> {
+    fn release(&mut self, id: u64) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.reading.let_go(id);
         self.worker.with_writing(|w, worker| w.let_go(now, id, worker, effects));
         Ok(())
     }
 
-    fn withdraw(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, id: u64, shot: u16) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.reading.withdraw(now, id, shot, &mut self.worker.bench, effects);
         self.worker.with_writing(|w, worker| w.withdraw(now, id, shot, worker, effects));
         Ok(())
     }
 
-    fn probe(&mut self, nonce: u64) -> Result<(), Malformed> {
+    fn check_health(&mut self, nonce: u64) -> Result<(), Malformed> {
         let (reads, read_queue) = self.worker.reading.load();
         let (streams, queue) = self.worker.writing.load();
-        self.effects.send(self.connection, worker::probed(nonce, reads, streams, read_queue + queue));
+        self.effects
+            .send(self.connection, worker::health_reported(nonce, reads, streams, read_queue + queue));
         Ok(())
     }
 
-    fn more(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, id: u64, shot: u16, tokens: u32) -> Result<(), Malformed> {
         let (now, id, effects) = (self.now, (self.origin, id), &mut *self.effects);
         self.worker.with_writing(|w, worker| w.more(now, id, shot, tokens, worker, effects));
         Ok(())
@@ -550,18 +559,18 @@
     effects: &'a mut Effects,
 }
 
-impl fetch::Reader for FetcherLink<'_> {
-    fn fetch(&mut self, id: Whose) -> Result<(), Malformed> {
+impl state_transfer::Reader for FetcherLink<'_> {
+    fn fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.fetch(self.now, self.connection, id, self.effects);
         Ok(())
     }
 
-    fn fetched(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn fetched(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.reading.let_go(id);
         Ok(())
     }
 
-    fn unfetch(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn cancel_fetch(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         self.worker.reading.unfetch(self.connection, id);
         Ok(())
     }
@@ -573,20 +582,20 @@
     effects: &'a mut Effects,
 }
 
-impl fetch::Fetcher for ReaderLink<'_> {
-    fn chunk(&mut self, id: Whose, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
+impl state_transfer::Fetcher for ReaderLink<'_> {
+    fn chunk(&mut self, id: GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.chunk(now, id, offset, &part, crc, worker, effects));
         Ok(())
     }
 
-    fn whole(&mut self, id: Whose, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
+    fn complete(&mut self, id: GlobalRequestId, state_bytes: u64, crc: u32) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.whole(now, id, state_bytes, crc, worker, effects));
         Ok(())
     }
 
-    fn missing(&mut self, id: Whose) -> Result<(), Malformed> {
+    fn missing(&mut self, id: GlobalRequestId) -> Result<(), Malformed> {
         let (now, effects) = (self.now, &mut *self.effects);
         self.worker.with_writing(|w, worker| w.missing(now, id, worker, effects));
         Ok(())
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use tideroute::types::{Idempotency, SchedulerConfig};
 use tideroute_lifecycle::LifecycleConfig;
-use tideroute_settings::Report;
+use tideroute_settings::{Report, SettingsError};
 use tideroute_wire::{Address, Micros};
 
 use crate::capacity::Capacity;
@@ -43,7 +43,7 @@
     },
     /// The scheduler's settings cannot be used.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(SettingsError),
     /// The endpoint list in the file cannot be used.
     #[error("known: {0}")]
     Known(EndpointListError),
