--- /dev/null
+++ b/crates/gateway/src/ingress.rs
@@ -0,0 +1,336 @@
+//! Bytes of clients become requests: heads and bodies are parsed, admitted to the lifecycle, or rejected.
+
+use bytes::{Buf, Bytes, BytesMut};
+use metrics::counter;
+use tideroute_http::{write, Body, Bounds, Framing, Request};
+use tideroute_lifecycle::RequestState;
+use tideroute_wire::event_loop::{ConnectionId, Effects};
+use tideroute_wire::Micros;
+
+use crate::capacity::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::client_connection::{ClientState, PartialRequest};
+use crate::egress::text_response;
+use crate::headers;
+use crate::request_context::RequestContext;
+use crate::request_head::{is_json, Rejection, RequestHead};
+use crate::request_trace::{self, TraceEvent};
+use crate::state::GatewayState;
+use crate::timers::TimerKey;
+
+/// What a request may have.
+const REQUEST_BOUNDS: Bounds = Bounds { head: MAX_HEAD_BYTES, fields: 64, body: MAX_BODY_BYTES as u64 };
+/// Microseconds in which a request must be complete after its first byte, and in which a new connection must send
+/// something: clients send their requests at once.
+const REQUEST_TIMEOUT: Micros = 2_000_000;
+/// Microseconds that a connection may be idle between requests.
+const IDLE_TIMEOUT: Micros = 15_000_000;
+/// Bytes that are kept behind an open request: one more request of the largest size. What comes on top is read and
+/// discarded, for the end of a client that disconnects is seen behind it only.
+const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + (8 << 10);
+/// Bytes discarded after which a client is disconnected with its request: it sends without end.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+/// Requests that need no worker answered in one go on a connection.
+const MAX_REQUESTS_AT_ONCE: usize = 16;
+const DUPLICATE_TRACE_ID: Rejection = Rejection::new(409, "a request with this x-trace-id is open");
+
+/// Whether more of a connection's bytes may be taken now.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Progress {
+    /// Another request may be there.
+    More,
+    /// More bytes have to arrive, a request is open, or the connection is closed.
+    Wait,
+}
+
+impl GatewayState {
+    /// A client has connected. Where no more connections are allowed, the longest idle one is closed for it.
+    pub fn client_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        if self.clients.len() >= self.config.capacity.client_connections {
+            let Some(idle) = self.clients.longest_idle() else {
+                counter!("tideroute_clients_sent_away_total").increment(1);
+                return self.reject(connection, Rejection::new(503, "too many connections"), effects);
+            };
+            self.close_for_others(idle, effects);
+        }
+        let client = self.clients.insert(connection, now);
+        client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
+    }
+
+    /// One that is in the middle of its request is told why; one that has sent nothing is just closed.
+    fn close_for_others(&mut self, idle: ConnectionId, effects: &mut Effects) {
+        if self.clients.get(idle).is_some_and(|client| client.received.is_empty()) {
+            self.clients.remove(idle);
+            effects.close(idle, "idle, and others come");
+        } else {
+            self.reject(idle, Rejection::new(408, "others come, and this is not whole"), effects);
+        }
+    }
+
+    /// Bytes have come from a client.
+    pub fn client_data(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        bytes: &Bytes,
+        effects: &mut Effects,
+    ) {
+        let is_memory_full = self.clients.buffered_bytes() > self.config.capacity.buffered_bytes;
+        let Some(client) = self.clients.get_mut(connection) else { return };
+        let pipelined_bytes = client.received.len() + bytes.len();
+        let must_discard =
+            is_memory_full || client.discarded_bytes > 0 || pipelined_bytes > MAX_PIPELINED_BYTES;
+        if client.awaits_response() && must_discard {
+            return self.discard(now, connection, bytes.len(), effects);
+        }
+        let is_first_byte = client.has_no_request();
+        client.received.extend_from_slice(bytes);
+        if is_first_byte {
+            client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
+        }
+        self.take_requests(now, connection, effects);
+    }
+
+    /// The response to a client is complete: what came behind its request is looked at now, and has its time from now
+    /// on.
+    pub fn next_request(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        if let Some(client) = self.clients.get_mut(connection) {
+            client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
+        }
+        self.take_requests(now, connection, effects);
+    }
+
+    /// Takes as many requests as can be taken now: one that is open is answered before the next.
+    fn take_requests(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        for _ in 0..MAX_REQUESTS_AT_ONCE {
+            let Some(client) = self.clients.get_mut(connection) else { return };
+            let progress = match client.state {
+                ClientState::AwaitingHead => self.take_head(now, connection, effects),
+                ClientState::ReceivingBody(_) => self.take_body(now, connection, effects),
+                ClientState::AwaitingResponse { .. } => Progress::Wait,
+            };
+            self.clients.account(connection);
+            if progress == Progress::Wait {
+                break;
+            }
+        }
+        if self.clients.buffered_bytes() > self.config.capacity.buffered_bytes
+            && self.clients.get(connection).is_some_and(|client| !client.awaits_response())
+        {
+            let rejection = Rejection::new(503, "no memory for one more request");
+            return self.reject(connection, rejection, effects);
+        }
+        let Some(client) = self.clients.get_mut(connection) else { return };
+        if client.has_no_request() && client.has_sent_request {
+            client.timeout.set(now + IDLE_TIMEOUT, TimerKey::Client(connection), effects);
+        }
+    }
+
+    /// Bytes came ahead of their turn and are not kept: after the open response nothing more can be read there.
+    fn discard(&mut self, now: Micros, connection: ConnectionId, bytes: usize, effects: &mut Effects) {
+        let Some(client) = self.clients.get_mut(connection) else { return };
+        client.closes_after_response = true;
+        client.discarded_bytes += bytes + std::mem::take(&mut client.received).len();
+        let sends_without_end = client.discarded_bytes > MAX_DISCARDED_BYTES;
+        let is_streaming = client.is_streaming();
+        self.clients.account(connection);
+        if !sends_without_end {
+            return;
+        }
+        let reason = "sends without end while its request is open";
+        counter!("tideroute_clients_sent_away_total").increment(1);
+        self.client_disconnected(now, connection, effects);
+        // The request that is open was read: it gets a response.
+        if !is_streaming {
+            effects.send(connection, text_response(400, 0, reason, true));
+        }
+        effects.close(connection, reason);
+    }
+
+    /// The client has disconnected: its open request is cancelled.
+    pub fn client_disconnected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(id) = self.clients.remove(connection) else { return };
+        if let Some(request) = self.lifecycle.requests.get(id) {
+            request_trace::record(id, &request.context.trace_id, TraceEvent::ClientDisconnected);
+        }
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.client_disconnected(now, id, &mut egress);
+    }
+
+    fn take_head(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Progress {
+        let Some(client) = self.clients.get_mut(connection) else { return Progress::Wait };
+        // RFC 9112, 2.2: empty lines before a request are ignored.
+        while client.received.starts_with(b"\r\n") {
+            client.received.advance(2);
+        }
+        let (request, length) = match tideroute_http::request(&client.received, &REQUEST_BOUNDS) {
+            Ok(Some(head)) => head,
+            Ok(None) => return Progress::Wait,
+            Err(problem) => {
+                let rejection = Rejection::new(problem.status(), "the request cannot be read");
+                tracing::debug!(connection = connection.0, %problem, "a malformed request");
+                return self.reject_and_wait(connection, rejection, effects);
+            }
+        };
+        client.received.advance(length);
+        client.closes_after_response = request.last;
+        client.has_sent_request = true;
+        self.route_request(now, connection, request, effects)
+    }
+
+    fn route_request(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        request: Request,
+        effects: &mut Effects,
+    ) -> Progress {
+        let path = request.target.split('?').next().unwrap_or_default();
+        match (request.method.as_str(), path) {
+            ("GET", headers::READY_PATH) if request.framing == Framing::Length(0) => {
+                let (status, text) = if self.is_ready() { (200, "up") } else { (503, "not now") };
+                self.egress(now, effects).respond_with_text(connection, status, 0, text);
+                Progress::More
+            }
+            ("POST", headers::CHAT_PATH) => self.begin_body(connection, request, effects),
+            (_, headers::READY_PATH | headers::CHAT_PATH) => {
+                self.reject_and_wait(connection, Rejection::new(405, "not with this method"), effects)
+            }
+            _ => self.reject_and_wait(connection, Rejection::new(404, "nothing is here"), effects),
+        }
+    }
+
+    /// Checks the head of a request whose body follows.
+    fn begin_body(&mut self, connection: ConnectionId, request: Request, effects: &mut Effects) -> Progress {
+        let decoder = Body::new(request.framing, MAX_BODY_BYTES as u64);
+        let expects_continue = request.fields.one("expect").map(|e| e.eq_ignore_ascii_case("100-continue"));
+        let head = match RequestHead::parse(request, &self.config.lifecycle.classes) {
+            Ok(head) => head,
+            Err(rejection) => return self.reject_and_wait(connection, rejection, effects),
+        };
+        if expects_continue == Some(false) {
+            let rejection = Rejection::new(417, "what is expected is not known here");
+            return self.reject_and_wait(connection, rejection, effects);
+        }
+        if self.clients.is_open(&head.trace_id) {
+            return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
+        }
+        if expects_continue.is_some() {
+            effects.send(connection, write::answer(100, [], b"", false));
+        }
+        if let Some(client) = self.clients.get_mut(connection) {
+            let request = PartialRequest { head, decoder, body: BytesMut::new() };
+            client.state = ClientState::ReceivingBody(Box::new(request));
+        }
+        Progress::More
+    }
+
+    fn take_body(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) -> Progress {
+        let Some(client) = self.clients.get_mut(connection) else { return Progress::Wait };
+        let ClientState::ReceivingBody(request) = &mut client.state else { return Progress::Wait };
+        loop {
+            match request.decoder.next(&mut client.received) {
+                // A body that arrives in one piece is not copied.
+                Ok(Some(piece)) if request.body.is_empty() && request.decoder.done() => {
+                    request.body = piece.into();
+                }
+                Ok(Some(piece)) => request.body.extend_from_slice(&piece),
+                Ok(None) => break,
+                Err(problem) => {
+                    let rejection = Rejection::new(problem.status(), "the body cannot be read");
+                    return self.reject_and_wait(connection, rejection, effects);
+                }
+            }
+        }
+        if !request.decoder.done() {
+            return Progress::Wait;
+        }
+        let state = std::mem::replace(&mut client.state, ClientState::AwaitingHead);
+        let ClientState::ReceivingBody(request) = state else { return Progress::Wait };
+        self.admit(now, connection, request.head, request.body.freeze(), effects)
+    }
+
+    /// A request is complete: the lifecycle admits it, unless it sheds load.
+    fn admit(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        head: RequestHead,
+        body: Bytes,
+        effects: &mut Effects,
+    ) -> Progress {
+        if !is_json(&body) {
+            return self.reject_and_wait(connection, Rejection::new(400, "the body is no JSON"), effects);
+        }
+        // The same id may have come on another connection while the body did.
+        if self.clients.is_open(&head.trace_id) {
+            return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
+        }
+        if let Some((reason, retry_after)) = self.lifecycle.rejection(false) {
+            self.egress(now, effects).respond_with_text(connection, 503, retry_after, reason);
+            return Progress::More;
+        }
+        let trace_id = head.trace_id.clone();
+        let request = self.request_state(now, connection, head, body);
+        let id = self.lifecycle.requests.next_id();
+        request_trace::record(id, &trace_id, TraceEvent::Admitted);
+        tracing::debug!(id, connection = connection.0, "admits a request");
+        self.clients.request_admitted(connection, trace_id, id);
+        let (lifecycle, mut egress) = self.lifecycle(now, effects);
+        lifecycle.accept(now, request, None, &mut egress);
+        Progress::Wait
+    }
+
+    /// The request as the lifecycle keeps it.
+    fn request_state(
+        &self,
+        now: Micros,
+        client: ConnectionId,
+        head: RequestHead,
+        body: Bytes,
+    ) -> RequestState<RequestContext> {
+        let remaining_time = self.lifecycle.remaining_time(head.remaining_time);
+        let remaining_time = remaining_time.saturating_sub(self.config.travel_time);
+        let prompt_tokens = head.prompt_tokens(body.len());
+        let RequestHead { trace_id, class, session, prefix, target, headers, .. } = head;
+        let context = RequestContext { client, trace_id, target, headers, body };
+        RequestState::new(context, class, (session, prefix), prompt_tokens).with_deadline(now, remaining_time)
+    }
+
+    /// Rejects a request, with Retry-After if that is for want of capacity, and closes its connection: nobody knows
+    /// what else it would bring.
+    fn reject(&mut self, connection: ConnectionId, rejection: Rejection, effects: &mut Effects) {
+        let Rejection { status, reason } = rejection;
+        counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
+        tracing::debug!(connection = connection.0, status, reason, "rejects a request");
+        let retry_after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
+        effects.send(connection, text_response(status, retry_after, reason, true));
+        self.clients.remove(connection);
+        effects.close(connection, reason);
+    }
+
+    fn reject_and_wait(
+        &mut self,
+        connection: ConnectionId,
+        rejection: Rejection,
+        effects: &mut Effects,
+    ) -> Progress {
+        self.reject(connection, rejection, effects);
+        Progress::Wait
+    }
+
+    /// The timer of a client's connection has fired.
+    pub fn client_timer_fired(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
+        let Some(client) = self.clients.get_mut(connection) else { return };
+        let has_expired = client.timeout.has_expired(now, TimerKey::Client(connection), effects);
+        if !has_expired || client.awaits_response() {
+            return;
+        }
+        if client.has_no_request() {
+            self.clients.remove(connection);
+            effects.close(connection, "idle");
+        } else {
+            let rejection = Rejection::new(408, "the request was not whole in time");
+            self.reject(connection, rejection, effects);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/request_trace.rs
@@ -0,0 +1,131 @@
+//! The request trace: one log event for each change of state of a request, its attempts, and what is reserved for it.
+//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed list,
+//! so that the log alone shows what was sent where, when, and why it ended.
+
+use tideroute::types::{AttemptOutcome, RequestId};
+use tideroute_lifecycle::Response;
+use tideroute_wire::Address;
+
+use crate::headers::socket_address;
+
+/// The target of all trace events, by which a log filter selects them.
+pub const TARGET: &str = "tideroute::request";
+
+/// A change of state of a request, or of something that was done for it.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum TraceEvent {
+    /// The lifecycle has admitted it.
+    Admitted,
+    /// An attempt has a worker, whose connection may have to be dialled first.
+    AttemptChosen {
+        /// Counts the request's attempts.
+        number: u16,
+        /// The worker's address.
+        to: Address,
+    },
+    /// The last byte of an attempt has been written.
+    AttemptWritten {
+        /// Counts the request's attempts.
+        number: u16,
+        /// The worker's address.
+        to: Address,
+    },
+    /// An attempt has ended.
+    AttemptEnded {
+        /// Counts the request's attempts.
+        number: u16,
+        /// How it ended.
+        outcome: AttemptOutcome,
+    },
+    /// The first bytes of the response are on their way to the client.
+    ResponseStarted,
+    /// A worker is asked for a decode reservation.
+    ReservationRequested(Address),
+    /// A worker is told to release what is reserved.
+    ReleaseSent(Address),
+    /// A worker has answered a release.
+    Released,
+    /// The final response.
+    Responded(Response),
+    /// The client has closed its connection before that.
+    ClientDisconnected,
+}
+
+impl TraceEvent {
+    fn state(self) -> &'static str {
+        match self {
+            TraceEvent::Admitted => "admitted",
+            TraceEvent::AttemptChosen { .. } => "attempt-chosen",
+            TraceEvent::AttemptWritten { .. } => "attempt-written",
+            TraceEvent::AttemptEnded { .. } => "attempt-ended",
+            TraceEvent::ResponseStarted => "response-started",
+            TraceEvent::ReservationRequested(_) => "reservation-requested",
+            TraceEvent::ReleaseSent(_) => "release-sent",
+            TraceEvent::Released => "released",
+            TraceEvent::Responded(_) => "responded",
+            TraceEvent::ClientDisconnected => "client-disconnected",
+        }
+    }
+
+    fn attempt(self) -> Option<u16> {
+        match self {
+            TraceEvent::AttemptChosen { number, .. }
+            | TraceEvent::AttemptWritten { number, .. }
+            | TraceEvent::AttemptEnded { number, .. } => Some(number),
+            _ => None,
+        }
+    }
+
+    fn worker(self) -> Option<Address> {
+        match self {
+            TraceEvent::AttemptChosen { to, .. }
+            | TraceEvent::AttemptWritten { to, .. }
+            | TraceEvent::ReservationRequested(to)
+            | TraceEvent::ReleaseSent(to) => Some(to),
+            _ => None,
+        }
+    }
+
+    fn reason(self) -> Option<&'static str> {
+        match self {
+            TraceEvent::AttemptEnded { outcome, .. } => Some(outcome_name(outcome)),
+            TraceEvent::Responded(Response::Completed(_)) => Some("completed"),
+            TraceEvent::Responded(Response::Rejected(_)) => Some("rejected"),
+            TraceEvent::Responded(Response::Failed) => Some("failed"),
+            _ => None,
+        }
+    }
+}
+
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Completed => "completed",
+        AttemptOutcome::ServerError => "server-error",
+        AttemptOutcome::Rejected => "rejected",
+        AttemptOutcome::StateMissing => "state-missing",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::Unreachable => "unreachable",
+        AttemptOutcome::ConnectionReset => "connection-reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "not-sent",
+        AttemptOutcome::PrefillComplete => "prefill-complete",
+    }
+}
+
+/// Writes an event to the log.
+pub fn record(id: RequestId, trace_id: &str, event: TraceEvent) {
+    // Nothing is formatted for a log that filters it out.
+    if !tracing::enabled!(target: TARGET, tracing::Level::DEBUG) {
+        return;
+    }
+    let worker = event.worker().map(socket_address);
+    tracing::debug!(
+        target: TARGET,
+        id,
+        trace = trace_id,
+        state = event.state(),
+        attempt = event.attempt(),
+        worker = worker.map(tracing::field::display),
+        reason = event.reason(),
+    );
+}
--- /dev/null
+++ b/crates/gateway/tests/client_connections.rs
@@ -0,0 +1,306 @@
+//! Untrusted clients, and the capacity limits of the process, on bytes in virtual time.
+
+mod common;
+
+use common::*;
+use tideroute_wire::event_loop::ConnectionId;
+
+/// How many attempts have gone to workers since the last call.
+fn attempts(harness: &mut Harness) -> usize {
+    harness.calls("POST /v1").len()
+}
+
+/// Requests that are not valid, with the status of their rejection.
+fn invalid_requests() -> Vec<(u16, String)> {
+    let sound = ask("id", "safe");
+    let with = |from: &str, to: &str| sound.replace(from, to);
+    vec![
+        (400, "\u{16}\u{3}\u{1}\u{0} noise\r\n\r\n".to_string()),
+        (400, "GET\r\n\r\n".into()),
+        (400, with("Host: service.internal\r\n", "")),
+        (400, with("X-Trace-Id: id\r\n", "")),
+        (400, with("X-Trace-Id: id", "X-Trace-Id:")),
+        (400, with("X-Trace-Id: id", "X-Trace-Id: a/../b")),
+        (400, with("X-Trace-Id: id", &format!("X-Trace-Id: {}", "a".repeat(200)))),
+        (400, with("X-Trace-Id: id", "X-Trace-Id: a\r\nX-Trace-Id: b")),
+        (400, with("X-Qos: safe", "X-Qos: nobody-knows")),
+        (400, with("X-Qos: safe\r\n", "")),
+        (400, with("X-Expires-In-Ms: 4000", "X-Expires-In-Ms: soon")),
+        (400, with("X-Expires-In-Ms: 4000", "X-Expires-In-Ms: -1")),
+        (400, with("X-Expires-In-Ms: 4000", "X-Expires-In-Ms: +1")),
+        (400, with("X-Expires-In-Ms: 4000", "X-Expires-In-Ms: 1e3")),
+        (400, with("X-Expires-In-Ms: 4000", "X-Expires-In-Ms: 99999999999999999999999")),
+        (400, with("X-Expires-In-Ms: 4000\r\n", "")),
+        (400, with("prompt_len=500", "prompt_len=many")),
+        (400, with("prompt_len=500", "prompt_len=-5")),
+        (400, with("prompt_len=500", "prompt_len=99999999999")),
+        (400, with("Content-Length: 27", "Content-Length: -27")),
+        (400, with("Content-Length: 27", "Content-Length: 27\r\nContent-Length: 27")),
+        (400, with("Content-Length: 27", "Content-Length: 27\r\nTransfer-Encoding: chunked")),
+        (400, with("Content-Length: 27", "Content-Length: 20")),
+        (400, with("Content-Length: 27\r\n", "")),
+        (413, with("Content-Length: 27", "Content-Length: 60000000")),
+        (413, with("Content-Length: 27", "Content-Length: 999999999999999999999999")),
+        (431, format!("POST /v1/chat/completions HTTP/1.1\r\nx: {}", "y".repeat(9_000))),
+        (405, with("POST /v1", "GET /v1")),
+        (404, with("/v1/chat/completions", "/internal/reservations/id")),
+        (505, with("HTTP/1.1", "HTTP/1.0")),
+        (417, with("Host:", "Expect: wonders\r\nHost:")),
+    ]
+}
+
+#[test]
+fn an_invalid_request_is_rejected_and_goes_to_no_worker() {
+    for (status, request) in invalid_requests() {
+        for split in [1, request.len()] {
+            let mut harness = Harness::new();
+            let client = harness.connect_client();
+            request.as_bytes().chunks(split).for_each(|piece| harness.deliver(client, piece));
+            assert_eq!(harness.statuses(client), [status], "{}", request.get(..300).unwrap_or(&request));
+            assert_eq!(harness.ended.get(&client), Some(&false), "told, then closed in two steps");
+            assert_eq!(attempts(&mut harness), 0, "{request:?}");
+        }
+    }
+}
+
+#[test]
+fn a_body_cannot_smuggle_a_second_request() {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let hidden = ask("hidden", "once");
+    let body = format!("0\r\n\r\n{hidden}");
+    let outer =
+        ask_for("outer", "safe", 4_000, &body).replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
+    harness.deliver(client, outer);
+    assert_eq!(harness.statuses(client), [400]);
+    assert_eq!(attempts(&mut harness), 0);
+}
+
+#[test]
+fn a_chunked_body_is_forwarded_with_its_length() {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    let complete = ask("id", "safe");
+    let (head, _) = complete.split_once("Content-Length").expect("a length");
+    let body = r#"{"model":"m"}"#;
+    harness.deliver(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
+    assert_eq!(harness.statuses(client), [100]);
+    harness.deliver(client, format!("{}{}0\r\n\r\n", chunk(&body[..5]), chunk(&body[5..])));
+    let (prefill, _) = harness.attempt();
+    assert!(
+        harness.sent_text(prefill).ends_with(&format!("content-length: 13\r\n\r\n{body}")),
+        "{}",
+        harness.sent_text(prefill)
+    );
+}
+
+#[test]
+fn a_duplicate_trace_id_is_rejected_and_the_open_request_goes_on() {
+    let mut harness = Harness::new();
+    let (first, second) = (harness.connect_client(), harness.connect_client());
+    harness.deliver(first, ask("id", "safe"));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(second, ask("id", "safe"));
+    assert_eq!(harness.statuses(second), [409]);
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!(unchunked(&harness.sent_text(first)), (EVENTS.concat(), true));
+    // Once the request is closed, its trace id may be used again.
+    let third = harness.connect_client();
+    harness.deliver(third, ask("id", "safe"));
+    assert_eq!(attempts(&mut harness), 1);
+}
+
+#[test]
+fn pipelined_requests_are_answered_in_order() {
+    let mut harness = Harness::new();
+    harness.send_update(&list(5));
+    let client = harness.connect_client();
+    let request = ["a", "b", "c"].map(|id| ask(id, "safe")).concat();
+    harness.deliver(client, format!("{request}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
+    for id in ["a", "b", "c"] {
+        let (prefill, _) = harness.attempt();
+        assert!(harness.sent_text(prefill).contains(&format!("x-trace-id: {id}\r\n")));
+        harness.deliver(prefill, READ);
+        let (decode, _) = harness.attempt();
+        harness.deliver(decode, stream());
+    }
+    assert_eq!(harness.statuses(client), [200, 200, 200, 200]);
+    assert_eq!(harness.sent_text(client).matches("data: [DONE]").count(), 3);
+    assert!(!harness.ended.contains_key(&client));
+}
+
+#[test]
+fn a_disconnect_behind_pipelined_bytes_is_seen_in_bounded_memory() {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.deliver(client, ask("a", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..60).for_each(|_| harness.deliver(client, vec![b'x'; 10_000]));
+    assert!(harness.paused.is_empty(), "its end could not be seen behind what is not read");
+    assert!(!harness.ended.contains_key(&prefill), "its request goes on");
+    harness.reset(client);
+    harness.advance(20 * MS);
+    assert!(harness.ended.contains_key(&prefill), "and ends with it");
+    // One that stays is answered, and its connection is closed: what was discarded can't be parsed.
+    let waiting = harness.connect_client();
+    harness.deliver(waiting, ask("b", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..60).for_each(|_| harness.deliver(waiting, vec![b'x'; 10_000]));
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!((harness.statuses(waiting), harness.ended.get(&waiting)), (vec![200], Some(&false)));
+    // One that sends without end is disconnected.
+    let endless = harness.connect_client();
+    harness.deliver(endless, ask("c", "safe"));
+    let (prefill, _) = harness.attempt();
+    (0..140).for_each(|_| harness.deliver(endless, vec![b'x'; 10_000]));
+    assert!(harness.ended.contains_key(&endless));
+    assert_eq!(harness.statuses(endless), [400], "its request was read, and is answered");
+    harness.advance(20 * MS);
+    assert!(harness.ended.contains_key(&prefill));
+}
+
+#[test]
+fn a_large_pipelined_request_is_answered_in_its_turn() {
+    let mut harness = Harness::new();
+    let client = harness.connect_client();
+    harness.deliver(client, ask("a", "safe"));
+    let behind = ask_for("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
+    behind.as_bytes().chunks(10_000).for_each(|piece| harness.deliver(client, piece));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, stream());
+    assert_eq!(attempts(&mut harness), 1, "the second follows");
+}
+
+#[test]
+fn silent_clients_and_incomplete_requests_time_out() {
+    let mut harness = Harness::new();
+    let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
+    harness.deliver(half, "POST /v1/chat");
+    let complete = ask("id", "safe");
+    harness.deliver(body, &complete[..complete.len() - 5]);
+    for _ in 0..25 {
+        harness.advance(100 * MS);
+        // One that sends byte by byte gets no more time for it.
+        harness.deliver(half, "x");
+    }
+    assert_eq!((harness.statuses(silent), harness.ended.get(&silent)), (vec![], Some(&false)));
+    assert_eq!((harness.statuses(half), harness.statuses(body)), (vec![408], vec![408]));
+    assert_eq!(attempts(&mut harness), 0);
+}
+
+#[test]
+fn connections_beyond_capacity_replace_idle_ones_only() {
+    let mut harness = Harness::new();
+    let open: Vec<_> = (0..60)
+        .map(|n| {
+            let client = harness.connect_client();
+            harness.deliver(client, ask(&format!("id{n}"), "safe"));
+            client
+        })
+        .collect();
+    let silent: Vec<_> = (0..400).map(|_| harness.connect_client()).collect();
+    assert!(open.iter().all(|c| !harness.ended.contains_key(c) || harness.statuses(*c) == [503]));
+    assert!(silent[..200].iter().all(|c| harness.ended.contains_key(c)), "the idle that came first");
+    assert!(!harness.ended.contains_key(&silent[399]), "one more is always taken");
+    // And still a new client is served.
+    let client = harness.connect_client();
+    harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(harness.statuses(client).len(), 1);
+}
+
+#[test]
+fn requests_beyond_capacity_are_rejected_with_retry_after() {
+    let mut harness = Harness::new();
+    let mut full = None;
+    for n in 0..107 {
+        let client = harness.connect_client();
+        harness.deliver(client, ask_for(&format!("id{n}"), "safe", 4_000, "{}"));
+        if harness.statuses(client) == [503] {
+            full = Some(client);
+            break;
+        }
+    }
+    let client = full.expect("one that is turned back");
+    assert!(harness.sent_text(client).contains("retry-after: 0."), "{}", harness.sent_text(client));
+    assert!(!harness.ended.contains_key(&client), "the connection goes on");
+}
+
+#[test]
+fn incomplete_bodies_stay_within_their_part_of_memory() {
+    let mut harness = Harness::new();
+    let body = format!("\"{}\"", "x".repeat(250_000));
+    let mut rejected = 0;
+    for n in 0..60 {
+        let client = harness.connect_client();
+        let complete = ask_for(&format!("id{n}"), "safe", 4_000, &body);
+        // All but the last byte: it is buffered and can go nowhere.
+        harness.deliver(client, &complete[..complete.len() - 1]);
+        rejected += usize::from(harness.statuses(client) == [503]);
+    }
+    assert!(
+        (20..40).contains(&rejected),
+        "{rejected} of 60 bodies of 250 KB are told no where 8 MB may be held"
+    );
+}
+
+#[test]
+fn rejections_for_capacity_carry_retry_after_where_the_settings_allow() {
+    for (sends_retry_after, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
+        let mut config = file();
+        config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
+        config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
+        let body = format!("\"{}\"", "x".repeat(250_000));
+        let complete = ask_for("id", "safe", 4_000, &body);
+        // Open requests exhaust one limit, bodies without their last byte the other.
+        for (reason, request) in
+            [("full", ""), ("no memory for one more request", &complete[..complete.len() - 1])]
+        {
+            let mut harness = Harness::with_config(&config);
+            let response = (0..200).find_map(|n| {
+                let client = harness.connect_client();
+                let sent =
+                    if request.is_empty() { ask(&format!("id{n}"), "safe") } else { request.to_string() };
+                harness.deliver(client, sent);
+                (harness.statuses(client) == [503]).then(|| harness.sent_text(client))
+            });
+            let response = response.expect("one that finds no room");
+            assert!(response.ends_with(&format!("{reason}\n")) && response.contains(field), "{response}");
+            assert_eq!(response.contains("retry-after"), sends_retry_after, "{response}");
+        }
+    }
+}
+
+/// A part of a request behind an open one, which is answered after so many milliseconds.
+fn incomplete_pipelined_request(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
+    let mut harness = Harness::without_reservations();
+    let client = harness.connect_client();
+    harness.deliver(client, format!("{}{part}", ask("first", "safe")));
+    let (prefill, _) = harness.attempt();
+    harness.deliver(prefill, READ);
+    let (decode, _) = harness.attempt();
+    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.advance(answered_after * MS);
+    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    assert_eq!(harness.statuses(client), [200]);
+    (harness, client)
+}
+
+#[test]
+fn an_incomplete_pipelined_request_times_out() {
+    let complete = ask("second", "safe");
+    let (head, _) = complete.split_once("\r\n\r\n").expect("a head");
+    for part in [&complete[..20], head, &complete[..complete.len() - 1]] {
+        for answered_after in [100, 1_999, 2_500, 4_000] {
+            let (mut harness, client) = incomplete_pipelined_request(part, answered_after);
+            harness.advance(3_000 * MS);
+            assert_eq!(harness.statuses(client), [200, 408], "{part:?} behind {answered_after} ms");
+            assert_eq!(harness.ended.get(&client), Some(&false));
+        }
+    }
+}
