--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -4,8 +4,8 @@
 
 // Less of it is called here than in its test.
 #[allow(dead_code)]
-#[path = "../tests/before/mod.rs"]
-mod before;
+#[path = "../tests/reference/mod.rs"]
+mod reference;
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -111,7 +111,7 @@
 
 module!(tideroute::scheduler::Scheduler: begin_endpoint_snapshot, endpoint_updated, request_arrived,
     reservation_answered, response_started, attempt_finished, timer_fired, next_action);
-module!(before::choice::Router: list_anew, listed, arrived, answered_ahead, started, settled, woken, decide);
+module!(reference::router::Router: list_anew, listed, arrived, answered_ahead, started, settled, woken, decide);
 
 fn terms() -> SchedulerConfig {
     let class = RequestClass {
@@ -229,7 +229,7 @@
 fn line(size: Size) {
     let runs = (0..RUNS).map(|_| cost::<tideroute::scheduler::Scheduler>(size));
     let (now, open) = runs.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or_default();
-    let (then, _) = cost::<before::choice::Router>(Size { measured: size.measured.min(300), ..size });
+    let (then, _) = cost::<reference::router::Router>(Size { measured: size.measured.min(300), ..size });
     let who = if size.alone { "alone" } else { "shared" };
     let (workers, rate) = (size.workers, size.rate);
     println!("{workers:>7}{rate:>9}{open:>9}{who:>9}{now:>9.1}{then:>10.1}{:>8.1}", then / now);
--- a/tests/equal.rs
+++ b/tests/matches_reference.rs
@@ -1,7 +1,7 @@
 //! The module against itself as it was when it counted everything anew at each look: the same events must give
 //! the same decisions, each at the same call.
 
-mod before;
+mod reference;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -53,7 +53,7 @@
     kind: Kind,
     rng: Rng,
     new: Scheduler,
-    old: before::choice::Router,
+    old: reference::router::Router,
     now: TenthMillis,
     due: BinaryHeap<Reverse<(TenthMillis, u64, What)>>,
     order: u64,
@@ -110,7 +110,7 @@
             kind,
             rng: Rng::new(seed ^ 0x5eed),
             new: Scheduler::new(terms.clone(), seed, now),
-            old: before::choice::Router::new(terms, seed, now),
+            old: reference::router::Router::new(terms, seed, now),
             now,
             due: BinaryHeap::new(),
             order: 0,
--- a/tests/before/choice.rs
+++ b/tests/reference/router.rs
@@ -1,5 +1,5 @@
 //! The module as it was before its books were kept as events come: the plain way, counted anew at each look.
-//! tests/equal.rs holds the module against it, benches/decisions.rs measures both.
+//! tests/matches_reference.rs holds the scheduler against it, benches/decisions.rs measures both.
 //!
 //! Every routing decision. The host makes a `Router` for each instance and tells it what happens through its
 //! public calls, which only update what is known; after them it pulls `decide` until that gives None.
