--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -12,7 +12,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use tideroute::ranking::{draw, Ranking};
+use tideroute::rendezvous::{unit_hash, RendezvousRanking};
 use tideroute::types::*;
 // The old module names these by the root of its crate.
 use tideroute::{ewma, rng, types};
@@ -240,8 +240,8 @@
     println!("\nreaders   kept, ns   a new key, ns   sorted each time, ns");
     for readers in [13u16, 37, 133, 400] {
         let shares: Vec<_> = (0..readers).map(|n| ([10, 0, 0, (n >> 8) as u8, n as u8, 1], 1.0)).collect();
-        let mut ranking = Ranking::default();
-        ranking.anew(shares.clone());
+        let mut ranking = RendezvousRanking::default();
+        ranking.replace(shares.clone());
         let time = |look: &mut dyn FnMut(u64)| {
             let began = Instant::now();
             (0..20_000).for_each(look);
@@ -250,7 +250,7 @@
         let kept = time(&mut |n| _ = black_box(ranking.nth(n % 500, 0)));
         let fresh = time(&mut |n| _ = black_box(ranking.nth(n + 1_000, 0)));
         let plain = time(&mut |n| {
-            let ranks = shares.iter().map(|(id, share)| (share / -draw(n, *id).ln(), *id));
+            let ranks = shares.iter().map(|(id, share)| (share / -unit_hash(n, *id).ln(), *id));
             let mut ranks: Vec<_> = ranks.collect();
             ranks.sort_by(|a, b| b.0.total_cmp(&a.0));
             black_box(ranks);
