--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A slow, plain model of what the rules allow, kept beside a router that it drives and checks.
+//! A slow, plain model of what the rules allow, kept beside a scheduler that it drives and checks.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,18 +6,21 @@
 use tideroute::scheduler::Scheduler;
 use tideroute::types::*;
 
+/// A millisecond.
 pub const MS: TenthMillis = 10;
 
-pub fn class(repeat: Idempotency) -> RequestClass {
+/// A class of requests with this idempotency.
+pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        idempotency: repeat,
+        idempotency,
         ttft_objective: 1500 * MS,
         ttft_objective_per_1000_tokens: 40 * MS,
         priority_weight: 1.0,
     }
 }
 
-pub fn terms() -> SchedulerConfig {
+/// Classes by their number: idempotent, non-idempotent, idempotent with a key within a cell, and everywhere.
+pub fn config() -> SchedulerConfig {
     let nearby = Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 300 * MS };
     let anywhere = Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window: 300 * MS };
     SchedulerConfig {
@@ -42,131 +45,154 @@
     }
 }
 
+/// An attempt in flight.
 #[derive(Debug)]
 pub struct Attempt {
     pub number: u16,
     pub worker: WorkerId,
-    pub reading: bool,
-    pub sent: TenthMillis,
+    pub is_prefill: bool,
+    pub sent_at: TenthMillis,
     pub started: bool,
 }
 
+/// What the model knows of a request.
 #[derive(Debug)]
-pub struct Entry {
+pub struct OpenRequest {
     pub class: u8,
     pub ttft_objective: TenthMillis,
     pub deadline: TenthMillis,
     pub attempts: u16,
-    pub out: Option<Attempt>,
-    pub ran: Option<(TenthMillis, WorkerId)>,
-    pub place: Option<WorkerId>,
-    pub asked: bool,
-    pub held: bool,
-    pub since: TenthMillis,
+    pub attempt: Option<Attempt>,
+    /// When and where the first attempt was sent that may have run.
+    pub first_run: Option<(TenthMillis, WorkerId)>,
+    /// The decode worker that was asked for a reservation.
+    pub reserved_at: Option<WorkerId>,
+    /// The answer on the reservation is awaited.
+    pub reservation_pending: bool,
+    /// A KV state or a reservation is held for it.
+    pub holds_state: bool,
+    /// When it arrived, or its last attempt finished.
+    pub idle_since: TenthMillis,
     pub ended: bool,
 }
 
+impl OpenRequest {
+    fn awaits_response(&self) -> bool {
+        self.attempt.as_ref().is_some_and(|attempt| !attempt.started)
+    }
+
+    fn has_started(&self) -> bool {
+        self.attempt.as_ref().is_some_and(|attempt| attempt.started)
+    }
+}
+
+/// The scheduler under test, its workers and requests.
 pub struct World {
-    pub router: Scheduler,
-    pub terms: SchedulerConfig,
+    pub scheduler: Scheduler,
+    pub config: SchedulerConfig,
     pub now: TenthMillis,
-    pub list: BTreeMap<WorkerId, Endpoint>,
-    pub open: BTreeMap<RequestId, Entry>,
-    pub probes: Vec<WorkerId>,
-    pub wakes: Vec<TenthMillis>,
-    pub log: Vec<(TenthMillis, Action)>,
-    pub finished: BTreeMap<WorkerId, u32>,
-    next: RequestId,
+    pub endpoints: BTreeMap<WorkerId, Endpoint>,
+    pub requests: BTreeMap<RequestId, OpenRequest>,
+    /// Workers that are to be checked, until a test answers for them.
+    pub health_checks: Vec<WorkerId>,
+    pub timers: Vec<TenthMillis>,
+    pub actions: Vec<(TenthMillis, Action)>,
+    /// Attempts that each worker has answered since its start.
+    pub answers: BTreeMap<WorkerId, u32>,
+    next_id: RequestId,
 }
 
-/// Worker `n`: two cells of one reader and two writers each.
+/// Worker `n`: two cells of one prefill worker and two decode workers each.
 pub fn worker(n: u8) -> WorkerId {
     [10, 0, 0, n, 1, 0]
 }
 
+/// How the endpoint list names worker `n`.
 pub fn endpoint(n: u8) -> Endpoint {
-    let kind = u16::from(!n.is_multiple_of(3));
-    let (cell, zone) = (u16::from(n / 3), n / 3);
     Endpoint {
         worker: worker(n),
-        kind,
+        kind: u16::from(!n.is_multiple_of(3)),
         size: 4.0,
         status: EndpointStatus::Serving,
-        cell,
-        zone,
+        cell: u16::from(n / 3),
+        zone: n / 3,
         start_time: 0,
     }
 }
 
 impl World {
-    pub fn new(terms: SchedulerConfig, workers: u8) -> World {
-        World::seeded(terms, workers, 7)
+    pub fn new(config: SchedulerConfig, workers: u8) -> World {
+        World::seeded(config, workers, 7)
     }
 
-    pub fn logged(&self, decision: &Action) -> bool {
-        self.log.iter().any(|(_, d)| d == decision)
-    }
-
-    pub fn seeded(terms: SchedulerConfig, workers: u8, seed: u64) -> World {
+    pub fn seeded(config: SchedulerConfig, workers: u8, seed: u64) -> World {
         let now = 1_000_000;
         let mut world = World {
-            router: Scheduler::new(terms.clone(), seed, now),
-            terms,
+            scheduler: Scheduler::new(config.clone(), seed, now),
+            config,
             now,
-            list: BTreeMap::new(),
-            open: BTreeMap::new(),
-            probes: vec![],
-            wakes: vec![],
-            log: vec![],
-            finished: BTreeMap::new(),
-            next: 1 + seed * 1000,
+            endpoints: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            health_checks: vec![],
+            timers: vec![],
+            actions: vec![],
+            answers: BTreeMap::new(),
+            next_id: 1 + seed * 1000,
         };
-        world.router.begin_endpoint_snapshot(now);
-        (0..workers).for_each(|n| world.relist(endpoint(n)));
-        world.pull();
+        world.scheduler.begin_endpoint_snapshot(now);
+        (0..workers).for_each(|n| world.update_endpoint(endpoint(n)));
+        world.drain_actions();
         world
     }
 
-    pub fn relist(&mut self, endpoint: Endpoint) {
-        if self.list.insert(endpoint.worker, endpoint).is_none_or(|old| old.start_time != endpoint.start_time)
-        {
-            self.finished.insert(endpoint.worker, 0);
+    /// Whether the scheduler has given an action.
+    pub fn has_acted(&self, action: &Action) -> bool {
+        self.actions.iter().any(|(_, given)| given == action)
+    }
+
+    /// The endpoint list changes; the scheduler decides at the next call that drains its actions.
+    pub fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let old = self.endpoints.insert(endpoint.worker, endpoint);
+        if old.is_none_or(|old| old.start_time != endpoint.start_time) {
+            self.answers.insert(endpoint.worker, 0);
         }
-        self.router.endpoint_updated(self.now, endpoint);
+        self.scheduler.endpoint_updated(self.now, endpoint);
     }
 
-    pub fn arrive(&mut self, class: u8, prefix: u64, prompt: f64, left: TenthMillis) -> RequestId {
-        let session = self.next;
-        let id = self.next;
-        self.next += 1;
-        let new_request =
-            NewRequest { id, class, session, prefix, prompt_tokens: prompt, remaining_time: left };
-        assert!(self.router.request_arrived(self.now, new_request));
-        let deadline = self.now + left;
-        let ttft_objective = self.now + self.terms.classes[usize::from(class)].ttft_objective_for(prompt);
-        let (since, out, ran, place) = (self.now, None, None, None);
-        let entry = Entry {
+    pub fn arrive(
+        &mut self,
+        class: u8,
+        prefix: u64,
+        prompt_tokens: f64,
+        remaining_time: TenthMillis,
+    ) -> RequestId {
+        let id = self.next_id;
+        self.next_id += 1;
+        let new_request = NewRequest { id, class, session: id, prefix, prompt_tokens, remaining_time };
+        assert!(self.scheduler.request_arrived(self.now, new_request));
+        let allowance = self.config.classes[usize::from(class)].ttft_objective_for(prompt_tokens);
+        let request = OpenRequest {
             class,
-            ttft_objective,
-            deadline,
+            ttft_objective: self.now + allowance,
+            deadline: self.now + remaining_time,
             attempts: 0,
-            out,
-            ran,
-            place,
-            asked: false,
-            held: false,
-            since,
+            attempt: None,
+            first_run: None,
+            reserved_at: None,
+            reservation_pending: false,
+            holds_state: false,
+            idle_since: self.now,
             ended: false,
         };
-        self.open.insert(id, entry);
-        self.pull();
+        self.requests.insert(id, request);
+        self.drain_actions();
         id
     }
 
-    pub fn settle(&mut self, id: RequestId, outcome: AttemptOutcome) {
-        let entry = self.open.get_mut(&id).expect("known");
-        let attempt = entry.out.take().expect("a shot is out");
-        let proven = matches!(
+    pub fn finish_attempt(&mut self, id: RequestId, outcome: AttemptOutcome) {
+        let request = self.requests.get_mut(&id).expect("known");
+        let attempt = request.attempt.take().expect("an attempt is in flight");
+        let never_ran = matches!(
             outcome,
             AttemptOutcome::Rejected
                 | AttemptOutcome::StateMissing
@@ -174,178 +200,209 @@
                 | AttemptOutcome::NotSent
                 | AttemptOutcome::PrefillComplete
         );
-        if !attempt.reading && !proven && entry.ran.is_none() {
-            entry.ran = Some((attempt.sent, attempt.worker));
+        if !attempt.is_prefill && !never_ran && request.first_run.is_none() {
+            request.first_run = Some((attempt.sent_at, attempt.worker));
         }
         if matches!(outcome, AttemptOutcome::Completed | AttemptOutcome::PrefillComplete) {
-            *self.finished.entry(attempt.worker).or_default() += 1;
+            *self.answers.entry(attempt.worker).or_default() += 1;
         }
         let terminal = outcome == AttemptOutcome::Completed || attempt.started;
-        entry.held |= outcome == AttemptOutcome::PrefillComplete;
-        entry.held &= !terminal;
-        entry.asked = false;
-        (entry.since, entry.ended) = (self.now, entry.ended || terminal);
-        self.router.attempt_finished(self.now, id, attempt.number, outcome, entry.ended);
-        self.pull();
+        request.holds_state |= outcome == AttemptOutcome::PrefillComplete;
+        request.holds_state &= !terminal;
+        request.reservation_pending = false;
+        request.idle_since = self.now;
+        request.ended |= terminal;
+        self.scheduler.attempt_finished(self.now, id, attempt.number, outcome, request.ended);
+        self.drain_actions();
     }
 
-    pub fn start(&mut self, id: RequestId) {
-        let entry = self.open.get_mut(&id).expect("known");
-        let attempt = entry.out.as_mut().expect("a shot is out");
+    pub fn start_response(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).expect("known");
+        let attempt = request.attempt.as_mut().expect("an attempt is in flight");
         attempt.started = true;
-        (entry.held, entry.place) = (false, None);
-        self.router.response_started(self.now, id, attempt.number);
-        self.pull();
+        request.holds_state = false;
+        request.reserved_at = None;
+        self.scheduler.response_started(self.now, id, attempt.number);
+        self.drain_actions();
     }
 
-    pub fn answer(&mut self, id: RequestId, held: bool) {
-        let entry = self.open.get_mut(&id).expect("known");
-        assert!(std::mem::take(&mut entry.asked), "one answer a place");
-        entry.held |= held;
-        self.router.reservation_answered(self.now, id, held);
-        self.pull();
+    pub fn answer_reservation(&mut self, id: RequestId, granted: bool) {
+        let request = self.requests.get_mut(&id).expect("known");
+        assert!(std::mem::take(&mut request.reservation_pending), "one answer for each reservation");
+        request.holds_state |= granted;
+        self.scheduler.reservation_answered(self.now, id, granted);
+        self.drain_actions();
     }
 
-    pub fn drop_client(&mut self, id: RequestId) {
-        self.open.get_mut(&id).expect("known").ended = true;
-        self.router.client_disconnected(self.now, id);
-        self.pull();
+    pub fn disconnect_client(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).expect("known").ended = true;
+        self.scheduler.client_disconnected(self.now, id);
+        self.drain_actions();
     }
 
-    /// Lets time pass; timers fire when due, and shots end when their client's time is up.
-    pub fn pass(&mut self, time: TenthMillis) {
+    /// Lets time pass; timers fire when due, and attempts end at their client's deadline.
+    pub fn advance(&mut self, time: TenthMillis) {
         let until = self.now + time;
         loop {
-            let due = self.wakes.iter().copied().min().unwrap_or(until);
-            let timed = self.open.values().filter(|e| !e.ended && e.out.as_ref().is_some_and(|o| !o.started));
-            let next = timed.map(|e| e.deadline).min().unwrap_or(until).min(due).min(until);
+            let timer = self.timers.iter().copied().min().unwrap_or(until);
+            let awaited =
+                self.requests.values().filter(|request| !request.ended && request.awaits_response());
+            let deadline = awaited.map(|request| request.deadline).min().unwrap_or(until);
+            let next = deadline.min(timer).min(until);
             self.now = next.max(self.now);
-            let late: Vec<_> = self
-                .open
-                .iter()
-                .filter(|(_, e)| {
-                    !e.ended && e.deadline <= self.now && e.out.as_ref().is_some_and(|o| !o.started)
-                })
-                .map(|(&id, _)| id)
-                .collect();
-            late.into_iter().for_each(|id| self.settle(id, AttemptOutcome::TimedOut));
-            if self.wakes.iter().any(|&w| w <= self.now) {
-                let now = self.now;
-                self.wakes.retain(|&w| w > now);
-                self.router.timer_fired(now);
-                self.pull();
-            }
+            self.time_out_attempts();
+            self.fire_timers();
             if next >= until {
                 return;
             }
         }
     }
 
-    pub fn pull(&mut self) {
-        while let Some(decision) = self.router.next_action(self.now) {
-            self.check(decision);
-            self.log.push((self.now, decision));
+    fn time_out_attempts(&mut self) {
+        let is_late = |request: &OpenRequest| {
+            !request.ended && request.deadline <= self.now && request.awaits_response()
+        };
+        let late = self.requests.iter().filter(|(_, request)| is_late(request)).map(|(&id, _)| id);
+        for id in late.collect::<Vec<_>>() {
+            self.finish_attempt(id, AttemptOutcome::TimedOut);
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let now = self.now;
+        if self.timers.iter().any(|&timer| timer <= now) {
+            self.timers.retain(|&timer| timer > now);
+            self.scheduler.timer_fired(now);
+            self.drain_actions();
+        }
+    }
+
+    /// Takes and checks all actions of the scheduler, then what must hold between its calls.
+    pub fn drain_actions(&mut self) {
+        while let Some(action) = self.scheduler.next_action(self.now) {
+            self.check_action(action);
+            self.actions.push((self.now, action));
         }
-        for (id, e) in &self.open {
+        for (id, request) in &self.requests {
             assert!(
-                e.ended || e.out.as_ref().is_some_and(|o| o.started) || self.now <= e.deadline,
-                "{id} lost: {e:?}"
+                request.ended || request.has_started() || self.now <= request.deadline,
+                "{id} lost: {request:?}"
             );
-            let pinned = e.held && e.out.is_none() && self.now > e.since + self.terms.state_release_timeout;
-            assert!(!pinned, "{id} pinned at {}: {e:?}", self.now);
-            assert!(!self.held_back(e), "{id} held back at {}: {e:?}", self.now);
+            let pinned = request.holds_state
+                && request.attempt.is_none()
+                && self.now > request.idle_since + self.config.state_release_timeout;
+            assert!(!pinned, "{id} pinned at {}: {request:?}", self.now);
+            assert!(!self.is_held_back(request), "{id} held back at {}: {request:?}", self.now);
         }
     }
 
-    /// Nothing more can come of it and it has no final answer: no shot is left, it may not run again, or its
-    /// contract time is over while none is out.
-    fn held_back(&self, e: &Entry) -> bool {
-        let spent = e.attempts + if e.held { 1 } else { 2 } > self.terms.max_attempts;
-        let over =
-            e.ran.is_some_and(|(first, _)| match self.terms.classes[usize::from(e.class)].idempotency {
+    /// Nothing more can come of it and it has no final answer: no attempt is left, it may not run again, or its
+    /// objective has passed while no attempt is in flight.
+    fn is_held_back(&self, request: &OpenRequest) -> bool {
+        let needed = if request.holds_state { 1 } else { 2 };
+        let spent = request.attempts + needed > self.config.max_attempts;
+        let must_not_run = request.first_run.is_some_and(|(sent_at, _)| {
+            match self.config.classes[usize::from(request.class)].idempotency {
                 Idempotency::Idempotent => false,
                 Idempotency::NonIdempotent => true,
-                // The window closes between two looks.
-                Idempotency::IdempotentWithKey { window, .. } => self.now > first + window + 10 * MS,
-            });
-        !e.ended && e.out.is_none() && (spent || over || self.now > e.ttft_objective.min(e.deadline))
+                // The window closes between two passes.
+                Idempotency::IdempotentWithKey { window, .. } => self.now > sent_at + window + 10 * MS,
+            }
+        });
+        let is_late = self.now > request.ttft_objective.min(request.deadline);
+        !request.ended && request.attempt.is_none() && (spent || must_not_run || is_late)
     }
 
-    fn check(&mut self, decision: Action) {
-        let now = self.now;
-        match decision {
-            Action::Dispatch { id, worker, timeout: _ } => {
-                self.room(worker, Some(id));
-                let endpoint = self.list[&worker];
-                let entry = self.open.get_mut(&id).expect("known");
-                assert!(!entry.ended && entry.out.is_none() && now < entry.deadline, "{id} sent: {entry:?}");
-                assert_eq!(endpoint.status, EndpointStatus::Serving, "sent past a drain");
-                assert!(entry.attempts < self.terms.max_attempts);
-                let reading = self.terms.role_by_kind[usize::from(endpoint.kind)] == Role::Prefill;
-                if let (Some((first, there)), false) = (entry.ran, reading) {
-                    match self.terms.classes[usize::from(entry.class)].idempotency {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => panic!("{id} could run twice"),
-                        Idempotency::IdempotentWithKey { scope: group, window } => {
-                            assert!(now < first + window, "{id} sent past its window");
-                            assert!(
-                                group == DeduplicationScope::All || self.list[&there].cell == endpoint.cell,
-                                "wrong group"
-                            );
-                        }
-                    }
-                }
-                let number = entry.attempts;
-                entry.attempts += 1;
-                (entry.place, entry.asked) = (entry.place.filter(|_| reading), false);
-                entry.out = Some(Attempt { number, worker, reading, sent: now, started: false });
-            }
+    fn check_action(&mut self, action: Action) {
+        match action {
+            Action::Dispatch { id, worker, timeout: _ } => self.check_dispatch(id, worker),
             Action::ReserveDecode { id, worker } => {
-                self.room(worker, None);
-                assert_eq!(self.list[&worker].status, EndpointStatus::Serving, "place past a drain");
-                let entry = self.open.get_mut(&id).expect("known");
-                assert!(entry.out.as_ref().is_some_and(|o| o.reading));
-                (entry.place, entry.asked) = (Some(worker), true);
+                self.check_trickle(worker, None);
+                let status = self.endpoints[&worker].status;
+                assert_eq!(status, EndpointStatus::Serving, "reservation past a drain");
+                let request = self.requests.get_mut(&id).expect("known");
+                assert!(request.attempt.as_ref().is_some_and(|attempt| attempt.is_prefill));
+                request.reserved_at = Some(worker);
+                request.reservation_pending = true;
             }
             Action::Release { id } => {
-                let entry = self.open.get_mut(&id).expect("known");
-                (entry.held, entry.place) = (false, None);
-            }
-            Action::CancelAttempt { id, attempt } => assert!(attempt < self.open[&id].attempts),
-            Action::Reject { id, retry_after: after } => {
-                let entry = self.open.get_mut(&id).expect("known");
-                let repeat = self.terms.classes[usize::from(entry.class)].idempotency;
-                let all =
-                    matches!(repeat, Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. });
-                assert!(
-                    entry.ran.is_none() || repeat == Idempotency::Idempotent || all,
-                    "{id} turned back after it ran"
-                );
-                assert!(!entry.ended && entry.out.is_none() && after <= self.terms.max_retry_after);
-                entry.ended = true;
+                let request = self.requests.get_mut(&id).expect("known");
+                request.holds_state = false;
+                request.reserved_at = None;
             }
+            Action::CancelAttempt { id, attempt } => assert!(attempt < self.requests[&id].attempts),
+            Action::Reject { id, retry_after } => self.check_rejection(id, retry_after),
             Action::Fail { id } => {
-                let entry = self.open.get_mut(&id).expect("known");
-                assert!(!entry.ended);
-                entry.ended = true;
+                let request = self.requests.get_mut(&id).expect("known");
+                assert!(!request.ended);
+                request.ended = true;
             }
-            Action::CheckHealth { worker } => self.probes.push(worker),
-            Action::WatchEndpoints => assert!(self.terms.endpoint_watch_enabled),
-            Action::SetTimer { delay: after } => self.wakes.push(now + after),
+            Action::CheckHealth { worker } => self.health_checks.push(worker),
+            Action::WatchEndpoints => assert!(self.config.endpoint_watch_enabled),
+            Action::SetTimer { delay } => self.timers.push(self.now + delay),
         }
     }
 
-    /// Rule 4 as one router can keep it: what a cold worker has in flight stays by what it has answered.
-    fn room(&self, worker: WorkerId, for_place_of: Option<RequestId>) {
-        let started = self.list[&worker].start_time;
-        if started == 0 || self.now - started >= self.terms.warm_up_time {
+    fn check_dispatch(&mut self, id: RequestId, worker: WorkerId) {
+        self.check_trickle(worker, Some(id));
+        let now = self.now;
+        let endpoint = self.endpoints[&worker];
+        let request = self.requests.get_mut(&id).expect("known");
+        assert!(
+            !request.ended && request.attempt.is_none() && now < request.deadline,
+            "{id} sent: {request:?}"
+        );
+        assert_eq!(endpoint.status, EndpointStatus::Serving, "sent past a drain");
+        assert!(request.attempts < self.config.max_attempts);
+        let is_prefill = self.config.role_by_kind[usize::from(endpoint.kind)] == Role::Prefill;
+        if let (Some((first_sent_at, first_worker)), false) = (request.first_run, is_prefill) {
+            match self.config.classes[usize::from(request.class)].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("{id} could run twice"),
+                Idempotency::IdempotentWithKey { scope, window } => {
+                    assert!(now < first_sent_at + window, "{id} sent past its window");
+                    assert!(
+                        scope == DeduplicationScope::All
+                            || self.endpoints[&first_worker].cell == endpoint.cell,
+                        "wrong deduplication scope"
+                    );
+                }
+            }
+        }
+        let number = request.attempts;
+        request.attempts += 1;
+        request.reserved_at = request.reserved_at.filter(|_| is_prefill);
+        request.reservation_pending = false;
+        request.attempt = Some(Attempt { number, worker, is_prefill, sent_at: now, started: false });
+    }
+
+    fn check_rejection(&mut self, id: RequestId, retry_after: TenthMillis) {
+        let request = self.requests.get_mut(&id).expect("known");
+        let idempotency = self.config.classes[usize::from(request.class)].idempotency;
+        let everywhere =
+            matches!(idempotency, Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, .. });
+        assert!(
+            request.first_run.is_none() || idempotency == Idempotency::Idempotent || everywhere,
+            "{id} rejected after it ran"
+        );
+        assert!(!request.ended && request.attempt.is_none() && retry_after <= self.config.max_retry_after);
+        request.ended = true;
+    }
+
+    /// Rule 4 as one router can keep it: what a warming worker has in flight stays by what it has answered.
+    fn check_trickle(&self, worker: WorkerId, for_request: Option<RequestId>) {
+        let start_time = self.endpoints[&worker].start_time;
+        if start_time == 0 || self.now - start_time >= self.config.warm_up_time {
             return;
         }
-        if for_place_of.is_some_and(|id| self.open[&id].place == Some(worker)) {
+        if for_request.is_some_and(|id| self.requests[&id].reserved_at == Some(worker)) {
             return;
         }
-        let mine = |e: &&Entry| e.out.as_ref().is_some_and(|o| o.worker == worker) || e.place == Some(worker);
-        let out = self.open.values().filter(mine).count() as u32;
-        assert!(out < 2 + self.finished[&worker], "{out} out at a cold worker");
+        let is_there = |request: &&OpenRequest| {
+            request.attempt.as_ref().is_some_and(|attempt| attempt.worker == worker)
+                || request.reserved_at == Some(worker)
+        };
+        let in_flight = self.requests.values().filter(is_there).count() as u32;
+        assert!(in_flight < 2 + self.answers[&worker], "{in_flight} in flight at a warming worker");
     }
 }
--- a/tests/matches_reference.rs
+++ b/tests/matches_reference.rs
@@ -1,5 +1,5 @@
-//! The module against itself as it was when it counted everything anew at each look: the same events must give
-//! the same decisions, each at the same call.
+//! The scheduler against the plain reference implementation in `tests/reference`: the same events must give the same
+//! actions, each at the same call.
 
 mod reference;
 
@@ -10,63 +10,76 @@
 use tideroute::rng::Rng;
 use tideroute::scheduler::Scheduler;
 use tideroute::types::*;
-// The old module names these by the root of its crate.
+// The reference names these by the root of its crate.
 use tideroute::{ewma, rng, types};
 
 const MS: TenthMillis = 10;
 
-/// What a world is like: sizes, and how often things go wrong, in parts of a hundred.
+/// Event a world is like: its sizes, and how often things go is_faulty, in percent.
 #[derive(Clone, Copy, Debug)]
-struct Kind {
+struct WorldKind {
     workers: u16,
-    /// Submissions a second, and times as many for a second in every four.
+    /// Requests a second, and times as many for a second in every four.
     rate: u64,
     burst: u64,
-    wrong: u64,
-    /// List changes in ten seconds, and whether many workers began a moment ago.
+    fault_percent: u64,
+    /// Changes of the endpoint list in ten seconds.
     changes: u64,
-    cold: bool,
+    /// Many workers started a moment ago.
+    warming: bool,
     mixed: bool,
-    places: bool,
-    probes: bool,
+    reservations: bool,
+    health_checks: bool,
     prefixes: u64,
     events: u64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord, Debug)]
-enum What {
-    Arrive,
-    Answered(RequestId, bool),
-    Start(RequestId, u16),
-    /// How it ends is drawn when it does.
-    End(RequestId, u16),
-    Drop(RequestId),
-    Probed(WorkerId, bool),
-    Relist,
-    Wake,
+enum Event {
+    Arrival,
+    ReservationAnswer(RequestId, bool),
+    ResponseStart(RequestId, u16),
+    /// How the attempt finishes is drawn when it does.
+    AttemptEnd(RequestId, u16),
+    Disconnect(RequestId),
+    HealthCheckEnd(WorkerId, bool),
+    EndpointChange,
+    Timer,
 }
 
-/// Its number, its worker, and whether it began to answer.
-type Attempt = (u16, WorkerId, bool);
+/// An attempt in flight.
+struct Attempt {
+    number: u16,
+    worker: WorkerId,
+    started: bool,
+}
+
+/// A request without its final answer.
+struct OpenRequest {
+    deadline: TenthMillis,
+    attempt: Option<Attempt>,
+}
 
+/// Both implementations, and the world that both live in.
 struct Pair {
-    kind: Kind,
+    kind: WorldKind,
     rng: Rng,
-    new: Scheduler,
-    old: reference::router::Router,
+    scheduler: Scheduler,
+    reference: reference::router::Router,
     now: TenthMillis,
-    due: BinaryHeap<Reverse<(TenthMillis, u64, What)>>,
+    due: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
     order: u64,
-    list: BTreeMap<WorkerId, Endpoint>,
-    /// When the time of each is up, and its shot.
-    open: BTreeMap<RequestId, (TenthMillis, Option<Attempt>)>,
+    endpoints: BTreeMap<WorkerId, Endpoint>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Attempts sent for each request.
     attempts: BTreeMap<RequestId, u16>,
-    seen: BTreeMap<&'static str, u64>,
+    /// How often each action was met.
+    action_counts: BTreeMap<&'static str, u64>,
 }
 
-fn terms(kind: Kind) -> SchedulerConfig {
-    let class = |repeat, ttft_objective: TenthMillis, priority_weight| RequestClass {
-        idempotency: repeat,
+fn config(kind: WorldKind) -> SchedulerConfig {
+    let class = |idempotency, ttft_objective: TenthMillis, priority_weight| RequestClass {
+        idempotency,
         ttft_objective: ttft_objective * MS,
         ttft_objective_per_1000_tokens: 40 * MS,
         priority_weight,
@@ -85,7 +98,7 @@
             ),
         ],
         role_by_kind: vec![Role::Prefill, Role::Decode, Role::Mixed],
-        reservations_enabled: kind.places,
+        reservations_enabled: kind.reservations,
         decode_workers_prefill: kind.mixed,
         state_release_timeout: 500 * MS,
         cold_capacity_share: 0.3,
@@ -93,8 +106,8 @@
         overload_multiple: 2.5,
         overload_window: 2_000 * MS,
         max_attempts: 5,
-        cancellation_enabled: kind.wrong.is_multiple_of(2),
-        health_checks_enabled: kind.probes,
+        cancellation_enabled: kind.fault_percent.is_multiple_of(2),
+        health_checks_enabled: kind.health_checks,
         load_reports_enabled: false,
         load_in_tokens: false,
         endpoint_watch_enabled: kind.changes > 0,
@@ -104,144 +117,145 @@
 }
 
 impl Pair {
-    fn new(kind: Kind, seed: u64) -> Pair {
-        let (now, terms) = (2_000_000, terms(kind));
+    fn new(kind: WorldKind, seed: u64) -> Pair {
+        let (now, config) = (2_000_000, config(kind));
         let mut pair = Pair {
             kind,
             rng: Rng::new(seed ^ 0x5eed),
-            new: Scheduler::new(terms.clone(), seed, now),
-            old: reference::router::Router::new(terms, seed, now),
+            scheduler: Scheduler::new(config.clone(), seed, now),
+            reference: reference::router::Router::new(config, seed, now),
             now,
             due: BinaryHeap::new(),
             order: 0,
-            list: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             open: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            action_counts: BTreeMap::new(),
         };
         for n in 0..kind.workers {
             let worker = [10, 0, 0, (n >> 8) as u8, n as u8, 1];
-            let role = if kind.mixed && n % 5 == 4 { 2 } else { u16::from(n % 3 != 0) };
-            let started = if kind.cold && n % 2 == 0 { now - 900 * MS } else { 0 };
+            let worker_kind = if kind.mixed && n % 5 == 4 { 2 } else { u16::from(n % 3 != 0) };
+            let start_time = if kind.warming && n % 2 == 0 { now - 900 * MS } else { 0 };
             let (cell, zone) = (n / 9, (n / 27) as u8);
             let status = EndpointStatus::Serving;
             let size = 1.0 + f64::from(n % 4);
-            pair.list.insert(
-                worker,
-                Endpoint { worker, kind: role, size, status, cell, zone, start_time: started },
-            );
+            pair.endpoints
+                .insert(worker, Endpoint { worker, kind: worker_kind, size, status, cell, zone, start_time });
         }
-        pair.relist();
-        pair.push(0, What::Arrive);
+        pair.send_snapshot();
+        pair.push(0, Event::Arrival);
         if kind.changes > 0 {
-            pair.push(50 * MS, What::Relist);
+            pair.push(50 * MS, Event::EndpointChange);
         }
         pair
     }
 
-    fn draw(&mut self, below: u64) -> u64 {
+    fn sample(&mut self, below: u64) -> u64 {
         (self.rng.unit() * below as f64) as u64
     }
 
-    fn push(&mut self, after: TenthMillis, what: What) {
+    fn push(&mut self, after: TenthMillis, event: Event) {
         self.order += 1;
-        self.due.push(Reverse((self.now + after, self.order, what)));
+        self.due.push(Reverse((self.now + after, self.order, event)));
     }
 
-    fn relist(&mut self) {
-        self.new.begin_endpoint_snapshot(self.now);
-        self.old.list_anew(self.now);
-        for endpoint in self.list.values() {
-            self.new.endpoint_updated(self.now, *endpoint);
-            self.old.listed(self.now, *endpoint);
+    fn send_snapshot(&mut self) {
+        self.scheduler.begin_endpoint_snapshot(self.now);
+        self.reference.list_anew(self.now);
+        for endpoint in self.endpoints.values() {
+            self.scheduler.endpoint_updated(self.now, *endpoint);
+            self.reference.listed(self.now, *endpoint);
         }
     }
 
     fn run(mut self) -> BTreeMap<&'static str, u64> {
         for _ in 0..self.kind.events {
-            let Some(Reverse((at, _, what))) = self.due.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.due.pop() else { break };
             self.now = at;
-            self.happens(what);
+            self.handle(event);
             loop {
-                let (new, old) = (self.new.next_action(self.now), self.old.decide(self.now));
-                assert_eq!(new, old, "at {} of {:?}", self.now, self.kind);
-                let Some(decision) = new else { break };
-                self.carry_out(decision);
+                let action = self.scheduler.next_action(self.now);
+                let expected = self.reference.decide(self.now);
+                assert_eq!(action, expected, "at {} of {:?}", self.now, self.kind);
+                let Some(action) = action else { break };
+                self.carry_out(action);
             }
         }
-        self.seen
+        self.action_counts
     }
 
-    fn happens(&mut self, what: What) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
-        match what {
-            What::Arrive => self.arrive(),
-            What::Answered(id, held) => {
-                self.new.reservation_answered(now, id, held);
-                self.old.answered_ahead(now, id, held);
+        match event {
+            Event::Arrival => self.arrive(),
+            Event::ReservationAnswer(id, granted) => {
+                self.scheduler.reservation_answered(now, id, granted);
+                self.reference.answered_ahead(now, id, granted);
             }
-            What::Start(id, attempt) => {
-                let Some((_, Some(out))) = self.open.get_mut(&id) else { return };
-                if out.0 != attempt {
-                    return;
-                }
-                out.2 = true;
-                self.new.response_started(now, id, attempt);
-                self.old.started(now, id, attempt);
-                let answer = 200 + self.draw(4_000) as TenthMillis;
-                self.push(answer * MS, What::End(id, attempt));
+            Event::ResponseStart(id, attempt) => {
+                let in_flight = self.open.get_mut(&id).and_then(|request| request.attempt.as_mut());
+                let Some(known) = in_flight.filter(|known| known.number == attempt) else { return };
+                known.started = true;
+                self.scheduler.response_started(now, id, attempt);
+                self.reference.started(now, id, attempt);
+                let answer_time = 200 + self.sample(4_000) as TenthMillis;
+                self.push(answer_time * MS, Event::AttemptEnd(id, attempt));
             }
-            What::End(id, attempt) => self.end(id, attempt),
-            What::Drop(id) => {
+            Event::AttemptEnd(id, attempt) => self.finish_attempt(id, attempt),
+            Event::Disconnect(id) => {
                 if self.open.contains_key(&id) {
-                    self.new.client_disconnected(now, id);
-                    self.old.dropped(now, id);
+                    self.scheduler.client_disconnected(now, id);
+                    self.reference.dropped(now, id);
                 }
             }
-            What::Probed(worker, well) => {
-                self.new.health_check_finished(now, worker, well);
-                self.old.probed(now, worker, well);
+            Event::HealthCheckEnd(worker, healthy) => {
+                self.scheduler.health_check_finished(now, worker, healthy);
+                self.reference.probed(now, worker, healthy);
             }
-            What::Relist => {
-                self.change();
+            Event::EndpointChange => {
+                self.change_endpoints();
                 let after = 10_000 / self.kind.changes.max(1);
-                self.push(after as TenthMillis * MS, What::Relist);
+                self.push(after as TenthMillis * MS, Event::EndpointChange);
             }
-            What::Wake => {
-                self.new.timer_fired(now);
-                self.old.woken(now);
+            Event::Timer => {
+                self.scheduler.timer_fired(now);
+                self.reference.woken(now);
             }
         }
     }
 
     fn arrive(&mut self) {
         let id = self.order + 1;
-        let (class, prefix) = (self.draw(4) as u8, self.draw(self.kind.prefixes + 1));
-        let prefix = if self.draw(3) == 0 { prefix.min(1) } else { prefix };
-        let (session, prompt) = (self.draw(300), 50.0 + self.draw(3_000) as f64);
-        let left = (400 + self.draw(6_000) as TenthMillis) * MS;
-        let new_request =
-            NewRequest { id, class, session, prefix, prompt_tokens: prompt, remaining_time: left };
-        assert!(self.new.request_arrived(self.now, new_request) && self.old.arrived(self.now, new_request));
-        self.open.insert(id, (self.now + left, None));
+        let (class, prefix) = (self.sample(4) as u8, self.sample(self.kind.prefixes + 1));
+        let prefix = if self.sample(3) == 0 { prefix.min(1) } else { prefix };
+        let (session, prompt_tokens) = (self.sample(300), 50.0 + self.sample(3_000) as f64);
+        let remaining_time = (400 + self.sample(6_000) as TenthMillis) * MS;
+        let new_request = NewRequest { id, class, session, prefix, prompt_tokens, remaining_time };
+        assert!(
+            self.scheduler.request_arrived(self.now, new_request)
+                && self.reference.arrived(self.now, new_request)
+        );
+        let deadline = self.now + remaining_time;
+        self.open.insert(id, OpenRequest { deadline, attempt: None });
         let busy = self.now / (1_000 * MS) % 4 == 3;
         let rate = self.kind.rate * if busy { self.kind.burst } else { 1 };
-        let gap = self.draw(2 * 10_000 / rate.max(1) + 1);
-        self.push(gap as TenthMillis, What::Arrive);
-        if self.draw(100) < self.kind.wrong / 4 {
-            let after = self.draw(2_000) as TenthMillis;
-            self.push(after * MS, What::Drop(id));
+        let gap = self.sample(2 * 10_000 / rate.max(1) + 1);
+        self.push(gap as TenthMillis, Event::Arrival);
+        if self.sample(100) < self.kind.fault_percent / 4 {
+            let after = self.sample(2_000) as TenthMillis;
+            self.push(after * MS, Event::Disconnect(id));
         }
     }
 
-    /// A shot ends, well or otherwise.
-    fn end(&mut self, id: RequestId, attempt: u16) {
-        let wrong = self.draw(100) < self.kind.wrong;
-        let which = self.draw(7) as usize;
-        let Some((_, out)) = self.open.get_mut(&id) else { return };
-        let Some((_, worker, started)) = out.take_if(|out| out.0 == attempt) else { return };
-        let reading = self.list[&worker].kind == 0;
-        let bad = [
+    /// An attempt finishes, well or otherwise.
+    fn finish_attempt(&mut self, id: RequestId, attempt: u16) {
+        let is_faulty = self.sample(100) < self.kind.fault_percent;
+        let chosen = self.sample(7) as usize;
+        let Some(request) = self.open.get_mut(&id) else { return };
+        let finished = request.attempt.take_if(|known| known.number == attempt);
+        let Some(Attempt { worker, started, .. }) = finished else { return };
+        let is_prefill = self.endpoints[&worker].kind == 0;
+        let faults = [
             AttemptOutcome::ServerError,
             AttemptOutcome::Rejected,
             AttemptOutcome::StateMissing,
@@ -250,160 +264,189 @@
             AttemptOutcome::TimedOut,
             AttemptOutcome::NotSent,
         ];
-        let outcome = match (wrong, reading) {
+        let outcome = match (is_faulty, is_prefill) {
             (true, _) if started => AttemptOutcome::ConnectionReset,
-            (true, _) => bad[which],
+            (true, _) => faults[chosen],
             (false, true) => AttemptOutcome::PrefillComplete,
             (false, false) => AttemptOutcome::Completed,
         };
         let terminal = started || outcome == AttemptOutcome::Completed;
-        self.new.attempt_finished(self.now, id, attempt, outcome, terminal);
-        self.old.settled(self.now, id, attempt, outcome, terminal);
+        self.scheduler.attempt_finished(self.now, id, attempt, outcome, terminal);
+        self.reference.settled(self.now, id, attempt, outcome, terminal);
         if terminal {
             self.open.remove(&id);
         }
     }
 
-    fn change(&mut self) {
-        let ids: Vec<WorkerId> = self.list.keys().copied().collect();
-        for _ in 0..1 + self.draw(1 + ids.len() as u64 / 8) {
-            let id = ids[self.draw(ids.len() as u64) as usize];
-            let (draw, now) = (self.draw(4), self.now);
-            let Some(endpoint) = self.list.get_mut(&id) else { continue };
-            match draw {
+    fn change_endpoints(&mut self) {
+        let ids: Vec<WorkerId> = self.endpoints.keys().copied().collect();
+        for _ in 0..1 + self.sample(1 + ids.len() as u64 / 8) {
+            let id = ids[self.sample(ids.len() as u64) as usize];
+            let (change, now) = (self.sample(4), self.now);
+            let Some(endpoint) = self.endpoints.get_mut(&id) else { continue };
+            match change {
                 0 => endpoint.status = EndpointStatus::Draining,
                 1 => endpoint.status = EndpointStatus::Removed,
                 2 => (endpoint.status, endpoint.start_time) = (EndpointStatus::Serving, now),
                 _ => endpoint.status = EndpointStatus::Serving,
             }
         }
-        match self.draw(3) {
-            0 => self.relist(),
+        match self.sample(3) {
+            0 => self.send_snapshot(),
             1 => {
-                self.new.discovery_failed(self.now);
-                self.old.list_failed(self.now);
+                self.scheduler.discovery_failed(self.now);
+                self.reference.list_failed(self.now);
             }
             _ => {
-                for endpoint in self.list.values() {
-                    self.new.endpoint_updated(self.now, *endpoint);
-                    self.old.listed(self.now, *endpoint);
+                for endpoint in self.endpoints.values() {
+                    self.scheduler.endpoint_updated(self.now, *endpoint);
+                    self.reference.listed(self.now, *endpoint);
                 }
             }
         }
     }
 
-    fn carry_out(&mut self, decision: Action) {
-        let wrong = self.draw(100) < self.kind.wrong;
-        let name = match decision {
+    /// Sends an attempt and draws what becomes of it.
+    fn send(&mut self, id: RequestId, worker: WorkerId, is_faulty: bool) {
+        let attempts = self.attempts.entry(id).or_default();
+        let number = *attempts;
+        *attempts += 1;
+        let request = self.open.get_mut(&id).expect("an attempt is for a request that is open");
+        request.attempt = Some(Attempt { number, worker, started: false });
+        let remaining = request.deadline - self.now;
+        let is_prefill = self.endpoints[&worker].kind == 0;
+        let wait = (5 + self.sample(if is_faulty { 2_500 } else { 120 }) as TenthMillis) * MS;
+        // One that is silent ends at the deadline.
+        let is_silent = is_faulty && self.sample(3) == 0;
+        let (wait, starts) = if is_silent { (remaining, false) } else { (wait.min(remaining), !is_prefill) };
+        let event = if starts { Event::ResponseStart(id, number) } else { Event::AttemptEnd(id, number) };
+        self.push(wait.max(0), event);
+    }
+
+    /// Carries out an action and counts it.
+    fn carry_out(&mut self, action: Action) {
+        let is_faulty = self.sample(100) < self.kind.fault_percent;
+        let name = match action {
             Action::Dispatch { id, worker, .. } => {
-                let number = self.attempts.entry(id).or_default();
-                *number += 1;
-                let attempt = *number - 1;
-                let (up, out) = self.open.get_mut(&id).expect("a send is for one that is open");
-                *out = Some((attempt, worker, false));
-                let up = *up - self.now;
-                let reading = self.list[&worker].kind == 0;
-                let took = (5 + self.draw(if wrong { 2_500 } else { 120 }) as TenthMillis) * MS;
-                // One that is silent ends when its time is up.
-                let silent = wrong && self.draw(3) == 0;
-                let (took, begins) = if silent { (up, false) } else { (took.min(up), !reading) };
-                let what = if begins { What::Start(id, attempt) } else { What::End(id, attempt) };
-                self.push(took.max(0), what);
+                self.send(id, worker, is_faulty);
                 "send"
             }
             Action::ReserveDecode { id, .. } => {
-                let after = self.draw(30) as TenthMillis;
-                self.push(after, What::Answered(id, !wrong));
-                "hold"
+                let after = self.sample(30) as TenthMillis;
+                self.push(after, Event::ReservationAnswer(id, !is_faulty));
+                "reserve"
             }
             Action::CancelAttempt { id, attempt } => {
-                self.push(MS, What::End(id, attempt));
-                "withdraw"
+                self.push(MS, Event::AttemptEnd(id, attempt));
+                "cancel"
             }
             Action::Reject { id, .. } => {
                 self.open.remove(&id);
-                "turn back"
+                "reject"
             }
             Action::Fail { id } => {
                 self.open.remove(&id);
-                "abandon"
+                "fail"
             }
             Action::CheckHealth { worker } => {
-                self.push(2 * MS, What::Probed(worker, !wrong));
-                "probe"
+                self.push(2 * MS, Event::HealthCheckEnd(worker, !is_faulty));
+                "check health"
             }
-            Action::SetTimer { delay: after } => {
-                self.push(after, What::Wake);
-                "wake"
+            Action::SetTimer { delay } => {
+                self.push(delay, Event::Timer);
+                "timer"
             }
-            Action::Release { .. } => "let go",
-            Action::WatchEndpoints => "subscribe",
+            Action::Release { .. } => "release",
+            Action::WatchEndpoints => "watch",
         };
-        *self.seen.entry(name).or_default() += 1;
+        *self.action_counts.entry(name).or_default() += 1;
     }
 }
 
-const CALM: Kind = Kind {
+const CALM: WorldKind = WorldKind {
     workers: 18,
     rate: 100,
     burst: 1,
-    wrong: 0,
+    fault_percent: 0,
     changes: 0,
-    cold: false,
+    warming: false,
     mixed: false,
-    places: true,
-    probes: true,
+    reservations: true,
+    health_checks: true,
     prefixes: 12,
     events: 10_000,
 };
 
 #[test]
-fn streams_of_many_sizes_give_the_same_decisions() {
+fn worlds_of_many_sizes_give_the_same_actions() {
     let kinds = [
         CALM,
-        Kind { workers: 110, rate: 300, wrong: 6, changes: 8, ..CALM },
-        Kind { workers: 40, rate: 200, burst: 12, wrong: 10, changes: 20, cold: true, ..CALM },
-        Kind { workers: 9, rate: 150, burst: 20, wrong: 31, events: 4_000, ..CALM },
-        Kind { workers: 30, wrong: 12, cold: true, mixed: true, changes: 30, ..CALM },
-        Kind { workers: 27, wrong: 25, places: false, probes: false, changes: 5, ..CALM },
-        Kind { workers: 400, rate: 500, wrong: 4, prefixes: 300, cold: true, events: 4_000, ..CALM },
-        Kind { workers: 1_200, rate: 800, changes: 3, wrong: 3, events: 2_000, ..CALM },
-        Kind { workers: 6, rate: 10, wrong: 40, prefixes: 1, ..CALM },
-        Kind { workers: 9, rate: 100, wrong: 40, probes: false, ..CALM },
+        WorldKind { workers: 110, rate: 300, fault_percent: 6, changes: 8, ..CALM },
+        WorldKind {
+            workers: 40,
+            rate: 200,
+            burst: 12,
+            fault_percent: 10,
+            changes: 20,
+            warming: true,
+            ..CALM
+        },
+        WorldKind { workers: 9, rate: 150, burst: 20, fault_percent: 31, events: 4_000, ..CALM },
+        WorldKind { workers: 30, fault_percent: 12, warming: true, mixed: true, changes: 30, ..CALM },
+        WorldKind {
+            workers: 27,
+            fault_percent: 25,
+            reservations: false,
+            health_checks: false,
+            changes: 5,
+            ..CALM
+        },
+        WorldKind {
+            workers: 400,
+            rate: 500,
+            fault_percent: 4,
+            prefixes: 300,
+            warming: true,
+            events: 4_000,
+            ..CALM
+        },
+        WorldKind { workers: 1_200, rate: 800, changes: 3, fault_percent: 3, events: 2_000, ..CALM },
+        WorldKind { workers: 6, rate: 10, fault_percent: 40, prefixes: 1, ..CALM },
+        WorldKind { workers: 9, rate: 100, fault_percent: 40, health_checks: false, ..CALM },
     ];
-    let mut seen = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for (kind, seed) in kinds.into_iter().zip(1..) {
         for (name, times) in Pair::new(kind, seed).run() {
-            *seen.entry(name).or_insert(0) += times;
+            *counts.entry(name).or_insert(0) += times;
         }
     }
-    let names = ["send", "hold", "withdraw", "turn back", "abandon", "probe", "wake", "let go", "subscribe"];
+    let names = ["send", "reserve", "cancel", "reject", "fail", "check health", "timer", "release", "watch"];
     for name in names {
-        assert!(seen.get(name).is_some_and(|times| *times > 5), "{name} is hardly met: {seen:?}");
+        assert!(counts.get(name).is_some_and(|times| *times > 5), "{name} is hardly met: {counts:?}");
     }
 }
 
 #[test]
-fn drawn_worlds_give_the_same_decisions() {
-    fn same(seed: u64, sizes: (u8, u8, u8), flags: u8, wrong: u8, changes: u8) -> TestResult {
+fn generated_worlds_give_the_same_actions() {
+    fn same(seed: u64, sizes: (u8, u8, u8), flags: u8, faults: u8, changes: u8) -> TestResult {
         let flag = |n: u32| flags >> n & 1 == 1;
-        let kind = Kind {
+        let kind = WorldKind {
             workers: u16::from(sizes.0 % 64),
             rate: 1 + 2 * u64::from(sizes.1),
             burst: 1 + u64::from(sizes.2 % 16),
-            wrong: u64::from(wrong % 50),
+            fault_percent: u64::from(faults % 50),
             changes: u64::from(changes % 24) * u64::from(!sizes.0.is_multiple_of(64)),
-            cold: flag(0),
+            warming: flag(0),
             mixed: flag(1),
-            places: flag(2) || flag(3),
-            probes: flag(4) || flag(5),
+            reservations: flag(2) || flag(3),
+            health_checks: flag(4) || flag(5),
             prefixes: u64::from(flags) % 30,
             events: 1_200,
         };
         Pair::new(kind, seed).run();
         TestResult::passed()
     }
-    // One seed: a world in which the last bits of a mean tip a choice is looked at here, not met by chance.
+    // One seed: a world in which the last bits of a mean tip a decision is looked at here, not met by chance.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 7))
         .tests(100)
--- a/tests/rule_safety.rs
+++ b/tests/rule_safety.rs
@@ -1,105 +1,125 @@
-//! The router against the plain model, on generated worlds with a fixed seed.
+//! The scheduler against the plain model of the rules, in generated worlds with a fixed seed.
 
 mod common;
 
-use common::{endpoint, terms, World, MS};
+use common::{config, endpoint, World, MS};
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::*;
 
-/// Plays one generated step: deaths, drains, restarts, silence, refusals, lost states, late outcomes, drops.
-fn step(world: &mut World, (what, which, much): (u8, u8, u16)) {
-    let out: Vec<_> = world.open.iter().filter(|(_, e)| e.out.is_some()).map(|(&id, _)| id).collect();
-    let one = (!out.is_empty()).then(|| out[usize::from(which) % out.len()]);
-    match what % 16 {
+/// A generated step: its kind, which of the possible requests it is about, and a number that tells the rest.
+type Step = (u8, u8, u16);
+
+/// Plays a step: deaths, drains, restarts, silence, rejections, lost states, late outcomes, disconnects.
+fn play(world: &mut World, (kind, which, number): Step) {
+    let in_flight = world.requests.iter().filter(|(_, request)| request.attempt.is_some());
+    let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
+    let chosen = (!in_flight.is_empty()).then(|| in_flight[usize::from(which) % in_flight.len()]);
+    match kind % 16 {
         0..=4 => {
-            let left = TenthMillis::from(800 + much % 6000) * MS;
-            world.arrive(which % 4, u64::from(much % 5), f64::from(much % 9000), left);
+            let remaining_time = TenthMillis::from(800 + number % 6000) * MS;
+            world.arrive(which % 4, u64::from(number % 5), f64::from(number % 9000), remaining_time);
         }
         5..=9 => {
-            let Some(id) = one else { return };
-            let (reading, started) = world.open[&id].out.as_ref().map(|o| (o.reading, o.started)).unwrap();
-            let outcomes: &[AttemptOutcome] = match (reading, started) {
-                (true, _) => &[
-                    AttemptOutcome::PrefillComplete,
-                    AttemptOutcome::PrefillComplete,
-                    AttemptOutcome::PrefillComplete,
-                    AttemptOutcome::Rejected,
-                    AttemptOutcome::Unreachable,
-                    AttemptOutcome::ConnectionReset,
-                ],
-                (_, true) => {
-                    &[AttemptOutcome::Completed, AttemptOutcome::Completed, AttemptOutcome::ConnectionReset]
-                }
-                _ => &[
-                    AttemptOutcome::Rejected,
-                    AttemptOutcome::StateMissing,
-                    AttemptOutcome::ServerError,
-                    AttemptOutcome::Unreachable,
-                    AttemptOutcome::ConnectionReset,
-                ],
-            };
-            if !reading && !started && much % 3 > 0 {
-                world.start(id);
-            } else {
-                world.settle(id, outcomes[usize::from(much) % outcomes.len()]);
+            if let Some(id) = chosen {
+                continue_attempt(world, id, number);
             }
         }
         10 => {
-            let asked = one.filter(|id| world.open[id].asked);
-            if let Some(id) = asked {
-                world.answer(id, much % 2 == 0);
+            if let Some(id) = chosen.filter(|id| world.requests[id].reservation_pending) {
+                world.answer_reservation(id, number % 2 == 0);
             }
         }
         11 => {
-            let alive: Vec<_> = world.open.iter().filter(|(_, e)| !e.ended).map(|(&id, _)| id).collect();
+            let alive = world.requests.iter().filter(|(_, request)| !request.ended);
+            let alive: Vec<RequestId> = alive.map(|(&id, _)| id).collect();
             if let Some(&id) = alive.get(usize::from(which)) {
-                world.drop_client(id);
+                world.disconnect_client(id);
             }
         }
-        12 => {
-            let mut entry = endpoint(which % 6);
-            entry.status = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed]
-                [usize::from(much % 3)];
-            entry.start_time = world.list[&entry.worker].start_time;
-            if much % 6 == 3 {
-                entry.start_time = world.now - TenthMillis::from(much % 500) * MS;
-            }
-            world.relist(entry);
-            world.pull();
-        }
+        12 => change_endpoint(world, which, number),
         13 => {
-            if let Some(worker) = world.probes.pop() {
-                if much % 2 == 0 {
-                    world.router.load_reported(world.now, worker, f64::from(much % 40));
+            if let Some(worker) = world.health_checks.pop() {
+                if number % 2 == 0 {
+                    world.scheduler.load_reported(world.now, worker, f64::from(number % 40));
                 }
-                world.router.health_check_finished(world.now, worker, much % 2 == 0);
-                world.pull();
+                world.scheduler.health_check_finished(world.now, worker, number % 2 == 0);
+                world.drain_actions();
             }
         }
-        _ => world.pass(TenthMillis::from(much % 400) * MS),
+        _ => world.advance(TenthMillis::from(number % 400) * MS),
+    }
+}
+
+/// An attempt begins to answer or finishes.
+fn continue_attempt(world: &mut World, id: RequestId, number: u16) {
+    let attempt = world.requests[&id].attempt.as_ref().unwrap();
+    let (is_prefill, started) = (attempt.is_prefill, attempt.started);
+    let outcomes: &[AttemptOutcome] = match (is_prefill, started) {
+        (true, _) => &[
+            AttemptOutcome::PrefillComplete,
+            AttemptOutcome::PrefillComplete,
+            AttemptOutcome::PrefillComplete,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::ConnectionReset,
+        ],
+        (_, true) => &[AttemptOutcome::Completed, AttemptOutcome::Completed, AttemptOutcome::ConnectionReset],
+        _ => &[
+            AttemptOutcome::Rejected,
+            AttemptOutcome::StateMissing,
+            AttemptOutcome::ServerError,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::ConnectionReset,
+        ],
+    };
+    if !is_prefill && !started && !number.is_multiple_of(3) {
+        world.start_response(id);
+    } else {
+        world.finish_attempt(id, outcomes[usize::from(number) % outcomes.len()]);
+    }
+}
+
+/// A worker's status changes, or it restarts.
+fn change_endpoint(world: &mut World, which: u8, number: u16) {
+    let statuses = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed];
+    let mut changed = endpoint(which % 6);
+    changed.status = statuses[usize::from(number % 3)];
+    changed.start_time = world.endpoints[&changed.worker].start_time;
+    if number % 6 == 3 {
+        changed.start_time = world.now - TenthMillis::from(number % 500) * MS;
     }
+    world.update_endpoint(changed);
+    world.drain_actions();
 }
 
 #[test]
 fn the_rules_hold_in_generated_worlds() {
-    fn holds(places: bool, cancellation: bool, few: bool, asks: bool, steps: Vec<(u8, u8, u16)>) -> bool {
-        let routers = if places { 268 } else { 1 };
-        let (probes, max_attempts) = (cancellation, if few { 2 } else { 5 });
-        let asks = asks && probes;
-        let terms = SchedulerConfig {
-            router_count: routers,
-            reservations_enabled: places,
+    fn holds(
+        reservations: bool,
+        cancellation: bool,
+        few_attempts: bool,
+        load_reports: bool,
+        steps: Vec<Step>,
+    ) -> bool {
+        let health_checks = cancellation;
+        let config = SchedulerConfig {
+            router_count: if reservations { 268 } else { 1 },
+            reservations_enabled: reservations,
             cancellation_enabled: cancellation,
-            health_checks_enabled: probes,
-            load_reports_enabled: asks,
-            max_attempts,
-            ..terms()
+            health_checks_enabled: health_checks,
+            load_reports_enabled: load_reports && health_checks,
+            max_attempts: if few_attempts { 2 } else { 5 },
+            ..config()
         };
-        let mut world = World::new(terms, 6);
-        steps.into_iter().for_each(|s| step(&mut world, s));
-        world.pass(30_000 * MS);
-        world.open.values().all(|e| e.ended || e.out.as_ref().is_some_and(|o| o.started))
+        let mut world = World::new(config, 6);
+        steps.into_iter().for_each(|step| play(&mut world, step));
+        world.advance(30_000 * MS);
+        let has_started = |attempt: &common::Attempt| attempt.started;
+        world
+            .requests
+            .values()
+            .all(|request| request.ended || request.attempt.as_ref().is_some_and(has_started))
     }
-    let check = holds as fn(bool, bool, bool, bool, Vec<(u8, u8, u16)>) -> bool;
+    let check = holds as fn(bool, bool, bool, bool, Vec<Step>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(300, 20_261_201)).tests(300).quickcheck(check);
 }
