--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Fleets drawn by chance, in virtual time, beside a plain model of what a cold worker may be sent that knows nothing
-//! of the decisions: its budget in the stated time and what chance may add to that, over all routers together.
+//! Generated fleets, in virtual time, beside a plain model of what a warming worker may be sent that knows nothing of
+//! the decisions: its budget in the overload window and what chance may add to that, over all routers together.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,37 +10,96 @@
 use tideroute::types::*;
 
 const MS: TenthMillis = 10;
-/// Fleets that are drawn.
+const SECOND: f64 = 10_000.0;
+/// Fleets that are generated.
 const FLEETS: u64 = 1_000;
+/// Threads that the fleets are shared out to.
+const THREADS: u64 = 8;
+
+const PREFILL_KIND: u16 = 0;
+const DECODE_KIND: u16 = 1;
+const MIXED_KIND: u16 = 2;
+
+/// An attempt of a router's request.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Attempt {
+    router: usize,
+    id: RequestId,
+    number: u16,
+}
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Arrive,
-    Read(usize, RequestId, u16),
-    Refuse(usize, RequestId, u16),
-    Begin(usize, RequestId, u16),
-    End(usize, RequestId, u16),
-    Wake(usize),
+enum Event {
+    Arrival,
+    PrefillEnd(Attempt),
+    Rejection(Attempt),
+    ResponseStart(Attempt),
+    ResponseEnd(Attempt),
+    Timer(usize),
+}
+
+/// What a fleet is generated for.
+#[derive(Clone, Copy)]
+struct FleetKind {
+    /// Those that decode start, of two roles and many sizes; else prefill workers.
+    decode_workers_start: bool,
+    /// The bounds on the number of routers.
+    routers: (f64, f64),
+    /// The part of attempts that warming workers reject.
+    rejections: f64,
+}
+
+const PREFILL_WORKERS_START: FleetKind =
+    FleetKind { decode_workers_start: false, routers: (2.0, 300.0), rejections: 0.0 };
+
+#[derive(Clone, Copy)]
+struct FleetWorker {
+    kind: u16,
+    size: f64,
+}
+
+/// How the windows of a fleet turned out, and the attempts sent to warming workers.
+#[derive(Clone, Copy, Default)]
+struct Verdict {
+    /// Windows that begin with an attempt sent to a warming worker.
+    windows: usize,
+    /// Those of them that hold more than budget and chance allow.
+    over: usize,
+    attempts: f64,
+    /// What the budgets of the warming workers sum up to.
+    budgets: f64,
+}
+
+impl Verdict {
+    fn plus(self, other: Verdict) -> Verdict {
+        Verdict {
+            windows: self.windows + other.windows,
+            over: self.over + other.over,
+            attempts: self.attempts + other.attempts,
+            budgets: self.budgets + other.budgets,
+        }
+    }
 }
 
 struct Fleet {
-    draw: Rng,
-    terms: SchedulerConfig,
+    rng: Rng,
+    config: SchedulerConfig,
     routers: Vec<Scheduler>,
-    /// The part of all submissions that come to those up to this one.
-    upto: Vec<f64>,
-    /// Each worker's kind, its place among the roles, and its size.
-    workers: Vec<(u16, f64)>,
-    /// Those that start together, and when they did.
-    cold: Range<u16>,
-    began: TenthMillis,
-    /// Submissions in ten seconds, and what one of them of size 1 can do in a second.
+    /// The part of all requests that come to the routers up to each.
+    traffic_up_to: Vec<f64>,
+    workers: Vec<FleetWorker>,
+    /// Those that start together, and when they do.
+    warming: Range<u16>,
+    started_at: TenthMillis,
+    /// Requests in a second.
     rate: f64,
-    able: f64,
-    queue: BinaryHeap<Reverse<(TenthMillis, u64, What)>>,
-    events: u64,
-    /// The part of calls that cold workers refuse, each of which counts too.
-    refusals: f64,
+    /// What a worker of size 1 can do in a second.
+    capacity: f64,
+    queue: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
+    event_count: u64,
+    /// The part of attempts that warming workers reject, each of which counts too.
+    rejections: f64,
+    /// When attempts were sent to each warming worker.
     sent: BTreeMap<WorkerId, Vec<TenthMillis>>,
     attempts: BTreeMap<(usize, RequestId), u16>,
 }
@@ -50,116 +109,133 @@
     [10, 0, high, low, 1, 0]
 }
 
-impl Fleet {
-    /// A fleet in which some readers start, or else some of those that write, of two roles and many sizes.
-    fn drawn(seed: u64, Kind { writers_start, routers, refusals }: Kind) -> Fleet {
-        let mut draw = Rng::new(seed);
-        let mut from = |least: f64, most: f64| least * (most / least).powf(draw.unit());
-        let (many, readers, cold_share) =
-            (from(routers.0, routers.1) as usize, from(4.0, 40.0) as u16, from(0.2, 0.5));
-        let (span, warm, multiple) = (from(500.0, 2_000.0), from(8_000.0, 14_000.0), from(2.0, 3.0));
-        let (able, busy, part) = (from(1.0, 12.0), from(0.4, 0.9), from(0.05, 0.6));
-        let class = RequestClass {
-            idempotency: Idempotency::Idempotent,
-            ttft_objective: 1_200 * MS,
-            ttft_objective_per_1000_tokens: 0,
-            priority_weight: 1.0,
-        };
-        let terms = SchedulerConfig {
-            router_count: many as u32,
-            classes: vec![class],
-            role_by_kind: vec![Role::Prefill, Role::Decode, Role::Mixed],
-            state_release_timeout: 1_000 * MS,
-            cold_capacity_share: cold_share,
-            warm_up_time: warm as TenthMillis * MS,
-            overload_multiple: multiple,
-            overload_window: span as TenthMillis * MS,
-            max_attempts: 6,
-            ..SchedulerConfig::default()
+/// A number between two bounds, evenly on a logarithmic scale.
+fn sample(rng: &mut Rng, least: f64, most: f64) -> f64 {
+    least * (most / least).powf(rng.unit())
+}
+
+/// The configuration of so many routers, the rest of it drawn.
+fn generate_config(rng: &mut Rng, routers: usize, cold_capacity_share: f64) -> SchedulerConfig {
+    let overload_window = sample(rng, 500.0, 2_000.0);
+    let warm_up_time = sample(rng, 8_000.0, 14_000.0);
+    let overload_multiple = sample(rng, 2.0, 3.0);
+    let class = RequestClass {
+        idempotency: Idempotency::Idempotent,
+        ttft_objective: 1_200 * MS,
+        ttft_objective_per_1000_tokens: 0,
+        priority_weight: 1.0,
+    };
+    SchedulerConfig {
+        router_count: routers as u32,
+        classes: vec![class],
+        role_by_kind: vec![Role::Prefill, Role::Decode, Role::Mixed],
+        state_release_timeout: 1_000 * MS,
+        cold_capacity_share,
+        warm_up_time: warm_up_time as TenthMillis * MS,
+        overload_multiple,
+        overload_window: overload_window as TenthMillis * MS,
+        max_attempts: 6,
+        ..SchedulerConfig::default()
+    }
+}
+
+/// Some routers see several times what others do.
+fn generate_traffic(rng: &mut Rng, routers: usize) -> Vec<f64> {
+    let weights: Vec<f64> = (0..routers).map(|_| sample(rng, 0.2, 5.0)).collect();
+    let total: f64 = weights.iter().sum();
+    let up_to = weights.iter().scan(0.0, |sum, weight| {
+        *sum += weight / total;
+        Some(*sum)
+    });
+    up_to.collect()
+}
+
+/// So many prefill workers, and decode workers behind them: of two roles and many sizes if `varied`.
+fn generate_workers(rng: &mut Rng, prefill_count: u16, decode_count: u16, varied: bool) -> Vec<FleetWorker> {
+    let mut workers = vec![FleetWorker { kind: PREFILL_KIND, size: 1.0 }; usize::from(prefill_count)];
+    for n in 0..decode_count {
+        let generated = if n % 3 == 2 {
+            FleetWorker { kind: MIXED_KIND, size: sample(rng, 0.3, 0.8) }
+        } else {
+            FleetWorker { kind: DECODE_KIND, size: sample(rng, 0.6, 2.0) }
         };
-        // Some routers see several times what others do.
-        let weights: Vec<f64> = (0..many).map(|_| from(0.2, 5.0)).collect();
-        let all: f64 = weights.iter().sum();
-        let upto = weights.iter().scan(0.0, |sum, w| {
-            *sum += w / all;
-            Some(*sum)
-        });
-        let upto = upto.collect();
-        let routers = (0..many).map(|n| Scheduler::new(terms.clone(), seed * 1_000 + n as u64, 0)).collect();
-        let writers = if writers_start { readers } else { readers.div_ceil(2) };
-        let mut workers = vec![(0, 1.0); usize::from(readers)];
-        for n in 0..writers {
-            let drawn = (1 + u16::from(n % 3 == 2), if n % 3 == 2 { from(0.3, 0.8) } else { from(0.6, 2.0) });
-            workers.push(if writers_start { drawn } else { (1, 1.0) });
-        }
-        let (first, many) = if writers_start { (readers, writers) } else { (0, readers) };
-        let cold = first..first + (f64::from(many) * part).max(1.0) as u16;
-        let sizes: f64 = workers[usize::from(first)..usize::from(first + many)].iter().map(|w| w.1).sum();
+        workers.push(if varied { generated } else { FleetWorker { kind: DECODE_KIND, size: 1.0 } });
+    }
+    workers
+}
+
+impl Fleet {
+    fn generate(seed: u64, kind: FleetKind) -> Fleet {
+        let mut rng = Rng::new(seed);
+        let router_count = sample(&mut rng, kind.routers.0, kind.routers.1) as usize;
+        let prefill_count = sample(&mut rng, 4.0, 40.0) as u16;
+        let cold_capacity_share = sample(&mut rng, 0.2, 0.5);
+        let config = generate_config(&mut rng, router_count, cold_capacity_share);
+        let capacity = sample(&mut rng, 1.0, 12.0);
+        let utilization = sample(&mut rng, 0.4, 0.9);
+        let warming_part = sample(&mut rng, 0.05, 0.6);
+        let traffic_up_to = generate_traffic(&mut rng, router_count);
+        let router = |n: usize| Scheduler::new(config.clone(), seed * 1_000 + n as u64, 0);
+        let routers = (0..router_count).map(router).collect();
+        let varied = kind.decode_workers_start;
+        let decode_count = if varied { prefill_count } else { prefill_count.div_ceil(2) };
+        let workers = generate_workers(&mut rng, prefill_count, decode_count, varied);
+        let (first, count) = if varied { (prefill_count, decode_count) } else { (0, prefill_count) };
+        let warming = first..first + (f64::from(count) * warming_part).max(1.0) as u16;
+        let that_start = &workers[usize::from(first)..usize::from(first + count)];
+        let total_size: f64 = that_start.iter().map(|worker| worker.size).sum();
         let mut fleet = Fleet {
-            draw,
-            terms,
+            rng,
+            config,
             routers,
-            upto,
+            traffic_up_to,
             workers,
-            cold,
-            began: 0,
-            rate: sizes * able * busy,
-            able,
+            warming,
+            started_at: 0,
+            rate: total_size * capacity * utilization,
+            capacity,
             queue: BinaryHeap::new(),
-            events: 0,
-            refusals,
+            event_count: 0,
+            rejections: kind.rejections,
             sent: BTreeMap::new(),
             attempts: BTreeMap::new(),
         };
-        fleet.list(0, 0..readers + writers, 0);
+        fleet.list(0, 0..prefill_count + decode_count, 0);
         fleet
     }
 
-    /// All routers hear of these workers.
-    fn list(&mut self, now: TenthMillis, which: Range<u16>, started: TenthMillis) {
+    /// All routers are told of these workers.
+    fn list(&mut self, now: TenthMillis, which: Range<u16>, start_time: TenthMillis) {
         for n in which {
-            let ((kind, size), cell) = (self.workers[usize::from(n)], n % 4);
-            let (worker, status) = (worker(n), EndpointStatus::Serving);
-            let endpoint = Endpoint { worker, kind, size, status, cell, zone: 0, start_time: started };
-            self.routers.iter_mut().for_each(|r| r.endpoint_updated(now, endpoint));
+            let FleetWorker { kind, size } = self.workers[usize::from(n)];
+            let endpoint = Endpoint {
+                worker: worker(n),
+                kind,
+                size,
+                status: EndpointStatus::Serving,
+                cell: n % 4,
+                zone: 0,
+                start_time,
+            };
+            self.routers.iter_mut().for_each(|router| router.endpoint_updated(now, endpoint));
         }
     }
 
-    fn after(&mut self, at: TenthMillis, what: What) {
-        self.events += 1;
-        self.queue.push(Reverse((at, self.events, what)));
+    fn schedule(&mut self, at: TenthMillis, event: Event) {
+        self.event_count += 1;
+        self.queue.push(Reverse((at, self.event_count, event)));
     }
 
-    fn arrives(&mut self, now: TenthMillis) {
-        let gap = -(1.0 - self.draw.unit()).ln() / self.rate * 10_000.0;
-        self.after(now + gap.ceil() as TenthMillis, What::Arrive);
+    fn schedule_arrival(&mut self, now: TenthMillis) {
+        let gap = -(1.0 - self.rng.unit()).ln() / self.rate * SECOND;
+        self.schedule(now + gap.ceil() as TenthMillis, Event::Arrival);
     }
 
-    fn pull(&mut self, now: TenthMillis, router: usize) {
-        while let Some(decision) = self.routers[router].next_action(now) {
-            match decision {
-                Action::Dispatch { id, worker, .. } => {
-                    let number = self.attempts.entry((router, id)).or_default();
-                    let attempt = *number;
-                    *number += 1;
-                    let n = u16::from_be_bytes([worker[2], worker[3]]);
-                    let reader = self.workers[usize::from(n)].0 == 0;
-                    if self.cold.contains(&n) {
-                        self.sent.entry(worker).or_default().push(now);
-                    }
-                    let refused = self.refusals > 0.0
-                        && self.cold.contains(&n)
-                        && self.began > 0
-                        && self.refusals > self.draw.unit();
-                    let what = match (refused, reader) {
-                        (true, _) => What::Refuse,
-                        (_, true) => What::Read,
-                        _ => What::Begin,
-                    };
-                    let takes = if reader { 100.0 + 100.0 * self.draw.unit() } else { 5.0 };
-                    self.after(now + takes as TenthMillis * MS, what(router, id, attempt));
-                }
-                Action::SetTimer { delay: after } => self.after(now + after, What::Wake(router)),
+    fn drain_actions(&mut self, now: TenthMillis, router: usize) {
+        while let Some(action) = self.routers[router].next_action(now) {
+            match action {
+                Action::Dispatch { id, worker, .. } => self.dispatch(now, router, id, worker),
+                Action::SetTimer { delay } => self.schedule(now + delay, Event::Timer(router)),
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.attempts.remove(&(router, id));
                 }
@@ -168,148 +244,159 @@
         }
     }
 
+    fn dispatch(&mut self, now: TenthMillis, router: usize, id: RequestId, worker: WorkerId) {
+        let attempts = self.attempts.entry((router, id)).or_default();
+        let attempt = Attempt { router, id, number: *attempts };
+        *attempts += 1;
+        let n = u16::from_be_bytes([worker[2], worker[3]]);
+        let is_prefill = self.workers[usize::from(n)].kind == PREFILL_KIND;
+        let is_warming = self.warming.contains(&n);
+        if is_warming {
+            self.sent.entry(worker).or_default().push(now);
+        }
+        let may_reject = self.rejections > 0.0 && is_warming && self.started_at > 0;
+        let event = if may_reject && self.rejections > self.rng.unit() {
+            Event::Rejection(attempt)
+        } else if is_prefill {
+            Event::PrefillEnd(attempt)
+        } else {
+            Event::ResponseStart(attempt)
+        };
+        let millis = if is_prefill { 100.0 + 100.0 * self.rng.unit() } else { 5.0 };
+        self.schedule(now + millis as TenthMillis * MS, event);
+    }
+
     fn play(&mut self, until: TenthMillis) {
         while let Some(Reverse((now, ..))) = self.queue.peek() {
             if *now >= until {
                 return;
             }
-            let Some(Reverse((now, event, what))) = self.queue.pop() else { return };
-            let router = match what {
-                What::Arrive => {
-                    self.arrives(now);
-                    let lot = self.draw.unit();
-                    let router = self.upto.partition_point(|upto| *upto < lot).min(self.routers.len() - 1);
-                    let (session, prefix) = (event, 1 + (self.draw.unit() * 50.0) as u64);
-                    let new_request = NewRequest {
-                        id: event,
-                        class: 0,
-                        session,
-                        prefix,
-                        prompt_tokens: 900.0,
-                        remaining_time: 60_000,
-                    };
-                    self.routers[router].request_arrived(now, new_request);
-                    router
-                }
-                What::Read(router, id, attempt) => {
-                    self.routers[router].attempt_finished(
-                        now,
-                        id,
-                        attempt,
-                        AttemptOutcome::PrefillComplete,
-                        false,
-                    );
-                    router
-                }
-                What::Refuse(router, id, attempt) => {
-                    self.routers[router].attempt_finished(now, id, attempt, AttemptOutcome::Rejected, false);
-                    router
-                }
-                What::Begin(router, id, attempt) => {
-                    self.routers[router].response_started(now, id, attempt);
-                    self.after(now + 100 * MS, What::End(router, id, attempt));
-                    router
-                }
-                What::End(router, id, attempt) => {
-                    self.routers[router].attempt_finished(now, id, attempt, AttemptOutcome::Completed, true);
-                    self.attempts.remove(&(router, id));
-                    router
-                }
-                What::Wake(router) => {
-                    self.routers[router].timer_fired(now);
-                    router
-                }
-            };
-            self.pull(now, router);
+            let Some(Reverse((now, sequence, event))) = self.queue.pop() else { return };
+            let router = self.handle(now, sequence, event);
+            self.drain_actions(now, router);
         }
     }
 
-    /// Of the windows that begin with a call at a cold worker, how many there are, how many hold more than budget
-    /// and chance allow, and the calls at cold workers beside what their budgets sum up to.
-    fn judged(&self) -> (usize, usize, f64, f64) {
-        let (t, mut all, mut over, mut reads, mut budgets) = (&self.terms, 0, 0, 0.0, 0.0);
-        let lasts = self.terms.warm_up_time as f64;
-        for n in self.cold.clone() {
-            let size = self.workers[usize::from(n)].1;
+    /// Tells a router of an event; which one is returned.
+    fn handle(&mut self, now: TenthMillis, sequence: u64, event: Event) -> usize {
+        let (attempt, outcome) = match event {
+            Event::Arrival => {
+                self.schedule_arrival(now);
+                return self.arrive(now, sequence);
+            }
+            Event::Timer(router) => {
+                self.routers[router].timer_fired(now);
+                return router;
+            }
+            Event::ResponseStart(attempt) => {
+                self.routers[attempt.router].response_started(now, attempt.id, attempt.number);
+                self.schedule(now + 100 * MS, Event::ResponseEnd(attempt));
+                return attempt.router;
+            }
+            Event::PrefillEnd(attempt) => (attempt, AttemptOutcome::PrefillComplete),
+            Event::Rejection(attempt) => (attempt, AttemptOutcome::Rejected),
+            Event::ResponseEnd(attempt) => (attempt, AttemptOutcome::Completed),
+        };
+        let Attempt { router, id, number } = attempt;
+        let terminal = outcome == AttemptOutcome::Completed;
+        self.routers[router].attempt_finished(now, id, number, outcome, terminal);
+        if terminal {
+            self.attempts.remove(&(router, id));
+        }
+        router
+    }
+
+    fn arrive(&mut self, now: TenthMillis, sequence: u64) -> usize {
+        let place = self.rng.unit();
+        let router = self.traffic_up_to.partition_point(|up_to| *up_to < place).min(self.routers.len() - 1);
+        let new_request = NewRequest {
+            id: sequence,
+            class: 0,
+            session: sequence,
+            prefix: 1 + (self.rng.unit() * 50.0) as u64,
+            prompt_tokens: 900.0,
+            remaining_time: 60_000,
+        };
+        self.routers[router].request_arrived(now, new_request);
+        router
+    }
+
+    /// Judges what was sent to the warming workers since they started.
+    fn judge(&self) -> Verdict {
+        let config = &self.config;
+        let mut verdict = Verdict::default();
+        let warm_up_time = config.warm_up_time as f64;
+        for n in self.warming.clone() {
+            let size = self.workers[usize::from(n)].size;
             let sent = self.sent.get(&worker(n)).map_or(&[][..], Vec::as_slice);
-            let sent: Vec<_> = sent.iter().filter(|at| **at >= self.began).collect();
-            budgets += t.overload_multiple * self.able * size * (1.0 + t.cold_capacity_share) / 2.0 * lasts
-                / 10_000.0;
-            reads += sent.len() as f64;
-            for (n, &at) in sent.iter().enumerate() {
-                let warm = (at - self.began) as f64 / lasts;
-                let able = self.able
-                    * size
-                    * (t.cold_capacity_share + (1.0 - t.cold_capacity_share) * warm.min(1.0));
-                let budget = t.overload_multiple * able * t.overload_window as f64 / 10_000.0;
-                let count = sent[n..].partition_point(|s| **s < at + t.overload_window);
-                all += 1;
-                over += usize::from(count as f64 > budget + 2.0 * budget.sqrt() + 2.0);
+            let sent: Vec<_> = sent.iter().filter(|at| **at >= self.started_at).collect();
+            verdict.budgets +=
+                config.overload_multiple * self.capacity * size * (1.0 + config.cold_capacity_share) / 2.0
+                    * warm_up_time
+                    / SECOND;
+            verdict.attempts += sent.len() as f64;
+            for (index, &at) in sent.iter().enumerate() {
+                let warmed = (at - self.started_at) as f64 / warm_up_time;
+                let present_share =
+                    config.cold_capacity_share + (1.0 - config.cold_capacity_share) * warmed.min(1.0);
+                let capacity = self.capacity * size * present_share;
+                let budget = config.overload_multiple * capacity * config.overload_window as f64 / SECOND;
+                let count = sent[index..].partition_point(|later| **later < at + config.overload_window);
+                verdict.windows += 1;
+                verdict.over += usize::from(count as f64 > budget + 2.0 * budget.sqrt() + 2.0);
             }
         }
-        (all, over, reads, budgets)
+        verdict
     }
 }
 
-/// What a fleet is drawn for: whose workers start, between which numbers of routers, and the part of calls refused.
-#[derive(Clone, Copy)]
-struct Kind {
-    writers_start: bool,
-    routers: (f64, f64),
-    refusals: f64,
+/// Plays a fleet until the workers that start in it are warm.
+fn play_fleet(seed: u64, kind: FleetKind) -> Verdict {
+    let mut fleet = Fleet::generate(seed, kind);
+    fleet.schedule_arrival(0);
+    // Some routers have just started themselves when the workers start.
+    let millis = 1_000.0 + 11_000.0 * fleet.rng.unit();
+    fleet.started_at = millis as TenthMillis * MS;
+    fleet.play(fleet.started_at);
+    fleet.list(fleet.started_at, fleet.warming.clone(), fleet.started_at);
+    fleet.play(fleet.started_at + fleet.config.warm_up_time);
+    fleet.judge()
 }
 
-const READERS: Kind = Kind { writers_start: false, routers: (2.0, 300.0), refusals: 0.0 };
-
-/// Windows over budget and chance, all windows, calls and budgets of so many fleets.
-fn played(fleets: u64, kind: Kind) -> (usize, usize, f64, f64) {
-    let threads: Vec<_> = (0..8)
-        .map(|part| {
-            std::thread::spawn(move || {
-                let mut sums = (0, 0, 0.0, 0.0);
-                for seed in (0..fleets).filter(|seed| seed % 8 == part) {
-                    let mut fleet = Fleet::drawn(seed, kind);
-                    fleet.arrives(0);
-                    // Some have just begun themselves when the workers start.
-                    let known = 1_000.0 + 11_000.0 * fleet.draw.unit();
-                    fleet.began = known as TenthMillis * MS;
-                    fleet.play(fleet.began);
-                    fleet.list(fleet.began, fleet.cold.clone(), fleet.began);
-                    fleet.play(fleet.began + fleet.terms.warm_up_time);
-                    let (all, over, calls, budgets) = fleet.judged();
-                    sums = (sums.0 + over, sums.1 + all, sums.2 + calls, sums.3 + budgets);
-                }
-                sums
-            })
-        })
-        .collect();
-    let (mut over, mut all, mut calls, mut budgets) = (0, 0, 0.0, 0.0);
-    for thread in threads {
-        let sums = thread.join().expect("a part of the fleets");
-        (over, all, calls, budgets) = (over + sums.0, all + sums.1, calls + sums.2, budgets + sums.3);
-    }
-    println!("{over} of {all} windows over budget and chance; {calls} calls of {budgets:.0} in all budgets");
-    (over, all, calls, budgets)
+/// Plays so many fleets and sums up how they turned out.
+fn play_fleets(fleets: u64, kind: FleetKind) -> Verdict {
+    let play_part = move |part: u64| {
+        let seeds = (0..fleets).filter(|seed| seed % THREADS == part);
+        seeds.map(|seed| play_fleet(seed, kind)).fold(Verdict::default(), Verdict::plus)
+    };
+    let threads: Vec<_> = (0..THREADS).map(|part| std::thread::spawn(move || play_part(part))).collect();
+    let verdicts = threads.into_iter().map(|thread| thread.join().expect("a part of the fleets"));
+    let total = verdicts.fold(Verdict::default(), Verdict::plus);
+    let Verdict { windows, over, attempts, budgets } = total;
+    println!("{over} of {windows} windows over budget and chance; {attempts} attempts of {budgets:.0} in all budgets");
+    total
 }
 
 #[test]
 fn many_routers_with_uneven_traffic_do_not_push_over_workers_that_start_together() {
-    let (over, all, reads, budgets) = played(FLEETS, READERS);
+    let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS, PREFILL_WORKERS_START);
     // Chance alone, at a mean that fills the budget, goes over in some of a hundred windows.
-    assert!(all > 40_000 && over * 20_000 <= all, "{over} of {all}");
-    assert!(reads > budgets / 20.0, "they are given work: {reads} of {budgets}");
+    assert!(windows > 40_000 && over * 20_000 <= windows, "{over} of {windows}");
+    assert!(attempts > budgets / 20.0, "they are given work: {attempts} of {budgets}");
 }
 
 #[test]
-fn nor_those_that_write_where_two_roles_and_many_sizes_share_the_work() {
-    let (over, all, calls, budgets) = played(FLEETS / 4, Kind { writers_start: true, ..READERS });
-    assert!(all > 5_000 && over * 20_000 <= all, "{over} of {all}");
-    assert!(calls > budgets / 20.0, "they are given work: {calls} of {budgets}");
+fn nor_those_that_decode_where_two_roles_and_many_sizes_share_the_work() {
+    let kind = FleetKind { decode_workers_start: true, ..PREFILL_WORKERS_START };
+    let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS / 4, kind);
+    assert!(windows > 5_000 && over * 20_000 <= windows, "{over} of {windows}");
+    assert!(attempts > budgets / 20.0, "they are given work: {attempts} of {budgets}");
 }
 
 #[test]
-fn nor_do_few_routers_where_they_refuse_much_of_what_they_are_sent() {
-    let (over, all, calls, budgets) = played(FLEETS, Kind { routers: (1.0, 8.0), refusals: 0.5, ..READERS });
-    assert!(all > 20_000 && over * 20_000 <= all, "{over} of {all}");
-    assert!(calls > budgets / 20.0, "they are given work: {calls} of {budgets}");
+fn nor_do_few_routers_where_warming_workers_reject_much_of_what_they_are_sent() {
+    let kind = FleetKind { routers: (1.0, 8.0), rejections: 0.5, ..PREFILL_WORKERS_START };
+    let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS, kind);
+    assert!(windows > 20_000 && over * 20_000 <= windows, "{over} of {windows}");
+    assert!(attempts > budgets / 20.0, "they are given work: {attempts} of {budgets}");
 }
