--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// A health check finished; a load report that it brought is told before.
+    /// A health check finished. If it brought a load report, [`Scheduler::load_reported`] is called before.
     pub fn health_check_finished(&mut self, now: TenthMillis, worker: WorkerId, healthy: bool) {
         self.dispatcher.fleet.record_health_check(now, worker, healthy);
     }
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -33,8 +33,8 @@
     hopeless_before(now, usual_wait) > request.ttft_objective.min(request.deadline)
 }
 
-/// When a rejected client may come back, 0 where that is not told: spread over the upper half of the longest that the
-/// configuration allows, or a burst would return as one.
+/// When a rejected client may come back; 0 where clients get no Retry-After. Spread over the upper half of the longest
+/// that the configuration allows, or a burst would return as one. A random number is drawn in either case.
 pub fn retry_after(config: &SchedulerConfig, rng: &mut Rng) -> TenthMillis {
     let spread = 0.5 + rng.unit() / 2.0;
     if !config.retry_after_enabled {
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,5 +1,5 @@
-//! All workers as this router sees them: what the endpoint list, attempts and health checks told of each, what is in
-//! flight there, and whether one may be sent to.
+//! All workers as this router sees them: what it knows of each by the endpoint list, attempts and health checks, what
+//! is in flight there, and whether it may be sent to. The placement rules are implemented on it in files of their own.
 
 use std::collections::{BTreeSet, HashMap};
 
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy)]
 pub struct Reservation {
     pub worker: WorkerId,
-    /// The worker said that it is held.
+    /// The worker has granted it.
     pub confirmed: bool,
 }
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -179,9 +179,9 @@
     pub load_in_tokens: bool,
     /// Changes of the endpoint list come only once they are asked for.
     pub endpoint_watch_enabled: bool,
-    /// A rejected client is told when to come back.
+    /// Rejections carry a Retry-After.
     pub retry_after_enabled: bool,
-    /// The longest time that it may be told.
+    /// The longest Retry-After.
     pub max_retry_after: TenthMillis,
 }
 
@@ -278,7 +278,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// After how long it may be sent again; 0 where that is not told.
+        /// After how long it may be sent again; 0 for no Retry-After.
         retry_after: TenthMillis,
     },
     /// Answer that the request failed: it may have run and cannot run again.
