--- a/src/scheduler/decode_placement.rs
+++ b/src/scheduler/decode_placement.rs
@@ -31,6 +31,7 @@
 
     /// All workers, for an attempt that prefills and decodes at one of them.
     pub fn anywhere() -> DecodeScope {
+        // No cell has this number, so that all are beyond it.
         DecodeScope { same_cell: false, cell: u16::MAX, zone: 0 }
     }
 }
@@ -155,6 +156,7 @@
     /// Whether a worker that is not warming up may be sent to, whichever the request.
     pub fn is_usable_for_all_classes(&mut self, now: TenthMillis, id: WorkerId) -> bool {
         let class_count = self.config.classes.len() as u8;
+        // The id counts for slow start alone, which is not asked.
         (0..class_count).all(|class| self.is_usable(now, id, Requester { id: 0, class }, None))
     }
 }
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -27,6 +27,7 @@
 impl Default for LoadReport {
     /// Of a worker that never reported nothing is believed but that it is full.
     fn default() -> Self {
+        // Long ago, and far enough from the least number that a time to live can be added.
         LoadReport { received_at: TenthMillis::MIN / 2, load: f64::INFINITY }
     }
 }
