--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -247,7 +247,7 @@
 fn reported_load(instance: &Instance, columns: &[f32]) -> Option<f64> {
     let report = instance.report.as_ref()?;
     let value = *columns.get(report.column)?;
-    report.amount(f64::from(value))
+    report.load(f64::from(value))
 }
 
 /// Messages between routers are not used.
--- a/crates/bench-adapter/src/instances.rs
+++ b/crates/bench-adapter/src/instances.rs
@@ -4,7 +4,7 @@
 
 use tideroute::scheduler::Scheduler;
 use tideroute::types::TenthMillis;
-use tideroute_settings::{Report, Settings};
+use tideroute_settings::{LoadReportColumn, Settings};
 
 use crate::error::RecordError;
 
@@ -15,7 +15,7 @@
 pub struct Instance {
     pub scheduler: Scheduler,
     /// The column of load reports that the scheduler uses.
-    pub report: Option<Report>,
+    pub report: Option<LoadReportColumn>,
 }
 
 /// The running instances by number.
@@ -28,7 +28,7 @@
     /// Starts an instance, in place of one that has the same number.
     pub fn start(&mut self, id: InstanceId, settings: Settings, seed: u64, now: TenthMillis) {
         let scheduler = Scheduler::new(settings.scheduler, seed, now);
-        self.running.insert(id, Instance { scheduler, report: settings.report });
+        self.running.insert(id, Instance { scheduler, report: settings.load_report });
     }
 
     /// Stops an instance, which forgets everything.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use tideroute::types::{Idempotency, SchedulerConfig};
 use tideroute_lifecycle::LifecycleConfig;
-use tideroute_settings::{Report, SettingsError};
+use tideroute_settings::{LoadReportColumn, SettingsError};
 use tideroute_wire::{Address, Micros};
 
 use crate::capacity::Capacity;
@@ -71,7 +71,7 @@
     /// The part of a client's time that its request and response spend on their way.
     pub travel_time: Micros,
     /// The column of load reports that says a worker's load, if health checks are answered with reports.
-    pub load_report: Option<Report>,
+    pub load_report: Option<LoadReportColumn>,
     /// The endpoint list as this router last had it; null for none.
     pub known_endpoints: Value,
 }
@@ -207,10 +207,10 @@
         Ok(classes.iter().map(|class| class["name"].as_str().unwrap_or_default().to_string()).collect())
     }
 
-    fn scheduler_settings(&self) -> Result<(SchedulerConfig, Option<Report>), ConfigError> {
+    fn scheduler_settings(&self) -> Result<(SchedulerConfig, Option<LoadReportColumn>), ConfigError> {
         let settings = self.get("settings").ok_or_else(|| self.error("settings", "the settings"))?;
-        let scheduler = tideroute_settings::terms(settings).map_err(ConfigError::Settings)?;
-        let load_report = tideroute_settings::report(settings).map_err(ConfigError::Settings)?;
+        let scheduler = tideroute_settings::scheduler_config(settings).map_err(ConfigError::Settings)?;
+        let load_report = tideroute_settings::load_report_column(settings).map_err(ConfigError::Settings)?;
         Ok((scheduler, load_report))
     }
 
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -6,7 +6,7 @@
 //! [`RESPONSE_TIMEOUT`]: 3 + 0.4 + 1 + 0.4 s with one call in vain.
 
 use bytes::{Bytes, BytesMut};
-use tideroute_http::{write, Body, Bounds, Problem};
+use tideroute_http::{write, Body, HttpError, Limits};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{Address, Micros};
 
@@ -14,7 +14,7 @@
 use crate::json_splitter::{JsonSplitter, NotJson};
 use crate::timers::{Timeout, TimerKey};
 
-const RESPONSE_BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
+const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Bytes of one object: a list of some thousands of workers.
 const MAX_OBJECT_BYTES: usize = 2 << 20;
 /// Microseconds to connect to the agent on the same machine.
@@ -33,7 +33,7 @@
 pub enum WatchError {
     /// The response is no sound HTTP, or a refusal.
     #[error(transparent)]
-    Http(#[from] Problem),
+    Http(#[from] HttpError),
     /// The body is no stream of JSON objects.
     #[error(transparent)]
     Json(#[from] NotJson),
@@ -100,7 +100,7 @@
         let was_pending = !self.splitter.is_empty();
         let objects = self.split_objects()?;
         if self.splitter.len() > MAX_OBJECT_BYTES {
-            return Err(Problem::BodyTooLarge(MAX_OBJECT_BYTES as u64).into());
+            return Err(HttpError::BodyTooLarge(MAX_OBJECT_BYTES as u64).into());
         }
         // Guards against an object that is never complete, behind which empty lines still come.
         if self.splitter.is_empty() || !objects.is_empty() || !was_pending {
@@ -113,15 +113,15 @@
 
     /// Parses one head, of the final response or of an interim one. False if it is not complete.
     fn parse_head(&mut self, now: Micros, effects: &mut Effects) -> Result<bool, WatchError> {
-        let Some((head, length)) = tideroute_http::answer(&self.received, &RESPONSE_BOUNDS)? else {
+        let Some((head, length)) = tideroute_http::response(&self.received, &RESPONSE_LIMITS)? else {
             return Ok(false);
         };
         let _ = self.received.split_to(length);
         if head.status == 200 {
-            self.decoder = Some(Body::new(head.framing, RESPONSE_BOUNDS.body));
+            self.decoder = Some(Body::new(head.framing, RESPONSE_LIMITS.body));
             self.timeout.set(now + SILENCE_TIMEOUT, TimerKey::DiscoveryWatch, effects);
         } else if head.status >= 200 {
-            return Err(Problem::Version.into());
+            return Err(HttpError::Version.into());
         }
         Ok(true)
     }
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -64,7 +64,7 @@
     let content_type = [("content-type", "text/plain")];
     let retry_after = seconds.iter().map(|seconds| ("retry-after", seconds.as_str()));
     let fields = content_type.into_iter().chain(retry_after);
-    write::answer(status, fields, &text_body(text), closes_connection)
+    write::response(status, fields, &text_body(text), closes_connection)
 }
 
 /// The parts of the gateway that decisions are carried out with: its transport for the lifecycle.
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use metrics::counter;
-use tideroute_http::{write, Body, Bounds, Framing, Request};
+use tideroute_http::{write, Body, Framing, Limits, Request};
 use tideroute_lifecycle::RequestState;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
@@ -18,7 +18,7 @@
 use crate::timers::TimerKey;
 
 /// What a request may have.
-const REQUEST_BOUNDS: Bounds = Bounds { head: MAX_HEAD_BYTES, fields: 64, body: MAX_BODY_BYTES as u64 };
+const REQUEST_LIMITS: Limits = Limits { head: MAX_HEAD_BYTES, fields: 64, body: MAX_BODY_BYTES as u64 };
 /// Microseconds in which a request must be complete after its first byte, and in which a new connection must send
 /// something: clients send their requests at once.
 const REQUEST_TIMEOUT: Micros = 2_000_000;
@@ -47,7 +47,7 @@
     pub fn client_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         if self.clients.len() >= self.config.capacity.client_connections {
             let Some(idle) = self.clients.longest_idle() else {
-                counter!("tideroute_clients_sent_away_total").increment(1);
+                counter!("tideroute_clients_rejected_total").increment(1);
                 return self.reject(connection, Rejection::new(503, "too many connections"), effects);
             };
             self.close_for_others(idle, effects);
@@ -137,7 +137,7 @@
             return;
         }
         let reason = "sends without end while its request is open";
-        counter!("tideroute_clients_sent_away_total").increment(1);
+        counter!("tideroute_clients_rejected_total").increment(1);
         self.client_disconnected(now, connection, effects);
         // The request that is open was read: it gets a response.
         if !is_streaming {
@@ -162,7 +162,7 @@
         while client.received.starts_with(b"\r\n") {
             client.received.advance(2);
         }
-        let (request, length) = match tideroute_http::request(&client.received, &REQUEST_BOUNDS) {
+        let (request, length) = match tideroute_http::request(&client.received, &REQUEST_LIMITS) {
             Ok(Some(head)) => head,
             Ok(None) => return Progress::Wait,
             Err(problem) => {
@@ -215,7 +215,7 @@
             return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
         }
         if expects_continue.is_some() {
-            effects.send(connection, write::answer(100, [], b"", false));
+            effects.send(connection, write::response(100, [], b"", false));
         }
         if let Some(client) = self.clients.get_mut(connection) {
             let request = PartialRequest { head, decoder, body: BytesMut::new() };
@@ -265,8 +265,9 @@
         if self.clients.is_open(&head.trace_id) {
             return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
         }
-        if let Some((reason, retry_after)) = self.lifecycle.rejection(false) {
-            self.egress(now, effects).respond_with_text(connection, 503, retry_after, reason);
+        if let Some(rejection) = self.lifecycle.rejection(false) {
+            let text = rejection.reason.text();
+            self.egress(now, effects).respond_with_text(connection, 503, rejection.retry_after, text);
             return Progress::More;
         }
         let trace_id = head.trace_id.clone();
@@ -300,7 +301,7 @@
     /// what else it would bring.
     fn reject(&mut self, connection: ConnectionId, rejection: Rejection, effects: &mut Effects) {
         let Rejection { status, reason } = rejection;
-        counter!("tideroute_refused_total", "status" => status.to_string()).increment(1);
+        counter!("tideroute_invalid_requests_total", "status" => status.to_string()).increment(1);
         tracing::debug!(connection = connection.0, status, reason, "rejects a request");
         let retry_after = if status == 503 { self.lifecycle.retry_after() } else { 0 };
         effects.send(connection, text_response(status, retry_after, reason, true));
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -88,7 +88,7 @@
 
     fn reason(self) -> Option<&'static str> {
         match self {
-            TraceEvent::AttemptEnded { outcome, .. } => Some(outcome_name(outcome)),
+            TraceEvent::AttemptEnded { outcome, .. } => Some(outcome.name()),
             TraceEvent::Responded(Response::Completed(_)) => Some("completed"),
             TraceEvent::Responded(Response::Rejected(_)) => Some("rejected"),
             TraceEvent::Responded(Response::Failed) => Some("failed"),
@@ -97,21 +97,6 @@
     }
 }
 
-fn outcome_name(outcome: AttemptOutcome) -> &'static str {
-    match outcome {
-        AttemptOutcome::Completed => "completed",
-        AttemptOutcome::ServerError => "server-error",
-        AttemptOutcome::Rejected => "rejected",
-        AttemptOutcome::StateMissing => "state-missing",
-        AttemptOutcome::TimedOut => "timed-out",
-        AttemptOutcome::Unreachable => "unreachable",
-        AttemptOutcome::ConnectionReset => "connection-reset",
-        AttemptOutcome::Cancelled => "cancelled",
-        AttemptOutcome::NotSent => "not-sent",
-        AttemptOutcome::PrefillComplete => "prefill-complete",
-    }
-}
-
 /// Writes an event to the log.
 pub fn record(id: RequestId, trace_id: &str, event: TraceEvent) {
     // Nothing is formatted for a log that filters it out.
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -4,7 +4,7 @@
 //! what the timer is for in the 56 bits beneath.
 
 use tideroute::types::RequestId;
-use tideroute_lifecycle::{short, Timer};
+use tideroute_lifecycle::{id_counter, Timer};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
@@ -18,7 +18,7 @@
 
 impl From<RequestId> for ShortRequestId {
     fn from(id: RequestId) -> ShortRequestId {
-        ShortRequestId(short(id))
+        ShortRequestId(id_counter(id))
     }
 }
 
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -2,14 +2,14 @@
 
 use bytes::{Bytes, BytesMut};
 use tideroute::types::{RequestId, WorkerId};
-use tideroute_http::{Body, Bounds, Problem};
+use tideroute_http::{Body, HttpError, Limits};
 use tideroute_wire::{Address, Micros};
 
 use crate::headers;
 use crate::timers::Timeout;
 
 /// What the head of a worker's response may have, and the bytes that a stream may have.
-const RESPONSE_BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
+const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Bytes of a response that is no stream.
 const MAX_PLAIN_RESPONSE_BYTES: u64 = 256 << 10;
 /// Interim responses (1xx) before the final one.
@@ -173,7 +173,7 @@
     }
 
     /// Parses the next part of what has been received.
-    pub fn next_event(&mut self) -> Result<ResponseEvent, Problem> {
+    pub fn next_event(&mut self) -> Result<ResponseEvent, HttpError> {
         while self.response.is_none() {
             if !self.parse_head()? {
                 return Ok(ResponseEvent::Incomplete);
@@ -190,20 +190,20 @@
     }
 
     /// Parses one head, of the final response or of an interim one. False if it is not complete.
-    fn parse_head(&mut self) -> Result<bool, Problem> {
-        let Some((head, length)) = tideroute_http::answer(&self.received, &RESPONSE_BOUNDS)? else {
+    fn parse_head(&mut self) -> Result<bool, HttpError> {
+        let Some((head, length)) = tideroute_http::response(&self.received, &RESPONSE_LIMITS)? else {
             return Ok(false);
         };
         let _ = self.received.split_to(length);
         if (100..200).contains(&head.status) {
             self.interim_responses += 1;
             if self.interim_responses > MAX_INTERIM_RESPONSES {
-                return Err(Problem::HeadTooLarge(RESPONSE_BOUNDS.head));
+                return Err(HttpError::HeadTooLarge(RESPONSE_LIMITS.head));
             }
             return Ok(true);
         }
         let is_stream = self.is_decode_attempt() && head.status == 200;
-        let max_body_bytes = if is_stream { RESPONSE_BOUNDS.body } else { MAX_PLAIN_RESPONSE_BYTES };
+        let max_body_bytes = if is_stream { RESPONSE_LIMITS.body } else { MAX_PLAIN_RESPONSE_BYTES };
         self.response = Some(IncomingResponse {
             status: head.status,
             never_ran: head.fields.one(headers::NEVER_RAN) == Some("1"),
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -169,7 +169,7 @@
     /// The load that a worker reports, if the settings name a column for it.
     fn reported_load(&self, report: &[u8]) -> Option<f64> {
         let column = self.config.load_report.as_ref()?;
-        column.amount(headers::reported_value(report, &column.name)?)
+        column.load(headers::reported_value(report, &column.name)?)
     }
 
     /// What comes on the connection can't be used, or nothing comes any more: the request may have run.
--- a/crates/lifecycle/benches/endpoint_list_update.rs
+++ b/crates/lifecycle/benches/endpoint_list_update.rs
@@ -113,7 +113,7 @@
     let ms = |time: Duration| time.as_secs_f64() * 1e3;
     println!(
         "{WORKERS} workers, {} open: a full snapshot takes {:.2} ms on average, {:.2} ms at most",
-        router.open(),
+        router.open_requests(),
         ms(sum) / f64::from(ROUNDS),
         ms(longest)
     );
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -28,10 +28,10 @@
 
 pub use config::LifecycleConfig;
 pub use endpoint_incarnations::{EndpointIncarnations, Incarnation};
-pub use lifecycle::RequestLifecycle;
+pub use lifecycle::{AdmissionRejection, RejectionReason, RequestLifecycle};
 pub use protobuf_router::{ProtobufRouter, RouterConfig};
 pub use request_state::{Attempt, RequestState};
-pub use request_table::{short, RequestTable};
+pub use request_table::{id_counter, RequestTable};
 pub use response::Response;
 pub use tenant_admission::TenantConfig;
 pub use transport::{Timer, Transport};
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -7,6 +7,8 @@
 mod health;
 mod responses;
 
+pub use admission::{AdmissionRejection, RejectionReason};
+
 use metrics::{counter, gauge};
 use tideroute::scheduler::Scheduler;
 use tideroute::types::{AttemptOutcome, RequestId};
@@ -138,7 +140,7 @@
         let open_requests = self.requests.len();
         if self.reported_open_requests != Some(open_requests) {
             self.reported_open_requests = Some(open_requests);
-            gauge!("tideroute_open", "core" => self.config.name.clone()).set(open_requests as f64);
+            gauge!("tideroute_requests_open", "core" => self.config.name.clone()).set(open_requests as f64);
         }
     }
 
@@ -149,7 +151,7 @@
         // Called on each iteration of the loop, so the metric is only written when it changes.
         let worst = self.loop_lag.worst();
         if worst != worst_before {
-            gauge!("tideroute_late_seconds", "core" => self.config.name.clone()).set(to_seconds(worst));
+            gauge!("tideroute_loop_lag_seconds", "core" => self.config.name.clone()).set(to_seconds(worst));
         }
     }
 
--- a/crates/lifecycle/src/lifecycle/actions.rs
+++ b/crates/lifecycle/src/lifecycle/actions.rs
@@ -67,8 +67,8 @@
             }
         }
         tracing::debug!(id, attempt = number, worker = %WorkerAddress(worker), is_prefill, "dispatching attempt");
-        let stage = if is_prefill { "read" } else { "write" };
-        counter!("tideroute_shots_total", "stage" => stage).increment(1);
+        let stage = if is_prefill { "prefill" } else { "decode" };
+        counter!("tideroute_attempts_total", "stage" => stage).increment(1);
         let remaining_time = request.deadline.saturating_sub(now);
         transport.dispatch(id, request, &attempt, remaining_time, permit);
         request.attempt = Some(attempt);
@@ -93,7 +93,7 @@
         for replaced in std::mem::replace(&mut request.reservations, vec![decode_worker]) {
             transport.cancel_reservation(id, replaced, true);
         }
-        counter!("tideroute_places_total").increment(1);
+        counter!("tideroute_reservations_total").increment(1);
         transport.reserve(id, request, decode_worker, prefill_worker, permit);
     }
 
@@ -111,7 +111,7 @@
         }
         let was_unsent = transport.cancel(id, attempt);
         let outcome = if was_unsent { AttemptOutcome::NotSent } else { AttemptOutcome::Cancelled };
-        counter!("tideroute_withdrawn_total").increment(1);
+        counter!("tideroute_attempts_cancelled_total").increment(1);
         self.finished_attempts.push(FinishedAttempt { id, number, outcome });
         self.scheduling_needed = true;
     }
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -28,18 +28,53 @@
     Some(TenantAdmission::new(tenants, config.limits_share, admission_config, now))
 }
 
+/// Why a request is not accepted.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum RejectionReason {
+    /// As many requests are open as the configuration allows.
+    AtCapacity,
+    /// The router shuts down.
+    ShuttingDown,
+}
+
+impl RejectionReason {
+    /// The reason as a client is told.
+    pub fn text(self) -> &'static str {
+        match self {
+            RejectionReason::AtCapacity => "full",
+            RejectionReason::ShuttingDown => "stopping",
+        }
+    }
+
+    fn metric_label(self) -> &'static str {
+        match self {
+            RejectionReason::AtCapacity => "capacity",
+            RejectionReason::ShuttingDown => "shutdown",
+        }
+    }
+}
+
+/// A request that is not accepted, and may be sent again.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct AdmissionRejection {
+    /// Why.
+    pub reason: RejectionReason,
+    /// Microseconds after which the client may come back; 0 if it is not told.
+    pub retry_after: Micros,
+}
+
 impl<Context> RequestLifecycle<Context> {
-    /// Why no further request can be accepted, and the Retry-After in microseconds; `None` if one can. `full_client`
-    /// says that the client has reached its own limit.
-    pub fn rejection(&self, full_client: bool) -> Option<(&'static str, Micros)> {
+    /// Why no further request can be accepted; `None` if one can. `full_client` says that the client has reached its own
+    /// limit.
+    pub fn rejection(&self, full_client: bool) -> Option<AdmissionRejection> {
         let is_full = full_client || self.requests.len() >= self.config.max_open_requests;
         if !is_full && !self.shutting_down {
             return None;
         }
-        let reason = if is_full { "full" } else { "stopping" };
-        counter!("tideroute_untaken_total", "why" => reason).increment(1);
+        let reason = if is_full { RejectionReason::AtCapacity } else { RejectionReason::ShuttingDown };
+        counter!("tideroute_requests_not_admitted_total", "reason" => reason.metric_label()).increment(1);
         let retry_after = if is_full { self.retry_after() } else { 0 };
-        Some((reason, retry_after))
+        Some(AdmissionRejection { reason, retry_after })
     }
 
     /// The Retry-After, in microseconds, of a client that is rejected for lack of capacity; 0 where the configuration
@@ -68,7 +103,7 @@
         let tokens = request.prompt_tokens;
         let record = RequestRecord::new(idempotency, to_tenth_millis(deadline));
         let id = self.requests.insert(RequestState { record, ..request });
-        counter!("tideroute_taken_total").increment(1);
+        counter!("tideroute_requests_accepted_total").increment(1);
         transport.set_timer(deadline, Timer::Deadline(id));
         self.scheduling_needed = true;
         let Some(tenant_admission) = &mut self.tenant_admission else {
@@ -106,7 +141,7 @@
             match verdict {
                 Verdict::Let(Ticket(id)) => self.admit_to_scheduler(now, id),
                 Verdict::TurnBack { ticket: Ticket(id), after } => {
-                    counter!("tideroute_untaken_total", "why" => "share").increment(1);
+                    counter!("tideroute_requests_not_admitted_total", "reason" => "quota").increment(1);
                     let retry_after = if self.config.scheduler.retry_after_enabled { after } else { 0 };
                     self.respond(now, id, Response::Rejected(retry_after), transport);
                 }
--- a/crates/lifecycle/src/lifecycle/attempts.rs
+++ b/crates/lifecycle/src/lifecycle/attempts.rs
@@ -57,7 +57,7 @@
             ?outcome,
             "attempt finished"
         );
-        counter!("tideroute_shots_ended_total", "ending" => metric_label(outcome)).increment(1);
+        counter!("tideroute_attempts_finished_total", "outcome" => outcome.name()).increment(1);
         self.scheduler.attempt_finished(to_tenth_millis(now), id, number, outcome, is_terminal);
         self.scheduling_needed = true;
         self.closing.push(id);
@@ -137,19 +137,3 @@
         self.finish_attempt(now, id, number, outcome, transport);
     }
 }
-
-/// The `ending` label of the metric of finished attempts.
-fn metric_label(outcome: AttemptOutcome) -> &'static str {
-    match outcome {
-        AttemptOutcome::Completed => "honoured",
-        AttemptOutcome::ServerError => "fault",
-        AttemptOutcome::Rejected => "full",
-        AttemptOutcome::StateMissing => "stateless",
-        AttemptOutcome::TimedOut => "timed out",
-        AttemptOutcome::Unreachable => "unreachable",
-        AttemptOutcome::ConnectionReset => "broken",
-        AttemptOutcome::Cancelled => "withdrawn",
-        AttemptOutcome::NotSent => "never sent",
-        AttemptOutcome::PrefillComplete => "read",
-    }
-}
--- a/crates/lifecycle/src/lifecycle/health.rs
+++ b/crates/lifecycle/src/lifecycle/health.rs
@@ -17,7 +17,7 @@
         transport: &mut impl Transport<Context = Context>,
     ) {
         let nonce = self.health_checks.begin(worker);
-        counter!("tideroute_probes_total").increment(1);
+        counter!("tideroute_health_checks_total").increment(1);
         transport.check_health(nonce, worker);
         transport.set_timer(now + self.config.connect_timeout, Timer::HealthCheck(nonce));
     }
--- a/crates/lifecycle/src/lifecycle/responses.rs
+++ b/crates/lifecycle/src/lifecycle/responses.rs
@@ -71,7 +71,7 @@
         request.finished = true;
         request.record.client_disconnected();
         self.closing.push(id);
-        counter!("tideroute_left_total").increment(1);
+        counter!("tideroute_clients_disconnected_total").increment(1);
         self.scheduler.client_disconnected(to_tenth_millis(now), id);
         if let Some(tenant_admission) = &mut self.tenant_admission {
             tenant_admission.shares.left(now, Ticket(id));
@@ -99,8 +99,8 @@
 ) {
     let outcome = response.metric_label();
     let class = config.classes.get(usize::from(request.class)).cloned().unwrap_or_default();
-    counter!("tideroute_answers_total", "outcome" => outcome, "track" => class).increment(1);
+    counter!("tideroute_responses_total", "outcome" => outcome, "class" => class).increment(1);
     let duration = now.saturating_sub(request.arrived_at);
-    histogram!("tideroute_answer_seconds").record(to_seconds(duration));
+    histogram!("tideroute_response_seconds").record(to_seconds(duration));
     tracing::debug!(id, outcome, attempts = request.attempts, "request finished");
 }
--- a/crates/lifecycle/src/protobuf_router/client_events.rs
+++ b/crates/lifecycle/src/protobuf_router/client_events.rs
@@ -28,7 +28,7 @@
     pub fn accepted(&mut self) {
         let config = &self.state.config;
         if self.state.clients.len() >= config.max_clients {
-            counter!("tideroute_clients_sent_away_total").increment(1);
+            counter!("tideroute_clients_rejected_total").increment(1);
             return self.effects.close(self.connection, "too many clients");
         }
         let hello_deadline = self.now + config.lifecycle.connect_timeout;
@@ -56,7 +56,7 @@
     }
 
     fn reject_key(&mut self, name: &str) {
-        counter!("tideroute_denied_total").increment(1);
+        counter!("tideroute_clients_unauthorized_total").increment(1);
         tracing::debug!(connection = self.connection.0, name, "client rejected: no tenant has its key");
         self.state.clients.remove(self.connection);
         self.effects.send(self.connection, client::unauthorized("no tenant has this key"));
@@ -74,8 +74,8 @@
         client.last_number = Some(number);
         let key_hash = client.key_hash;
         let is_full = client.open_requests.len() >= state.config.max_requests_per_client;
-        if let Some((_, retry_after)) = state.lifecycle.rejection(is_full) {
-            self.effects.send(self.connection, client::rejected(number, retry_after));
+        if let Some(rejection) = state.lifecycle.rejection(is_full) {
+            self.effects.send(self.connection, client::rejected(number, rejection.retry_after));
             return Ok(());
         }
         // The key may have been revoked since the Hello.
@@ -96,7 +96,7 @@
         let open_requests: Vec<RequestId> = client.open_requests.values().copied().collect();
         // A client that does not read its responses gets no further requests in.
         self.effects.pause_reading(self.connection, has_backpressure);
-        counter!("tideroute_crowded_total").increment(u64::from(has_backpressure));
+        counter!("tideroute_backpressure_total").increment(u64::from(has_backpressure));
         if has_backpressure {
             return;
         }
--- a/crates/lifecycle/src/protobuf_router/router.rs
+++ b/crates/lifecycle/src/protobuf_router/router.rs
@@ -29,7 +29,7 @@
     }
 
     /// Number of open requests.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.state.lifecycle.requests.len()
     }
 
@@ -120,7 +120,7 @@
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         if let Err(error) = self.receive(now, connection, frame, effects) {
             tracing::warn!(connection = connection.0, %error, "closing a connection that violates the protocol");
-            counter!("tideroute_protocol_breaks_total").increment(1);
+            counter!("tideroute_protocol_errors_total").increment(1);
             effects.close(connection, error.to_string());
             self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
--- a/crates/lifecycle/src/protobuf_router/timers.rs
+++ b/crates/lifecycle/src/protobuf_router/timers.rs
@@ -3,7 +3,7 @@
 use tideroute::types::RequestId;
 use tideroute_wire::event_loop::ConnectionId;
 
-use crate::request_table::short;
+use crate::request_table::id_counter;
 use crate::transport::Timer;
 
 #[cfg(test)]
@@ -35,7 +35,7 @@
     pub fn encode(self) -> u64 {
         let (kind, payload) = match self {
             RouterTimer::Lifecycle(Timer::SchedulerWake) => (SCHEDULER_WAKE, 0),
-            RouterTimer::Lifecycle(Timer::Deadline(id)) => (DEADLINE, short(id)),
+            RouterTimer::Lifecycle(Timer::Deadline(id)) => (DEADLINE, id_counter(id)),
             RouterTimer::Lifecycle(Timer::HealthCheck(nonce)) => (HEALTH_CHECK, nonce),
             RouterTimer::Lifecycle(Timer::Admission) => (ADMISSION, 0),
             RouterTimer::Hello(connection) => (HELLO, connection.0),
--- a/crates/lifecycle/src/request_table.rs
+++ b/crates/lifecycle/src/request_table.rs
@@ -10,7 +10,7 @@
 const COUNTER_BITS: u32 = 40;
 
 /// The counter part of an id, small enough for a timer's key. [`RequestTable::expand_id`] restores the id.
-pub fn short(id: RequestId) -> u64 {
+pub fn id_counter(id: RequestId) -> u64 {
     id & ((1 << COUNTER_BITS) - 1)
 }
 
--- a/crates/lifecycle/src/response.rs
+++ b/crates/lifecycle/src/response.rs
@@ -27,9 +27,9 @@
     /// The `outcome` label of the response metrics.
     pub(crate) fn metric_label(self) -> &'static str {
         match self {
-            Response::Completed(_) => "honoured",
-            Response::Rejected(_) => "turned back",
-            Response::Failed => "abandoned",
+            Response::Completed(_) => "completed",
+            Response::Rejected(_) => "rejected",
+            Response::Failed => "failed",
         }
     }
 }
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -302,7 +302,7 @@
         );
         world.run_iteration();
         world.advance(20_000_000);
-        world.responses.violation.is_none() && world.router.is_finished() && world.router.open() == 0
+        world.responses.violation.is_none() && world.router.is_finished() && world.router.open_requests() == 0
     }
     let check = holds as fn(Vec<(u8, u8, u16)>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(400, 20_261_201)).tests(300).quickcheck(check);
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -29,7 +29,7 @@
     pub(super) fn close(&mut self, id: ConnectionId, reason: &str) {
         let Some(&slot) = self.slots.get(&id) else { return };
         tracing::debug!(connection = id.0, reason, "connection closed by the handler");
-        counter!("tideroute_links_closed_total", "by" => "program").increment(1);
+        counter!("tideroute_connections_closed_total", "by" => "handler").increment(1);
         match self.connections[slot].state {
             ConnectionState::Closed => return,
             ConnectionState::Connecting { .. } => self.record(id, CaptureEvent::ConnectFailed, &Bytes::new()),
@@ -113,7 +113,7 @@
         let id = connection.id;
         if matches!(connection.state, ConnectionState::Connecting { .. } | ConnectionState::Open) {
             tracing::debug!(connection = id.0, detail, "connection lost");
-            counter!("tideroute_links_closed_total", "by" => "loss").increment(1);
+            counter!("tideroute_connections_closed_total", "by" => "peer").increment(1);
             match reason {
                 DisconnectReason::Reset => self.record_closed(slot),
                 DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
--- a/crates/reactor/src/reactor/effects.rs
+++ b/crates/reactor/src/reactor/effects.rs
@@ -53,6 +53,6 @@
 
     fn publish(&self, bytes: Bytes) {
         let taken = self.publish_to.as_ref().is_some_and(|mailbox| mailbox.try_send(bytes));
-        counter!("tideroute_published_total", "taken" => taken.to_string()).increment(1);
+        counter!("tideroute_messages_published_total", "accepted" => taken.to_string()).increment(1);
     }
 }
--- a/crates/reactor/src/reactor/event_loop.rs
+++ b/crates/reactor/src/reactor/event_loop.rs
@@ -117,7 +117,7 @@
             let connection = self.connections.remove(slot);
             self.slots.remove(&connection.id);
         }
-        gauge!("tideroute_links").set(self.connections.len() as f64);
+        gauge!("tideroute_connections").set(self.connections.len() as f64);
         self.flush_capture();
     }
 
--- a/crates/reactor/src/reactor/writing.rs
+++ b/crates/reactor/src/reactor/writing.rs
@@ -40,7 +40,7 @@
             return self.disconnect(slot, DisconnectReason::Reset, "sending failed");
         }
         let buffered = connection.buffered();
-        counter!("tideroute_bytes_total", "way" => "out").increment((before - buffered) as u64);
+        counter!("tideroute_bytes_total", "direction" => "out").increment((before - buffered) as u64);
         let closing = connection.state != ConnectionState::Open;
         if closing && buffered == 0 {
             return self.finish_output(slot);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,8 +16,8 @@
 mod workers;
 
 pub use error::SettingsError;
-pub use load_report::{report, Report};
-pub use scheduler::terms;
+pub use load_report::{load_report_column, LoadReportColumn};
+pub use scheduler::scheduler_config;
 pub use units::to_tenth_millis;
 
 use serde_json::Value;
@@ -29,7 +29,7 @@
     /// Configuration of the scheduler.
     pub scheduler: SchedulerConfig,
     /// The column of load reports that health checks bring, if they bring one that the scheduler can use.
-    pub report: Option<Report>,
+    pub load_report: Option<LoadReportColumn>,
 }
 
 impl Settings {
@@ -37,8 +37,8 @@
     pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
         let root: Value =
             serde_json::from_slice(text).map_err(|error| SettingsError::Json(error.to_string()))?;
-        let scheduler = terms(&root)?;
-        let report = report(&root)?;
-        Ok(Settings { scheduler, report })
+        let scheduler = scheduler_config(&root)?;
+        let load_report = load_report_column(&root)?;
+        Ok(Settings { scheduler, load_report })
     }
 }
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -11,27 +11,27 @@
 
 /// The column of load reports that says how much work waits at a worker.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Report {
+pub struct LoadReportColumn {
     /// The column's name.
     pub name: String,
     /// Its index among all columns.
     pub column: usize,
     /// It counts thousands of prompt tokens, else attempts.
-    pub tokens: bool,
+    pub counts_tokens: bool,
 }
 
-impl Report {
+impl LoadReportColumn {
     /// The load that a value of the column stands for, in prompt tokens or attempts; `None` if the value is not finite or
     /// is negative.
-    pub fn amount(&self, value: f64) -> Option<f64> {
-        let unit = if self.tokens { TOKENS_PER_UNIT } else { 1.0 };
+    pub fn load(&self, value: f64) -> Option<f64> {
+        let unit = if self.counts_tokens { TOKENS_PER_UNIT } else { 1.0 };
         (value.is_finite() && value >= 0.0).then_some(value * unit)
     }
 }
 
 /// The column of load reports that says how much work waits, where health checks bring reports and one of their columns
 /// does: prompt tokens if the settings of the family say so of a column, else attempts.
-pub fn report(root: &Value) -> Result<Option<Report>, SettingsError> {
+pub fn load_report_column(root: &Value) -> Result<Option<LoadReportColumn>, SettingsError> {
     let source = value(root, keys::SOURCE).ok().and_then(Value::as_str);
     if source != Some(keys::BY_HEALTH_CHECK) || value(root, keys::COLUMNS).is_err() {
         return Ok(None);
@@ -42,10 +42,10 @@
 }
 
 /// The first column whose name fits.
-fn find_column(columns: &[Value], tokens: bool, fits: impl Fn(&str) -> bool) -> Option<Report> {
+fn find_column(columns: &[Value], tokens: bool, fits: impl Fn(&str) -> bool) -> Option<LoadReportColumn> {
     for (column, name) in columns.iter().enumerate() {
         let Some(name) = name.as_str().filter(|name| fits(name)) else { continue };
-        return Some(Report { name: name.to_string(), column, tokens });
+        return Some(LoadReportColumn { name: name.to_string(), column, counts_tokens: tokens });
     }
     None
 }
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -6,13 +6,13 @@
 use crate::classes::{class_list, request_classes, require_unique_names, TokenObjectives};
 use crate::error::SettingsError;
 use crate::keys::{self, capabilities, discovery, family, invariants};
-use crate::load_report::report;
+use crate::load_report::load_report_column;
 use crate::units::to_tenth_millis;
 use crate::values::{flag, number, string, time_over_zero, unknown_value, value};
 use crate::workers::roles_by_kind;
 
 /// The configuration of the scheduler, from settings that are parsed already.
-pub fn terms(root: &Value) -> Result<SchedulerConfig, SettingsError> {
+pub fn scheduler_config(root: &Value) -> Result<SchedulerConfig, SettingsError> {
     let classes = class_list(root)?;
     require_unique_names(classes)?;
     let objectives = TokenObjectives::read(root, classes.len())?;
@@ -21,7 +21,7 @@
     let health_checks_enabled = flag(root, capabilities::HEALTH_CHECKS)?;
     let connect_timeout_ms = connect_timeout_ms(root)?;
     let max_attempts = max_attempts(root)?;
-    let report = report(root)?;
+    let report = load_report_column(root)?;
     Ok(SchedulerConfig {
         router_count: number(root, keys::ROUTERS)?.max(1.0) as u32,
         classes: request_classes(classes, objectives, connect_timeout_ms)?,
@@ -37,7 +37,7 @@
         cancellation_enabled: flag(root, capabilities::CANCELLATION)?,
         health_checks_enabled,
         load_reports_enabled: health_checks_enabled && report.is_some(),
-        load_in_tokens: report.is_some_and(|report| report.tokens),
+        load_in_tokens: report.is_some_and(|report| report.counts_tokens),
         endpoint_watch_enabled: endpoint_watch_enabled(root)?,
         retry_after_enabled,
         max_retry_after: if retry_after_enabled {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn settings_become_the_configuration_and_unknown_keys_are_ignored() {
-    let config = tideroute_settings::terms(&settings()).expect("sound");
+    let config = tideroute_settings::scheduler_config(&settings()).expect("sound");
     assert_eq!((config.router_count, config.max_attempts, config.state_release_timeout), (3, 6, 10_000));
     assert_eq!(config.role_by_kind, [Role::Prefill, Role::Decode]);
     assert!(
@@ -43,12 +43,13 @@
     assert_eq!((config.retry_after_enabled, config.max_retry_after), (true, 5_000));
     assert_eq!(config.classes[1].idempotency, Idempotency::NonIdempotent);
     assert_eq!(config.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
-    let without_switch = tideroute_settings::terms(&with("/family_info/ahead", None)).expect("sound");
+    let without_switch =
+        tideroute_settings::scheduler_config(&with("/family_info/ahead", None)).expect("sound");
     assert!(!without_switch.reservations_enabled, "a missing switch is off");
     // Without Retry-After its maximum is not needed.
     let mut without_retry_after = with("/caps/max_retry_after_ms", None);
     without_retry_after["caps"]["retry_after"] = false.into();
-    assert_eq!(tideroute_settings::terms(&without_retry_after).expect("sound").max_retry_after, 0);
+    assert_eq!(tideroute_settings::scheduler_config(&without_retry_after).expect("sound").max_retry_after, 0);
 }
 
 #[test]
@@ -61,7 +62,7 @@
         if let Some(ms) = connect_timeout_ms {
             root["caps"]["dial_timeout_ms"] = ms.into();
         }
-        match tideroute_settings::terms(&root).expect("sound").classes[0].idempotency {
+        match tideroute_settings::scheduler_config(&root).expect("sound").classes[0].idempotency {
             Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
@@ -78,12 +79,12 @@
     let load = |source: &str, columns: Value, meaning: &str| {
         let mut root = with("/report", Some(json!({"how": source, "columns": columns})));
         root["family_info"]["report_x1"] = meaning.into();
-        let report = tideroute_settings::report(&root).expect("sound");
-        let config = tideroute_settings::terms(&root).expect("sound");
+        let report = tideroute_settings::load_report_column(&root).expect("sound");
+        let config = tideroute_settings::scheduler_config(&root).expect("sound");
         (
             config.load_reports_enabled,
             config.load_in_tokens,
-            report.map(|report| (report.column, report.amount(1.5))),
+            report.map(|report| (report.column, report.load(1.5))),
         )
     };
     let tokens = "thousands of prompt tokens waiting to be read or fetched";
@@ -99,12 +100,21 @@
     let mut without_health_checks =
         with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
     without_health_checks["caps"]["probing"] = false.into();
-    assert!(!tideroute_settings::terms(&without_health_checks).expect("sound").load_reports_enabled);
-    assert_eq!(tideroute_settings::report(&with("/report", Some(json!({"how": "probe"})))), Ok(None));
-    let report = tideroute_settings::report(&with("/report", Some(json!({"how": "probe", "columns": "x1"}))));
+    assert!(
+        !tideroute_settings::scheduler_config(&without_health_checks).expect("sound").load_reports_enabled
+    );
+    assert_eq!(
+        tideroute_settings::load_report_column(&with("/report", Some(json!({"how": "probe"})))),
+        Ok(None)
+    );
+    let report = tideroute_settings::load_report_column(&with(
+        "/report",
+        Some(json!({"how": "probe", "columns": "x1"})),
+    ));
     assert!(report.expect_err("no list of columns").to_string().contains("report.columns"));
-    let attempts = tideroute_settings::Report { name: "outstanding".into(), column: 0, tokens: false };
-    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|value| attempts.amount(value)), [None; 3]);
+    let attempts =
+        tideroute_settings::LoadReportColumn { name: "outstanding".into(), column: 0, counts_tokens: false };
+    assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|value| attempts.load(value)), [None; 3]);
 }
 
 #[test]
@@ -143,11 +153,12 @@
         ("/invariants/cold_share", None, "invariants.cold_share"),
     ];
     for (path, value, named) in cases {
-        let error = tideroute_settings::terms(&with(path, value.clone())).expect_err(path).to_string();
+        let error =
+            tideroute_settings::scheduler_config(&with(path, value.clone())).expect_err(path).to_string();
         assert!(error.contains(named), "{path} as {value:?}: {error}");
     }
     // Decode workers that prefill need no other kind.
     let mut decode_only = with("/family_info/writers_read", Some(json!(true)));
     decode_only["family_info"]["kind_role"] = json!(["write", "write"]);
-    assert!(tideroute_settings::terms(&decode_only).is_ok());
+    assert!(tideroute_settings::scheduler_config(&decode_only).is_ok());
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -116,6 +116,22 @@
 }
 
 impl AttemptOutcome {
+    /// Its name in logs and metrics.
+    pub fn name(self) -> &'static str {
+        match self {
+            AttemptOutcome::Completed => "completed",
+            AttemptOutcome::ServerError => "server-error",
+            AttemptOutcome::Rejected => "rejected",
+            AttemptOutcome::StateMissing => "state-missing",
+            AttemptOutcome::TimedOut => "timed-out",
+            AttemptOutcome::Unreachable => "unreachable",
+            AttemptOutcome::ConnectionReset => "connection-reset",
+            AttemptOutcome::Cancelled => "cancelled",
+            AttemptOutcome::NotSent => "not-sent",
+            AttemptOutcome::PrefillComplete => "prefill-complete",
+        }
+    }
+
     /// Whether it proves that no answer has begun, nor ever will.
     pub fn never_ran(self) -> bool {
         use AttemptOutcome::*;
