--- a/crates/lifecycle/src/request_table.rs
+++ b/crates/lifecycle/src/request_table.rs
@@ -41,7 +41,7 @@
         id
     }
 
-    /// The id whose counter part, as [`short`] gives it, is `short`.
+    /// The id whose counter part, as [`id_counter`] gives it, is `short`.
     pub fn expand_id(&self, short: u64) -> RequestId {
         self.base | short
     }
