--- a/crates/command/src/day.rs
+++ b/crates/command/src/day.rs
@@ -143,7 +143,9 @@
         std::fs::write(&path, bytes).map_err(named)?;
         eprintln!("record: {}", path.display());
     }
-    Ok(played.report.kept() && played.fallen.is_empty() && played.tally.wrong + played.tally.unanswered == 0)
+    Ok(played.report.is_clean()
+        && played.fallen.is_empty()
+        && played.tally.wrong + played.tally.unanswered == 0)
 }
 
 pub fn rules(record: &Path) -> Ended {
@@ -151,7 +153,7 @@
     let views = day::views(record).map_err(|e| format!("{}: {e}", record.display()))?;
     print(&report);
     views.iter().for_each(print_views);
-    Ok(report.kept() && views.is_none_or(|v| v.kept()))
+    Ok(report.is_clean() && views.is_none_or(|v| v.kept()))
 }
 
 /// How routers saw each other.
@@ -181,33 +183,33 @@
     let c = &report.counts;
     println!(
         "  {} events: {} submissions sent, {} taken, {} honoured, {} turned back, {} abandoned, {} left, {} void",
-        c.events, c.submitted, c.taken, c.honoured, c.turned_back, c.abandoned, c.left, c.void
+        c.events, c.requests, c.admitted, c.completed, c.rejected, c.failed, c.cancelled, c.disconnected
     );
     println!(
         "  {} shots, {} places; latest send after a drain was told {:.1} ms; fullest cold worker {:.0}% of its \
          limit; longest held with no shot out {:.1} ms",
-        c.shots,
-        c.places,
-        c.latest_after_drain as f64 / 1e3,
-        100.0 * c.fullest_cold,
-        c.longest_pinned as f64 / 1e3
+        c.attempts,
+        c.reservations,
+        c.latest_send_after_drain as f64 / 1e3,
+        100.0 * c.peak_slow_start_load,
+        c.longest_idle_state as f64 / 1e3
     );
-    if report.kept() {
+    if report.is_clean() {
         println!("rules: all kept");
         return;
     }
-    for rule in [Rule::Record, Rule::Lost, Rule::Twice, Rule::Drain, Rule::Cold, Rule::Pinned] {
-        let broken: Vec<_> = report.broken.iter().filter(|b| b.rule == rule).collect();
+    for rule in Rule::ALL {
+        let broken: Vec<_> = report.violations.iter().filter(|b| b.rule == rule).collect();
         if broken.is_empty() {
             continue;
         }
         println!("rules: NOT kept: {}: {} times", rule.name(), broken.len());
         for b in broken.iter().take(10) {
-            let id = b.submission.map_or(String::new(), |id| format!("submission {id:x}: "));
-            println!("    at {}: {id}{}", b.at, b.what);
+            let id = b.request_id.map_or(String::new(), |id| format!("submission {id:x}: "));
+            println!("    at {}: {id}{}", b.at, b.description);
         }
     }
-    if report.more > 0 {
-        println!("    and {} more breaks", report.more);
+    if report.unlisted > 0 {
+        println!("    and {} more breaks", report.unlisted);
     }
 }
--- a/crates/command/src/measure.rs
+++ b/crates/command/src/measure.rs
@@ -55,9 +55,9 @@
             let memory = played.memory.get("router0").copied().unwrap_or(0) as f64 / 1048576.0;
             let (asked, honoured) = (figure("submissions"), figure("honoured"));
             let second = |n: f64| n / seconds as f64;
-            let first = played.report.broken.first().map(|b| format!("BROKEN: {:?}", b.rule));
+            let first = played.report.violations.first().map(|b| format!("BROKEN: {}", b.rule.label()));
             let kept = first.unwrap_or_else(|| "kept".to_string());
-            all_kept &= played.report.kept();
+            all_kept &= played.report.is_clean();
             let [p50, p99, p999] = ["p50_us", "p99_us", "p999_us"].map(ms);
             println!(
                 "{cores:>5}{:>9.0}{:>12.0}{p50:>17.1}{p99:>9.1}{p999:>9.1}{cpu:>25.0}{memory:>12.1}  {kept}",
@@ -127,8 +127,8 @@
                 day::play(&record, &program, &folder, &interrupted).map(|played| {
                     service =
                         format!("{:.1}%", 100.0 * played.figures["service"].as_f64().unwrap_or(f64::NAN));
-                    all_kept &= played.report.kept();
-                    rules = if played.report.kept() { "kept" } else { "BROKEN" };
+                    all_kept &= played.report.is_clean();
+                    rules = if played.report.is_clean() { "kept" } else { "BROKEN" };
                     played.record
                 })
             }
--- a/crates/load-balance-report/src/measure.rs
+++ b/crates/load-balance-report/src/measure.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use serde::Serialize;
-use tideroute_trace_checker::Terms;
+use tideroute_trace_checker::CheckerConfig as Terms;
 use tideroute_wire::capture::{CaptureError, CaptureEvent, CapturedFrame, Reader};
 use tideroute_wire::worker::AttemptFailure;
 use tideroute_wire::{client, worker, Address, Malformed, Micros, Party};
@@ -114,7 +114,7 @@
         }
         let Some(address) = who.address.filter(|_| who.role == "worker") else { continue };
         let Some(able) = books.terms.worker(address) else { continue };
-        let (reads, weight, slots) = (able.reader, able.rate, able.at_once);
+        let (reads, weight, slots) = (able.is_prefill, able.tokens_per_second, able.slots);
         let side = &mut books.sides[usize::from(!reads)];
         let place = *by_address.entry(address).or_insert_with(|| (reads, side.add(weight, slots)));
         books.places.insert(who.number, place);
@@ -134,7 +134,7 @@
             in_time: 0,
         };
         Books {
-            tracks: terms.tracks.iter().map(track).collect(),
+            tracks: terms.classes.iter().map(track).collect(),
             terms,
             places: HashMap::new(),
             clients: HashSet::new(),
@@ -212,7 +212,7 @@
         let last = self.last;
         self.sides.iter_mut().for_each(|side| side.end(last));
         let [readers, writers] = [0, 1].map(|n| side(&self.sides[n], self.arrivals[n]));
-        let tracks = self.terms.tracks.iter().zip(&self.tracks).map(|(terms, t)| TrackFigures {
+        let tracks = self.terms.classes.iter().zip(&self.tracks).map(|(terms, t)| TrackFigures {
             name: terms.name.clone(),
             submitted: t.submitted,
             service: t.in_time as f64 / t.submitted.max(1) as f64,
@@ -372,8 +372,9 @@
     ) -> Result<(), Malformed> {
         let (track, key) = (usize::from(track), self.key(number));
         let books = &mut *self.books;
-        let Some(terms) = books.terms.tracks.get(track) else { return Ok(()) };
-        let contract = terms.contract + u64::from(prompt_tokens) * terms.per_thousand / 1000;
+        let Some(terms) = books.terms.classes.get(track) else { return Ok(()) };
+        let contract =
+            terms.ttft_objective + u64::from(prompt_tokens) * terms.ttft_objective_per_1000_tokens / 1000;
         books.tracks[track].submitted += 1;
         books.asked.insert(key, Asked { at: self.passed.at, track, contract });
         books.last = self.passed.at;
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -85,7 +85,7 @@
 
 impl Played {
     pub fn passed(&self) -> bool {
-        self.report.kept()
+        self.report.is_clean()
             && self.views.as_ref().is_none_or(Views::kept)
             && self.expected.iter().all(|(.., held)| *held)
     }
@@ -510,7 +510,7 @@
         (
             "a record with something in it".into(),
             format!("{} events", report.counts.events),
-            report.counts.taken > 0 && report.counts.honoured > 0,
+            report.counts.admitted > 0 && report.counts.completed > 0,
         ),
     ]
 }
--- a/crates/simulation/src/files.rs
+++ b/crates/simulation/src/files.rs
@@ -6,7 +6,7 @@
     Burst, Day, File, Fleet, Group, Key, Late, List, Load, Role, Router, Step, Tenant, Terms, Worker,
 };
 use tideroute_membership_checker::{Cut, Members};
-use tideroute_trace_checker::{Group as Among, Repeat, TrackTerms, WorkerTerms};
+use tideroute_trace_checker::{CheckerConfig, ClassConfig, DeduplicationScope, Idempotency, WorkerConfig};
 use tideroute_wire::Micros;
 
 use crate::straight::Known;
@@ -161,22 +161,22 @@
 }
 
 /// What the rules are read by.
-pub fn rules(day: &Day, ports: &Ports) -> tideroute_trace_checker::Terms {
-    let tracks = day.tracks.iter().map(|t| TrackTerms {
+pub fn rules(day: &Day, ports: &Ports) -> CheckerConfig {
+    let tracks = day.tracks.iter().map(|t| ClassConfig {
         name: t.name.clone(),
-        repeat: match t.repeat.as_str() {
-            "replayable" => Repeat::Replayable,
-            "referenced" => Repeat::Referenced,
-            _ => Repeat::SingleUse,
+        idempotency: match t.repeat.as_str() {
+            "replayable" => Idempotency::Idempotent,
+            "referenced" => Idempotency::IdempotentWithKey,
+            _ => Idempotency::NonIdempotent,
         },
-        group: match t.group.as_str() {
-            "zone" => Among::Zone,
-            "cell" => Among::Cell,
-            _ => Among::All,
+        deduplication_scope: match t.group.as_str() {
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
+            _ => DeduplicationScope::All,
         },
-        window: t.window,
-        contract: t.contract,
-        per_thousand: t.per_thousand,
+        deduplication_window: t.window,
+        ttft_objective: t.contract,
+        ttft_objective_per_1000_tokens: t.per_thousand,
     });
     let workers: BTreeMap<_, _> = day
         .workers()
@@ -184,25 +184,25 @@
         .map(|(place, (_, group, n))| {
             let cell = (n % usize::from(day.cells)) as u16;
             let does = &group.does;
-            let rate = match does.role {
+            let tokens_per_second = match does.role {
                 Role::Reader => does.read_rate * does.reads_at_once as f64,
                 _ => does.streams_at_once as f64 * 1e6 / does.token_gap as f64,
             };
-            let reader = does.role == Role::Reader;
-            let at_once = if reader { does.reads_at_once } else { does.streams_at_once } as u32;
+            let is_prefill = does.role == Role::Reader;
+            let slots = if is_prefill { does.reads_at_once } else { does.streams_at_once } as u32;
             let zone = zone(day, cell);
-            (ports.workers[place].clone(), WorkerTerms { rate, reader, cell, zone, at_once })
+            (ports.workers[place].clone(), WorkerConfig { tokens_per_second, is_prefill, cell, zone, slots })
         })
         .collect();
-    tideroute_trace_checker::Terms {
-        tracks: tracks.collect(),
+    CheckerConfig {
+        classes: tracks.collect(),
         workers,
-        release: day.terms.release,
+        max_idle_state: day.terms.release,
         drain_grace: day.terms.drain_grace,
-        cold_share: day.terms.cold_share,
-        warm_after: day.terms.warm_after,
-        fall_multiple: day.terms.fall_multiple,
-        fall_span: day.terms.fall_span,
-        most_shots: day.terms.most_shots,
+        slow_start_share: day.terms.cold_share,
+        warm_up: day.terms.warm_after,
+        overload_multiple: day.terms.fall_multiple,
+        overload_window: day.terms.fall_span,
+        max_attempts: day.terms.most_shots,
     }
 }
--- a/crates/simulation/tests/cores.rs
+++ b/crates/simulation/tests/cores.rs
@@ -40,7 +40,11 @@
 const BOTH: &str = r#"{track: "query", part: 3}, {track: "lodge"}"#;
 
 fn kept(played: &Virtual) {
-    assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
+    assert!(
+        played.report.is_clean(),
+        "{:#?}",
+        &played.report.violations[..played.report.violations.len().min(5)]
+    );
     assert_eq!((played.tally.wrong, played.tally.unanswered), (0, 0));
     assert!(played.fallen.is_empty(), "{:?}", played.fallen);
 }
@@ -55,9 +59,9 @@
 	"#;
     let played = play(&day(4, 80, BOTH, troubles)).expect("it plays");
     kept(&played);
-    let latest = played.report.counts.latest_after_drain;
+    let latest = played.report.counts.latest_send_after_drain;
     assert!(latest <= 500_000, "sent {latest} us after the drain was told");
-    assert!(played.report.counts.turned_back > 0, "the flood was no flood");
+    assert!(played.report.counts.rejected > 0, "the flood was no flood");
 }
 
 #[test]
@@ -73,7 +77,7 @@
             );
             let played = play(&day(cores, rate, BOTH, &troubles)).expect("it plays");
             kept(&played);
-            let cold = played.report.counts.fullest_cold;
+            let cold = played.report.counts.peak_slow_start_load;
             assert!(cold <= 1.0, "{cores} cores filled a cold worker to {cold} of its limit");
             fullest = fullest.max(cold);
         }
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -39,9 +39,13 @@
 }
 
 fn kept(played: &Virtual) {
-    assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
+    assert!(
+        played.report.is_clean(),
+        "{:#?}",
+        &played.report.violations[..played.report.violations.len().min(5)]
+    );
     assert_eq!((played.tally.wrong, played.tally.unanswered), (0, 0));
-    assert!(played.report.counts.honoured > 50, "{:?}", played.report.counts);
+    assert!(played.report.counts.completed > 50, "{:?}", played.report.counts);
     assert!(played.fallen.is_empty(), "{:?}", played.fallen);
 }
 
@@ -73,7 +77,7 @@
     let played = play(&day("", 60, "")).expect("it plays");
     kept(&played);
     assert!(played.tally.service() > 0.98, "{}", played.tally.table());
-    assert!(played.report.counts.places > 200);
+    assert!(played.report.counts.reservations > 200);
 }
 
 #[test]
@@ -89,7 +93,7 @@
     kept(&played);
     // A state went with its reader: a writer was told of none, or its fetch broke and the shot came back.
     assert!(heard(&played, "worker", MISSING) + heard(&played, "router", ENDED) > 0);
-    assert!(played.report.counts.abandoned > 0, "a single-use shot at a dead writer is abandoned");
+    assert!(played.report.counts.failed > 0, "a single-use shot at a dead writer is abandoned");
 }
 
 #[test]
@@ -115,7 +119,7 @@
     kept(&played);
     let places = held_after_read(&played);
     assert!(places > 5, "only {places} answers came after their read");
-    assert!(played.report.counts.latest_after_drain <= day.terms.drain_grace);
+    assert!(played.report.counts.latest_send_after_drain <= day.terms.drain_grace);
 }
 
 /// Answers on places that a router heard after the read had ended.
@@ -172,8 +176,8 @@
 	"#;
     let played = play(&day(troubles, 90, "retries: 3")).expect("it plays");
     kept(&played);
-    assert!(played.report.counts.fullest_cold > 0.0, "nothing reached a cold worker");
-    assert!(played.report.counts.fullest_cold < 1.0);
+    assert!(played.report.counts.peak_slow_start_load > 0.0, "nothing reached a cold worker");
+    assert!(played.report.counts.peak_slow_start_load < 1.0);
 }
 
 #[test]
@@ -188,7 +192,7 @@
 fn clients_leave_mid_stream_and_read_slowly() {
     let played = play(&day("", 80, "leaves: 30%, sluggish: 2")).expect("it plays");
     kept(&played);
-    assert!(played.report.counts.left > 80, "{:?}", played.report.counts);
+    assert!(played.report.counts.cancelled > 80, "{:?}", played.report.counts);
 }
 
 #[test]
@@ -200,7 +204,7 @@
 	"#;
     let played = play(&day(troubles, 60, "retries: 3")).expect("it plays");
     kept(&played);
-    assert!(played.report.counts.void > 0, "nothing was held by the router that was killed");
+    assert!(played.report.counts.disconnected > 0, "nothing was held by the router that was killed");
     assert!(played.tally.service() > 0.8, "{}", played.tally.table());
 }
 
@@ -245,7 +249,7 @@
         let mut day = day(&troubles, 60, "leaves: 5%, sluggish: 1, retries: 3");
         day.seed = seed;
         let played = play(&day).expect("it plays");
-        let broken = &played.report.broken;
+        let broken = &played.report.violations;
         assert!(broken.is_empty(), "seed {seed}: {:#?}\n{troubles}", &broken[..broken.len().min(3)]);
         assert_eq!(played.tally.unanswered + played.tally.wrong, 0, "seed {seed}\n{troubles}");
     }
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -13,7 +13,11 @@
 }
 
 fn kept(played: &Virtual) {
-    assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
+    assert!(
+        played.report.is_clean(),
+        "{:#?}",
+        &played.report.violations[..played.report.violations.len().min(5)]
+    );
     let t = &played.tally;
     assert_eq!((t.wrong, t.unanswered, t.denied), (0, 0, 0));
 }
@@ -70,7 +74,7 @@
     assert!(services[0] >= 0.97 * others[0], "who stays lost by it: {services:?} beside {others:?}");
     assert!(services[1] < 0.8 * others[1], "nothing was removed: {services:?} beside {others:?}");
     let counts = &played.report.counts;
-    assert!(counts.turned_back > 100 && counts.honoured > 100 && counts.void == 0, "{counts:?}");
+    assert!(counts.rejected > 100 && counts.completed > 100 && counts.disconnected == 0, "{counts:?}");
     // What its clients ask after the removal never comes to a worker.
     let gone = played.began + removed.troubles.iter().find(|t| t.act == "remove").expect("a removal").at;
     let mut reader = Reader::new(played.record.as_slice());
--- /dev/null
+++ b/crates/trace-checker/src/drain_rule.rs
@@ -0,0 +1,131 @@
+//! Rule 3: what each router was notified of, and what it sent to a worker that drains or was removed.
+
+use std::collections::BTreeMap;
+
+use tideroute_wire::endpoint_list::EndpointStatus;
+use tideroute_wire::{Address, Micros};
+
+use crate::address::display_address;
+use crate::event_context::EventContext;
+use crate::report::Rule;
+
+/// An endpoint as a router's process was notified of it.
+#[derive(Clone, Copy)]
+struct Notified {
+    status: EndpointStatus,
+    /// When it was notified of the status, first of several statuses that all end service.
+    since: Micros,
+    started: Micros,
+}
+
+/// What the first core of a router was notified of.
+#[derive(Default)]
+struct FirstNotified {
+    version: u64,
+    /// When it was notified that the worker drains or was removed.
+    out_of_service_at: Option<Micros>,
+}
+
+/// Rule 3, with the endpoint lists of all routers.
+pub struct DrainRule {
+    grace: Micros,
+    /// Which processes are cores of one router: those that listen at one address.
+    router_addresses: BTreeMap<u32, Address>,
+    /// By router and worker.
+    first_notified: BTreeMap<(Address, Address), FirstNotified>,
+    /// The version of the endpoint list update that is being read.
+    version: u64,
+    /// By process and worker.
+    notified: BTreeMap<(u32, Address), Notified>,
+}
+
+impl DrainRule {
+    pub fn new(grace: Micros, router_addresses: BTreeMap<u32, Address>) -> DrainRule {
+        DrainRule {
+            grace,
+            router_addresses,
+            first_notified: BTreeMap::new(),
+            version: 0,
+            notified: BTreeMap::new(),
+        }
+    }
+
+    /// A router's process received the head of an update. What a full snapshot does not name was removed.
+    pub fn update_begun(&mut self, context: &EventContext, version: u64, is_snapshot: bool) {
+        self.version = version;
+        if !is_snapshot {
+            return;
+        }
+        let captured = context.captured;
+        for ((process, _), notified) in &mut self.notified {
+            if *process == captured.process && notified.status == EndpointStatus::Serving {
+                notified.status = EndpointStatus::Removed;
+                notified.since = captured.at;
+            }
+        }
+    }
+
+    /// A router's process received an endpoint.
+    pub fn endpoint_notified(
+        &mut self,
+        context: &EventContext,
+        worker: Address,
+        status: EndpointStatus,
+        started: Micros,
+    ) {
+        let captured = context.captured;
+        let is_serving = status == EndpointStatus::Serving;
+        let before = self.notified.get(&(captured.process, worker));
+        // Of several notifications that service ends, the first counts.
+        let since = match before {
+            Some(before) if before.status != EndpointStatus::Serving && !is_serving => before.since,
+            _ => captured.at,
+        };
+        self.notified.insert((captured.process, worker), Notified { status, since, started });
+        // The router knows what its first core was notified of; a slower core repeats an older version.
+        let Some(&router) = self.router_addresses.get(&captured.process) else { return };
+        let first = self.first_notified.entry((router, worker)).or_default();
+        // One update may hold the end of a worker and its new start.
+        if self.version >= first.version {
+            first.version = self.version;
+            first.out_of_service_at = match is_serving {
+                true => None,
+                false => first.out_of_service_at.or(Some(captured.at)),
+            };
+        }
+    }
+
+    /// Whether a router's process was last notified of this start of the worker.
+    pub fn knows_start(&self, process: u32, worker: Address, started: Micros) -> bool {
+        self.notified.get(&(process, worker)).is_some_and(|notified| notified.started == started)
+    }
+
+    /// Rule 3: a router sends an attempt or asks for a reservation.
+    pub fn check_send(&self, context: &mut EventContext, request_id: u64, worker: Address) {
+        let (process, now) = (context.captured.process, context.captured.at);
+        let Some(since) = self.out_of_service_since(process, worker) else { return };
+        let paused = context.pauses.paused_within(process, since, now);
+        let delay = now.saturating_sub(since + paused);
+        let latest = &mut context.report.counts.latest_send_after_drain;
+        *latest = delay.max(*latest);
+        if delay > self.grace {
+            let description = format!(
+                "sent to {} {} ms after it was told to drain or to be gone",
+                display_address(worker),
+                delay / 1000
+            );
+            context.violation(Rule::Drain, Some(request_id), description);
+        }
+    }
+
+    /// When the process, or the first core of its router, was notified that the worker is out of service.
+    fn out_of_service_since(&self, process: u32, worker: Address) -> Option<Micros> {
+        let notified = self.notified.get(&(process, worker));
+        let by_process =
+            notified.filter(|notified| notified.status != EndpointStatus::Serving).map(|n| n.since);
+        let router = self.router_addresses.get(&process);
+        let first = router.and_then(|&router| self.first_notified.get(&(router, worker)));
+        let by_router = first.and_then(|first| first.out_of_service_at);
+        by_process.into_iter().chain(by_router).min()
+    }
+}
