--- a/crates/command/src/measure.rs
+++ b/crates/command/src/measure.rs
@@ -141,18 +141,18 @@
             }
         };
         let _ = std::fs::remove_dir_all(&folder);
-        let r = &seen.readers;
+        let r = &seen.prefill;
         println!(
             "{name:<22}{:>6.2}{:>7.2}{:>7.2}{:>8.2}%{:>7.2}{:>7} of {} ({:.1}){:>9.1}%{service:>9}  {rules}",
-            r.ratio_p50,
-            r.ratio_p99,
-            r.ratio_worst,
-            100.0 * r.idle_beside,
-            r.dispersion,
-            r.herds,
+            r.peak_to_mean_p50,
+            r.peak_to_mean_p99,
+            r.peak_to_mean_max,
+            100.0 * r.idle_while_queued,
+            r.dispersion_index,
+            r.herd_windows,
             r.windows,
-            r.herds_by_chance,
-            100.0 * seen.kept
+            r.expected_herd_windows,
+            100.0 * seen.cached_share
         );
     }
     Ok(all_kept)
--- a/crates/command/src/spread.rs
+++ b/crates/command/src/spread.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use plotters::prelude::*;
-use tideroute_load_balance_report::{Side, Spread};
+use tideroute_load_balance_report::{LoadBalanceReport, RoleBalance};
 use tideroute_simulation::day;
 
 use crate::Ended;
@@ -26,37 +26,38 @@
     Ok(true)
 }
 
-fn table(spread: &Spread) {
+fn table(spread: &LoadBalanceReport) {
     println!("                              readers    writers");
-    let [r, w] = [&spread.readers, &spread.writers];
-    let line = |name: &str, of: &dyn Fn(&Side) -> String| println!("  {name:<24}{:>11}{:>11}", of(r), of(w));
+    let [r, w] = [&spread.prefill, &spread.decode];
+    let line =
+        |name: &str, of: &dyn Fn(&RoleBalance) -> String| println!("  {name:<24}{:>11}{:>11}", of(r), of(w));
     line("workers", &|s| s.workers.to_string());
     line("arrivals", &|s| s.arrivals.to_string());
-    line("fullest/mean p50", &|s| format!("{:.2}", s.ratio_p50));
-    line("fullest/mean p99", &|s| format!("{:.2}", s.ratio_p99));
-    line("fullest/mean worst", &|s| format!("{:.2}", s.ratio_worst));
-    line("idle beside waiting", &|s| format!("{:.2}%", 100.0 * s.idle_beside));
-    line("index of dispersion", &|s| format!("{:.2}", s.dispersion));
-    line("herds", &|s| format!("{} of {}", s.herds, s.windows));
-    line("  chance would show", &|s| format!("{:.1}", s.herds_by_chance));
-    line("worst window", &|s| format!("{} of {}", s.worst_window.0, s.worst_window.1));
-    println!("  shared text found kept    {:.1}%", 100.0 * spread.kept);
-    for t in &spread.tracks {
+    line("fullest/mean p50", &|s| format!("{:.2}", s.peak_to_mean_p50));
+    line("fullest/mean p99", &|s| format!("{:.2}", s.peak_to_mean_p99));
+    line("fullest/mean worst", &|s| format!("{:.2}", s.peak_to_mean_max));
+    line("idle beside waiting", &|s| format!("{:.2}%", 100.0 * s.idle_while_queued));
+    line("index of dispersion", &|s| format!("{:.2}", s.dispersion_index));
+    line("herds", &|s| format!("{} of {}", s.herd_windows, s.windows));
+    line("  chance would show", &|s| format!("{:.1}", s.expected_herd_windows));
+    line("worst window", &|s| format!("{} of {}", s.worst_window.at_worker, s.worst_window.in_window));
+    println!("  shared text found kept    {:.1}%", 100.0 * spread.cached_share);
+    for t in &spread.classes {
         println!(
             "  {:<20} {:>7} asked, {:>5.1}% in contract time, first token p50 {:.0} ms p99 {:.0} ms",
             t.name,
-            t.submitted,
-            100.0 * t.service,
-            t.first_token_p50_ms,
-            t.first_token_p99_ms
+            t.requests,
+            100.0 * t.objective_met,
+            t.ttft_p50_ms,
+            t.ttft_p99_ms
         );
     }
 }
 
-fn draw(spread: &Spread, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let sides = [("readers", &spread.readers, BLUE), ("writers", &spread.writers, RED)];
-    let seconds = sides.iter().map(|(_, s, _)| s.ratios.len()).max().unwrap_or(0).max(1);
-    let highest = sides.iter().map(|(_, s, _)| s.ratio_worst).fold(1.0, f64::max);
+fn draw(spread: &LoadBalanceReport, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    let sides = [("readers", &spread.prefill, BLUE), ("writers", &spread.decode, RED)];
+    let seconds = sides.iter().map(|(_, s, _)| s.peak_to_mean.len()).max().unwrap_or(0).max(1);
+    let highest = sides.iter().map(|(_, s, _)| s.peak_to_mean_max).fold(1.0, f64::max);
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -66,7 +67,7 @@
         .build_cartesian_2d(0.0..seconds as f64, 0.0..highest * 1.1)?;
     chart.configure_mesh().x_desc("second").y_desc("fullest worker over the mean").draw()?;
     for (name, side, colour) in sides {
-        let points = side.ratios.iter().enumerate().map(|(n, ratio)| (n as f64 + 0.5, *ratio));
+        let points = side.peak_to_mean.iter().enumerate().map(|(n, ratio)| (n as f64 + 0.5, *ratio));
         let drawn = chart.draw_series(LineSeries::new(points, colour))?;
         drawn.label(name).legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour));
     }
--- a/crates/load-balance-report/src/lib.rs
+++ b/crates/load-balance-report/src/lib.rs
@@ -1,13 +1,19 @@
-//! How evenly a day's load was spread, read from the record of what passed on the workers' and clients' sockets.
-//! Nothing here knows how a router chooses; a record of any policy is measured alike.
+//! Measures from a traffic capture how evenly the load of workers was balanced. It reads only what passed on the sockets
+//! of workers and clients and knows nothing of how a router chooses, so that captures of any policy are measured alike.
 //!
-//! Of each role and second: the fullest worker's work over the mean, by what each can do. Over the whole day:
-//! worker seconds idle while another of the role has work waiting; arrivals at one worker within a window
-//! against what independent choice would bring; the part of shared prompt text that was found kept; and first
-//! tokens and service by track.
+//! For each role and second: the work in flight at the fullest worker over the mean, both relative to capacity. For the
+//! whole capture: the worker time spent idle while another worker of the role had work queued; arrivals at one worker
+//! within a short window, against what independent choice would bring; the part of shared prefixes that was found cached;
+//! and the time to first token by request class.
 
-mod herds;
-mod measure;
-mod workers;
+#![warn(missing_docs)]
 
-pub use measure::{measure, Side, Spread, SpreadError, TrackFigures};
+mod client_side;
+mod herd_detector;
+mod measurement;
+mod report;
+mod role_load;
+mod worker_side;
+
+pub use measurement::{measure, MeasureError};
+pub use report::{ClassLatency, LoadBalanceReport, RoleBalance, WindowPeak};
