--- a/crates/command/src/serve.rs
+++ b/crates/command/src/serve.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use tideroute_config_language::File;
-use tideroute_emulator::{List, Worker};
+use tideroute_emulator::{Discovery, EmulatedWorker};
 use tideroute_reactor::{ClockSkew, Reactor, RunOutcome as Loop, TrafficCapture};
 use tideroute_relay::Relay;
 use tideroute_simulation::choosers::Way;
@@ -122,7 +122,7 @@
     let reactor = reactor(&[listen.into()], run, &record.name, "worker")?;
     let now = reactor.clock().now();
     let terms = convert::worker(&record, cold, run.script_from.unwrap_or(now), now)?;
-    drive(reactor, &mut Worker::new(terms, now))
+    drive(reactor, &mut EmulatedWorker::new(terms, now))
 }
 
 pub fn list(path: &Path, run: &Run) -> Ended {
@@ -130,7 +130,7 @@
     let listen = convert::socket(&record.listen)?;
     let reactor = reactor(&[listen.into()], run, "list", "list")?;
     let now = reactor.clock().now();
-    drive(reactor, &mut List::new(convert::list(&record, run.script_from.unwrap_or(now), now)))
+    drive(reactor, &mut Discovery::new(convert::list(&record, run.script_from.unwrap_or(now), now)))
 }
 
 pub fn relay(path: &Path, run: &Run) -> Ended {
--- /dev/null
+++ b/crates/emulator/src/prefix_cache.rs
@@ -0,0 +1,29 @@
+//! Shared prefixes whose KV state a worker keeps.
+
+use std::collections::VecDeque;
+
+/// The cached prefixes, in the order in which they came; the oldest is evicted first.
+#[derive(Default)]
+pub struct PrefixCache {
+    prefixes: VecDeque<u64>,
+}
+
+/// Stands for a prompt without a shared prefix.
+const NO_PREFIX: u64 = 0;
+
+impl PrefixCache {
+    pub fn contains(&self, prefix: u64) -> bool {
+        prefix != NO_PREFIX && self.prefixes.contains(&prefix)
+    }
+
+    /// Adds a prefix, and evicts the oldest if more than `capacity` are kept.
+    pub fn insert(&mut self, prefix: u64, capacity: usize) {
+        if prefix == NO_PREFIX || self.prefixes.contains(&prefix) {
+            return;
+        }
+        self.prefixes.push_back(prefix);
+        if self.prefixes.len() > capacity {
+            self.prefixes.pop_front();
+        }
+    }
+}
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -7,7 +7,7 @@
 use tideroute_config_language::kinds::{
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
-use tideroute_emulator::{Does, ListTerms, Trouble, WorkerTerms};
+use tideroute_emulator::{DiscoveryConfig, ScriptedFault, WorkerConfig, WorkerRole};
 use tideroute_membership::Seal;
 use tideroute_relay::{FaultDirection, FaultKind, RelayConfig, Route};
 use tideroute_wire::{Address, Micros, Origin};
@@ -149,48 +149,48 @@
     later.map(|(at, what)| (at - now, what)).collect()
 }
 
-fn steps(step: &Step) -> Vec<(u64, Trouble)> {
+fn steps(step: &Step) -> Vec<(u64, ScriptedFault)> {
     let (begin, end) = match step.act.as_str() {
-        "refuse" => (Trouble::Refuse(true), Some(Trouble::Refuse(false))),
-        "fault" => (Trouble::Fault(true), Some(Trouble::Fault(false))),
-        "slow" => (Trouble::Slow(step.times), Some(Trouble::Slow(1.0))),
-        "corrupt" => (Trouble::Corrupt(true), Some(Trouble::Corrupt(false))),
-        "silent" => (Trouble::Silent, Some(Trouble::Die)),
-        "drain" => (Trouble::Drain, None),
-        _ => (Trouble::Die, None),
+        "refuse" => (ScriptedFault::Reject(true), Some(ScriptedFault::Reject(false))),
+        "fault" => (ScriptedFault::ServerError(true), Some(ScriptedFault::ServerError(false))),
+        "slow" => (ScriptedFault::Slow(step.times), Some(ScriptedFault::Slow(1.0))),
+        "corrupt" => (ScriptedFault::CorruptState(true), Some(ScriptedFault::CorruptState(false))),
+        "silent" => (ScriptedFault::Silent, Some(ScriptedFault::Crash)),
+        "drain" => (ScriptedFault::Drain, None),
+        _ => (ScriptedFault::Crash, None),
     };
     let end = end.zip(step.lasts).map(|(end, lasts)| (step.at + lasts, end));
     [(step.at, begin)].into_iter().chain(end).collect()
 }
 
-pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, String> {
+pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerConfig, String> {
     let able: &Able = &w.does;
-    Ok(WorkerTerms {
+    Ok(WorkerConfig {
         name: w.name.clone(),
         address: address(&w.listen)?,
-        list: address(&w.list)?,
-        does: match able.role {
-            Role::Reader => Does::Read,
-            Role::Writer => Does::Write,
-            Role::Mixed => Does::Both,
+        discovery: address(&w.list)?,
+        role: match able.role {
+            Role::Reader => WorkerRole::Prefill,
+            Role::Writer => WorkerRole::Decode,
+            Role::Mixed => WorkerRole::Mixed,
         },
         kind: w.kind,
         size: able.size,
         cell: w.cell,
         zone: w.zone,
-        warm: w.warm && !cold,
-        reads_at_once: able.reads_at_once,
-        reads_waiting: able.reads_waiting,
-        read_rate: able.read_rate,
-        streams_at_once: able.streams_at_once,
-        streams_waiting: able.streams_waiting,
-        token_gap: able.token_gap,
-        state_bytes_a_token: able.state_bytes_a_token,
-        cold_share: w.terms.cold_share,
-        warm_after: w.terms.warm_after,
-        fall_multiple: w.terms.fall_multiple,
-        fall_span: w.terms.fall_span,
-        keeps: able.keeps,
+        is_warm: w.warm && !cold,
+        prefill_slots: able.reads_at_once,
+        max_queued_prefills: able.reads_waiting,
+        prefill_tokens_per_second: able.read_rate,
+        decode_slots: able.streams_at_once,
+        max_queued_streams: able.streams_waiting,
+        token_interval: able.token_gap,
+        state_bytes_per_token: able.state_bytes_a_token,
+        cold_capacity_share: w.terms.cold_share,
+        warm_up: w.terms.warm_after,
+        overload_multiple: w.terms.fall_multiple,
+        overload_window: w.terms.fall_span,
+        max_cached_prefixes: able.keeps,
         script: to_come(from, now, w.script.iter().flat_map(steps).collect()),
     })
 }
@@ -224,7 +224,7 @@
     })
 }
 
-pub fn list(l: &List, from: Micros, now: Micros) -> ListTerms {
+pub fn list(l: &List, from: Micros, now: Micros) -> DiscoveryConfig {
     let late = l.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, l.lag)]);
-    ListTerms { lag: l.lag, script: to_come(from, now, late.collect()) }
+    DiscoveryConfig { notification_delay: l.lag, script: to_come(from, now, late.collect()) }
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use tideroute_config_language::kinds::Day;
-use tideroute_emulator::{List, Worker};
+use tideroute_emulator::{Discovery, EmulatedWorker};
 use tideroute_lifecycle::ProtobufRouter;
 use tideroute_trace_checker::{CheckError, Report};
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
@@ -163,7 +163,7 @@
         self.starts += 1;
         let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
             let list = files::list(day, ports).list.ok_or_else(missing)?;
-            ("list", &ports.list, Box::new(List::new(convert::list(&list, self.begins, now))))
+            ("list", &ports.list, Box::new(Discovery::new(convert::list(&list, self.begins, now))))
         } else if let Some(n) = day.router_names().position(|r| r == name) {
             let mut router = files::router(day, ports, n, String::new()).router.ok_or_else(missing)?;
             // Here a router is one program; cores are a matter of the process.
@@ -181,7 +181,7 @@
             let (place, (_, group, n)) = all.find(|(_, (w, ..))| w == name).ok_or_else(missing)?;
             let worker = files::worker(day, ports, place, name, group, n).worker.ok_or_else(missing)?;
             let terms = convert::worker(&worker, cold, self.begins, now).map_err(bad)?;
-            ("worker", &ports.workers[place], Box::new(Worker::new(terms, now)))
+            ("worker", &ports.workers[place], Box::new(EmulatedWorker::new(terms, now)))
         };
         let address = convert::address(address).map_err(bad)?;
         let world = &mut self.world;
--- a/crates/simulation/src/load.rs
+++ b/crates/simulation/src/load.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use tideroute_config_language::kinds::Load as Record;
-use tideroute_emulator::state;
+use tideroute_emulator::kv_state;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{client, say_hello_with, Address, Malformed, Micros, Party};
 
@@ -248,7 +248,7 @@
         let p = &self.planned[place];
         let track = &self.terms.tracks[usize::from(p.track)];
         let Some(course) = self.courses.get_mut(&place) else { return };
-        let expected = course.crc.map(|crc| state::answer_tokens(crc, p.most_tokens));
+        let expected = course.crc.map(|crc| kv_state::response_tokens(crc, p.most_tokens));
         if course.wrong || expected != Some(tokens) || course.tokens != tokens {
             self.tally.wrong += 1;
             tracing::error!(place, tokens, ?expected, "an answer is not that of its prompt");
@@ -270,12 +270,12 @@
         let Some(course) = self.courses.get_mut(&place) else { return };
         let crc = *course.crc.get_or_insert_with(|| {
             let bytes = self.terms.state_bytes_a_token;
-            crc32fast::hash(&state::make(&p.prompt, p.prompt_tokens, bytes))
+            crc32fast::hash(&kv_state::generate(&p.prompt, p.prompt_tokens, bytes))
         });
         if course.tokens > 0 {
             self.tally.gaps.saturating_record(now - course.last_token);
         }
-        course.wrong |= index != course.tokens || text[..] != state::text(crc, index);
+        course.wrong |= index != course.tokens || text[..] != kv_state::token_text(crc, index);
         (course.tokens, course.last_token) = (course.tokens + 1, now);
         course.first_token.get_or_insert(now);
         if p.leaves_after.is_some_and(|after| course.tokens >= after.max(1)) {
