--- a/crates/emulator/src/kv_state.rs
+++ b/crates/emulator/src/kv_state.rs
@@ -26,6 +26,6 @@
 
 /// The text of one token of the response.
 pub fn token_text(state_crc: u32, index: u32) -> [u8; 8] {
-    let word = u64::from(state_crc) << 32 | u64::from(index);
-    word.wrapping_mul(MIXING_FACTOR).rotate_left(MIXING_ROTATION).to_le_bytes()
+    let mixed = u64::from(state_crc) << 32 | u64::from(index);
+    mixed.wrapping_mul(MIXING_FACTOR).rotate_left(MIXING_ROTATION).to_le_bytes()
 }
--- a/crates/emulator/src/prefix_cache.rs
+++ b/crates/emulator/src/prefix_cache.rs
@@ -1,5 +1,8 @@
 //! Shared prefixes whose KV state a worker keeps.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::VecDeque;
 
 /// The cached prefixes, in the order in which they came; the oldest is evicted first.
