--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use tideroute_tenant_store::{Precondition, Revision, Tenant, TenantStore};
-use tideroute_wire::tenant::{Figures, Watcher};
+use tideroute_wire::tenant::{TenantStats, Watcher};
 use tideroute_wire::{Malformed, Micros};
 
 use crate::administrator::{authenticate, Administrator, Role};
@@ -158,11 +158,11 @@
 }
 
 impl Watcher for Api {
-    fn stats(&mut self, core: &str, name: &str, figures: Figures) -> Result<(), Malformed> {
+    fn stats(&mut self, core: &str, name: &str, stats: TenantStats) -> Result<(), Malformed> {
         // A core may report once more on a tenant that was removed.
         let exists = self.store.get(name).is_ok_and(|revision| revision.is_some());
         if exists {
-            self.statistics.record(core, name, figures);
+            self.statistics.record(core, name, stats);
         }
         Ok(())
     }
--- a/crates/admin/src/tenant_statistics.rs
+++ b/crates/admin/src/tenant_statistics.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use serde::Serialize;
-use tideroute_wire::tenant::Figures;
+use tideroute_wire::tenant::TenantStats;
 
 /// The last statistics of each tenant from each core.
 #[derive(Default)]
 pub(crate) struct TenantStatistics {
-    by_tenant: BTreeMap<String, BTreeMap<String, Figures>>,
+    by_tenant: BTreeMap<String, BTreeMap<String, TenantStats>>,
 }
 
 /// A tenant's statistics, summed over all cores. The names in JSON are those of the API.
@@ -24,14 +24,14 @@
     in_time: u64,
     late: u64,
     #[serde(rename = "waited_us")]
-    total_wait: u64,
+    queue_time: u64,
     waiting: u64,
     in_flight: u64,
 }
 
 impl TenantStatistics {
-    pub fn record(&mut self, core: &str, tenant: &str, figures: Figures) {
-        self.by_tenant.entry(tenant.to_string()).or_default().insert(core.to_string(), figures);
+    pub fn record(&mut self, core: &str, tenant: &str, stats: TenantStats) {
+        self.by_tenant.entry(tenant.to_string()).or_default().insert(core.to_string(), stats);
     }
 
     pub fn remove(&mut self, tenant: &str) {
@@ -46,19 +46,17 @@
 }
 
 impl<'a> TenantTotals<'a> {
-    fn sum(name: &'a str, cores: &BTreeMap<String, Figures>) -> TenantTotals<'a> {
+    fn sum(name: &'a str, cores: &BTreeMap<String, TenantStats>) -> TenantTotals<'a> {
         let mut totals = TenantTotals { name, ..TenantTotals::default() };
-        for (counters, gauges) in cores.values() {
-            let [received, admitted, rejected, in_time, late, total_wait] = counters;
-            let [waiting, in_flight] = gauges;
-            totals.received += received;
-            totals.admitted += admitted;
-            totals.rejected += rejected;
-            totals.in_time += in_time;
-            totals.late += late;
-            totals.total_wait += total_wait;
-            totals.waiting += u64::from(*waiting);
-            totals.in_flight += u64::from(*in_flight);
+        for stats in cores.values() {
+            totals.received += stats.received;
+            totals.admitted += stats.admitted;
+            totals.rejected += stats.rejected;
+            totals.in_time += stats.in_time;
+            totals.late += stats.late;
+            totals.queue_time += stats.queue_time;
+            totals.waiting += u64::from(stats.waiting);
+            totals.in_flight += u64::from(stats.in_flight);
         }
         totals
     }
--- a/crates/admission/src/admission_control.rs
+++ b/crates/admission/src/admission_control.rs
@@ -219,7 +219,7 @@
         }
         state.stats.admitted += 1;
         state.stats.in_flight += 1;
-        state.stats.total_wait += now - request.received_at;
+        state.stats.queue_time += now - request.received_at;
         self.in_flight.insert(request.ticket, InFlightRequest { tenant, admitted_at: now });
         self.remove_waiting(tenant, position);
         self.reschedule(now, tenant);
--- a/crates/admission/src/tenant.rs
+++ b/crates/admission/src/tenant.rs
@@ -42,7 +42,7 @@
     /// Admitted requests whose response was late.
     pub late: u64,
     /// Microseconds that the admitted requests waited, summed up.
-    pub total_wait: u64,
+    pub queue_time: u64,
     /// Requests that wait at present.
     pub waiting: u32,
     /// Requests in flight at present.
--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -47,8 +47,8 @@
     }
 }
 
-fn rate((per_second, burst): tenant::Rate) -> RateLimit {
-    RateLimit { per_second, burst }
+fn rate(rate: tenant::Rate) -> RateLimit {
+    RateLimit { per_second: rate.per_second, burst: rate.burst }
 }
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
@@ -61,14 +61,15 @@
     effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
 }
 
-fn wire_figures(figures: &TenantStats) -> tenant::Figures {
-    let sums = [
-        figures.received,
-        figures.admitted,
-        figures.rejected,
-        figures.in_time,
-        figures.late,
-        figures.total_wait,
-    ];
-    (sums, [figures.waiting, figures.in_flight])
+fn wire_figures(figures: &TenantStats) -> tenant::TenantStats {
+    tenant::TenantStats {
+        received: figures.received,
+        admitted: figures.admitted,
+        rejected: figures.rejected,
+        in_time: figures.in_time,
+        late: figures.late,
+        queue_time: figures.queue_time,
+        waiting: figures.waiting,
+        in_flight: figures.in_flight,
+    }
 }
--- a/crates/membership-checker/src/report.rs
+++ b/crates/membership-checker/src/report.rs
@@ -45,7 +45,7 @@
 
 impl Report {
     /// There was no violation.
-    pub fn passed(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
--- a/crates/membership-checker/tests/violations.rs
+++ b/crates/membership-checker/tests/violations.rs
@@ -77,7 +77,7 @@
     /// Asserts that there is a violation, and that all violations contain this text.
     fn assert_violation(self, text: &str) {
         let report = self.check();
-        assert!(!report.passed(), "{text}: not found");
+        assert!(!report.is_clean(), "{text}: not found");
         let violations = &report.violations;
         let all_match = violations.iter().all(|violation| violation.kind.to_string().contains(text));
         assert!(all_match, "{text}: {violations:?}");
