--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -65,9 +65,9 @@
 }
 
 impl GossipHandler for DatagramHandler<'_> {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, standing: MemberStatus) {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, status: MemberStatus) {
         self.sender = Some(Peer { name: name.to_string(), address: at });
-        let member = Member { name: name.to_string(), address: at, incarnation, status: standing };
+        let member = Member { name: name.to_string(), address: at, incarnation, status };
         self.membership.apply_claim(self.now, Claim { member, suspecter: 0, source: ClaimSource::Rumor });
         self.correct_stale_sender(name, at, incarnation);
     }
@@ -77,11 +77,11 @@
         name: &str,
         at: Address,
         incarnation: u64,
-        standing: MemberStatus,
+        status: MemberStatus,
         by: u32,
         in_page: bool,
     ) {
-        let member = Member { name: name.to_string(), address: at, incarnation, status: standing };
+        let member = Member { name: name.to_string(), address: at, incarnation, status };
         let source = if in_page { ClaimSource::FullExchange } else { ClaimSource::Rumor };
         self.membership.apply_claim(self.now, Claim { member, suspecter: by, source });
     }
@@ -119,15 +119,15 @@
         }
     }
 
-    fn digest(&mut self, number: u32, prints: &[u64]) {
-        self.answer_digests(number, prints, ReplyDigests::Include);
+    fn digest(&mut self, number: u32, digests: &[u64]) {
+        self.answer_digests(number, digests, ReplyDigests::Include);
     }
 
-    fn page(&mut self, number: u32, _page: u32, _pages: u32, prints: &[u64], _health: u32) {
-        if prints.is_empty() {
+    fn page(&mut self, number: u32, _page: u32, _pages: u32, digests: &[u64], _health: u32) {
+        if digests.is_empty() {
             return;
         }
-        self.answer_digests(number, prints, ReplyDigests::Omit);
+        self.answer_digests(number, digests, ReplyDigests::Omit);
         let schedule = &mut self.membership.schedule;
         schedule.exchange_at = schedule.exchange_at.min(self.now + SHORT_EXCHANGE_INTERVAL);
     }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -16,8 +16,8 @@
 /// Microseconds without any other member after which that is logged, each time again.
 const ALONE_WARNING_INTERVAL: Micros = 2_000_000;
 
-/// The listener of datagrams: a member has only one.
-const LISTENER: usize = 0;
+/// The socket of datagrams: a member has only one.
+const SOCKET: usize = 0;
 
 /// The only timer.
 const TIMER_KEY: u64 = 0;
@@ -75,7 +75,7 @@
                 Output::Send { to, message } => {
                     let datagram = self.authenticator.sign(&message);
                     counter!("tideroute_fleet_bytes_total", "way" => "out").increment(datagram.len() as u64);
-                    effects.send_datagram(LISTENER, to, datagram);
+                    effects.send_datagram(SOCKET, to, datagram);
                 }
                 Output::StatusChanged(member) => report_status(&member, effects),
             }
@@ -141,7 +141,7 @@
     fn on_datagram(
         &mut self,
         now: Micros,
-        _listener: usize,
+        _socket: usize,
         from: Address,
         datagram: &Bytes,
         _effects: &mut Effects,
