--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -1,6 +1,6 @@
 //! Changes of tenants, which the administration sends, and the tenants' statistics, which it receives.
 
-use tideroute_admission::{Figures, Limits, Rate};
+use tideroute_admission::{Limits, RateLimit, TenantStats};
 use tideroute_wire::event_loop::Effects;
 use tideroute_wire::{tenant, Malformed, Micros};
 
@@ -47,8 +47,8 @@
     }
 }
 
-fn rate(rate: tenant::Rate) -> Rate {
-    Rate { a_second: rate.per_second, burst: rate.burst }
+fn rate(rate: tenant::Rate) -> RateLimit {
+    RateLimit { per_second: rate.per_second, burst: rate.burst }
 }
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
@@ -61,14 +61,14 @@
     effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
 }
 
-fn wire_figures(figures: &Figures) -> tenant::TenantStats {
+fn wire_figures(figures: &TenantStats) -> tenant::TenantStats {
     tenant::TenantStats {
-        received: figures.asked,
-        admitted: figures.let_in,
+        received: figures.received,
+        admitted: figures.admitted,
         rejected: figures.rejected,
         in_time: figures.in_time,
         late: figures.late,
-        queue_time: figures.waited,
+        queue_time: figures.queue_time,
         waiting: figures.waiting,
         in_flight: figures.in_flight,
     }
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddrV4;
 
 use tideroute::types::{self, DeduplicationScope, Idempotency};
-use tideroute_admission::{Limits, Rate};
+use tideroute_admission::{Limits, RateLimit};
 use tideroute_config_language::kinds::{
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
 use tideroute_emulator::{DiscoveryConfig, ScriptedFault, WorkerConfig, WorkerRole};
-use tideroute_membership::Seal;
+use tideroute_membership::{MembershipConfig, MessageAuthenticator};
 use tideroute_relay::{FaultDirection, FaultKind, RelayConfig, Route};
 use tideroute_wire::{Address, Micros, Origin};
 
@@ -117,11 +117,12 @@
 }
 
 /// The terms of a fleet's member, and the seal of the fleet.
-pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(tideroute_membership::Terms, Seal), String> {
+pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(MembershipConfig, MessageAuthenticator), String> {
     let key = hash(&f.key).map_err(|e| format!("the key of the fleet {}: {e}", f.name))?;
     let seeds = f.seeds.iter().map(|s| address(s)).collect::<Result<_, _>>()?;
-    let terms = tideroute_membership::Terms { name: name.to_string(), at: address(&f.listen)?, seeds, seed };
-    Ok((terms, Seal::new(&f.name, &key)))
+    let terms =
+        MembershipConfig { name: name.to_string(), address: address(&f.listen)?, seeds, rng_seed: seed };
+    Ok((terms, MessageAuthenticator::new(&f.name, &key)))
 }
 
 /// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
@@ -131,7 +132,8 @@
 }
 
 fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, String> {
-    let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
+    let rate =
+        |a_second: Option<f64>, burst| a_second.map(|a_second| RateLimit { per_second: a_second, burst });
     let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
     let limits = Limits {
         requests: rate(t.submissions, t.submissions_once),
