--- a/crates/membership/src/message_authenticator.rs
+++ b/crates/membership/src/message_authenticator.rs
@@ -40,9 +40,9 @@
     /// Value of the metric's label.
     pub fn metric_label(self) -> &'static str {
         match self {
-            AuthError::UnknownFormat => "stranger",
-            AuthError::OtherFleet => "other fleet",
-            AuthError::WrongMac => "forged",
+            AuthError::UnknownFormat => "unknown-format",
+            AuthError::OtherFleet => "other-fleet",
+            AuthError::WrongMac => "wrong-mac",
         }
     }
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -51,9 +51,9 @@
         report_counters(&stats, &self.reported);
         self.reported = stats;
         let others = self.membership.active_count();
-        gauge!("tideroute_fleet_others").set(others as f64);
-        gauge!("tideroute_fleet_health").set(f64::from(self.membership.local_health()));
-        gauge!("tideroute_fleet_alone").set(f64::from(u8::from(others == 0)));
+        gauge!("tideroute_membership_peers").set(others as f64);
+        gauge!("tideroute_membership_health_penalty").set(f64::from(self.membership.local_health()));
+        gauge!("tideroute_membership_isolated").set(f64::from(u8::from(others == 0)));
     }
 
     /// Warns again and again while no other member is known.
@@ -74,7 +74,7 @@
             match output {
                 Output::Send { to, message } => {
                     let datagram = self.authenticator.sign(&message);
-                    counter!("tideroute_fleet_bytes_total", "way" => "out").increment(datagram.len() as u64);
+                    counter!("tideroute_membership_bytes_total", "direction" => "out").increment(datagram.len() as u64);
                     effects.send_datagram(SOCKET, to, datagram);
                 }
                 Output::StatusChanged(member) => report_status(&member, effects),
@@ -146,10 +146,10 @@
         datagram: &Bytes,
         _effects: &mut Effects,
     ) {
-        counter!("tideroute_fleet_bytes_total", "way" => "in").increment(datagram.len() as u64);
+        counter!("tideroute_membership_bytes_total", "direction" => "in").increment(datagram.len() as u64);
         // A datagram that is not authentic or malformed is dropped and counted, and never answered.
         if let Err(why) = self.receive(now, from, datagram) {
-            counter!("tideroute_fleet_dropped_total", "why" => why).increment(1);
+            counter!("tideroute_membership_datagrams_dropped_total", "reason" => why).increment(1);
             tracing::debug!(why, "a datagram was dropped");
         }
     }
@@ -182,16 +182,16 @@
         ("probes", stats.probes, reported.probes),
         ("unanswered", stats.unanswered_probes, reported.unanswered_probes),
         ("suspected", stats.suspicions, reported.suspicions),
-        ("declared dead", stats.declared_dead, reported.declared_dead),
+        ("declared-dead", stats.declared_dead, reported.declared_dead),
         ("refuted", stats.refutations, reported.refutations),
-        ("from the future", stats.future_incarnations, reported.future_incarnations),
-        ("no room", stats.list_full, reported.list_full),
-        ("quarrels", stats.name_conflicts, reported.name_conflicts),
-        ("late", stats.late_wakeups, reported.late_wakeups),
+        ("future-incarnation", stats.future_incarnations, reported.future_incarnations),
+        ("list-full", stats.list_full, reported.list_full),
+        ("name-conflict", stats.name_conflicts, reported.name_conflicts),
+        ("late-wakeup", stats.late_wakeups, reported.late_wakeups),
     ];
     for (what, now, before) in counters {
         if now > before {
-            counter!("tideroute_fleet_total", "what" => what).increment(now - before);
+            counter!("tideroute_membership_events_total", "event" => what).increment(now - before);
         }
     }
 }
@@ -205,6 +205,6 @@
         MemberStatus::Left => "left",
     };
     tracing::info!(name = member.name, incarnation = member.incarnation, status, "a member's status changed");
-    counter!("tideroute_fleet_seen_total", "standing" => status).increment(1);
+    counter!("tideroute_membership_status_changes_total", "status" => status).increment(1);
     effects.annotate_capture(format!("{status} {} {}", member.incarnation, member.name));
 }
