--- /dev/null
+++ b/crates/command/src/admin_client.rs
@@ -0,0 +1,403 @@
+//! The commands `admin`: a client of the administration API.
+
+use std::collections::HashMap;
+use std::io::{IsTerminal, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+use clap::{Args, Subcommand};
+use serde_json::Value;
+use tideroute_tenant_store::Store;
+
+use crate::error::{CommandError, CommandResult, CommandStatus};
+
+/// How long a connection, a request and its reply may take.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes: a longer response is not from the API.
+const MAX_RESPONSE_BYTES: u64 = 256 << 20;
+/// Headers of a response.
+const MAX_HEADERS: usize = 32;
+/// Tenants that `admin top` shows.
+const TOP_ROWS: usize = 40;
+/// The environment variable with the key, if no file is named.
+const KEY_VARIABLE: &str = "TIDEROUTE_KEY";
+
+/// Where the API listens, and the key to authenticate with.
+#[derive(Args)]
+pub struct ApiClient {
+    /// The address of the administration.
+    #[arg(long, default_value = "127.0.0.1:7100", value_name = "ADDRESS")]
+    at: SocketAddr,
+    /// A file that holds the key; without, the environment's TIDEROUTE_KEY.
+    #[arg(long, value_name = "FILE")]
+    key_file: Option<PathBuf>,
+    /// Prints what the API replied, as JSON.
+    #[arg(long)]
+    json: bool,
+}
+
+/// One command of `admin`.
+#[derive(Subcommand)]
+pub enum AdminCommand {
+    /// Makes a key: prints it once, and the hash that a record or a tenant holds of it.
+    Key,
+    /// All tenants.
+    List(ApiClient),
+    /// One tenant and its version.
+    Show {
+        name: String,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// Adds a tenant, or changes the version of it that is named.
+    Put {
+        name: String,
+        /// A file with the tenant as JSON; - reads standard input.
+        file: PathBuf,
+        /// The version that is changed; without, the tenant must be new.
+        #[arg(long)]
+        version: Option<u64>,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// Removes a tenant: its keys are dead at once, what is in flight runs to its end.
+    Remove {
+        name: String,
+        #[arg(long)]
+        version: u64,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// What a tenant was, the newest first.
+    History {
+        name: String,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// All changes, with who and when.
+    Changes(ApiClient),
+    /// Requests of tenants and their outcomes, refreshed each second until Ctrl-C; the busiest first.
+    Top {
+        /// Prints once and ends.
+        #[arg(long)]
+        once: bool,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// Writes everything that is kept into a file.
+    Snapshot {
+        file: PathBuf,
+        #[command(flatten)]
+        client: ApiClient,
+    },
+    /// Puts a snapshot in place of all that a store holds; its router must not run.
+    Restore { store: PathBuf, file: PathBuf },
+}
+
+/// Runs one command of `admin`.
+pub fn run(command: &AdminCommand) -> CommandResult {
+    match command {
+        AdminCommand::Key => make_key(),
+        AdminCommand::List(client) => print_pages(client, "/v1/tenants", "after"),
+        AdminCommand::Changes(client) => print_pages(client, "/v1/changes", "after"),
+        AdminCommand::History { name, client } => {
+            print_pages(client, &format!("/v1/tenants/{}/history", checked_name(name)?), "before")
+        }
+        AdminCommand::Show { name, client } => {
+            let response =
+                client.request("GET", &format!("/v1/tenants/{}", checked_name(name)?), None, b"")?;
+            client.print(&[response.json()?]);
+            Ok(CommandStatus::Success)
+        }
+        AdminCommand::Put { name, file, version, client } => {
+            let body = read_body(file)?;
+            let precondition = version.map_or("if-none-match: *".into(), |v| format!("if-match: \"{v}\""));
+            let path = format!("/v1/tenants/{}", checked_name(name)?);
+            let response = client.request("PUT", &path, Some(&precondition), &body)?;
+            client.print(&[response.json()?]);
+            Ok(CommandStatus::Success)
+        }
+        AdminCommand::Remove { name, version, client } => {
+            let precondition = format!("if-match: \"{version}\"");
+            client.request(
+                "DELETE",
+                &format!("/v1/tenants/{}", checked_name(name)?),
+                Some(&precondition),
+                b"",
+            )?;
+            println!("{name} is removed");
+            Ok(CommandStatus::Success)
+        }
+        AdminCommand::Top { once, client } => top(client, *once),
+        AdminCommand::Snapshot { file, client } => {
+            let response = client.request("GET", "/v1/snapshot", None, b"")?;
+            std::fs::write(file, &response.body).map_err(CommandError::in_file(file))?;
+            println!("{} bytes in {}", response.body.len(), file.display());
+            Ok(CommandStatus::Success)
+        }
+        AdminCommand::Restore { store, file } => restore(store, file),
+    }
+}
+
+/// Generates a key and prints it with its hash.
+fn make_key() -> CommandResult {
+    let mut bytes = [0; 32];
+    getrandom::fill(&mut bytes).map_err(ApiError::RandomKey)?;
+    let key: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    println!("key  {key}\nhash {}", blake3::hash(key.as_bytes()).to_hex());
+    Ok(CommandStatus::Success)
+}
+
+/// Replaces the contents of a store by a snapshot.
+fn restore(store: &Path, file: &Path) -> CommandResult {
+    let snapshot = std::fs::File::open(file).map_err(CommandError::in_file(file))?;
+    let opened = Store::open(store).map_err(CommandError::in_file(store))?;
+    let entries = opened.restore(snapshot).map_err(CommandError::in_file(file))?;
+    println!("{entries} entries are in {}", store.display());
+    Ok(CommandStatus::Success)
+}
+
+/// A tenant's name as part of a path: what the API would not take as one is refused here.
+fn checked_name(name: &str) -> Result<&str, ApiError> {
+    let is_valid = !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+    if is_valid {
+        Ok(name)
+    } else {
+        Err(ApiError::InvalidTenantName(name.to_string()))
+    }
+}
+
+/// Reads a file, or standard input for `-`.
+fn read_body(file: &Path) -> Result<Vec<u8>, CommandError> {
+    let mut body = vec![];
+    let read = if file == Path::new("-") {
+        std::io::stdin().read_to_end(&mut body)
+    } else {
+        std::fs::File::open(file).and_then(|mut file| file.read_to_end(&mut body))
+    };
+    read.map_err(CommandError::in_file(file))?;
+    Ok(body)
+}
+
+/// Prints the entries of all pages.
+fn print_pages(client: &ApiClient, path: &str, cursor: &str) -> CommandResult {
+    let entries = client.all_pages(path, cursor)?;
+    client.print(&entries);
+    Ok(CommandStatus::Success)
+}
+
+/// Counters of a tenant that `admin top` shows as rates, by their keys in the API.
+const COUNTERS: [&str; 5] = ["asked", "let_in", "turned_back", "in_time", "late"];
+
+type Counters = [f64; COUNTERS.len()];
+
+fn counters(row: &Value) -> Counters {
+    COUNTERS.map(|key| row[key].as_f64().unwrap_or(0.0))
+}
+
+fn tenant_name(row: &Value) -> &str {
+    row["name"].as_str().unwrap_or("?")
+}
+
+/// Shows the busiest tenants, refreshed each second unless `once`.
+fn top(client: &ApiClient, once: bool) -> CommandResult {
+    let mut previous: HashMap<String, Counters> = HashMap::new();
+    let mut queried_at = Instant::now();
+    loop {
+        let rows = client.all_pages("/v1/figures", "after")?;
+        let seconds = queried_at.elapsed().as_secs_f64().max(1e-3);
+        queried_at = Instant::now();
+        let text = top_table(&rows, &previous, seconds);
+        let clear = if !once && std::io::stdout().is_terminal() { "\x1b[H\x1b[2J" } else { "" };
+        print!("{clear}{text}");
+        std::io::stdout().flush()?;
+        if once {
+            return Ok(CommandStatus::Success);
+        }
+        previous = rows.iter().map(|row| (tenant_name(row).to_string(), counters(row))).collect();
+        std::thread::sleep(Duration::from_secs(1));
+    }
+}
+
+/// The busiest tenants as a table: rates since the previous query, or sums since the start if there was none.
+fn top_table(rows: &[Value], previous: &HashMap<String, Counters>, seconds: f64) -> String {
+    let (divisor, unit) = if previous.is_empty() { (1.0, "since the start") } else { (seconds, "a second") };
+    let rates = |row: &Value| -> Counters {
+        let before = previous.get(tenant_name(row)).copied().unwrap_or_default();
+        let now = counters(row);
+        std::array::from_fn(|n| (now[n] - before[n]).max(0.0) / divisor)
+    };
+    let mut sorted: Vec<(&Value, Counters)> = rows.iter().map(|row| (row, rates(row))).collect();
+    sorted.sort_by(|(a, a_rates), (b, b_rates)| {
+        b_rates[0].total_cmp(&a_rates[0]).then_with(|| tenant_name(a).cmp(tenant_name(b)))
+    });
+    let mut text = format!(
+        "{:<20}{:>9}{:>9}{:>12}{:>9}{:>8}{:>9}{:>11}   {unit}\n",
+        "tenant", "asked", "let in", "turned back", "in time", "late", "waiting", "in flight"
+    );
+    for (row, [requests, admitted, rejected, in_time, late]) in sorted.into_iter().take(TOP_ROWS) {
+        text += &format!(
+            "{:<20}{requests:>9.0}{admitted:>9.0}{rejected:>12.0}{in_time:>9.0}{late:>8.0}{:>9}{:>11}\n",
+            tenant_name(row),
+            row["waiting"],
+            row["in_flight"]
+        );
+    }
+    text
+}
+
+/// Why a call of the administration API failed.
+#[derive(Debug, thiserror::Error)]
+pub enum ApiError {
+    /// The operating system's random number generator failed.
+    #[error("no random bytes: {0}")]
+    RandomKey(getrandom::Error),
+    /// The name cannot be a tenant's.
+    #[error("{0:?} is no name of a tenant: a-z, 0-9 and - only")]
+    InvalidTenantName(String),
+    /// The key's file cannot be read.
+    #[error("{}: {source}", path.display())]
+    KeyFile { path: PathBuf, source: std::io::Error },
+    /// Neither a file nor the environment holds a key.
+    #[error("no key: name a --key-file or set {KEY_VARIABLE}")]
+    NoKey,
+    /// The key cannot be sent in a header.
+    #[error("the key is empty, or is no plain text")]
+    InvalidKey,
+    /// The connection failed.
+    #[error("{address}: {source}")]
+    Connection { address: SocketAddr, source: std::io::Error },
+    /// The response is no HTTP.
+    #[error("{0}: this is not an administration of ours")]
+    NotTheApi(SocketAddr),
+    /// The body of the response is no JSON.
+    #[error("the reply is no JSON: {0}")]
+    InvalidJson(serde_json::Error),
+    /// The API refused the call; `present` is the tenant's version and content, if the call was about another.
+    #[error("{status}: {detail}{}", present_text(.present))]
+    Refused { status: u16, detail: String, present: Option<(u64, Value)> },
+}
+
+fn present_text(present: &Option<(u64, Value)>) -> String {
+    match present {
+        Some((version, tenant)) => format!("\npresent version {version}: {tenant}"),
+        None => String::new(),
+    }
+}
+
+/// A successful response.
+struct Response {
+    body: Vec<u8>,
+}
+
+impl Response {
+    fn json(&self) -> Result<Value, ApiError> {
+        serde_json::from_slice(&self.body).map_err(ApiError::InvalidJson)
+    }
+}
+
+impl ApiClient {
+    fn key(&self) -> Result<String, ApiError> {
+        let text = match &self.key_file {
+            Some(path) => std::fs::read_to_string(path)
+                .map_err(|source| ApiError::KeyFile { path: path.clone(), source })?,
+            None => std::env::var(KEY_VARIABLE).map_err(|_| ApiError::NoKey)?,
+        };
+        let key = text.trim().to_string();
+        let is_valid = !key.is_empty() && key.bytes().all(|b| b.is_ascii_graphic());
+        if is_valid {
+            Ok(key)
+        } else {
+            Err(ApiError::InvalidKey)
+        }
+    }
+
+    /// The entries of all pages at the path.
+    fn all_pages(&self, path: &str, cursor: &str) -> Result<Vec<Value>, ApiError> {
+        let mut entries = vec![];
+        let mut next = String::new();
+        loop {
+            let from = if next.is_empty() { String::new() } else { format!("&{cursor}={next}") };
+            let page = self.request("GET", &format!("{path}?most=1000{from}"), None, b"")?.json()?;
+            entries.extend(page["entries"].as_array().cloned().unwrap_or_default());
+            match page["next"].as_str() {
+                Some(more) => next = more.to_string(),
+                None => return Ok(entries),
+            }
+        }
+    }
+
+    /// Sends one request on a connection of its own.
+    fn request(
+        &self,
+        method: &str,
+        path: &str,
+        precondition: Option<&str>,
+        body: &[u8],
+    ) -> Result<Response, ApiError> {
+        let connection = |source| ApiError::Connection { address: self.at, source };
+        let mut stream = TcpStream::connect_timeout(&self.at, TIMEOUT).map_err(connection)?;
+        stream.set_read_timeout(Some(TIMEOUT)).map_err(connection)?;
+        stream.set_write_timeout(Some(TIMEOUT)).map_err(connection)?;
+        let mut head = format!("{method} {path} HTTP/1.1\r\nhost: {}\r\nconnection: close\r\n", self.at);
+        head += &format!("authorization: Bearer {}\r\n", self.key()?);
+        if let Some(precondition) = precondition {
+            head += &format!("{precondition}\r\n");
+        }
+        head += &format!("content-type: application/json\r\ncontent-length: {}\r\n\r\n", body.len());
+        stream.write_all(&[head.as_bytes(), body].concat()).map_err(connection)?;
+        let mut received = vec![];
+        stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut received).map_err(connection)?;
+        self.parse_response(&received)
+    }
+
+    fn parse_response(&self, received: &[u8]) -> Result<Response, ApiError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Response::new(&mut headers);
+        let Ok(httparse::Status::Complete(head_length)) = parsed.parse(received) else {
+            return Err(ApiError::NotTheApi(self.at));
+        };
+        let status = parsed.code.ok_or(ApiError::NotTheApi(self.at))?;
+        let response = Response { body: received[head_length..].to_vec() };
+        if status < 300 {
+            return Ok(response);
+        }
+        let problem = response.json()?;
+        let detail = problem["detail"].as_str().unwrap_or("no more is known").to_string();
+        let version = problem["present"]["version"].as_u64();
+        let present = version.map(|version| (version, problem["present"]["tenant"].clone()));
+        Err(ApiError::Refused { status, detail, present })
+    }
+
+    /// Prints entries as a table, or as JSON lines.
+    fn print(&self, entries: &[Value]) {
+        if self.json {
+            entries.iter().for_each(|entry| println!("{entry}"));
+            return;
+        }
+        println!(
+            "{:<20}{:>8}{:>8}{:>14}{:>14}{:>10}{:>6}  changed by",
+            "tenant", "version", "weight", "submissions/s", "tokens/s", "in flight", "keys"
+        );
+        for entry in entries {
+            let name = tenant_name(entry);
+            let version = &entry["version"];
+            let by = entry["by"].as_str().unwrap_or("?");
+            let tenant = &entry["tenant"];
+            if tenant.is_null() {
+                println!("{name:<20}{version:>8}{:>52}  {by}", "removed");
+                continue;
+            }
+            let limit = |value: &Value| if value.is_null() { "-".to_string() } else { value.to_string() };
+            let keys = tenant["keys"].as_array().map_or(0, Vec::len);
+            println!(
+                "{name:<20}{version:>8}{:>8}{:>14}{:>14}{:>10}{keys:>6}  {by}",
+                limit(&tenant["weight"]),
+                limit(&tenant["submissions"]["a_second"]),
+                limit(&tenant["tokens"]["a_second"]),
+                limit(&tenant["in_flight"]),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/command/src/fleet_status.rs
@@ -0,0 +1,304 @@
+//! The command `fleet status`: one router is queried for all members it knows, the others for where they differ.
+
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use serde::Serialize;
+use tideroute_membership::{part_of, Seal};
+use tideroute_simulation::convert;
+use tideroute_wire::gossip::{self, GossipHandler, GossipMessage, MemberStatus, LARGEST, PARTS};
+use tideroute_wire::Address;
+
+use crate::config_file;
+use crate::error::{CommandError, CommandResult, CommandStatus};
+
+/// How long a router may take to answer before the query is repeated.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Attempts without an answer after which a router counts as silent.
+const MAX_UNANSWERED: usize = 4;
+/// Queries without a new member after which all is known of a cluster whose pages do not fit into one answer.
+const MAX_WITHOUT_NEWS: usize = 3;
+
+/// A member's status, by the word that is printed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
+#[serde(rename_all = "lowercase")]
+enum ShownStatus {
+    There,
+    Suspected,
+    Dead,
+    Left,
+}
+
+impl From<MemberStatus> for ShownStatus {
+    fn from(status: MemberStatus) -> ShownStatus {
+        match status {
+            MemberStatus::Alive => ShownStatus::There,
+            MemberStatus::Suspected => ShownStatus::Suspected,
+            MemberStatus::Dead => ShownStatus::Dead,
+            MemberStatus::Left => ShownStatus::Left,
+        }
+    }
+}
+
+/// A member as one router sees it.
+#[derive(Clone, Debug, Serialize)]
+struct ShownMember {
+    address: String,
+    #[serde(rename = "standing")]
+    status: ShownStatus,
+    incarnation: u64,
+    #[serde(skip)]
+    at: Address,
+}
+
+impl ShownMember {
+    fn is_present(&self) -> bool {
+        matches!(self.status, ShownStatus::There | ShownStatus::Suspected)
+    }
+}
+
+fn socket_address(at: Address) -> SocketAddrV4 {
+    SocketAddrV4::new([at[0], at[1], at[2], at[3]].into(), u16::from_be_bytes([at[4], at[5]]))
+}
+
+/// The members that one router sees, as far as it has answered.
+#[derive(Default)]
+struct MemberView {
+    /// The router's own name.
+    name: Option<String>,
+    health: u32,
+    /// Fingerprints of the parts of its member list.
+    fingerprints: Vec<u64>,
+    members: BTreeMap<String, ShownMember>,
+    /// The number of the query in progress.
+    query: u32,
+    /// Pages of its answer.
+    pages: u32,
+    /// Pages that have arrived.
+    received: u32,
+}
+
+impl GossipHandler for MemberView {
+    fn sender(&mut self, name: &str, at: Address, incarnation: u64, status: MemberStatus) {
+        self.name = Some(name.to_string());
+        self.claim(name, at, incarnation, status, 0, true);
+    }
+
+    fn claim(
+        &mut self,
+        name: &str,
+        at: Address,
+        incarnation: u64,
+        status: MemberStatus,
+        _by: u32,
+        in_page: bool,
+    ) {
+        if in_page {
+            let address = socket_address(at).to_string();
+            let member = ShownMember { address, status: status.into(), incarnation, at };
+            self.members.insert(name.to_string(), member);
+        }
+    }
+
+    fn ping(&mut self, _number: u32) {}
+
+    fn ack(&mut self, _number: u32) {}
+
+    fn nack(&mut self, _number: u32) {}
+
+    fn ping_request(&mut self, _number: u32, _name: &str, _at: Address) {}
+
+    fn digest(&mut self, _number: u32, _fingerprints: &[u64]) {}
+
+    fn page(&mut self, number: u32, _page: u32, pages: u32, fingerprints: &[u64], health: u32) {
+        if number == self.query {
+            self.pages = pages;
+            self.health = health;
+            self.received += 1;
+            if !fingerprints.is_empty() {
+                self.fingerprints = fingerprints.to_vec();
+            }
+        }
+    }
+}
+
+/// Queries members over one socket.
+struct QueryClient {
+    socket: UdpSocket,
+    seal: Seal,
+    last_query: u32,
+}
+
+impl QueryClient {
+    /// Queries a member for the parts of its list that differ from these fingerprints; None if it does not answer.
+    /// The contents of a lost page arrive with a later query.
+    fn query(&mut self, to: Address, fingerprints: [u64; PARTS]) -> Result<Option<MemberView>, CommandError> {
+        let address = socket_address(to);
+        let mut view = MemberView::default();
+        let mut without_news = 0;
+        let mut unanswered = 0;
+        while unanswered < MAX_UNANSWERED && without_news < MAX_WITHOUT_NEWS {
+            self.last_query += 1;
+            view.query = self.last_query;
+            view.pages = u32::MAX;
+            view.received = 0;
+            let known = view.members.len();
+            let datagram = self
+                .seal
+                .close(&GossipMessage::new(None, Seal::AROUND).digest(self.last_query, fingerprints));
+            self.socket
+                .send_to(&datagram, address)
+                .map_err(|source| CommandError::QuerySend { address, source })?;
+            self.receive(&mut view);
+            if view.received == 0 {
+                unanswered += 1;
+            } else if view.received >= view.pages && (view.pages as usize) < tideroute_membership::PAGES {
+                return Ok(Some(view));
+            }
+            let is_unchanged = view.received > 0 && view.members.len() == known;
+            without_news = if is_unchanged { without_news + 1 } else { 0 };
+        }
+        Ok(view.name.is_some().then_some(view))
+    }
+
+    /// Receives until all pages have arrived or no more arrive in time.
+    fn receive(&self, view: &mut MemberView) {
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        let mut datagram = [0; LARGEST + 1];
+        while view.received < view.pages {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || self.socket.set_read_timeout(Some(remaining)).is_err() {
+                return;
+            }
+            // A timeout, or an ICMP refusal of a port where nobody listens.
+            let Ok((length, _)) = self.socket.recv_from(&mut datagram) else { continue };
+            if let Ok(opened) = self.seal.open(&Bytes::copy_from_slice(&datagram[..length])) {
+                let _ = gossip::receive(&opened, view);
+            }
+        }
+    }
+}
+
+/// What is printed; as JSON by these names.
+#[derive(Serialize)]
+struct Status {
+    fleet: String,
+    router: String,
+    health: u32,
+    alone: bool,
+    seen: BTreeMap<String, ShownMember>,
+    /// Names of the members whose view agrees.
+    agree: Vec<String>,
+    /// What the other members see otherwise.
+    differ: BTreeMap<String, Vec<String>>,
+    silent: Vec<String>,
+}
+
+/// Queries the router of that configuration file, then all members that it sees.
+pub fn run(path: &Path, json: bool) -> CommandResult {
+    let config = config_file::require(path, config_file::read(path)?.router, "router")?;
+    let fleet = config_file::require(path, config.fleet, "router.fleet")?;
+    let (terms, seal) = convert::member(&config.name, &fleet, 0)?;
+    let mut client = QueryClient { socket: bind_near(terms.at)?, seal, last_query: 0 };
+    // No part has this fingerprint, so that the router sends all parts.
+    let Some(first) = client.query(terms.at, [u64::MAX; PARTS])? else {
+        return Err(CommandError::RouterSilent { router: config.name, address: fleet.listen });
+    };
+    let status = compare(&mut client, fleet.name, first)?;
+    if json {
+        println!("{}", serde_json::to_string_pretty(&status)?);
+    } else {
+        print(&status);
+    }
+    let all_agree = status.differ.is_empty() && status.silent.is_empty() && !status.alone;
+    Ok(CommandStatus::success_if(all_agree))
+}
+
+/// A socket on the router's own address of this machine if there is one, so that its answer finds the way back.
+fn bind_near(router: Address) -> Result<UdpSocket, CommandError> {
+    let own_address = SocketAddr::from((*socket_address(router).ip(), 0));
+    UdpSocket::bind(own_address).or_else(|_| UdpSocket::bind("0.0.0.0:0")).map_err(CommandError::QuerySocket)
+}
+
+/// Compares the first router's view with that of all other members.
+fn compare(client: &mut QueryClient, fleet: String, first: MemberView) -> Result<Status, CommandError> {
+    let fingerprints: [u64; PARTS] = first.fingerprints.clone().try_into().unwrap_or([u64::MAX; PARTS]);
+    let router = first.name.clone().unwrap_or_default();
+    let mut agree = vec![];
+    let mut differ = BTreeMap::new();
+    let mut silent = vec![];
+    let others = first.members.iter().filter(|(name, member)| **name != router && member.is_present());
+    for (name, member) in others {
+        let Some(other) = client.query(member.at, fingerprints)? else {
+            silent.push(name.clone());
+            continue;
+        };
+        let found = differences(&first, &fingerprints, &other);
+        if found.is_empty() {
+            agree.push(name.clone());
+        } else {
+            differ.insert(name.clone(), found);
+        }
+    }
+    let alone = first.members.values().filter(|member| member.is_present()).count() < 2;
+    Ok(Status { fleet, router, health: first.health, alone, seen: first.members, agree, differ, silent })
+}
+
+/// What another member sees otherwise, in the parts whose fingerprints differ.
+fn differences(first: &MemberView, fingerprints: &[u64; PARTS], other: &MemberView) -> Vec<String> {
+    if other.fingerprints.is_empty() {
+        return vec![];
+    }
+    let apart = |name: &String| other.fingerprints.get(part_of(name)) != Some(&fingerprints[part_of(name)]);
+    let mut found = Vec::new();
+    for (name, member) in first.members.iter().filter(|(name, member)| member.is_present() && apart(name)) {
+        match other.members.get(name).filter(|seen| seen.is_present()) {
+            None => found.push(format!("lacks {name}")),
+            Some(seen) if seen.incarnation != member.incarnation => {
+                found.push(format!("knows {name} in incarnation {}", seen.incarnation));
+            }
+            Some(_) => {}
+        }
+    }
+    let lacking = |name: &&String| first.members.get(*name).is_none_or(|seen| !seen.is_present());
+    let more =
+        other.members.iter().filter(|(_, seen)| seen.is_present()).map(|(name, _)| name).filter(lacking);
+    found.extend(more.map(|name| format!("sees {name} as well")));
+    found
+}
+
+fn print(status: &Status) {
+    let count = |shown: ShownStatus| status.seen.values().filter(|member| member.status == shown).count();
+    println!(
+        "fleet {}, as {} sees it: {} there, {} suspected, {} dead, {} left; distrust of its own sight {} of 8",
+        status.fleet,
+        status.router,
+        count(ShownStatus::There),
+        count(ShownStatus::Suspected),
+        count(ShownStatus::Dead),
+        count(ShownStatus::Left),
+        status.health
+    );
+    for (name, member) in &status.seen {
+        let member_status = format!("{:?}", member.status).to_lowercase();
+        println!("  {name:<24} {:<21} {member_status:<9} {}", member.address, member.incarnation);
+    }
+    if status.alone {
+        return println!("ALONE: it sees no other router");
+    }
+    println!(
+        "of the others {} see the same, {} differ, {} do not answer",
+        status.agree.len(),
+        status.differ.len(),
+        status.silent.len()
+    );
+    for (name, found) in &status.differ {
+        println!("  {name} {}", found.join(", "));
+    }
+    for name in &status.silent {
+        println!("  {name} does not answer");
+    }
+}
--- a/crates/command/src/spread.rs
+++ b/crates/command/src/load_balance.rs
@@ -1,4 +1,4 @@
-//! How evenly a recorded day was spread, as a table, JSON or a plot.
+//! The command `load-balance`: how evenly the load of a captured scenario was spread, as a table, JSON or a plot.
 
 use std::path::Path;
 
@@ -6,30 +6,33 @@
 use tideroute_load_balance_report::{Side, Spread};
 use tideroute_simulation::day;
 
-use crate::Ended;
+use crate::error::{CommandError, CommandResult, CommandStatus};
+use crate::measure::plot::PlotError;
 
-/// Pixels.
-const SIZE: (u32, u32) = (800, 360);
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (800, 360);
 
-pub fn run(record: &Path, json: bool, plot: Option<&Path>) -> Ended {
-    let reader = day::open(record).map_err(|e| e.to_string())?;
-    let spread =
-        tideroute_load_balance_report::measure(reader).map_err(|e| format!("{}: {e}", record.display()))?;
+/// Measures the capture and prints what it finds.
+pub fn run(capture: &Path, json: bool, plot: Option<&Path>) -> CommandResult {
+    let reader = day::open(capture)?;
+    let spread = tideroute_load_balance_report::measure(reader).map_err(CommandError::in_file(capture))?;
     if json {
-        println!("{}", serde_json::to_string(&spread).map_err(|e| e.to_string())?);
+        println!("{}", serde_json::to_string(&spread)?);
     } else {
-        table(&spread);
+        print_table(&spread);
     }
     if let Some(path) = plot {
-        draw(&spread, path).map_err(|e| format!("{}: {e}", path.display()))?;
+        draw(&spread, path).map_err(|e| PlotError::new(path, &*e))?;
     }
-    Ok(true)
+    Ok(CommandStatus::Success)
 }
 
-fn table(spread: &Spread) {
+fn print_table(spread: &Spread) {
     println!("                              readers    writers");
-    let [r, w] = [&spread.readers, &spread.writers];
-    let line = |name: &str, of: &dyn Fn(&Side) -> String| println!("  {name:<24}{:>11}{:>11}", of(r), of(w));
+    let (prefill, decode) = (&spread.readers, &spread.writers);
+    let line = |name: &str, of: &dyn Fn(&Side) -> String| {
+        println!("  {name:<24}{:>11}{:>11}", of(prefill), of(decode))
+    };
     line("workers", &|s| s.workers.to_string());
     line("arrivals", &|s| s.arrivals.to_string());
     line("fullest/mean p50", &|s| format!("{:.2}", s.ratio_p50));
@@ -41,23 +44,24 @@
     line("  chance would show", &|s| format!("{:.1}", s.herds_by_chance));
     line("worst window", &|s| format!("{} of {}", s.worst_window.0, s.worst_window.1));
     println!("  shared text found kept    {:.1}%", 100.0 * spread.kept);
-    for t in &spread.tracks {
+    for class in &spread.tracks {
         println!(
             "  {:<20} {:>7} asked, {:>5.1}% in contract time, first token p50 {:.0} ms p99 {:.0} ms",
-            t.name,
-            t.submitted,
-            100.0 * t.service,
-            t.first_token_p50_ms,
-            t.first_token_p99_ms
+            class.name,
+            class.submitted,
+            100.0 * class.service,
+            class.first_token_p50_ms,
+            class.first_token_p99_ms
         );
     }
 }
 
+/// Draws the most loaded worker over the mean of each role, second by second.
 fn draw(spread: &Spread, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let sides = [("readers", &spread.readers, BLUE), ("writers", &spread.writers, RED)];
     let seconds = sides.iter().map(|(_, s, _)| s.ratios.len()).max().unwrap_or(0).max(1);
     let highest = sides.iter().map(|(_, s, _)| s.ratio_worst).fold(1.0, f64::max);
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
--- /dev/null
+++ b/crates/command/src/measure/load_balance.rs
@@ -0,0 +1,101 @@
+//! How evenly a scenario's load is spread: by simple policies to choose a prefill worker, then by the routers.
+
+use std::path::{Path, PathBuf};
+
+use tideroute_load_balance_report::Spread;
+use tideroute_simulation::choosers::Way;
+use tideroute_simulation::day::{self, DayError};
+
+use super::Measured;
+use crate::error::{CommandError, CommandResult, CommandStatus};
+
+/// Who chooses the prefill workers of one run.
+#[derive(Clone, Copy)]
+enum Chooser {
+    /// A simple policy of the direct load, by its name.
+    Policy(&'static str),
+    /// The routers, with or without load reports of prefill workers.
+    Routers { load_reports: bool },
+}
+
+/// What one run left to report.
+struct Run {
+    capture: PathBuf,
+    /// The fraction of requests served in time, as text; empty for a policy.
+    service: String,
+    /// Whether the rules were kept; None for a policy, whose rules are not checked.
+    rules_kept: Option<bool>,
+}
+
+/// Prints one line for each way to choose a prefill worker, over the same load; a failure if a rule was broken.
+pub fn run(path: &Path, seconds: u64) -> CommandResult {
+    let mut measured = Measured::read(path, "tideroute-spread")?;
+    measured.scenario.load.lasts = seconds * 1_000_000;
+    println!(
+        "{seconds} s; readers: fullest/mean, idle beside waiting, index of dispersion, windows with herds"
+    );
+    println!("way                      p50    p99  worst     idle  index  herds (by chance)      kept  service  rules");
+    let policies = Way::ALL.iter().filter(|(_, way)| *way != Way::Next);
+    let policies = policies.map(|(name, _)| (*name, Chooser::Policy(name)));
+    let routers = [
+        ("ours, unasked", Chooser::Routers { load_reports: false }),
+        ("ours, asked", Chooser::Routers { load_reports: true }),
+    ];
+    let mut all_kept = true;
+    for (name, chooser) in policies.chain(routers) {
+        let run = match play(&mut measured, chooser) {
+            Err(DayError::Interrupted) => return Ok(CommandStatus::Failure),
+            run => run?,
+        };
+        let capture = day::open(&run.capture)?;
+        let spread = tideroute_load_balance_report::measure(capture)
+            .map_err(|error| CommandError::LoadBalance(error.into()))?;
+        measured.remove_folder();
+        all_kept &= run.rules_kept.unwrap_or(true);
+        print_line(name, &spread, &run);
+    }
+    Ok(CommandStatus::success_if(all_kept))
+}
+
+fn play(measured: &mut Measured, chooser: Chooser) -> Result<Run, DayError> {
+    match chooser {
+        Chooser::Policy(name) => {
+            let (scenario, interrupted) = (&measured.scenario, &measured.interrupted);
+            let capture = day::straight(scenario, &measured.program, &measured.folder, interrupted, name)?;
+            Ok(Run { capture, service: String::new(), rules_kept: None })
+        }
+        Chooser::Routers { load_reports } => {
+            measured.scenario.terms.asks = load_reports;
+            let played =
+                day::play(&measured.scenario, &measured.program, &measured.folder, &measured.interrupted)?;
+            let service = 100.0 * played.figures["service"].as_f64().unwrap_or(f64::NAN);
+            Ok(Run {
+                rules_kept: Some(played.report.kept()),
+                service: format!("{service:.1}%"),
+                capture: played.record,
+            })
+        }
+    }
+}
+
+fn print_line(name: &str, spread: &Spread, run: &Run) {
+    let prefill = &spread.readers;
+    let service = &run.service;
+    let rules = match run.rules_kept {
+        None => "",
+        Some(true) => "kept",
+        Some(false) => "BROKEN",
+    };
+    println!(
+        "{name:<22}{:>6.2}{:>7.2}{:>7.2}{:>8.2}%{:>7.2}{:>7} of {} ({:.1}){:>9.1}%{service:>9}  {rules}",
+        prefill.ratio_p50,
+        prefill.ratio_p99,
+        prefill.ratio_worst,
+        100.0 * prefill.idle_beside,
+        prefill.dispersion,
+        prefill.herds,
+        prefill.windows,
+        prefill.herds_by_chance,
+        100.0 * spread.kept
+    );
+}
--- /dev/null
+++ b/crates/command/src/measure/membership.rs
@@ -0,0 +1,134 @@
+//! What cluster membership costs, and how soon the kill of a member is known, in virtual time.
+
+use tideroute_simulation::crowd::{name, Crowd, Network, Sighting, CALM};
+use tideroute_wire::gossip::MemberStatus;
+use tideroute_wire::Micros;
+
+use crate::error::{CommandResult, CommandStatus};
+
+/// Microseconds in a second.
+const SECOND: Micros = 1_000_000;
+/// Seconds after the start in which all members learn of each other.
+const CONVERGENCE: Micros = 15;
+/// Seconds without kills over which traffic and CPU are measured.
+const QUIET: Micros = 20;
+/// Members that are killed, one after the other.
+const KILLS: usize = 5;
+/// Seconds between two kills.
+const KILL_INTERVAL: Micros = 6;
+
+/// Measures each cluster size; a failure if a kill was missed or a live member declared dead.
+pub fn run(routers: &[u64], loss: f64, seed: u64) -> CommandResult {
+    let network = Network { loss, ..CALM };
+    println!(
+        "loss {loss}, seed {seed}; a router and second of quiet time; seconds until others know of a kill"
+    );
+    println!(
+        "routers   met all after   bytes   datagrams   CPU ms   suspected   p50   p99   last   falsely dead"
+    );
+    let mut well = true;
+    for &count in routers {
+        let count = count as usize;
+        let mut crowd = Crowd::new(count, seed, network);
+        crowd.start_all(0..count);
+        let converged = measure_convergence(&mut crowd);
+        let quiet = measure_quiet(&mut crowd, count);
+        let detection = measure_kills(&mut crowd, count);
+        let falsely_dead = crowd.falsely_dead(0).len();
+        well &= detection.complete && falsely_dead == 0;
+        println!(
+            "{count:>7}   {converged:>13.1}   {:>5.0}   {:>9.1}   {:>6.3}   {:>9}   {:.2}  {:.2}   {:.2}   {falsely_dead:>12}",
+            quiet.bytes,
+            quiet.datagrams,
+            quiet.cpu_ms,
+            quiet.suspicions,
+            detection.quantile(0.5),
+            detection.quantile(0.99),
+            detection.quantile(1.0),
+        );
+    }
+    Ok(CommandStatus::success_if(well))
+}
+
+/// Seconds until all members know each other; runs until the end of the time that they have for it.
+fn measure_convergence(crowd: &mut Crowd) -> f64 {
+    let started = crowd.now();
+    while !crowd.wrong().is_empty() && crowd.now() < started + CONVERGENCE * SECOND {
+        crowd.run_for(SECOND / 2);
+    }
+    let converged = (crowd.now() - started) as f64 / SECOND as f64;
+    crowd.run_until(started + CONVERGENCE * SECOND);
+    converged
+}
+
+/// What a member and second cost while nothing fails.
+struct QuietCost {
+    bytes: f64,
+    datagrams: f64,
+    cpu_ms: f64,
+    /// Of all members in the whole time.
+    suspicions: usize,
+}
+
+fn measure_quiet(crowd: &mut Crowd, count: usize) -> QuietCost {
+    let sent = |crowd: &Crowd| {
+        (0..count).map(|member| crowd.sent(member)).fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
+    };
+    let started = crowd.now();
+    let (bytes_before, datagrams_before) = sent(crowd);
+    let cpu_before = crowd.spent;
+    crowd.run_for(QUIET * SECOND);
+    let (bytes, datagrams) = sent(crowd);
+    let cpu = crowd.spent - cpu_before;
+    let suspicions = crowd
+        .sightings
+        .iter()
+        .filter(|sighting| sighting.at >= started)
+        .filter(|sighting| sighting.seen.standing == MemberStatus::Suspected)
+        .count();
+    let per_member_second = |sum: f64| sum / count as f64 / QUIET as f64;
+    QuietCost {
+        bytes: per_member_second((bytes - bytes_before) as f64),
+        datagrams: per_member_second((datagrams - datagrams_before) as f64),
+        cpu_ms: per_member_second(cpu.as_secs_f64() * 1e3),
+        suspicions,
+    }
+}
+
+/// How soon others knew of kills.
+struct KillDetection {
+    /// Microseconds from each kill to each other member's knowledge of it, in order.
+    delays: Vec<Micros>,
+    /// Whether every other member learned of every kill.
+    complete: bool,
+}
+
+impl KillDetection {
+    /// In seconds.
+    fn quantile(&self, quantile: f64) -> f64 {
+        let index = ((self.delays.len() as f64 * quantile) as usize).min(self.delays.len() - 1);
+        self.delays[index] as f64 / SECOND as f64
+    }
+}
+
+/// Kills the last members one after the other.
+fn measure_kills(crowd: &mut Crowd, count: usize) -> KillDetection {
+    let mut delays = vec![];
+    let mut complete = true;
+    for kill in 0..KILLS.min(count - 1) {
+        let killed = count - 1 - kill;
+        let killed_at = crowd.now();
+        crowd.kill(killed);
+        crowd.run_for(KILL_INTERVAL * SECOND);
+        let is_detection = |sighting: &&Sighting| {
+            sighting.at >= killed_at
+                && sighting.seen.standing == MemberStatus::Dead
+                && sighting.seen.name == name(killed)
+        };
+        let known_before = delays.len();
+        delays.extend(crowd.sightings.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
+        complete &= delays.len() - known_before == killed;
+    }
+    delays.sort_unstable();
+    KillDetection { delays, complete }
+}
--- /dev/null
+++ b/crates/command/src/measure/mod.rs
@@ -0,0 +1,48 @@
+//! The command `measure`: measurements on this machine, long ones among them; none is part of the tests.
+
+pub mod added_latency;
+pub mod cores;
+pub mod load_balance;
+pub mod membership;
+pub mod plot;
+pub mod tenants;
+
+use std::path::{Path, PathBuf};
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+
+use tideroute_config_language::kinds::Day;
+
+use crate::error::CommandError;
+use crate::{config_file, scenario};
+
+/// A scenario that is measured, and where its processes run.
+struct Measured {
+    /// Without faults.
+    scenario: Day,
+    program: PathBuf,
+    /// For logs and captures; removed after each run.
+    folder: PathBuf,
+    /// Set by a signal that ends the measurement early.
+    interrupted: Arc<AtomicBool>,
+}
+
+impl Measured {
+    /// Reads a scenario and leaves out its faults.
+    fn read(path: &Path, folder_prefix: &str) -> Result<Measured, CommandError> {
+        let file = config_file::read(path)?;
+        let mut scenario = file.day.ok_or_else(|| CommandError::MissingScenario(path.into()))?;
+        // What clients do slowly would be measured as if the router had.
+        scenario.load.sluggish = 0;
+        scenario.load.leaves = 0.0;
+        scenario.troubles.clear();
+        let interrupted = scenario::interrupted_by_signals()?;
+        let program = std::env::current_exe().map_err(CommandError::CurrentExecutable)?;
+        let folder = std::env::temp_dir().join(format!("{folder_prefix}-{}", std::process::id()));
+        Ok(Measured { scenario, program, folder, interrupted })
+    }
+
+    fn remove_folder(&self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
--- /dev/null
+++ b/crates/command/src/multi_core.rs
@@ -0,0 +1,245 @@
+//! A router on several cores. Each core is a thread with its own event loop, request lifecycle and scheduler behind
+//! the same address; cores share nothing and do not communicate. A core that panics loses the requests it held, as a
+//! killed router does, and is restarted; the others go on.
+
+use std::net::{SocketAddr, TcpListener};
+use std::panic::AssertUnwindSafe;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::Arc;
+
+use metrics::counter;
+use signal_hook::consts::{SIGINT, SIGTERM};
+use tideroute_config_language::kinds::Router;
+use tideroute_lifecycle::ProtobufRouter;
+use tideroute_reactor::{Reactor, ReactorError, RunOutcome};
+use tideroute_simulation::convert;
+use tideroute_simulation::processes::NUMBERS_A_CORE;
+use tideroute_wire::Origin;
+
+use crate::admin_thread::AdminThread;
+use crate::cli::ProcessArgs;
+use crate::error::{CommandError, CommandResult, CommandStatus};
+use crate::membership_thread::MembershipThread;
+use crate::process::{self, ProcessIdentity};
+use crate::{config_file, metrics_server};
+
+/// The command `router`; `fail_after` (milliseconds) has core 0 panic, for tests of the restart.
+pub fn run(path: &Path, fail_after: Option<u64>, args: &ProcessArgs) -> CommandResult {
+    let config = config_file::require(path, config_file::read(path)?.router, "router")?;
+    let listen: SocketAddr = convert::socket(&config.listen)?.into();
+    let metrics = config.metrics.as_deref().map(convert::socket).transpose()?;
+    metrics_server::start(metrics.map(SocketAddr::from))?;
+    if args.exit_with_stdin {
+        process::exit_with_stdin();
+    }
+    let admin = config.admin.as_ref().map(AdminThread::start).transpose()?;
+    if config.cores == 1 {
+        return run_single(config, listen, args, admin);
+    }
+    // SO_REUSEPORT would let a second router in beside this one; a plain listener shows whether the port is in use.
+    let probe = TcpListener::bind(listen).map_err(|e| ReactorError::Listen(listen, e))?;
+    drop(probe);
+    let membership = MembershipThread::start(&config, args)?;
+    let result = Supervisor::run(config, listen, fail_after, args.clone(), admin);
+    membership.into_iter().for_each(MembershipThread::leave);
+    result
+}
+
+/// Runs the only core on this thread.
+fn run_single(
+    config: Router,
+    listen: SocketAddr,
+    args: &ProcessArgs,
+    admin: Option<AdminThread>,
+) -> CommandResult {
+    let reactor = Reactor::new(&[listen])?;
+    let membership = MembershipThread::start(&config, args)?;
+    let core = Core {
+        config,
+        index: 0,
+        listen,
+        args: args.clone(),
+        stopping: Arc::new(AtomicBool::new(false)),
+        admin,
+    };
+    let outcome = core.run(reactor)?;
+    membership.into_iter().for_each(MembershipThread::leave);
+    Ok(CommandStatus::success_if(outcome == RunOutcome::Finished))
+}
+
+/// How a core's thread ended: None for a panic.
+type CoreResult = Option<Result<RunOutcome, CommandError>>;
+
+/// Starts the cores and restarts those that panic.
+struct Supervisor {
+    config: Router,
+    listen: SocketAddr,
+    args: ProcessArgs,
+    admin: Option<AdminThread>,
+    /// Set by a signal that stops the router.
+    stopping: Arc<AtomicBool>,
+    /// Cores send their index and how they ended.
+    results: Sender<(u32, CoreResult)>,
+}
+
+impl Supervisor {
+    /// Runs all cores until each has ended; one that panics before the router is stopped is restarted.
+    fn run(
+        config: Router,
+        listen: SocketAddr,
+        fail_after: Option<u64>,
+        args: ProcessArgs,
+        admin: Option<AdminThread>,
+    ) -> CommandResult {
+        let stopping = Arc::new(AtomicBool::new(false));
+        for signal in [SIGINT, SIGTERM] {
+            signal_hook::flag::register(signal, stopping.clone())?;
+        }
+        let (results, received) = channel();
+        let supervisor = Supervisor { config, listen, args, admin, stopping, results };
+        for index in 0..supervisor.config.cores {
+            supervisor.start_core(index, fail_after.filter(|_| index == 0), 0)?;
+        }
+        supervisor.supervise(&received)
+    }
+
+    fn supervise(&self, received: &Receiver<(u32, CoreResult)>) -> CommandResult {
+        let mut running = self.config.cores;
+        let mut all_finished = true;
+        let mut restarts = 0;
+        while running > 0 {
+            let Ok((core, result)) = received.recv() else { break };
+            match result {
+                Some(outcome) => {
+                    let outcome = outcome?;
+                    running -= 1;
+                    all_finished &= outcome == RunOutcome::Finished;
+                }
+                None if self.stopping.load(Ordering::Relaxed) => {
+                    running -= 1;
+                    all_finished = false;
+                }
+                None => {
+                    restarts += 1;
+                    tracing::error!(
+                        core,
+                        "a core died; its requests are lost, the others go on, restarting it"
+                    );
+                    counter!("tideroute_cores_died_total").increment(1);
+                    self.start_core(core, None, restarts)?;
+                }
+            }
+        }
+        Ok(CommandStatus::success_if(all_finished))
+    }
+
+    /// Starts a core's thread. `restarts` counts the restarts of all cores so far.
+    fn start_core(&self, index: u32, fail_after: Option<u64>, restarts: u32) -> Result<(), CommandError> {
+        let mut args = self.args.clone();
+        // A restarted core writes no capture: that of its first run stays as it was.
+        args.capture = args.capture.filter(|_| restarts == 0).map(|path| core_path(&path, index));
+        args.process_number += index * NUMBERS_A_CORE;
+        let core = Core {
+            config: self.config.clone(),
+            index,
+            listen: self.listen,
+            args,
+            stopping: self.stopping.clone(),
+            admin: self.admin.clone(),
+        };
+        let results = self.results.clone();
+        let body = move || {
+            let run = AssertUnwindSafe(|| core.run_shared(fail_after));
+            let _ = results.send((index, std::panic::catch_unwind(run).ok()));
+        };
+        std::thread::Builder::new().name(format!("core {index}")).spawn(body)?;
+        Ok(())
+    }
+}
+
+/// One core of a router.
+struct Core {
+    config: Router,
+    index: u32,
+    listen: SocketAddr,
+    args: ProcessArgs,
+    stopping: Arc<AtomicBool>,
+    admin: Option<AdminThread>,
+}
+
+impl Core {
+    /// Runs on a listener that shares its address with the other cores.
+    fn run_shared(&self, fail_after: Option<u64>) -> Result<RunOutcome, CommandError> {
+        let mut reactor = Reactor::with_reuse_port(&[self.listen])?;
+        if let Some(milliseconds) = fail_after {
+            reactor.panic_after(milliseconds * 1000);
+        }
+        self.run(reactor)
+    }
+
+    /// Runs on the event loop it is given.
+    fn run(&self, reactor: Reactor) -> Result<RunOutcome, CommandError> {
+        let name = self.name();
+        let identity = ProcessIdentity { name: &name, role: "router" };
+        let mut reactor = process::prepare(reactor, &[self.listen], &self.args, identity)?;
+        if self.stopping.load(Ordering::Relaxed) {
+            // The signal came while this core was starting, before its event loop could catch it.
+            return Ok(RunOutcome::Finished);
+        }
+        let now = reactor.clock().now();
+        let cached_endpoints = self.persist_endpoints(&mut reactor);
+        let mut config = convert::router(&self.config, self.index, self.seed(now), random_origin()?)?;
+        if let Some(admin) = &self.admin {
+            config.lifecycle.tenants = Some(admin.subscribe(self.index, reactor.mailbox())?);
+            reactor.publish_to(admin.figures());
+        }
+        let mut router = ProtobufRouter::new(config, cached_endpoints, now);
+        tracing::info!(name, listen = %self.listen, "router started");
+        Ok(reactor.run(&mut router)?)
+    }
+
+    fn name(&self) -> String {
+        if self.config.cores > 1 {
+            format!("{}/{}", self.config.name, self.index)
+        } else {
+            self.config.name.clone()
+        }
+    }
+
+    /// The seed of the scheduler's random number generator. It need not be unique: time and process id agree within a
+    /// cluster that restarts, so that unique ids come from [`random_origin`].
+    fn seed(&self, now: u64) -> u64 {
+        let base = self.config.seed.unwrap_or(now ^ u64::from(std::process::id()) << 8);
+        base ^ u64::from(self.index) << 18
+    }
+
+    /// Has the endpoint list kept in a file, if one is configured; returns what an earlier run left in it.
+    fn persist_endpoints(&self, reactor: &mut Reactor) -> Option<bytes::Bytes> {
+        let path = self.config.keep.as_ref().map(PathBuf::from)?;
+        let own_path = core_path(&path, self.index);
+        let cached = std::fs::read(&own_path).or_else(|_| std::fs::read(&path)).ok();
+        reactor.persist_to(own_path);
+        cached.map(bytes::Bytes::from)
+    }
+}
+
+/// A core's own file beside that of core 0.
+fn core_path(path: &Path, core: u32) -> PathBuf {
+    if core == 0 {
+        return path.to_path_buf();
+    }
+    let extension = path.extension().unwrap_or_default().to_string_lossy();
+    path.with_extension(format!("{extension}.{core}"))
+}
+
+/// Random bits of the operating system, which make the ids of each start unique.
+pub fn random_origin() -> Result<Origin, CommandError> {
+    let mut bytes = [0; 16];
+    getrandom::fill(&mut bytes).map_err(CommandError::RandomOrigin)?;
+    Ok(Origin::from_be_bytes(bytes))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/command/src/process.rs
@@ -0,0 +1,116 @@
+//! Sets up the event loop of one process, with what a scenario asks of it: a traffic capture, redirected addresses,
+//! a skewed clock, and an end together with the process that started it.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::path::Path;
+
+use tideroute_reactor::{ClockSkew, Reactor, RunOutcome, TrafficCapture};
+use tideroute_simulation::convert;
+use tideroute_wire::capture::CapturedProcess;
+use tideroute_wire::event_loop::EventHandler;
+use tideroute_wire::Address;
+
+use crate::cli::ProcessArgs;
+use crate::error::{CommandError, CommandResult, CommandStatus};
+
+/// Exit code of a process whose standard input ended (`--exit-with-stdin`).
+const STDIN_ENDED: i32 = 3;
+
+/// Who a process is in a traffic capture.
+#[derive(Clone, Copy)]
+pub struct ProcessIdentity<'a> {
+    pub name: &'a str,
+    pub role: &'a str,
+}
+
+/// An event loop that listens at the addresses, prepared as the arguments say.
+pub fn reactor(
+    addresses: &[SocketAddr],
+    args: &ProcessArgs,
+    identity: ProcessIdentity,
+) -> Result<Reactor, CommandError> {
+    let reactor = Reactor::new(addresses)?;
+    if args.exit_with_stdin {
+        exit_with_stdin();
+    }
+    prepare(reactor, addresses, args, identity)
+}
+
+/// Ends this process when standard input does.
+pub fn exit_with_stdin() {
+    std::thread::spawn(|| {
+        let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
+        std::process::exit(STDIN_ENDED);
+    });
+}
+
+/// Has an event loop catch signals, and applies the arguments.
+pub fn prepare(
+    mut reactor: Reactor,
+    addresses: &[SocketAddr],
+    args: &ProcessArgs,
+    identity: ProcessIdentity,
+) -> Result<Reactor, CommandError> {
+    reactor.catch_signals()?;
+    apply_args(reactor, addresses, args, identity)
+}
+
+/// Applies the capture, the address overrides and the clock skew of the arguments to an event loop.
+pub fn apply_args(
+    mut reactor: Reactor,
+    addresses: &[SocketAddr],
+    args: &ProcessArgs,
+    identity: ProcessIdentity,
+) -> Result<Reactor, CommandError> {
+    if let Some(path) = &args.capture {
+        let address = addresses.first().and_then(|a| convert::address(&a.to_string()).ok());
+        let process = CapturedProcess {
+            number: args.process_number,
+            name: identity.name.into(),
+            role: identity.role.into(),
+            address,
+        };
+        let capture = TrafficCapture::create(path, &process).map_err(CommandError::in_file(path))?;
+        reactor.capture_traffic(capture);
+    }
+    if let Some(path) = &args.address_overrides {
+        reactor.override_addresses(read_address_overrides(path)?);
+    }
+    if let Some(text) = &args.clock_skew {
+        let skew = parse_clock_skew(text).ok_or_else(|| CommandError::ClockSkew(text.clone()))?;
+        reactor.skew_clock(skew);
+    }
+    Ok(reactor)
+}
+
+/// Reads lines of two addresses: the one that is dialled, and the one to dial in its place.
+fn read_address_overrides(path: &Path) -> Result<HashMap<Address, Address>, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(CommandError::in_file(path))?;
+    let mut overrides = HashMap::new();
+    for line in text.lines() {
+        let Some((original, replacement)) = line.split_once(' ') else {
+            return Err(CommandError::AddressOverride { path: path.into(), line: line.into() });
+        };
+        overrides.insert(convert::address(original)?, convert::address(replacement)?);
+    }
+    Ok(overrides)
+}
+
+/// Parses `from,until,rate,offset`.
+fn parse_clock_skew(text: &str) -> Option<ClockSkew> {
+    let fields: Vec<_> = text.split(',').collect();
+    let [from, until, rate, offset] = fields[..] else { return None };
+    Some(ClockSkew {
+        from: from.parse().ok()?,
+        until: until.parse().ok()?,
+        rate: rate.parse().ok()?,
+        offset: offset.parse().ok()?,
+    })
+}
+
+/// Runs the program until it ends; a failure if it was stopped by force.
+pub fn run(mut reactor: Reactor, program: &mut impl EventHandler) -> CommandResult {
+    let outcome = reactor.run(program)?;
+    Ok(CommandStatus::success_if(outcome == RunOutcome::Finished))
+}
--- /dev/null
+++ b/crates/command/src/trace_report.rs
@@ -0,0 +1,85 @@
+//! The command `check-trace`, and the printed report of a checked capture.
+
+use std::path::Path;
+
+use tideroute_membership_checker::Report as Views;
+use tideroute_simulation::day;
+use tideroute_trace_checker::{Report, Rule};
+
+use crate::error::{CommandError, CommandResult, CommandStatus};
+
+/// Violations that are printed of each rule.
+const MAX_PRINTED: usize = 10;
+
+/// The command `check-trace`: checks a capture and prints what it finds.
+pub fn check(capture: &Path) -> CommandResult {
+    let report = day::check(capture).map_err(CommandError::in_file(capture))?;
+    let views = day::views(capture).map_err(CommandError::in_file(capture))?;
+    print(&report);
+    views.iter().for_each(print_views);
+    let views_kept = views.is_none_or(|views| views.kept());
+    Ok(CommandStatus::success_if(report.kept() && views_kept))
+}
+
+/// Prints how routers saw each other.
+pub fn print_views(views: &Views) {
+    let [median, p99, longest] = views.known.map(|known| known as f64 / 1e6);
+    println!(
+        "  {} members, {} sightings; {} kills known to others after {median:.2} s p50, {p99:.2} s p99, {longest:.2} s \
+         at most",
+        views.members, views.sightings, views.kills
+    );
+    println!(
+        "  {} deaths seen, {} of them of routers that were cut off or had just been down; {} sights compared at {} \
+         moments",
+        views.deaths, views.excused, views.compared, views.moments
+    );
+    if views.kept() {
+        println!("views: all true");
+        return;
+    }
+    println!("views: NOT true: {} times", views.broken.len() as u64 + views.more);
+    for (at, what) in views.broken.iter().take(MAX_PRINTED) {
+        println!("    at {at}: {what}");
+    }
+}
+
+/// Prints what was counted, and each rule that was broken with the first places.
+pub fn print(report: &Report) {
+    print_counts(report);
+    if report.kept() {
+        println!("rules: all kept");
+        return;
+    }
+    for rule in [Rule::Record, Rule::Lost, Rule::Twice, Rule::Drain, Rule::Cold, Rule::Pinned] {
+        let broken: Vec<_> = report.broken.iter().filter(|b| b.rule == rule).collect();
+        if broken.is_empty() {
+            continue;
+        }
+        println!("rules: NOT kept: {}: {} times", rule.name(), broken.len());
+        for violation in broken.iter().take(MAX_PRINTED) {
+            let id = violation.submission.map_or(String::new(), |id| format!("submission {id:x}: "));
+            println!("    at {}: {id}{}", violation.at, violation.what);
+        }
+    }
+    if report.more > 0 {
+        println!("    and {} more breaks", report.more);
+    }
+}
+
+fn print_counts(report: &Report) {
+    let counts = &report.counts;
+    println!(
+        "  {} events: {} submissions sent, {} taken, {} honoured, {} turned back, {} abandoned, {} left, {} void",
+        counts.events, counts.submitted, counts.taken, counts.honoured, counts.turned_back, counts.abandoned, counts.left, counts.void
+    );
+    println!(
+        "  {} shots, {} places; latest send after a drain was told {:.1} ms; fullest cold worker {:.0}% of its \
+         limit; longest held with no shot out {:.1} ms",
+        counts.shots,
+        counts.places,
+        counts.latest_after_drain as f64 / 1e3,
+        100.0 * counts.fullest_cold,
+        counts.longest_pinned as f64 / 1e3
+    );
+}
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -15,16 +15,31 @@
 /// Microseconds in one of the module's tenths of a millisecond.
 const TENTH: u64 = 100;
 
-pub fn socket(text: &str) -> Result<SocketAddrV4, String> {
-    text.parse().map_err(|_| format!("{text:?} is no address"))
+/// Why a value of a configuration file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConvertError {
+    /// The text is no IPv4 address with a port.
+    #[error("{0:?} is no address")]
+    InvalidAddress(String),
+    /// The text is no hash of 64 hexadecimal digits.
+    #[error(transparent)]
+    InvalidHash(blake3::HexError),
+    /// The key of a tenant or of a cluster is no hash.
+    #[error("the key of {owner}: {source}")]
+    Key { owner: String, source: Box<ConvertError> },
+}
+
+/// An IPv4 address with a port.
+pub fn socket(text: &str) -> Result<SocketAddrV4, ConvertError> {
+    text.parse().map_err(|_| ConvertError::InvalidAddress(text.to_string()))
 }
 
 /// A hash as 64 hexadecimal digits.
-pub fn hash(text: &str) -> Result<[u8; 32], String> {
-    blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(|e| e.to_string())
+pub fn hash(text: &str) -> Result<[u8; 32], ConvertError> {
+    blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(ConvertError::InvalidHash)
 }
 
-pub fn address(text: &str) -> Result<Address, String> {
+pub fn address(text: &str) -> Result<Address, ConvertError> {
     let parsed = socket(text)?;
     let ([a, b, c, d], [high, low]) = (parsed.ip().octets(), parsed.port().to_be_bytes());
     Ok([a, b, c, d, high, low])
@@ -90,7 +105,7 @@
     core: u32,
     seed: u64,
     origin: Origin,
-) -> Result<tideroute_lifecycle::RouterConfig, String> {
+) -> Result<tideroute_lifecycle::RouterConfig, ConvertError> {
     let cores = r.cores as usize;
     let mut module = module(&r.terms, r);
     module.router_count = module.router_count.saturating_mul(r.cores);
@@ -117,22 +132,23 @@
 }
 
 /// The terms of a fleet's member, and the seal of the fleet.
-pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(tideroute_membership::Terms, Seal), String> {
-    let key = hash(&f.key).map_err(|e| format!("the key of the fleet {}: {e}", f.name))?;
+pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(tideroute_membership::Terms, Seal), ConvertError> {
+    let key = hash(&f.key)
+        .map_err(|e| ConvertError::Key { owner: format!("the fleet {}", f.name), source: Box::new(e) })?;
     let seeds = f.seeds.iter().map(|s| address(s)).collect::<Result<_, _>>()?;
     let terms = tideroute_membership::Terms { name: name.to_string(), at: address(&f.listen)?, seeds, seed };
     Ok((terms, Seal::new(&f.name, &key)))
 }
 
 /// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
-fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, String> {
+fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
     let named = r.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
     Ok((r.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
-fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, String> {
+fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
     let rate = |a_second: Option<f64>, burst| a_second.map(|a_second| Rate { a_second, burst });
-    let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
+    let key = hash(&t.key).map_err(|e| ConvertError::Key { owner: t.name.clone(), source: Box::new(e) })?;
     let limits = Limits {
         requests: rate(t.submissions, t.submissions_once),
         tokens: rate(t.tokens, t.tokens_once),
@@ -163,7 +179,7 @@
     [(step.at, begin)].into_iter().chain(end).collect()
 }
 
-pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, String> {
+pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, ConvertError> {
     let able: &Able = &w.does;
     Ok(WorkerTerms {
         name: w.name.clone(),
@@ -196,7 +212,7 @@
 }
 
 /// A relay whose script began at a time and that starts now.
-pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, String> {
+pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
     let door = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
     let since = now.saturating_sub(from);
     let ahead = from.saturating_sub(now);
@@ -214,7 +230,7 @@
             _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
         },
     };
-    let doors = |doors: &[Door]| doors.iter().map(door).collect::<Result<Vec<_>, String>>();
+    let doors = |doors: &[Door]| doors.iter().map(door).collect::<Result<Vec<_>, ConvertError>>();
     let (listeners, datagram_sockets) = (doors(&r.doors)?, doors(&r.datagrams)?);
     Ok(RelayConfig {
         listeners,
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -288,10 +288,10 @@
     fn write_files(&mut self, ports: &Ports, relays: &Relays) -> Result<(), DayError> {
         let (day, folder, begins) = (self.day, self.folder, self.begins.to_string());
         let path = write(folder, "list", &files::list(day, ports))?;
-        self.add("list", "list", Some(&ports.list), &["list", &path, "--script-from", &begins]);
+        self.add("list", "list", Some(&ports.list), &["list", &path, "--script-start", &begins]);
         for (place, (name, group, n)) in day.workers().enumerate() {
             let path = write(folder, &name, &files::worker(day, ports, place, &name, group, n))?;
-            let arguments = ["worker", &path, "--script-from", &begins];
+            let arguments = ["worker", &path, "--script-start", &begins];
             self.add(&name, "worker", Some(&ports.workers[place]), &arguments);
         }
         let routers = if self.straight.is_some() { 0 } else { day.routers };
@@ -307,24 +307,24 @@
         if let Some(way) = self.straight {
             let known = serde_json::to_string(&files::known(day, ports)).unwrap_or_default();
             std::fs::write(&straight, known).map_err(|e| DayError::File(straight.clone(), e))?;
-            arguments.extend(["--straight-to", &straight, "--straight-by", way]);
+            arguments.extend(["--direct-to", &straight, "--policy", way]);
         }
         self.add("load", "client", None, &arguments);
         if let Some(file) = relays.file(day, ports) {
             let path = write(folder, "relay", &file)?;
-            self.add("relay", "relay", relays.door(ports), &["relay", &path, "--script-from", &begins]);
+            self.add("relay", "relay", relays.door(ports), &["relay", &path, "--script-start", &begins]);
         }
         for (name, recipe) in &mut self.recipes {
             if let Some(ways) = relays.ways(day, ports, name) {
                 let path = folder.join(format!("{name}.ways"));
                 std::fs::write(&path, ways).map_err(|e| DayError::File(path.display().to_string(), e))?;
-                recipe.arguments.extend(["--ways".into(), path.display().to_string()]);
+                recipe.arguments.extend(["--address-overrides".into(), path.display().to_string()]);
             }
             if let Some(t) = day.troubles.iter().find(|t| t.act == "clock" && t.who.contains(name)) {
                 let from = self.begins + t.at;
                 let (until, rate) = (from + t.lasts.unwrap_or(0), t.rate.unwrap_or(1.0));
                 let ahead = t.ahead.unwrap_or(0) as i64 - t.behind.unwrap_or(0) as i64;
-                recipe.arguments.push(format!("--clock={from},{until},{rate},{ahead}"));
+                recipe.arguments.push(format!("--clock-skew={from},{until},{rate},{ahead}"));
             }
         }
         Ok(())
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -32,6 +32,9 @@
 pub enum FleetError {
     #[error("the day's own terms contradict each other: {0}")]
     Terms(String),
+    /// A value of the scenario cannot be used.
+    #[error("the day's own terms contradict each other: {0}")]
+    Convert(#[from] convert::ConvertError),
     #[error("the record could not be written: {0}")]
     Record(#[from] io::Error),
     #[error(transparent)]
@@ -87,7 +90,7 @@
         let begins = DAWN + START + day.lag;
         let record = files::load(day, &ports).load.ok_or_else(|| FleetError::Terms("no load".into()))?;
         let routers = ports.routers.iter().map(|r| convert::address(r));
-        let routers = routers.collect::<Result<_, _>>().map_err(FleetError::Terms)?;
+        let routers = routers.collect::<Result<_, _>>()?;
         let load = Shared(Arc::new(Mutex::new(Load::new(record, routers))));
         let world = World::new(DAWN, DELAY);
         Ok(Fleet { day, ports, world, places: BTreeMap::new(), begins, starts: 0, load })
@@ -159,7 +162,6 @@
     fn start(&mut self, name: &str, cold: bool) -> Result<(), FleetError> {
         let (day, ports, now) = (self.day, &self.ports, self.world.now());
         let missing = || FleetError::Terms(format!("{name} is nobody"));
-        let bad = FleetError::Terms;
         self.starts += 1;
         let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
             let list = files::list(day, ports).list.ok_or_else(missing)?;
@@ -170,20 +172,16 @@
             router.cores = 1;
             let seed = day.seed << 16 | self.starts;
             let kept = self.places.get(name).and_then(|&place| self.world.kept(place));
-            let router = ProtobufRouter::new(
-                convert::router(&router, 0, seed, u128::from(seed)).map_err(bad)?,
-                kept,
-                now,
-            );
+            let router = ProtobufRouter::new(convert::router(&router, 0, seed, u128::from(seed))?, kept, now);
             ("router", &ports.routers[n], Box::new(router))
         } else {
             let mut all = day.workers().enumerate();
             let (place, (_, group, n)) = all.find(|(_, (w, ..))| w == name).ok_or_else(missing)?;
             let worker = files::worker(day, ports, place, name, group, n).worker.ok_or_else(missing)?;
-            let terms = convert::worker(&worker, cold, self.begins, now).map_err(bad)?;
+            let terms = convert::worker(&worker, cold, self.begins, now)?;
             ("worker", &ports.workers[place], Box::new(Worker::new(terms, now)))
         };
-        let address = convert::address(address).map_err(bad)?;
+        let address = convert::address(address)?;
         let world = &mut self.world;
         let place =
             *self.places.entry(name.to_string()).or_insert_with(|| world.place(name, role, Some(address)));
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -73,7 +73,12 @@
         let log = File::create(self.folder.join(format!("{number:03}-{}.log", recipe.name)))?;
         let mut command = Command::new(&self.program);
         command.args(["--log", "info"]).args(&recipe.arguments);
-        command.arg("--tap").arg(&path).arg("--process").arg(number.to_string()).arg("--tethered");
+        command
+            .arg("--capture")
+            .arg(&path)
+            .arg("--process-number")
+            .arg(number.to_string())
+            .arg("--exit-with-stdin");
         command.stdin(Stdio::piped());
         if !recipe.speaks {
             command.stdout(log.try_clone()?).stderr(log);
