--- a/crates/command/src/admin_client.rs
+++ b/crates/command/src/admin_commands.rs
@@ -1,41 +1,19 @@
-//! The commands `admin`: a client of the administration API.
+//! The commands `admin`, which call the administration API of a running router.
 
 use std::collections::HashMap;
 use std::io::{IsTerminal, Read, Write};
-use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use clap::{Args, Subcommand};
+use clap::Subcommand;
 use serde_json::Value;
 use tideroute_tenant_store::Store;
 
+use crate::admin_api::{ApiClient, ApiError};
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// How long a connection, a request and its reply may take.
-const TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes: a longer response is not from the API.
-const MAX_RESPONSE_BYTES: u64 = 256 << 20;
-/// Headers of a response.
-const MAX_HEADERS: usize = 32;
 /// Tenants that `admin top` shows.
 const TOP_ROWS: usize = 40;
-/// The environment variable with the key, if no file is named.
-const KEY_VARIABLE: &str = "TIDEROUTE_KEY";
-
-/// Where the API listens, and the key to authenticate with.
-#[derive(Args)]
-pub struct ApiClient {
-    /// The address of the administration.
-    #[arg(long, default_value = "127.0.0.1:7100", value_name = "ADDRESS")]
-    at: SocketAddr,
-    /// A file that holds the key; without, the environment's TIDEROUTE_KEY.
-    #[arg(long, value_name = "FILE")]
-    key_file: Option<PathBuf>,
-    /// Prints what the API replied, as JSON.
-    #[arg(long)]
-    json: bool,
-}
 
 /// One command of `admin`.
 #[derive(Subcommand)]
@@ -107,7 +85,7 @@
         AdminCommand::Show { name, client } => {
             let response =
                 client.request("GET", &format!("/v1/tenants/{}", checked_name(name)?), None, b"")?;
-            client.print(&[response.json()?]);
+            print_entries(client, &[response.json()?]);
             Ok(CommandStatus::Success)
         }
         AdminCommand::Put { name, file, version, client } => {
@@ -115,7 +93,7 @@
             let precondition = version.map_or("if-none-match: *".into(), |v| format!("if-match: \"{v}\""));
             let path = format!("/v1/tenants/{}", checked_name(name)?);
             let response = client.request("PUT", &path, Some(&precondition), &body)?;
-            client.print(&[response.json()?]);
+            print_entries(client, &[response.json()?]);
             Ok(CommandStatus::Success)
         }
         AdminCommand::Remove { name, version, client } => {
@@ -183,7 +161,7 @@
 /// Prints the entries of all pages.
 fn print_pages(client: &ApiClient, path: &str, cursor: &str) -> CommandResult {
     let entries = client.all_pages(path, cursor)?;
-    client.print(&entries);
+    print_entries(client, &entries);
     Ok(CommandStatus::Success)
 }
 
@@ -247,157 +225,33 @@
     text
 }
 
-/// Why a call of the administration API failed.
-#[derive(Debug, thiserror::Error)]
-pub enum ApiError {
-    /// The operating system's random number generator failed.
-    #[error("no random bytes: {0}")]
-    RandomKey(getrandom::Error),
-    /// The name cannot be a tenant's.
-    #[error("{0:?} is no name of a tenant: a-z, 0-9 and - only")]
-    InvalidTenantName(String),
-    /// The key's file cannot be read.
-    #[error("{}: {source}", path.display())]
-    KeyFile { path: PathBuf, source: std::io::Error },
-    /// Neither a file nor the environment holds a key.
-    #[error("no key: name a --key-file or set {KEY_VARIABLE}")]
-    NoKey,
-    /// The key cannot be sent in a header.
-    #[error("the key is empty, or is no plain text")]
-    InvalidKey,
-    /// The connection failed.
-    #[error("{address}: {source}")]
-    Connection { address: SocketAddr, source: std::io::Error },
-    /// The response is no HTTP.
-    #[error("{0}: this is not an administration of ours")]
-    NotTheApi(SocketAddr),
-    /// The body of the response is no JSON.
-    #[error("the reply is no JSON: {0}")]
-    InvalidJson(serde_json::Error),
-    /// The API refused the call; `present` is the tenant's version and content, if the call was about another.
-    #[error("{status}: {detail}{}", present_text(.present))]
-    Refused { status: u16, detail: String, present: Option<(u64, Value)> },
-}
-
-fn present_text(present: &Option<(u64, Value)>) -> String {
-    match present {
-        Some((version, tenant)) => format!("\npresent version {version}: {tenant}"),
-        None => String::new(),
-    }
-}
-
-/// A successful response.
-struct Response {
-    body: Vec<u8>,
-}
-
-impl Response {
-    fn json(&self) -> Result<Value, ApiError> {
-        serde_json::from_slice(&self.body).map_err(ApiError::InvalidJson)
-    }
-}
-
-impl ApiClient {
-    fn key(&self) -> Result<String, ApiError> {
-        let text = match &self.key_file {
-            Some(path) => std::fs::read_to_string(path)
-                .map_err(|source| ApiError::KeyFile { path: path.clone(), source })?,
-            None => std::env::var(KEY_VARIABLE).map_err(|_| ApiError::NoKey)?,
-        };
-        let key = text.trim().to_string();
-        let is_valid = !key.is_empty() && key.bytes().all(|b| b.is_ascii_graphic());
-        if is_valid {
-            Ok(key)
-        } else {
-            Err(ApiError::InvalidKey)
-        }
+/// Prints entries as a table, or as JSON lines.
+fn print_entries(client: &ApiClient, entries: &[Value]) {
+    if client.json {
+        entries.iter().for_each(|entry| println!("{entry}"));
+        return;
     }
-
-    /// The entries of all pages at the path.
-    fn all_pages(&self, path: &str, cursor: &str) -> Result<Vec<Value>, ApiError> {
-        let mut entries = vec![];
-        let mut next = String::new();
-        loop {
-            let from = if next.is_empty() { String::new() } else { format!("&{cursor}={next}") };
-            let page = self.request("GET", &format!("{path}?most=1000{from}"), None, b"")?.json()?;
-            entries.extend(page["entries"].as_array().cloned().unwrap_or_default());
-            match page["next"].as_str() {
-                Some(more) => next = more.to_string(),
-                None => return Ok(entries),
-            }
-        }
-    }
-
-    /// Sends one request on a connection of its own.
-    fn request(
-        &self,
-        method: &str,
-        path: &str,
-        precondition: Option<&str>,
-        body: &[u8],
-    ) -> Result<Response, ApiError> {
-        let connection = |source| ApiError::Connection { address: self.at, source };
-        let mut stream = TcpStream::connect_timeout(&self.at, TIMEOUT).map_err(connection)?;
-        stream.set_read_timeout(Some(TIMEOUT)).map_err(connection)?;
-        stream.set_write_timeout(Some(TIMEOUT)).map_err(connection)?;
-        let mut head = format!("{method} {path} HTTP/1.1\r\nhost: {}\r\nconnection: close\r\n", self.at);
-        head += &format!("authorization: Bearer {}\r\n", self.key()?);
-        if let Some(precondition) = precondition {
-            head += &format!("{precondition}\r\n");
-        }
-        head += &format!("content-type: application/json\r\ncontent-length: {}\r\n\r\n", body.len());
-        stream.write_all(&[head.as_bytes(), body].concat()).map_err(connection)?;
-        let mut received = vec![];
-        stream.take(MAX_RESPONSE_BYTES).read_to_end(&mut received).map_err(connection)?;
-        self.parse_response(&received)
-    }
-
-    fn parse_response(&self, received: &[u8]) -> Result<Response, ApiError> {
-        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut parsed = httparse::Response::new(&mut headers);
-        let Ok(httparse::Status::Complete(head_length)) = parsed.parse(received) else {
-            return Err(ApiError::NotTheApi(self.at));
-        };
-        let status = parsed.code.ok_or(ApiError::NotTheApi(self.at))?;
-        let response = Response { body: received[head_length..].to_vec() };
-        if status < 300 {
-            return Ok(response);
-        }
-        let problem = response.json()?;
-        let detail = problem["detail"].as_str().unwrap_or("no more is known").to_string();
-        let version = problem["present"]["version"].as_u64();
-        let present = version.map(|version| (version, problem["present"]["tenant"].clone()));
-        Err(ApiError::Refused { status, detail, present })
-    }
-
-    /// Prints entries as a table, or as JSON lines.
-    fn print(&self, entries: &[Value]) {
-        if self.json {
-            entries.iter().for_each(|entry| println!("{entry}"));
-            return;
+    println!(
+        "{:<20}{:>8}{:>8}{:>14}{:>14}{:>10}{:>6}  changed by",
+        "tenant", "version", "weight", "submissions/s", "tokens/s", "in flight", "keys"
+    );
+    for entry in entries {
+        let name = tenant_name(entry);
+        let version = &entry["version"];
+        let by = entry["by"].as_str().unwrap_or("?");
+        let tenant = &entry["tenant"];
+        if tenant.is_null() {
+            println!("{name:<20}{version:>8}{:>52}  {by}", "removed");
+            continue;
         }
+        let limit = |value: &Value| if value.is_null() { "-".to_string() } else { value.to_string() };
+        let keys = tenant["keys"].as_array().map_or(0, Vec::len);
         println!(
-            "{:<20}{:>8}{:>8}{:>14}{:>14}{:>10}{:>6}  changed by",
-            "tenant", "version", "weight", "submissions/s", "tokens/s", "in flight", "keys"
+            "{name:<20}{version:>8}{:>8}{:>14}{:>14}{:>10}{keys:>6}  {by}",
+            limit(&tenant["weight"]),
+            limit(&tenant["submissions"]["a_second"]),
+            limit(&tenant["tokens"]["a_second"]),
+            limit(&tenant["in_flight"]),
         );
-        for entry in entries {
-            let name = tenant_name(entry);
-            let version = &entry["version"];
-            let by = entry["by"].as_str().unwrap_or("?");
-            let tenant = &entry["tenant"];
-            if tenant.is_null() {
-                println!("{name:<20}{version:>8}{:>52}  {by}", "removed");
-                continue;
-            }
-            let limit = |value: &Value| if value.is_null() { "-".to_string() } else { value.to_string() };
-            let keys = tenant["keys"].as_array().map_or(0, Vec::len);
-            println!(
-                "{name:<20}{version:>8}{:>8}{:>14}{:>14}{:>10}{keys:>6}  {by}",
-                limit(&tenant["weight"]),
-                limit(&tenant["submissions"]["a_second"]),
-                limit(&tenant["tokens"]["a_second"]),
-                limit(&tenant["in_flight"]),
-            );
-        }
     }
 }
--- a/crates/command/src/cli.rs
+++ b/crates/command/src/cli.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use tideroute_simulation::choosers::Way;
 
-use crate::admin_client::AdminCommand;
+use crate::admin_commands::AdminCommand;
 
 /// A router for language-model servers that prefill and decode in two stages.
 #[derive(Parser)]
--- a/crates/command/src/error.rs
+++ b/crates/command/src/error.rs
@@ -10,7 +10,7 @@
 use tideroute_simulation::day::DayError;
 use tideroute_simulation::fleet::FleetError;
 
-use crate::admin_client::ApiError;
+use crate::admin_api::ApiError;
 use crate::measure::plot::PlotError;
 
 /// What a command that could do its work found: exit code 0 or 1.
--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -1,7 +1,8 @@
 //! The program `tideroute`. Each command has a module. Exit codes: 0 when all went well, 1 when the command did its
 //! work and something in the result is wrong, 2 when it was called or configured wrongly.
 
-mod admin_client;
+mod admin_api;
+mod admin_commands;
 mod admin_thread;
 mod cli;
 mod client_load;
@@ -62,7 +63,7 @@
         }
         Command::Measure { measurement } => measure(measurement),
         Command::Fleet { query: FleetQuery::Status { file, json } } => fleet_status::run(&file, json),
-        Command::Admin { command } => admin_client::run(&command),
+        Command::Admin { command } => admin_commands::run(&command),
         Command::Check { files } => config_file::check(&files),
         Command::Scenario { file, out, in_virtual_time: true, draw, .. } => {
             scenario::play_in_virtual_time(&file, out, draw)
