--- /dev/null
+++ b/crates/command/tests/shutdown_obligations/harness.rs
@@ -0,0 +1,258 @@
+//! The real process between workers, clients and a discovery that do each next thing when the test says so.
+
+use std::collections::VecDeque;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::{Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::time::{Duration, Instant};
+
+use serde_json::{json, Value};
+
+use tideroute_test_support::fixture;
+use tideroute_test_support::process::{free, signal, until, Running, PATIENCE};
+use tideroute_test_support::text::{ask, chunk, plain, READ};
+
+pub const RELEASE: &str = "DELETE /internal/reservations/";
+pub const RESERVE: &str = "POST /internal/reservations/";
+pub const ATTEMPT: &str = "POST /v1/chat/completions";
+pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+/// Within which the protocol wants reserved state released, by the settings of `fixture::file`.
+pub const RELEASE_LIMIT: Duration = Duration::from_millis(1_300);
+
+/// A request that arrived at a worker, or a watch that was opened at discovery.
+pub struct Call {
+    /// The worker's number, or [`DISCOVERY`].
+    pub at: usize,
+    pub text: String,
+    pub stream: TcpStream,
+    pub received_at: Instant,
+}
+
+impl Call {
+    pub fn send(&mut self, text: impl AsRef<[u8]>) {
+        self.stream.write_all(text.as_ref()).expect("the router is there");
+    }
+
+    /// Waits until the router has closed the connection, on its side at least.
+    pub fn wait_for_close(&self) {
+        let mut rest = vec![];
+        let _ = (&self.stream).read_to_end(&mut rest);
+    }
+
+    pub fn trace(&self) -> &str {
+        let at = self.text.find("x-trace-id: ").expect("an id") + 12;
+        self.text[at..].split("\r\n").next().unwrap_or("")
+    }
+}
+
+/// Accepts connections and sends each complete request on them to the test.
+pub fn listen(listener: TcpListener, at: usize, calls: Sender<Call>) {
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let (calls, _) = (calls.clone(), stream.set_nodelay(true));
+            std::thread::spawn(move || {
+                let (mut kept, mut piece) = (vec![], [0; 4096]);
+                while let Ok(got @ 1..) = (&stream).read(&mut piece) {
+                    kept.extend_from_slice(&piece[..got]);
+                    while let Some(end) = kept.windows(4).position(|w| w == b"\r\n\r\n") {
+                        let head = String::from_utf8_lossy(&kept[..end]).into_owned();
+                        let length = head.split("content-length: ").nth(1);
+                        let length = length.and_then(|l| l.split("\r\n").next()?.parse().ok()).unwrap_or(0);
+                        if kept.len() < end + 4 + length {
+                            break;
+                        }
+                        let text = String::from_utf8_lossy(&kept[..end + 4 + length]).into_owned();
+                        kept.drain(..end + 4 + length);
+                        let stream = stream.try_clone().expect("a handle");
+                        let _ = calls.send(Call { at, text, stream, received_at: Instant::now() });
+                    }
+                }
+            });
+        }
+    });
+}
+
+pub struct Harness {
+    pub running: Running,
+    pub path: PathBuf,
+    pub file: Value,
+    pub calls: Receiver<Call>,
+    /// Arrived before the test asked for it.
+    pub early: VecDeque<Call>,
+    pub watch: Call,
+    /// For listeners that a test adds.
+    pub sender: Sender<Call>,
+}
+
+/// Numbers the harnesses of this process.
+pub static HARNESSES: AtomicU8 = AtomicU8::new(1);
+/// Discovery's number among those that receive calls.
+pub const DISCOVERY: usize = 99;
+
+impl Harness {
+    pub fn new(name: &str, set: impl FnOnce(&mut Value)) -> Harness {
+        Harness::with_limit(name, "", set)
+    }
+
+    /// Starts the process under a limit that its shell sets.
+    pub fn with_limit(name: &str, limit: &str, set: impl FnOnce(&mut Value)) -> Harness {
+        let (sender, calls) = channel();
+        let mut list = fixture::list(4);
+        for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
+            let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+            server["addr"] = json!(listener.local_addr().expect("an address").to_string());
+            listen(listener, n, sender.clone());
+        }
+        let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let mut file = fixture::file();
+        file["discovery"] = json!(discovery.local_addr().expect("an address").to_string());
+        // An address of its own: no listener of another test is given its port meanwhile.
+        let number = HARNESSES.fetch_add(1, Ordering::Relaxed);
+        let own = free().replace("127.0.0.1", &format!("127.1.1.{number}"));
+        (file["listen"], file["known"]) = (json!(own), list);
+        set(&mut file);
+        listen(discovery, DISCOVERY, sender.clone());
+        let path =
+            std::env::temp_dir().join(format!("tideroute-end-{name}-{number}-{}.json", std::process::id()));
+        std::fs::write(&path, file.to_string()).expect("a file");
+        let script = format!("{limit} exec {} platform", env!("CARGO_BIN_EXE_tideroute"));
+        let mut command = Command::new("sh");
+        command.args(["-c", &script]).env("EDGE_CONFIG", &path).stdin(Stdio::null());
+        let running = Running(command.spawn().expect("it runs"));
+        let mut watch = calls.recv_timeout(PATIENCE).expect("a watch");
+        assert!(watch.at == DISCOVERY && watch.text.starts_with("GET /discovery/hosts?watch=1&after="));
+        watch.send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        watch.send(chunk(&format!("{}\n", file["known"])));
+        let mut harness = Harness { running, path, file, calls, early: VecDeque::new(), watch, sender };
+        until(|| (harness.health_status() == 200).then_some(()));
+        harness
+    }
+
+    pub fn health_status(&mut self) -> u16 {
+        let Ok(mut stream) = TcpStream::connect(self.file["listen"].as_str().expect("an address")) else {
+            return 0;
+        };
+        let _ = stream.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+        let mut answer = [0; 12];
+        let read = stream.read_exact(&mut answer).is_ok();
+        if read {
+            String::from_utf8_lossy(&answer[9..]).parse().unwrap_or(0)
+        } else {
+            0
+        }
+    }
+
+    pub fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.file["listen"].as_str().expect("an address")).expect("a door");
+        stream.set_nodelay(true).expect("no delay");
+        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream
+    }
+
+    pub fn request(&self, trace: &str, class: &str) -> TcpStream {
+        let mut client = self.connect();
+        client.write_all(ask(trace, class).as_bytes()).expect("the router is there");
+        client
+    }
+
+    /// The next call that begins so; health checks are answered, and other calls are kept for later.
+    pub fn next_call(&mut self, begins: &str) -> Call {
+        self.next_call_within(begins, PATIENCE).unwrap_or_else(|| panic!("no call that begins with {begins}"))
+    }
+
+    pub fn next_call_within(&mut self, begins: &str, time: Duration) -> Option<Call> {
+        let until = Instant::now() + time;
+        if let Some(n) = self.early.iter().position(|call| call.text.starts_with(begins)) {
+            return self.early.remove(n);
+        }
+        loop {
+            let mut call = self.calls.recv_timeout(until.checked_duration_since(Instant::now())?).ok()?;
+            if call.text.starts_with(begins) {
+                return Some(call);
+            } else if call.text.starts_with("GET /alive") {
+                call.send(plain(200, "", ""));
+            } else {
+                self.early.push_back(call);
+            }
+        }
+    }
+
+    /// Sends a request and has it prefilled: its client, when that was, and the decode attempt that follows.
+    pub fn prefilled(&mut self, trace: &str, class: &str) -> (TcpStream, Instant, Call) {
+        let client = self.request(trace, class);
+        let mut reader = self.next_call(ATTEMPT);
+        reader.send(READ);
+        (client, Instant::now(), self.next_call(ATTEMPT))
+    }
+
+    pub fn notify(&mut self, line: &Value) {
+        self.watch.send(chunk(&format!("{line}\n")));
+    }
+
+    /// The entry of a worker in the endpoint list.
+    pub fn endpoint(&self, worker: usize, state: &str) -> Value {
+        let mut entry = self.file["known"]["servers"][worker].clone();
+        entry["state"] = json!(state);
+        entry
+    }
+
+    pub fn change(&self, version: u64, worker: usize, state: &str) -> Value {
+        json!({"version": version, "full": false, "servers": [self.endpoint(worker, state)]})
+    }
+
+    pub fn signal(&self, name: &str) {
+        signal(&self.running.0, name);
+    }
+
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        until(|| self.running.0.try_wait().expect("its end"))
+    }
+}
+
+impl Drop for Harness {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
+
+/// What a client receives until its connection ends.
+pub fn read_to_end_of(mut client: TcpStream) -> String {
+    let mut all = vec![];
+    let _ = client.read_to_end(&mut all);
+    String::from_utf8_lossy(&all).into_owned()
+}
+
+/// The response that a client receives, on a connection that may stay open.
+pub fn response(client: &mut TcpStream) -> String {
+    let (mut kept, mut piece) = (String::new(), [0; 4096]);
+    loop {
+        if let Some((head, body)) = kept.split_once("\r\n\r\n") {
+            let length =
+                head.split("content-length: ").nth(1).and_then(|l| l.split("\r\n").next()?.parse().ok());
+            if length.map_or(body.ends_with("0\r\n\r\n"), |length: usize| body.len() >= length) {
+                return kept;
+            }
+        }
+        match client.read(&mut piece) {
+            Ok(got @ 1..) => kept.push_str(&String::from_utf8_lossy(&piece[..got])),
+            _ => return kept,
+        }
+    }
+}
+
+/// Reads until the text has arrived.
+pub fn read_until(client: &mut TcpStream, kept: &mut String, text: &str) {
+    let mut piece = [0; 4096];
+    while !kept.contains(text) {
+        let got = client.read(&mut piece).expect("it comes");
+        assert!(got > 0, "ended before {text:?}: {kept}");
+        kept.push_str(&String::from_utf8_lossy(&piece[..got]));
+    }
+}
+
+pub fn without_reservations(file: &mut Value) {
+    file["settings"]["family_info"]["ahead"] = json!(false);
+}
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A soak over real processes: routers, workers, a proxy before each, clients and discovery, with two or three troubles
+//! A soak over real processes: routers, workers, a proxy before each, clients and discovery, with two or three faults
 //! at a time, in the processes, between them and, by a library loaded into routers, in their system calls and clocks.
 //! A checker that knows nothing of routers judges. `SOAK_RUNS` and `FIRST_SOAK` set how many runs are played and the seed
 //! of the first; a run that breaks a rule keeps its logs and all that was reported, and names them.
@@ -24,28 +24,30 @@
 
 #[path = "soak/clients.rs"]
 mod clients;
+#[path = "soak/faults.rs"]
+mod faults;
 #[path = "soak/fleet.rs"]
 mod fleet;
-#[path = "soak/stories.rs"]
-mod stories;
-#[path = "soak/troubles.rs"]
-mod troubles;
+#[path = "soak/request_traces.rs"]
+mod request_traces;
 
+use faults::{Fault, ALL_FAULTS};
 use fleet::{lock, Fleet};
-use troubles::{Trouble, ALL};
 
 /// The environment's variable that names the role of a process of ours.
 pub const ROLE: &str = "TIDEROUTE_SOAK_ROLE";
-/// Runs played where nothing else is said, and how many of them side by side.
+/// Runs, unless the environment says otherwise.
 const RUNS: u64 = 8;
-const SIDE_BY_SIDE: u64 = 4;
+/// Runs that are played at the same time.
+const PARALLEL_RUNS: u64 = 4;
 /// The test's name, for those who choose tests by a part of it.
-const NAME: &str = "every_rule_holds_while_troubles_overlap";
-/// How much later than it was done something may be seen on a busy machine.
-const NOISE: Micros = 500 * MS;
-/// Requests come for so long, and then what is held is watched for a while.
-const BUSY: Duration = Duration::from_millis(5_000);
-const WATCHED: Duration = Duration::from_millis(3_500);
+const TEST_NAME: &str = "every_rule_holds_while_faults_overlap";
+/// How much later than it happened something may be observed on a busy machine.
+const OBSERVATION_DELAY: Micros = 500 * MS;
+/// How long clients send requests.
+const LOAD_TIME: Duration = Duration::from_millis(5_000);
+/// How long reserved state is watched after that.
+const WATCH_TIME: Duration = Duration::from_millis(3_500);
 
 /// Why a run could not be played. It has failed, and says nothing of the rules.
 #[derive(Debug)]
@@ -67,38 +69,38 @@
     }
 }
 
-/// What a run brought.
+/// The result of a run.
 struct Run {
     broken: Option<String>,
     processes: usize,
     requests: usize,
-    met: Vec<(Trouble, Trouble)>,
+    met: Vec<(Fault, Fault)>,
 }
 
-/// Two or three troubles overlap, again and again.
-fn trouble(fleet: &Fleet, met: &Mutex<Vec<(Trouble, Trouble)>>, failed: &Mutex<Option<Failure>>) {
-    let ends = Instant::now() + BUSY;
+/// Injects two or three overlapping faults, again and again.
+fn inject_faults(fleet: &Fleet, met: &Mutex<Vec<(Fault, Fault)>>, failed: &Mutex<Option<Failure>>) {
+    let ends = Instant::now() + LOAD_TIME;
     // Where lists may come late, drains are hardly ever told within a run.
-    let lists_are_in_time = fleet.seed.is_multiple_of(2);
+    let endpoint_lists_in_time = fleet.seed.is_multiple_of(2);
     std::thread::scope(|scope| {
         while Instant::now() < ends {
             let many = 2 + (fleet.judge.unit() * 2.0) as usize;
-            let mut drawn: Vec<Trouble> = vec![];
+            let mut drawn: Vec<Fault> = vec![];
             while drawn.len() < many {
-                let next = ALL[(fleet.judge.unit() * ALL.len() as f64) as usize];
-                let one_of_all = next.is_of_all() && drawn.iter().any(|t| t.is_of_all());
-                if !(one_of_all || next.makes_lists_late() && lists_are_in_time) {
+                let next = ALL_FAULTS[(fleet.judge.unit() * ALL_FAULTS.len() as f64) as usize];
+                let one_of_all = next.is_global() && drawn.iter().any(|t| t.is_global());
+                if !(one_of_all || next.delays_endpoint_lists() && endpoint_lists_in_time) {
                     drawn.push(next);
                 }
             }
             drawn.sort();
             let pairs = (0..many).flat_map(|a| (a + 1..many).map(move |b| (a, b)));
             lock(met).extend(pairs.map(|(a, b)| (drawn[a], drawn[b])));
-            for trouble in drawn {
+            for fault in drawn {
                 let after = Duration::from_millis(fleet.judge.between(1.0, 300.0));
                 scope.spawn(move || {
                     std::thread::sleep(after);
-                    if let Err(failure) = fleet.suffers(trouble) {
+                    if let Err(failure) = fleet.inject(fault) {
                         lock(failed).get_or_insert(failure);
                     }
                 });
@@ -108,10 +110,10 @@
     });
 }
 
-/// Ends the processes of a run, however that ends.
-struct Ending<'a>(&'a Fleet);
+/// Ends the processes of a run when dropped.
+struct EndOnDrop<'a>(&'a Fleet);
 
-impl Drop for Ending<'_> {
+impl Drop for EndOnDrop<'_> {
     fn drop(&mut self) {
         self.0.end();
     }
@@ -120,13 +122,13 @@
 fn play(seed: u64) -> Result<Run, Failure> {
     let mut draw = Rng::new(3 * seed + 1);
     let customer = Customer::drawn(&mut draw);
-    let judge = Arc::new(Judge::new(customer, draw, NOISE));
+    let judge = Arc::new(Judge::new(customer, draw, OBSERVATION_DELAY));
     let fleet = Fleet::start(judge.clone(), seed)?;
-    let _ending = Ending(&fleet);
+    let _ending = EndOnDrop(&fleet);
     let (met, failed) = (Mutex::default(), Mutex::default());
-    let ends = Instant::now() + BUSY;
+    let ends = Instant::now() + LOAD_TIME;
     std::thread::scope(|scope| {
-        scope.spawn(|| trouble(&fleet, &met, &failed));
+        scope.spawn(|| inject_faults(&fleet, &met, &failed));
         while Instant::now() < ends {
             std::thread::sleep(Duration::from_millis(judge.between(5.0, 120.0)));
             let routers = fleet.routers();
@@ -134,7 +136,7 @@
             let fleet = &fleet;
             scope.spawn(move || clients::client(fleet, router));
         }
-        while Instant::now() < ends + WATCHED && judge.broken().is_none() {
+        while Instant::now() < ends + WATCH_TIME && judge.broken().is_none() {
             judge.look();
             std::thread::sleep(LOOKS);
         }
@@ -144,7 +146,7 @@
         return Err(failure);
     }
     fleet.end();
-    fleet.violations().into_iter().chain(stories::gaps(&fleet)).for_each(|what| judge.breaks(what));
+    fleet.violations().into_iter().chain(request_traces::missing(&fleet)).for_each(|what| judge.breaks(what));
     let broken = judge.broken().map(|broken| format!("soak {seed}: {broken}"));
     if broken.is_some() {
         let path = std::env::temp_dir().join(format!("tideroute-soak-{seed}-{}.trace", std::process::id()));
@@ -168,8 +170,8 @@
     shim()?;
     let (mut broken, mut met) = (vec![], BTreeMap::<_, usize>::new());
     let (mut processes, mut requests) = (0, 0);
-    for from in (first..first + runs).step_by(SIDE_BY_SIDE as usize) {
-        let seeds = from..(from + SIDE_BY_SIDE).min(first + runs);
+    for from in (first..first + runs).step_by(PARALLEL_RUNS as usize) {
+        let seeds = from..(from + PARALLEL_RUNS).min(first + runs);
         let threads: Vec<_> = seeds.map(|seed| (seed, std::thread::spawn(move || play(seed)))).collect();
         for (seed, thread) in threads {
             match thread.join() {
@@ -189,13 +191,13 @@
         "{runs} runs from seed {first}: {processes} processes, {requests} requests, {} broken",
         broken.len()
     );
-    let pairs = ALL.len() * (ALL.len() + 1) / 2;
-    println!("{} pairs of troubles of {pairs} overlapped, {} times", met.len(), met.values().sum::<usize>());
+    let pairs = ALL_FAULTS.len() * (ALL_FAULTS.len() + 1) / 2;
+    println!("{} pairs of faults of {pairs} overlapped, {} times", met.len(), met.values().sum::<usize>());
     Ok(broken)
 }
 
 /// A process in another role, which lasts as long as the one that started it.
-fn stand_in(role: &str) -> Result<(), Failure> {
+fn run_role(role: &str) -> Result<(), Failure> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let argument = |n: usize| arguments.get(n).ok_or(Failure(format!("argument {n} is missing")));
     let listener = TcpListener::bind(argument(0)?)?;
@@ -227,7 +229,7 @@
 
 fn main() -> ExitCode {
     if let Ok(role) = std::env::var(ROLE) {
-        return stand_in(&role).map_or_else(
+        return run_role(&role).map_or_else(
             |Failure(problem)| {
                 eprintln!("{role}: {problem}");
                 ExitCode::FAILURE
@@ -237,11 +239,11 @@
     }
     // As the usual harness does: a word chooses tests by a part of their name.
     let chosen =
-        std::env::args().skip(1).filter(|word| !word.starts_with('-')).all(|word| NAME.contains(&word));
+        std::env::args().skip(1).filter(|word| !word.starts_with('-')).all(|word| TEST_NAME.contains(&word));
     println!("\nrunning {} test{}", u8::from(chosen), if chosen { "" } else { "s" });
     let broken = if chosen { soak().unwrap_or_else(|Failure(problem)| vec![problem]) } else { vec![] };
     if chosen {
-        println!("test {NAME} ... {}", if broken.is_empty() { "ok" } else { "FAILED" });
+        println!("test {TEST_NAME} ... {}", if broken.is_empty() { "ok" } else { "FAILED" });
     }
     broken.iter().for_each(|broken| println!("{broken}"));
     let (passed, failed) = (u8::from(chosen && broken.is_empty()), u8::from(!broken.is_empty()));
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: routers, workers, the proxies before them; and discovery, which the test itself plays.
+//! The processes of a run: routers, workers and the proxies before them; and discovery, which the test itself runs.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -17,13 +17,13 @@
 use crate::{Failure, ROLE};
 
 /// Discovery's heartbeat.
-const BEAT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT: Duration = Duration::from_millis(1_000);
 /// How long the old address of discovery still serves the watches that it has.
-const OLD_ADDRESS: Duration = Duration::from_millis(1_500);
-/// After which a change counts as told, whatever becomes of the watch; and after a new configuration.
-const TOLD: Micros = 6_000 * MS;
-/// In which a process must be there.
-const STARTS: Duration = Duration::from_secs(20);
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1_500);
+/// How long a change may take to arrive, whatever becomes of the watch, also after a reload.
+const NOTIFICATION_LIMIT: Micros = 6_000 * MS;
+/// How long a process may take to listen.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -125,10 +125,10 @@
         let fleet = Arc::new(fleet);
         for (number, door) in doors.into_iter().enumerate() {
             let at = fleet.clone();
-            std::thread::spawn(move || at.hear_watches(number, &door));
+            std::thread::spawn(move || at.accept_watches(number, &door));
         }
         let at = fleet.clone();
-        std::thread::spawn(move || at.beat());
+        std::thread::spawn(move || at.send_heartbeats());
         let mut routers = vec![];
         for number in 0..2 + seed as usize % 2 {
             let listen = free().replace("127.0.0.1", &format!("127.4.{}.{}", seed % 250 + 1, number + 1));
@@ -159,7 +159,7 @@
     }
 
     /// What goes wrong inside a router's process, by the shim: some have no fault of their own.
-    fn shim_plan(&self, life: usize) -> Option<String> {
+    fn fault_plan(&self, life: usize) -> Option<String> {
         let draw = || self.judge.unit();
         if draw() < 0.3 {
             return None;
@@ -187,7 +187,7 @@
         command.args(["--log", "debug", "platform"]).env("EDGE_CONFIG", config).stdin(Stdio::null());
         command.stderr(std::fs::File::create(&log)?);
         let proof = config.with_extension(format!("{life}.proof"));
-        let plan = self.shim_plan(life);
+        let plan = self.fault_plan(life);
         if let Some(plan) = &plan {
             command.env("LD_PRELOAD", crate::shim()?);
             command.env("TIDEROUTE_SHIM", plan).env("TIDEROUTE_SHIM_PROOF", &proof);
@@ -206,7 +206,7 @@
     fn wait_for_listener(&self, listen: &str) -> Result<(), Failure> {
         let began = Instant::now();
         while TcpStream::connect(listen).is_err() {
-            if began.elapsed() > STARTS {
+            if began.elapsed() > START_TIMEOUT {
                 return Err(Failure(format!("nobody listens at {listen}")));
             }
             std::thread::sleep(Duration::from_millis(10));
@@ -240,7 +240,7 @@
         let seed = self.judge.between(1.0, 1e9);
         let kind = self.judge.customer.kind(number);
         let kind = serde_json::to_string(&kind)?;
-        let running = stand_in("worker", &[listen.into(), kind, self.control.clone(), seed.to_string()])?;
+        let running = start_role("worker", &[listen.into(), kind, self.control.clone(), seed.to_string()])?;
         self.wait_for_listener(listen)?;
         Ok(running)
     }
@@ -253,7 +253,7 @@
         let (own, address) = (at(5), at(6));
         let running = self.spawn_worker(number, &own)?;
         let proxy =
-            stand_in("proxy", &[address.clone(), number.to_string(), self.control.clone(), own.clone()])?;
+            start_role("proxy", &[address.clone(), number.to_string(), self.control.clone(), own.clone()])?;
         self.wait_for_listener(&address)?;
         Ok(Worker { running: Mutex::new(running), proxy: Mutex::new(proxy), address, own })
     }
@@ -283,8 +283,8 @@
         now.saturating_add_signed(self.clock_ahead_ms.load(Ordering::SeqCst))
     }
 
-    /// Discovery tells all routers of a worker, as far as it reaches them.
-    pub fn tell(&self, worker: usize, state: &str, started_ms: u64) {
+    /// Discovery notifies all routers of a worker, as far as it reaches them.
+    pub fn notify(&self, worker: usize, state: &str, started_ms: u64) {
         let entry = self.entry(worker, state, started_ms);
         let version = {
             let mut list = lock(&self.discovery.list);
@@ -292,13 +292,16 @@
             list.0
         };
         self.judge.note(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
-        self.say(&format!("{}\n", json!({"version": version, "full": false, "servers": [entry]})));
+        self.send_to_watches(&format!(
+            "{}\n",
+            json!({"version": version, "full": false, "servers": [entry]})
+        ));
         let told = self.judge.now().max(self.discovery.late_until.load(Ordering::SeqCst));
         self.judge.told(worker, (state == "DRAINING").then_some(told));
     }
 
     /// Says a line on all watches that are not silent.
-    fn say(&self, line: &str) {
+    fn send_to_watches(&self, line: &str) {
         let line = chunk(line);
         if self.discovery.down.load(Ordering::SeqCst) {
             return;
@@ -308,20 +311,20 @@
     }
 
     /// What is told from now on, for so long, may come late.
-    fn is_late(&self, lasts: Duration) {
-        let until = self.judge.now() + lasts.as_micros() as Micros + TOLD;
+    fn allow_late(&self, lasts: Duration) {
+        let until = self.judge.now() + lasts.as_micros() as Micros + NOTIFICATION_LIMIT;
         self.discovery.late_until.fetch_max(until, Ordering::SeqCst);
     }
 
     /// All open watches fall silent, with no error.
     pub fn watches_fall_silent(&self) {
-        self.is_late(Duration::ZERO);
+        self.allow_late(Duration::ZERO);
         lock(&self.discovery.watches).iter_mut().for_each(|watch| watch.silent = true);
     }
 
     /// All open watches end, some in half a line.
     pub fn watches_break(&self, in_half_a_line: bool) {
-        self.is_late(Duration::ZERO);
+        self.allow_late(Duration::ZERO);
         for mut watch in lock(&self.discovery.watches).drain(..) {
             if in_half_a_line {
                 let line = chunk(&format!("{}\n", self.list()));
@@ -332,7 +335,7 @@
 
     /// Discovery can't be reached for so long.
     pub fn discovery_is_down(&self, lasts: Duration) {
-        self.is_late(lasts);
+        self.allow_late(lasts);
         self.discovery.down.store(true, Ordering::SeqCst);
         lock(&self.discovery.watches).clear();
         std::thread::sleep(lasts);
@@ -342,7 +345,7 @@
     /// New configurations move discovery to its other address; their files are whole only a while after the signal, if
     /// that is asked for.
     pub fn discovery_moves(&self, half_written: bool, signal: impl Fn(&Life)) -> Result<(), Failure> {
-        self.is_late(OLD_ADDRESS);
+        self.allow_late(OLD_ADDRESS_GRACE);
         let old = self.discovery.current.fetch_xor(1, Ordering::SeqCst);
         for router in self.routers() {
             // No router starts by half a file.
@@ -360,12 +363,12 @@
                 signal(&router.life());
             }
         }
-        std::thread::sleep(OLD_ADDRESS);
+        std::thread::sleep(OLD_ADDRESS_GRACE);
         lock(&self.discovery.watches).retain(|watch| watch.address != old);
         Ok(())
     }
 
-    fn hear_watches(&self, address: usize, door: &TcpListener) {
+    fn accept_watches(&self, address: usize, door: &TcpListener) {
         for mut stream in door.incoming().flatten() {
             let elsewhere = self.discovery.current.load(Ordering::SeqCst) != address;
             if elsewhere || self.discovery.down.load(Ordering::SeqCst) {
@@ -379,10 +382,10 @@
         }
     }
 
-    fn beat(&self) {
+    fn send_heartbeats(&self) {
         while !self.is_over() {
-            std::thread::sleep(BEAT);
-            self.say("\n");
+            std::thread::sleep(HEARTBEAT);
+            self.send_to_watches("\n");
         }
     }
 
@@ -440,7 +443,7 @@
 }
 
 /// A stand-in's process: this program in another role.
-fn stand_in(role: &str, arguments: &[String]) -> Result<Running, Failure> {
+fn start_role(role: &str, arguments: &[String]) -> Result<Running, Failure> {
     let mut command = Command::new(std::env::current_exe()?);
     command.env(ROLE, role).args(arguments).stdin(Stdio::piped());
     Ok(Running(command.spawn()?))
--- a/crates/command/tests/soak/stories.rs
+++ b/crates/command/tests/soak/request_traces.rs
@@ -1,4 +1,4 @@
-//! The story of a run as routers' logs tell it, beside what the stand-ins saw.
+//! The request traces in the routers' logs, compared with the requests that the emulated workers received.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::fleet::Fleet;
 
-/// A call that came to a worker: of which request, where, and what it was.
+/// A call of a worker: its trace id, the worker, and its kind.
 type Call = (String, String, &'static str);
 
 /// The value behind a field's name in a line of the log, without its quotes.
@@ -25,23 +25,23 @@
     }
 }
 
-/// What the logs say was sent, and how often.
-fn told(fleet: &Fleet) -> BTreeMap<Call, usize> {
-    let mut told = BTreeMap::new();
+/// The calls that the logs say were sent, and how often.
+fn logged(fleet: &Fleet) -> BTreeMap<Call, usize> {
+    let mut calls = BTreeMap::new();
     for path in fleet.files().into_iter().filter(|path| path.extension().is_some_and(|e| e == "log")) {
         let Ok(text) = std::fs::read_to_string(path) else { continue };
         for line in text.lines().filter(|line| line.contains("tideroute::request")) {
             let fields =
                 (field(line, "trace"), field(line, "worker"), field(line, "state").and_then(kind_of));
             if let (Some(trace), Some(worker), Some(kind)) = fields {
-                *told.entry((trace.to_string(), worker.to_string(), kind)).or_default() += 1;
+                *calls.entry((trace.to_string(), worker.to_string(), kind)).or_default() += 1;
             }
         }
     }
-    told
+    calls
 }
 
-/// A call as a stand-in reported it.
+/// A call as the emulated worker reported it.
 fn call_of(fleet: &Fleet, report: &Report) -> Option<Call> {
     let Report::Arrives { on, head } = report else { return None };
     let worker = fleet.workers[on.worker].address.clone();
@@ -53,14 +53,15 @@
     (!trace.is_empty()).then_some((trace, worker, kind))
 }
 
-/// What came to workers and stands in no log.
-pub fn gaps(fleet: &Fleet) -> Vec<String> {
-    let (mut told, mut gaps) = (told(fleet), vec![]);
+/// The calls that arrived at workers and are in no log.
+pub fn missing(fleet: &Fleet) -> Vec<String> {
+    let mut logged = logged(fleet);
+    let mut missing = vec![];
     for call in fleet.judge.reports().iter().filter_map(|report| call_of(fleet, report)) {
-        match told.get_mut(&call) {
+        match logged.get_mut(&call) {
             Some(left) if *left > 0 => *left -= 1,
-            _ => gaps.push(format!("no log tells of {call:?}, which came to its worker")),
+            _ => missing.push(format!("no log tells of {call:?}, which came to its worker")),
         }
     }
-    gaps
+    missing
 }
