--- a/crates/command/src/cli.rs
+++ b/crates/command/src/cli.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
-use tideroute_simulation::choosers::Way;
+use tideroute_simulation::prefill_policies::PrefillPolicy;
 
 use crate::admin_commands::AdminCommand;
 
@@ -81,7 +81,7 @@
         direct_to: Option<PathBuf>,
         /// How a prefill worker is chosen for a direct request.
         #[arg(long, alias = "straight-by", value_name = "POLICY", default_value = "next", hide = true)]
-        policy: Way,
+        policy: PrefillPolicy,
         #[command(flatten)]
         args: ProcessArgs,
     },
--- a/crates/command/src/client_load.rs
+++ b/crates/command/src/client_load.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use tideroute_reactor::Reactor;
-use tideroute_simulation::choosers::Way;
+use tideroute_simulation::client_load::Load;
 use tideroute_simulation::convert;
-use tideroute_simulation::load::Load;
-use tideroute_simulation::straight::Straight;
+use tideroute_simulation::direct_load::DirectLoad;
+use tideroute_simulation::prefill_policies::PrefillPolicy;
 use tideroute_wire::Micros;
 
 use crate::cli::ProcessArgs;
@@ -39,7 +39,7 @@
 pub fn run_direct(
     path: &Path,
     workers: &Path,
-    policy: Way,
+    policy: PrefillPolicy,
     options: &LoadOptions,
     args: &ProcessArgs,
 ) -> CommandResult {
@@ -48,7 +48,7 @@
     let known_workers = serde_json::from_slice(&known_workers).map_err(CommandError::in_file(workers))?;
     let reactor = process::reactor(&[], args, IDENTITY)?;
     wait_for(options.begin_at, &reactor);
-    let mut program = Straight::new(&record, known_workers, policy);
+    let mut program = DirectLoad::new(&record, known_workers, policy);
     let status = process::run(reactor, &mut program)?;
     let line = format!("{} ended, {} of them failed\n", program.ended, program.failed);
     for path in [&options.json, &options.table].into_iter().flatten() {
--- a/crates/command/src/error.rs
+++ b/crates/command/src/error.rs
@@ -7,8 +7,8 @@
 use tideroute_config_language::Problems;
 use tideroute_reactor::ReactorError;
 use tideroute_simulation::convert::ConvertError;
-use tideroute_simulation::day::DayError;
-use tideroute_simulation::fleet::FleetError;
+use tideroute_simulation::scenario::ScenarioError;
+use tideroute_simulation::virtual_scenario::VirtualScenarioError;
 
 use crate::admin_api::ApiError;
 use crate::measure::plot::PlotError;
@@ -107,10 +107,10 @@
     CurrentExecutable(std::io::Error),
     /// A scenario could not be played or its capture not be read.
     #[error(transparent)]
-    Scenario(#[from] DayError),
+    Scenario(#[from] ScenarioError),
     /// A scenario could not be played in virtual time.
     #[error(transparent)]
-    VirtualTime(#[from] FleetError),
+    VirtualTime(#[from] VirtualScenarioError),
     /// A file of the configuration language could not be written.
     #[error("{0}")]
     PrintConfig(Problems),
--- a/crates/command/src/load_balance.rs
+++ b/crates/command/src/load_balance.rs
@@ -4,7 +4,7 @@
 
 use plotters::prelude::*;
 use tideroute_load_balance_report::{Side, Spread};
-use tideroute_simulation::day;
+use tideroute_simulation::scenario;
 
 use crate::error::{CommandError, CommandResult, CommandStatus};
 use crate::measure::plot::PlotError;
@@ -14,7 +14,7 @@
 
 /// Measures the capture and prints what it finds.
 pub fn run(capture: &Path, json: bool, plot: Option<&Path>) -> CommandResult {
-    let reader = day::open(capture)?;
+    let reader = scenario::open(capture)?;
     let spread = tideroute_load_balance_report::measure(reader).map_err(CommandError::in_file(capture))?;
     if json {
         println!("{}", serde_json::to_string(&spread)?);
--- a/crates/command/src/measure/added_latency.rs
+++ b/crates/command/src/measure/added_latency.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use tideroute_simulation::day::{self, DayError};
+use tideroute_simulation::scenario::{self, ScenarioError};
 
 use super::Measured;
 use crate::error::{CommandResult, CommandStatus};
@@ -22,10 +22,11 @@
         for (index, name) in ["straight", "router"].into_iter().enumerate() {
             let is_direct = index == 0;
             let (scenario, interrupted) = (&measured.scenario, &measured.interrupted);
-            let played = day::measure(scenario, &measured.program, &measured.folder, interrupted, is_direct);
+            let played =
+                scenario::measure(scenario, &measured.program, &measured.folder, interrupted, is_direct);
             measured.remove_folder();
             let legs = match played {
-                Err(DayError::Interrupted) => return Ok(CommandStatus::Failure),
+                Err(ScenarioError::Interrupted) => return Ok(CommandStatus::Failure),
                 played => played?,
             };
             let (first, token) = (&legs.first_token, &legs.token);
--- a/crates/command/src/measure/cores.rs
+++ b/crates/command/src/measure/cores.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use tideroute_simulation::day::{self, DayError, Played};
+use tideroute_simulation::scenario::{self, ScenarioError, ScenarioOutcome};
 
 use super::plot::{self, MeasuredRun};
 use super::Measured;
@@ -28,11 +28,15 @@
         for cores in CORES {
             measured.scenario.cores = cores;
             measured.scenario.load.rate = rate;
-            let played =
-                day::play(&measured.scenario, &measured.program, &measured.folder, &measured.interrupted);
+            let played = scenario::play(
+                &measured.scenario,
+                &measured.program,
+                &measured.folder,
+                &measured.interrupted,
+            );
             measured.remove_folder();
             let played = match played {
-                Err(DayError::Interrupted) => return Ok(CommandStatus::Failure),
+                Err(ScenarioError::Interrupted) => return Ok(CommandStatus::Failure),
                 played => played?,
             };
             all_kept &= played.report.kept();
@@ -46,7 +50,7 @@
 }
 
 /// Prints the line of one run, and returns what the plot shows of it.
-fn report_run(played: &Played, cores: u32, rate: f64, seconds: u64) -> MeasuredRun {
+fn report_run(played: &ScenarioOutcome, cores: u32, rate: f64, seconds: u64) -> MeasuredRun {
     let figure = |name: &str| played.figures[name].as_f64().unwrap_or(f64::NAN);
     let milliseconds = |name: &str| played.figures["first_token"][name].as_f64().unwrap_or(f64::NAN) / 1e3;
     let per_second = |name: &str| figure(name) / seconds as f64;
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -3,8 +3,8 @@
 use std::path::{Path, PathBuf};
 
 use tideroute_load_balance_report::Spread;
-use tideroute_simulation::choosers::Way;
-use tideroute_simulation::day::{self, DayError};
+use tideroute_simulation::prefill_policies::PrefillPolicy;
+use tideroute_simulation::scenario::{self, ScenarioError};
 
 use super::Measured;
 use crate::error::{CommandError, CommandResult, CommandStatus};
@@ -35,7 +35,7 @@
         "{seconds} s; readers: fullest/mean, idle beside waiting, index of dispersion, windows with herds"
     );
     println!("way                      p50    p99  worst     idle  index  herds (by chance)      kept  service  rules");
-    let policies = Way::ALL.iter().filter(|(_, way)| *way != Way::Next);
+    let policies = PrefillPolicy::ALL.iter().filter(|(_, way)| *way != PrefillPolicy::Next);
     let policies = policies.map(|(name, _)| (*name, Chooser::Policy(name)));
     let routers = [
         ("ours, unasked", Chooser::Routers { load_reports: false }),
@@ -44,10 +44,10 @@
     let mut all_kept = true;
     for (name, chooser) in policies.chain(routers) {
         let run = match play(&mut measured, chooser) {
-            Err(DayError::Interrupted) => return Ok(CommandStatus::Failure),
+            Err(ScenarioError::Interrupted) => return Ok(CommandStatus::Failure),
             run => run?,
         };
-        let capture = day::open(&run.capture)?;
+        let capture = scenario::open(&run.capture)?;
         let spread = tideroute_load_balance_report::measure(capture)
             .map_err(|error| CommandError::LoadBalance(error.into()))?;
         measured.remove_folder();
@@ -57,17 +57,22 @@
     Ok(CommandStatus::success_if(all_kept))
 }
 
-fn play(measured: &mut Measured, chooser: Chooser) -> Result<Run, DayError> {
+fn play(measured: &mut Measured, chooser: Chooser) -> Result<Run, ScenarioError> {
     match chooser {
         Chooser::Policy(name) => {
             let (scenario, interrupted) = (&measured.scenario, &measured.interrupted);
-            let capture = day::straight(scenario, &measured.program, &measured.folder, interrupted, name)?;
+            let capture =
+                scenario::straight(scenario, &measured.program, &measured.folder, interrupted, name)?;
             Ok(Run { capture, service: String::new(), rules_kept: None })
         }
         Chooser::Routers { load_reports } => {
             measured.scenario.terms.asks = load_reports;
-            let played =
-                day::play(&measured.scenario, &measured.program, &measured.folder, &measured.interrupted)?;
+            let played = scenario::play(
+                &measured.scenario,
+                &measured.program,
+                &measured.folder,
+                &measured.interrupted,
+            )?;
             let service = 100.0 * played.figures["service"].as_f64().unwrap_or(f64::NAN);
             Ok(Run {
                 rules_kept: Some(played.report.kept()),
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -1,6 +1,6 @@
 //! What cluster membership costs, and how soon the kill of a member is known, in virtual time.
 
-use tideroute_simulation::crowd::{name, Crowd, Network, Sighting, CALM};
+use tideroute_simulation::member_cluster::{name, MemberCluster, Network, Sighting, CALM};
 use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::Micros;
 
@@ -29,7 +29,7 @@
     let mut well = true;
     for &count in routers {
         let count = count as usize;
-        let mut crowd = Crowd::new(count, seed, network);
+        let mut crowd = MemberCluster::new(count, seed, network);
         crowd.start_all(0..count);
         let converged = measure_convergence(&mut crowd);
         let quiet = measure_quiet(&mut crowd, count);
@@ -51,7 +51,7 @@
 }
 
 /// Seconds until all members know each other; runs until the end of the time that they have for it.
-fn measure_convergence(crowd: &mut Crowd) -> f64 {
+fn measure_convergence(crowd: &mut MemberCluster) -> f64 {
     let started = crowd.now();
     while !crowd.wrong().is_empty() && crowd.now() < started + CONVERGENCE * SECOND {
         crowd.run_for(SECOND / 2);
@@ -70,8 +70,8 @@
     suspicions: usize,
 }
 
-fn measure_quiet(crowd: &mut Crowd, count: usize) -> QuietCost {
-    let sent = |crowd: &Crowd| {
+fn measure_quiet(crowd: &mut MemberCluster, count: usize) -> QuietCost {
+    let sent = |crowd: &MemberCluster| {
         (0..count).map(|member| crowd.sent(member)).fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
     };
     let started = crowd.now();
@@ -112,7 +112,7 @@
 }
 
 /// Kills the last members one after the other.
-fn measure_kills(crowd: &mut Crowd, count: usize) -> KillDetection {
+fn measure_kills(crowd: &mut MemberCluster, count: usize) -> KillDetection {
     let mut delays = vec![];
     let mut complete = true;
     for kill in 0..KILLS.min(count - 1) {
--- a/crates/command/src/scenario.rs
+++ b/crates/command/src/scenario.rs
@@ -7,8 +7,8 @@
 
 use signal_hook::consts::{SIGINT, SIGTERM};
 use tideroute_config_language::kinds::{Day, File, Trouble};
-use tideroute_simulation::day::{self, DayError, Played};
-use tideroute_simulation::{faults, fleet};
+use tideroute_simulation::scenario::{self, ScenarioError, ScenarioOutcome};
+use tideroute_simulation::{faults, virtual_scenario};
 
 use crate::error::{CommandError, CommandResult, CommandStatus};
 use crate::{config_file, trace_report};
@@ -22,7 +22,7 @@
     if let Some(faults) = day.faults.as_mut() {
         faults.seed = seed.unwrap_or(faults.seed);
     }
-    Ok(faults::drawn(&day))
+    Ok(faults::with_generated_faults(&day))
 }
 
 /// Plays a scenario on processes of its own. `out` keeps logs and the capture; a failed scenario is played again up to
@@ -35,9 +35,9 @@
     let temporary = || std::env::temp_dir().join(format!("tideroute-day-{}", std::process::id()));
     let folder = out.unwrap_or_else(temporary);
     announce(path, &scenario);
-    let played = match day::play(&scenario, &program, &folder, &interrupted) {
+    let played = match scenario::play(&scenario, &program, &folder, &interrupted) {
         Ok(played) => played,
-        Err(DayError::Interrupted) => {
+        Err(ScenarioError::Interrupted) => {
             let _ = std::fs::remove_dir_all(&folder);
             eprintln!("interrupted; all processes of the day have ended");
             return Ok(CommandStatus::Failure);
@@ -79,7 +79,7 @@
     );
 }
 
-fn print_outcome(scenario: &Day, played: &Played) {
+fn print_outcome(scenario: &Day, played: &ScenarioOutcome) {
     println!("{}", played.table);
     for (wanted, seen, held) in &played.expected {
         println!("  {} {wanted}: {seen}", if *held { "yes" } else { " NO" });
@@ -90,7 +90,7 @@
 }
 
 /// Prints what the processes of each kind used of the machine.
-fn print_resource_usage(scenario: &Day, played: &Played) {
+fn print_resource_usage(scenario: &Day, played: &ScenarioOutcome) {
     let groups =
         scenario.fleet.iter().map(|g| (g.name.as_str(), g.count)).chain([("router", scenario.routers)]);
     for (group, count) in groups.chain([("list", 1), ("load", 1), ("relay", 1)]) {
@@ -124,7 +124,7 @@
 ) -> Result<(), CommandError> {
     let with = |troubles: &[Trouble]| Day { troubles: troubles.to_vec(), faults: None, ..scenario.clone() };
     let needed = faults::shrink(&scenario.troubles, max_runs, |some| {
-        let failed = day::play(&with(some), program, &folder.join("smaller"), interrupted);
+        let failed = scenario::play(&with(some), program, &folder.join("smaller"), interrupted);
         let failed = failed.is_ok_and(|played| !played.passed());
         eprintln!(
             "with {} of {} troubles: {}",
@@ -146,7 +146,7 @@
 pub fn play_in_virtual_time(path: &Path, out: Option<PathBuf>, seed: Option<u64>) -> CommandResult {
     let scenario = read(path, seed)?;
     let started = std::time::Instant::now();
-    let played = fleet::play(&scenario)?;
+    let played = virtual_scenario::play(&scenario)?;
     let elapsed = started.elapsed().as_secs_f64();
     println!("{}", played.tally.table());
     trace_report::print(&played.report);
--- a/crates/command/src/trace_report.rs
+++ b/crates/command/src/trace_report.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use tideroute_membership_checker::Report as Views;
-use tideroute_simulation::day;
+use tideroute_simulation::scenario;
 use tideroute_trace_checker::{Report, Rule};
 
 use crate::error::{CommandError, CommandResult, CommandStatus};
@@ -13,8 +13,8 @@
 
 /// The command `check-trace`: checks a capture and prints what it finds.
 pub fn check(capture: &Path) -> CommandResult {
-    let report = day::check(capture).map_err(CommandError::in_file(capture))?;
-    let views = day::views(capture).map_err(CommandError::in_file(capture))?;
+    let report = scenario::check(capture).map_err(CommandError::in_file(capture))?;
+    let views = scenario::views(capture).map_err(CommandError::in_file(capture))?;
     print(&report);
     views.iter().for_each(print_views);
     let views_kept = views.is_none_or(|views| views.kept());
--- a/crates/simulation/src/parts.rs
+++ b/crates/simulation/src/capture_merge.rs
@@ -1,4 +1,4 @@
-//! The parts that processes wrote, merged by time into the record of a day.
+//! Merges the captures of all processes by time into the capture of a scenario.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -10,40 +10,40 @@
 use tideroute_wire::capture::{self, CaptureError, CaptureEvent, CapturedFrame, CapturedProcess, Reader};
 use tideroute_wire::Micros;
 
-/// How hard records are compressed: zstd's default.
-const LEVEL: i32 = 3;
+/// Compression level of captures: zstd's default.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// One process's part.
-pub struct Part {
-    pub who: CapturedProcess,
+/// The capture of one process.
+pub struct CapturePart {
+    pub process_info: CapturedProcess,
     pub path: PathBuf,
-    /// When it was killed from outside; its part may end in the middle of a frame.
+    /// When it was killed from outside; its capture may end in the middle of a frame.
     pub killed: Option<Micros>,
-    /// When it was halted from outside and let go on.
-    pub halts: Vec<(Micros, CaptureEvent)>,
+    /// When it was paused from outside and resumed.
+    pub pauses: Vec<(Micros, CaptureEvent)>,
 }
 
-/// What a part still has to give: its next event first.
+/// The remaining events of a capture.
 struct Stream {
     reader: Reader<BufReader<File>>,
-    /// Its own next event, read ahead.
-    ahead: Option<CapturedFrame>,
-    /// It has none any more.
-    over: bool,
-    halts: VecDeque<(Micros, CaptureEvent)>,
+    /// The next event that the process captured itself, read ahead.
+    next_event: Option<CapturedFrame>,
+    /// The capture has no more events.
+    ended: bool,
+    pauses: VecDeque<(Micros, CaptureEvent)>,
     killed: Option<Micros>,
     process: u32,
 }
 
 impl Stream {
     fn next(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
-        if self.ahead.is_none() && !self.over {
-            self.ahead = match self.reader.next_passed() {
-                // Killed while it wrote: what it wrote before counts.
+        if self.next_event.is_none() && !self.ended {
+            self.next_event = match self.reader.next_passed() {
+                // Killed while it wrote: the events before that count.
                 Err(CaptureError::CutOff { .. }) if self.killed.is_some() => None,
                 next => next?,
             };
-            self.over = self.ahead.is_none();
+            self.ended = self.next_event.is_none();
         }
         let process = self.process;
         let outside = |(at, what)| CapturedFrame {
@@ -54,23 +54,23 @@
             position: 0,
             frame: Bytes::new(),
         };
-        let own = self.ahead.as_ref().map(|p| p.at);
-        if let Some(halt) = self.halts.pop_front_if(|(at, _)| own.is_none_or(|own| *at <= own)) {
+        let own = self.next_event.as_ref().map(|p| p.at);
+        if let Some(halt) = self.pauses.pop_front_if(|(at, _)| own.is_none_or(|own| *at <= own)) {
             return Ok(Some(outside(halt)));
         }
         Ok(self
-            .ahead
+            .next_event
             .take()
             .or_else(|| self.killed.take().map(|at| outside((at, CaptureEvent::ProcessKilled)))))
     }
 }
 
-/// Writes the record of a whole day, compressed, and tells how many events it has.
-pub fn merge(parts: &[Part], terms: &str, to: &Path) -> Result<u64, CaptureError> {
+/// Writes the compressed capture of a whole scenario; returns the number of its events.
+pub fn merge(parts: &[CapturePart], terms: &str, to: &Path) -> Result<u64, CaptureError> {
     let file = BufWriter::new(File::create(to)?);
-    let mut out = zstd::Encoder::new(file, LEVEL)?;
-    let processes: Vec<CapturedProcess> = parts.iter().map(|p| p.who.clone()).collect();
-    capture::write_head(&mut out, &processes, terms)?;
+    let mut output = zstd::Encoder::new(file, COMPRESSION_LEVEL)?;
+    let processes: Vec<CapturedProcess> = parts.iter().map(|p| p.process_info.clone()).collect();
+    capture::write_head(&mut output, &processes, terms)?;
     let (mut streams, mut heap) = (Vec::new(), BinaryHeap::new());
     let mut pending: Vec<Option<CapturedFrame>> = Vec::new();
     for part in parts {
@@ -82,8 +82,9 @@
         };
         let mut reader = Reader::new(BufReader::new(file));
         reader.head()?;
-        let (halts, process) = (part.halts.iter().copied().collect(), part.who.number);
-        let mut stream = Stream { reader, ahead: None, over: false, halts, killed: part.killed, process };
+        let (pauses, process) = (part.pauses.iter().copied().collect(), part.process_info.number);
+        let mut stream =
+            Stream { reader, next_event: None, ended: false, pauses, killed: part.killed, process };
         let first = stream.next()?;
         heap.extend(first.iter().map(|p| Reverse((p.at, streams.len()))));
         pending.push(first);
@@ -91,15 +92,15 @@
     }
     let (mut events, mut last) = (0, 0);
     while let Some(Reverse((_, n))) = heap.pop() {
-        let Some(mut passed) = pending[n].take() else { continue };
-        // A kill is noted by who killed, whose clock may be a moment behind the last word of the killed.
-        passed.at = passed.at.max(last);
-        last = passed.at;
-        capture::write(&mut out, &passed)?;
+        let Some(mut event) = pending[n].take() else { continue };
+        // A kill is captured by the killer, whose clock may be a moment behind the killed process's last event.
+        event.at = event.at.max(last);
+        last = event.at;
+        capture::write(&mut output, &event)?;
         events += 1;
         pending[n] = streams[n].next()?;
         heap.extend(pending[n].iter().map(|p| Reverse((p.at.max(last), n))));
     }
-    out.finish().and_then(|mut file| file.flush())?;
+    output.finish().and_then(|mut file| file.flush())?;
     Ok(events)
 }
--- /dev/null
+++ b/crates/simulation/src/client_load/responses.rs
@@ -0,0 +1,76 @@
+//! The messages that clients receive from their routers.
+
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use bytes::Bytes;
+use tideroute_wire::event_loop::Effects;
+use tideroute_wire::{client, Malformed, Micros};
+
+use super::Load;
+use crate::load_statistics::Progress;
+
+/// Handles the messages that one client receives from its router.
+pub struct ResponseHandler<'a> {
+    pub load: &'a mut Load,
+    pub now: Micros,
+    pub n: usize,
+    pub effects: &'a mut Effects,
+}
+
+impl ResponseHandler<'_> {
+    /// The request that a number stands for; None if the client has cancelled it or given it up.
+    fn place(&self, number: u64) -> Option<usize> {
+        self.load.clients[self.n].in_flight.get(&number).copied()
+    }
+
+    fn take_request(&mut self, number: u64) -> Option<usize> {
+        self.load.clients[self.n].in_flight.remove(&number)
+    }
+
+    fn add_progress(&self, of: impl Fn(&Progress) -> &AtomicU64) {
+        of(&self.load.progress).fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+impl client::Client for ResponseHandler<'_> {
+    fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
+        Ok(())
+    }
+
+    fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed> {
+        if let Some(place) = self.place(number) {
+            self.load.on_token(self.now, place, index, &text, self.effects);
+        }
+        Ok(())
+    }
+
+    fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
+        if let Some(place) = self.take_request(number) {
+            self.add_progress(|p| &p.honoured);
+            self.load.on_completed(self.now, place, tokens);
+        }
+        Ok(())
+    }
+
+    fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
+        if let Some(place) = self.take_request(number) {
+            self.add_progress(|p| &p.turned_back);
+            self.load.retry_or_end(self.now, place, true, after, self.effects, |t| &mut t.turned_back);
+        }
+        Ok(())
+    }
+
+    fn failed(&mut self, number: u64) -> Result<(), Malformed> {
+        if let Some(place) = self.take_request(number) {
+            self.add_progress(|p| &p.abandoned);
+            self.load.retry_or_end(self.now, place, false, 0, self.effects, |t| &mut t.abandoned);
+        }
+        Ok(())
+    }
+
+    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
+        tracing::error!(client = self.n, why, "a router does not take this client");
+        self.load.tally.denied += 1;
+        Ok(())
+    }
+}
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -1,4 +1,4 @@
-//! Records as the terms of the parts that they configure.
+//! Converts sections of configuration files into the settings of the programs that they configure.
 
 use std::net::SocketAddrV4;
 
@@ -12,7 +12,7 @@
 use tideroute_relay::{FaultDirection, FaultKind, RelayConfig, Route};
 use tideroute_wire::{Address, Micros, Origin};
 
-/// Microseconds in one of the module's tenths of a millisecond.
+/// Microseconds in a tenth of a millisecond, the scheduler's unit of time.
 const TENTH: u64 = 100;
 
 /// Why a value of a configuration file cannot be used.
@@ -26,7 +26,12 @@
     InvalidHash(blake3::HexError),
     /// The key of a tenant or of a cluster is no hash.
     #[error("the key of {owner}: {source}")]
-    Key { owner: String, source: Box<ConvertError> },
+    Key {
+        /// Whose key it is.
+        owner: String,
+        /// What is wrong with it.
+        source: Box<ConvertError>,
+    },
 }
 
 /// An IPv4 address with a port.
@@ -39,6 +44,7 @@
     blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(ConvertError::InvalidHash)
 }
 
+/// The address in the form of the wire protocol.
 pub fn address(text: &str) -> Result<Address, ConvertError> {
     let parsed = socket(text)?;
     let ([a, b, c, d], [high, low]) = (parsed.ip().octets(), parsed.port().to_be_bytes());
@@ -179,6 +185,7 @@
     [(step.at, begin)].into_iter().chain(end).collect()
 }
 
+/// The settings of an emulated worker whose script began at a time and that starts now.
 pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, ConvertError> {
     let able: &Able = &w.does;
     Ok(WorkerTerms {
@@ -240,6 +247,7 @@
     })
 }
 
+/// The settings of an endpoint list whose script began at a time and that starts now.
 pub fn list(l: &List, from: Micros, now: Micros) -> ListTerms {
     let late = l.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, l.lag)]);
     ListTerms { lag: l.lag, script: to_come(from, now, late.collect()) }
--- a/crates/simulation/src/straight.rs
+++ b/crates/simulation/src/direct_load.rs
@@ -1,5 +1,5 @@
 //! The same load straight to the stand-ins, with no router between: a client that knows the workers and sends
-//! each submission to a reader, the next one or by a [`Way`](crate::choosers::Way), and a writer beside it. It shows
+//! each submission to a reader, the next one or by a [`PrefillPolicy`](crate::prefill_policies::Way), and a writer beside it. It shows
 //! what the way itself takes, so that what a router adds can be told, and how plain ways to choose spread it.
 
 use std::collections::BTreeMap;
@@ -11,62 +11,71 @@
 use tideroute_wire::worker::{self, AttemptFailure};
 use tideroute_wire::{say_router, Address, Malformed, Micros};
 
-use crate::choosers::{Chooser, Way};
+use crate::prefill_policies::{PrefillChooser, PrefillPolicy};
 use crate::traffic::{plan, Planned};
 
-/// Microseconds: how long a dial may take.
-const DIAL: Micros = 1_000_000;
-/// Tokens of a stream under way at most; all are taken at once here.
-const WINDOW: u32 = 1 << 16;
+/// Microseconds that connecting may take.
+const CONNECT_TIMEOUT: Micros = 1_000_000;
+/// Tokens that a stream may be ahead; all are accepted at once here.
+const STREAM_WINDOW_TOKENS: u32 = 1 << 16;
 
-/// A worker as the straight client knows it.
+/// A worker as the direct client knows it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownWorker {
+    /// Where it listens.
     pub address: Address,
+    /// Whether it is a prefill worker; else a decode worker.
     pub reader: bool,
+    /// Its cell.
     pub cell: u16,
+    /// Its relative capacity.
     pub size: f64,
 }
 
-struct Going {
+/// A request in flight.
+struct DirectRequest {
     reader: Address,
     writer: Address,
     client: usize,
-    reads: bool,
+    is_prefilling: bool,
 }
 
-pub struct Straight {
-    workers: Vec<Known>,
-    chooser: Chooser,
+/// Direct requests of all clients.
+pub struct DirectLoad {
+    workers: Vec<KnownWorker>,
+    chooser: PrefillChooser,
     planned: Vec<Planned>,
     next: usize,
     began: Micros,
     connections: BTreeMap<Address, ConnectionId>,
-    going: BTreeMap<u64, Going>,
+    in_flight: BTreeMap<u64, DirectRequest>,
     streams: BTreeMap<Address, u32>,
+    /// Requests that have ended.
     pub ended: u64,
+    /// Those of them that failed.
     pub failed: u64,
 }
 
-impl Straight {
-    pub fn new(terms: &Record, workers: Vec<Known>, way: Way) -> Straight {
-        Straight {
+impl DirectLoad {
+    /// A load that begins when it is started; the policy chooses prefill workers.
+    pub fn new(terms: &Record, workers: Vec<KnownWorker>, way: PrefillPolicy) -> DirectLoad {
+        DirectLoad {
             workers,
-            chooser: Chooser::new(way, terms.routers.len(), terms.seed),
+            chooser: PrefillChooser::new(way, terms.routers.len(), terms.seed),
             planned: plan(terms),
             next: 0,
             began: 0,
             connections: BTreeMap::new(),
-            going: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             streams: BTreeMap::new(),
             ended: 0,
             failed: 0,
         }
     }
 
-    /// Makes the submissions whose time has come: a read, and a place ahead at the writer of the reader's cell
+    /// Sends the requests that are due: a prefill, and a reservation at the decode worker of the prefill worker's cell
     /// with the fewest streams.
-    fn arrive(&mut self, now: Micros, effects: &mut Effects) {
+    fn send_due_requests(&mut self, now: Micros, effects: &mut Effects) {
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now).cloned() {
             let id = self.next as u64 + 1;
             self.next += 1;
@@ -74,14 +83,15 @@
             let sizes: Vec<_> = readers.iter().map(|r| (r.address, r.size)).collect();
             let Some(place) = self.chooser.choose(now, p.client, p.session, &sizes) else { continue };
             let reader = readers[place];
-            let beside = |w: &&Known| !w.reader && w.cell == reader.cell;
-            let load = |w: &&Known| self.streams.get(&w.address).copied().unwrap_or(0);
+            let beside = |w: &&KnownWorker| !w.reader && w.cell == reader.cell;
+            let load = |w: &&KnownWorker| self.streams.get(&w.address).copied().unwrap_or(0);
             let Some(writer) = self.workers.iter().filter(beside).min_by_key(load) else { continue };
             let (reader, writer) = (reader.address, writer.address);
             *self.streams.entry(writer).or_default() += 1;
-            self.going.insert(id, Going { reader, writer, client: p.client, reads: true });
-            self.chooser.note(now, p.client, reader, true);
-            let read = worker::prefill(
+            self.in_flight
+                .insert(id, DirectRequest { reader, writer, client: p.client, is_prefilling: true });
+            self.chooser.record(now, p.client, reader, true);
+            let prefill_ended = worker::prefill(
                 id,
                 0,
                 p.track,
@@ -92,7 +102,7 @@
                 p.left,
                 p.prompt,
             );
-            effects.send(self.connections[&reader], read);
+            effects.send(self.connections[&reader], prefill_ended);
             effects
                 .send(self.connections[&writer], worker::reserve(id, p.prompt_tokens, p.most_tokens, reader));
         }
@@ -101,39 +111,39 @@
         }
     }
 
-    /// A submission's read has ended, if it had not before.
-    fn read(&mut self, now: Micros, id: u64) {
-        if let Some(going) = self.going.get_mut(&id).filter(|g| g.reads) {
-            going.reads = false;
-            self.chooser.note(now, going.client, going.reader, false);
+    /// The prefill of a request has ended, if it had not before.
+    fn prefill_ended(&mut self, now: Micros, id: u64) {
+        if let Some(in_flight) = self.in_flight.get_mut(&id).filter(|g| g.is_prefilling) {
+            in_flight.is_prefilling = false;
+            self.chooser.record(now, in_flight.client, in_flight.reader, false);
         }
     }
 
-    fn end(&mut self, now: Micros, id: u64, well: bool) {
-        self.read(now, id);
-        if let Some(going) = self.going.remove(&id) {
-            *self.streams.entry(going.writer).or_default() -= 1;
+    fn finish(&mut self, now: Micros, id: u64, completed: bool) {
+        self.prefill_ended(now, id);
+        if let Some(in_flight) = self.in_flight.remove(&id) {
+            *self.streams.entry(in_flight.writer).or_default() -= 1;
             self.ended += 1;
-            self.failed += u64::from(!well);
+            self.failed += u64::from(!completed);
         }
     }
 }
 
-struct Ear<'a> {
-    straight: &'a mut Straight,
+struct MessageHandler<'a> {
+    load: &'a mut DirectLoad,
     now: Micros,
     effects: &'a mut Effects,
 }
 
-impl worker::Router for Ear<'_> {
+impl worker::Router for MessageHandler<'_> {
     fn reservation_answered(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
         Ok(())
     }
 
     fn prefill_completed(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
-        self.straight.read(self.now, id);
-        let (s, effects) = (&self.straight, &mut *self.effects);
-        let (Some(going), Some(p)) = (s.going.get(&id), s.planned.get(id as usize - 1)) else {
+        self.load.prefill_ended(self.now, id);
+        let (s, effects) = (&self.load, &mut *self.effects);
+        let (Some(in_flight), Some(p)) = (s.in_flight.get(&id), s.planned.get(id as usize - 1)) else {
             return Ok(());
         };
         let write = worker::decode(
@@ -144,14 +154,14 @@
             p.most_tokens,
             p.left,
             p.mark,
-            Some(going.reader),
-            WINDOW,
+            Some(in_flight.reader),
+            STREAM_WINDOW_TOKENS,
             p.session,
             p.prefix,
             p.prefix_tokens,
             p.prompt.clone(),
         );
-        effects.send(s.connections[&going.writer], write);
+        effects.send(s.connections[&in_flight.writer], write);
         Ok(())
     }
 
@@ -160,12 +170,12 @@
     }
 
     fn completed(&mut self, id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
-        self.straight.end(self.now, id, true);
+        self.load.finish(self.now, id, true);
         Ok(())
     }
 
     fn attempt_ended(&mut self, id: u64, _shot: u16, _how: AttemptFailure) -> Result<(), Malformed> {
-        self.straight.end(self.now, id, false);
+        self.load.finish(self.now, id, false);
         Ok(())
     }
 
@@ -180,18 +190,18 @@
     }
 }
 
-/// There is one such client at its workers.
+/// Only one such client connects to the workers.
 const ORIGIN: tideroute_wire::Origin = 1;
 
-impl EventHandler for Straight {
+impl EventHandler for DirectLoad {
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         self.began = now;
         for worker in &self.workers {
-            let connection = effects.connect(worker.address, DIAL);
+            let connection = effects.connect(worker.address, CONNECT_TIMEOUT);
             effects.send(connection, say_router("straight", ORIGIN));
             self.connections.insert(worker.address, connection);
         }
-        self.arrive(now, effects);
+        self.send_due_requests(now, effects);
     }
 
     fn on_accepted(&mut self, _now: Micros, connection: ConnectionId, _door: usize, effects: &mut Effects) {
@@ -201,7 +211,9 @@
     fn on_connected(&mut self, _now: Micros, _link: ConnectionId, _out: &mut Effects) {}
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
-        if let Err(problem) = worker::receive_from_worker(frame, &mut Ear { straight: self, now, effects }) {
+        if let Err(problem) =
+            worker::receive_from_worker(frame, &mut MessageHandler { load: self, now, effects })
+        {
             tracing::error!(%problem, connection = connection.0, "a worker breaks the protocol");
         }
     }
@@ -214,25 +226,25 @@
         _out: &mut Effects,
     ) {
         let lost = self.connections.iter().find(|(_, l)| **l == connection).map(|(at, _)| *at);
-        let hit = |g: &Going| Some(g.reader) == lost || Some(g.writer) == lost;
-        let ids: Vec<_> = self.going.iter().filter(|(_, g)| hit(g)).map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.end(now, id, false));
+        let is_affected = |g: &DirectRequest| Some(g.reader) == lost || Some(g.writer) == lost;
+        let ids: Vec<_> = self.in_flight.iter().filter(|(_, g)| is_affected(g)).map(|(id, _)| *id).collect();
+        ids.into_iter().for_each(|id| self.finish(now, id, false));
     }
 
     fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
     fn on_timer(&mut self, now: Micros, _key: u64, effects: &mut Effects) {
-        self.arrive(now, effects);
+        self.send_due_requests(now, effects);
     }
 
     fn on_iteration(&mut self, _now: Micros, _out: &mut Effects) {}
 
     fn on_shutdown(&mut self, _now: Micros, _out: &mut Effects) {
         self.next = self.planned.len();
-        self.going.clear();
+        self.in_flight.clear();
     }
 
     fn is_finished(&self) -> bool {
-        self.next == self.planned.len() && self.going.is_empty()
+        self.next == self.planned.len() && self.in_flight.is_empty()
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,41 +1,43 @@
-//! Faults drawn at random from a seed, and those of a failed day shrunk to what matters.
+//! Generates random faults from a seed, and shrinks those of a failed scenario to the ones that matter.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tideroute_config_language::kinds::{Day, Trouble};
 use tideroute_wire::Micros;
 
-/// Microseconds: the shortest fault drawn; less passes unseen.
-const SHORTEST: Micros = 200_000;
-/// The most of a group that one drawn fault takes, as a part of it.
-const MOST: f64 = 0.4;
-/// How far a drawn clock is off its rate, and its setting: quartz that nobody looks after, and a wrong hour.
-const DRIFT: f64 = 0.0005;
-const OFF: Micros = 3_600_000_000;
-/// Microseconds of delay and jitter drawn at most, and the part of parts lost.
-const DELAY: Micros = 40_000;
-const LOSS: f64 = 0.1;
+/// Microseconds: the shortest generated fault; a shorter one has no visible effect.
+const MIN_DURATION: Micros = 200_000;
+/// The largest fraction of a group that one generated fault affects.
+const MAX_GROUP_FRACTION: f64 = 0.4;
+/// The largest deviation of the rate of a generated clock: that of uncorrected quartz.
+const MAX_CLOCK_DRIFT: f64 = 0.0005;
+/// Microseconds by which a generated clock is off at most: an hour.
+const MAX_CLOCK_OFFSET: Micros = 3_600_000_000;
+/// Microseconds of generated delay and jitter at most.
+const MAX_DELAY: Micros = 40_000;
+/// The largest generated fraction of lost datagrams.
+const MAX_LOSS: f64 = 0.1;
 
-/// The day with its drawn faults beside those that it names.
-pub fn drawn(day: &Day) -> Day {
+/// The scenario with generated faults beside those that it names.
+pub fn with_generated_faults(day: &Day) -> Day {
     let mut day = day.with_names();
     let Some(draw) = day.faults.clone() else { return day };
-    let mut chance = Pcg64::seed_from_u64(draw.seed);
+    let mut rng = Pcg64::seed_from_u64(draw.seed);
     let (first, last) = (draw.from, draw.until.unwrap_or(day.load.lasts));
     let clock = |t: &&Trouble| t.act == "clock";
     let mut clocks: Vec<String> =
         day.troubles.iter().filter(clock).flat_map(|t| t.who.iter().cloned()).collect();
     for _ in 0..draw.draw {
-        let at = chance.random_range(first..=last.max(first));
-        let lasts = chance.random_range(SHORTEST..=draw.longest.max(SHORTEST));
-        let mut trouble = one(&day, &mut chance);
+        let at = rng.random_range(first..=last.max(first));
+        let lasts = rng.random_range(MIN_DURATION..=draw.longest.max(MIN_DURATION));
+        let mut trouble = generate_fault(&day, &mut rng);
         (trouble.at, trouble.lasts) = (at, Some(lasts));
         trouble.who = trouble.who.iter().flat_map(|name| day.named(name)).collect();
         if trouble.act == "kill" {
             trouble.back = trouble.lasts.take();
         }
         if trouble.act == "clock" {
-            // A process has one clock, and it is wrong once a day.
+            // A process has one clock, with one fault in a scenario.
             trouble.who.retain(|who| !clocks.contains(who));
             clocks.extend(trouble.who.iter().cloned());
         }
@@ -48,47 +50,47 @@
     day
 }
 
-/// Some of a group that stand side by side, at most a part of it.
-fn some(group: &str, count: usize, chance: &mut Pcg64) -> String {
-    let most = ((count as f64 * MOST) as usize).max(1);
-    let length = chance.random_range(1..=most);
-    let from = chance.random_range(0..=count - length);
+/// A range of adjacent members of a group, at most a fraction of it.
+fn adjacent_members(group: &str, count: usize, rng: &mut Pcg64) -> String {
+    let most = ((count as f64 * MAX_GROUP_FRACTION) as usize).max(1);
+    let length = rng.random_range(1..=most);
+    let from = rng.random_range(0..=count - length);
     format!("{group}{from}-{}", from + length - 1)
 }
 
-fn one(day: &Day, chance: &mut Pcg64) -> Trouble {
+fn generate_fault(day: &Day, rng: &mut Pcg64) -> Trouble {
     let groups: Vec<_> = day.fleet.iter().map(|g| (g.name.clone(), g.count)).collect();
-    let routers = some("router", day.routers, chance);
-    let (group, count) = &groups[chance.random_range(0..groups.len())];
-    let workers = some(group, *count, chance);
-    let way = ["both", "there", "back"][chance.random_range(0..3)].to_string();
-    let how = ["silent", "reset"][chance.random_range(0..2)].to_string();
-    let who = if chance.random::<f64>() < 0.5 { routers.clone() } else { workers.clone() };
+    let routers = adjacent_members("router", day.routers, rng);
+    let (group, count) = &groups[rng.random_range(0..groups.len())];
+    let workers = adjacent_members(group, *count, rng);
+    let way = ["both", "there", "back"][rng.random_range(0..3)].to_string();
+    let how = ["silent", "reset"][rng.random_range(0..2)].to_string();
+    let who = if rng.random::<f64>() < 0.5 { routers.clone() } else { workers.clone() };
     let parts = [routers, workers, "list".to_string()];
     // Two different sides: routers and workers, routers and the list, or workers and the list.
-    let sides = [[0, 1], [0, 2], [1, 2]][chance.random_range(0..3)].map(|n| vec![parts[n].clone()]);
+    let sides = [[0, 1], [0, 2], [1, 2]][rng.random_range(0..3)].map(|n| vec![parts[n].clone()]);
     let [between, and] = sides;
     let blank = Trouble { times: 1.0, ..Trouble::default() };
-    match chance.random_range(0..6) {
+    match rng.random_range(0..6) {
         0 | 1 => Trouble { act: "cut".into(), between, and, way: Some(way), how: Some(how), ..blank },
         2 => Trouble {
             act: "delay".into(),
             between,
             and,
             way: Some(way),
-            delay: Some(chance.random_range(0..=DELAY)),
-            jitter: Some(chance.random_range(0..=DELAY)),
-            loss: Some(chance.random::<f64>() * LOSS),
+            delay: Some(rng.random_range(0..=MAX_DELAY)),
+            jitter: Some(rng.random_range(0..=MAX_DELAY)),
+            loss: Some(rng.random::<f64>() * MAX_LOSS),
             ..blank
         },
-        3 => Trouble { act: "kill".into(), who: vec![who], keeps: Some(chance.random::<bool>()), ..blank },
+        3 => Trouble { act: "kill".into(), who: vec![who], keeps: Some(rng.random::<bool>()), ..blank },
         4 => Trouble { act: "halt".into(), who: vec![who], ..blank },
         _ => Trouble {
             act: "clock".into(),
             who: vec![who],
-            rate: Some(1.0 + DRIFT * (2.0 * chance.random::<f64>() - 1.0)),
-            ahead: Some(chance.random_range(0..=OFF)),
-            behind: Some(chance.random_range(0..=OFF)),
+            rate: Some(1.0 + MAX_CLOCK_DRIFT * (2.0 * rng.random::<f64>() - 1.0)),
+            ahead: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
+            behind: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
             ..blank
         },
     }
@@ -123,22 +125,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_matters_is_found_among_what_does_not() {
-        let all: Vec<u32> = (0..40).collect();
-        for matters in [vec![7], vec![3, 31], vec![0, 19, 39]] {
-            let mut tries = 0;
-            let left = shrink(&all, 1000, |some| {
-                tries += 1;
-                matters.iter().all(|m| some.contains(m))
-            });
-            assert_eq!(left, matters);
-            assert!(tries < 200, "{tries} tries");
-        }
-        // Bounded, and what it has by then still fails.
-        assert!(shrink(&all, 3, |some| some.contains(&7)).contains(&7));
-    }
-}
+mod tests;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,24 +1,26 @@
-//! The laboratory: load as clients bring it, and whole scripted days.
+//! Client load, and scenarios on real processes or in virtual time.
 //!
-//! [`load::Load`] is a [`EventHandler`](tideroute_wire::link::Program) that plays clients in open loop: when each
-//! submission comes is drawn ahead and never waits for an answer. [`day::play`] starts a fleet of processes on
-//! free loopback ports, makes things go wrong as a day file says, collects the record of what passed, and has
-//! the rules checked. [`world::World`] runs the same programs in virtual time, in one process and from one seed, and
-//! [`fleet::play`] a whole day in it.
+//! [`client_load::Load`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) that sends the requests of
+//! clients in open loop: when each request is sent is planned ahead and never waits for a response.
+//! [`scenario::play`] starts the processes of a scenario on free loopback ports, injects its faults, collects the
+//! capture of their traffic, and has the rules checked. [`simulator::Simulator`] runs the same programs in virtual
+//! time, in one process and from one seed, and [`virtual_scenario::play`] a whole scenario in it.
 
-pub mod choosers;
+#![warn(missing_docs)]
+
+mod capture_merge;
+pub mod client_load;
 pub mod convert;
-pub mod crowd;
-pub mod day;
+pub mod direct_load;
 pub mod faults;
-mod files;
-pub mod fleet;
-pub mod legs;
-pub mod load;
-mod parts;
+pub mod hop_latencies;
+pub mod load_statistics;
+pub mod member_cluster;
+pub mod prefill_policies;
+mod process_configs;
 pub mod processes;
 mod relays;
-pub mod straight;
-pub mod tally;
+pub mod scenario;
+pub mod simulator;
 pub mod traffic;
-pub mod world;
+pub mod virtual_scenario;
--- a/crates/simulation/src/tally.rs
+++ b/crates/simulation/src/load_statistics.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! The results of a client load.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -6,21 +6,28 @@
 use tideroute_config_language::kinds::Track;
 use tideroute_wire::Micros;
 
-/// Microseconds: the longest time that the histograms tell apart, and their figures.
-const LONGEST: u64 = 600_000_000;
-const FIGURES: u8 = 3;
+/// Microseconds: the longest time that the histograms tell apart.
+const MAX_LATENCY: u64 = 600_000_000;
+/// Significant digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What of a running load others may watch.
+/// Counters of a running load that other threads read.
 #[derive(Debug, Default)]
 pub struct Progress {
+    /// Requests planned.
     pub planned: AtomicU64,
+    /// Requests sent.
     pub made: AtomicU64,
+    /// Responses completed.
     pub honoured: AtomicU64,
+    /// Attempts rejected.
     pub turned_back: AtomicU64,
+    /// Attempts failed.
     pub abandoned: AtomicU64,
 }
 
 impl Progress {
+    /// The counters as one line.
     pub fn line(&self) -> String {
         let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
         format!(
@@ -34,47 +41,59 @@
     }
 }
 
+/// What came of the requests of a load.
 #[derive(Debug)]
-pub struct Tally {
-    /// Submissions planned, and tries made for them.
+pub struct LoadStatistics {
+    /// Requests sent, and attempts for them.
     pub submissions: u64,
+    /// Attempts.
     pub tries: u64,
-    /// How each submission ended: by its last try.
+    /// How each request ended: by its last attempt.
     pub honoured: u64,
+    /// Rejected.
     pub turned_back: u64,
+    /// Failed.
     pub abandoned: u64,
+    /// Left by their client.
     pub left: u64,
-    /// No router could be reached, or the one that held it was lost.
+    /// No router could be reached, or the connection was lost.
     pub unheard: u64,
-    /// No answer came before the client's time was up.
+    /// No response came before the deadline.
     pub unanswered: u64,
-    /// First tokens after the contract time.
+    /// First tokens after the latency objective.
     pub late: u64,
-    /// Answers whose tokens were not those of the prompt: a broken state was used.
+    /// Responses whose tokens were not those of the prompt: a corrupted KV state was used.
     pub wrong: u64,
-    /// Earnings asked for, and brought in full or in part.
+    /// Priority weights: of all requests, of completed ones (late ones in part), and of those in time.
     pub asked: f64,
+    /// Weights earned.
     pub earned: f64,
+    /// Weights earned in time.
     pub in_time: f64,
-    /// Microseconds from the first try to the first token, and between tokens.
+    /// Microseconds from the first attempt to the first token, and between tokens.
     pub first_token: Histogram<u64>,
+    /// Microseconds between tokens.
     pub gaps: Histogram<u64>,
-    /// Asked and in time, by track and by second of asking.
+    /// Weights of all requests and of those in time, by request class, by second of sending and by tenant.
     pub by_track: Vec<(String, f64, f64)>,
+    /// By second of sending.
     pub by_second: Vec<(f64, f64)>,
+    /// By tenant.
     pub by_tenant: Vec<(String, f64, f64)>,
-    /// Hellos that a router did not take.
+    /// Connections that a router did not authorize.
     pub denied: u64,
 }
 
 fn histogram() -> Histogram<u64> {
     // The bounds are constants that the library takes.
-    Histogram::new_with_max(LONGEST, FIGURES).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
+    Histogram::new_with_max(MAX_LATENCY, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
 
-impl Tally {
-    pub fn new(tracks: &[Track], tenants: impl IntoIterator<Item = String>) -> Tally {
-        Tally {
+impl LoadStatistics {
+    /// Empty statistics for these request classes and tenants.
+    pub fn new(tracks: &[Track], tenants: impl IntoIterator<Item = String>) -> LoadStatistics {
+        LoadStatistics {
             submissions: 0,
             tries: 0,
             honoured: 0,
@@ -97,8 +116,8 @@
         }
     }
 
-    /// Earnings asked for at a second of the load.
-    pub fn ask(&mut self, track: u8, tenant: Option<usize>, earnings: f64, second: usize) {
+    /// Counts a request that is sent at a second of the load.
+    pub fn record_request(&mut self, track: u8, tenant: Option<usize>, earnings: f64, second: usize) {
         self.submissions += 1;
         self.asked += earnings;
         self.by_track[usize::from(track)].1 += earnings;
@@ -109,8 +128,8 @@
         self.by_second[second].0 += earnings;
     }
 
-    /// An answer that came whole: its earnings, in time or the late part of them.
-    pub fn earn(
+    /// Counts a complete response: its weight, or the part of it that a late one is worth.
+    pub fn record_response(
         &mut self,
         track: u8,
         tenant: Option<usize>,
@@ -133,20 +152,22 @@
         }
     }
 
-    /// The part of the earnings asked for that was answered within the contract time.
+    /// The fraction of all weights that was served within the latency objective.
     pub fn service(&self) -> f64 {
         self.in_time / self.asked.max(1e-9)
     }
 
+    /// The fraction of requests, those left by their clients aside, that were completed.
     pub fn honoured_part(&self) -> f64 {
         self.honoured as f64 / (self.submissions - self.left).max(1) as f64
     }
 
-    pub fn note_first(&mut self, took: Micros) {
+    /// Records the time to a first token.
+    pub fn record_first_token(&mut self, took: Micros) {
         self.first_token.saturating_record(took);
     }
 
-    /// The table that a person reads.
+    /// The results as a table.
     pub fn table(&self) -> String {
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
         let part = |n: u64| 100.0 * n as f64 / self.submissions.max(1) as f64;
@@ -179,7 +200,7 @@
         lines.join("\n")
     }
 
-    /// The same for programs.
+    /// The results as JSON.
     pub fn json(&self) -> serde_json::Value {
         let h = |h: &Histogram<u64>| {
             serde_json::json!({
--- a/crates/simulation/src/files.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -1,4 +1,4 @@
-//! The files that a day gives to its processes.
+//! The configuration files of the processes of a scenario.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,23 @@
 use tideroute_trace_checker::{Group as Among, Repeat, TrackTerms, WorkerTerms};
 use tideroute_wire::Micros;
 
-use crate::straight::Known;
+use crate::direct_load::KnownWorker;
 
-/// Where everybody listens.
+/// The addresses of all processes.
 pub struct Ports {
     pub list: String,
     pub routers: Vec<String>,
     pub workers: Vec<String>,
-    /// Where routers hear each other.
+    /// The membership addresses of routers.
     pub members: Vec<String>,
-    /// A relay's, where one stands between some of them.
+    /// The addresses of the relay, if the scenario has one.
     pub doors: Vec<String>,
 }
 
-/// Routers at which a day's others begin.
+/// Routers that all others know as seeds of the cluster.
 const SEEDS: usize = 3;
 
+/// The settings of routers and workers.
 pub fn terms(day: &Day) -> Terms {
     Terms { routers: day.routers as u32, ..day.terms.clone() }
 }
@@ -33,6 +34,7 @@
     (cell % u16::from(day.zones)) as u8
 }
 
+/// The configuration of the endpoint list.
 pub fn list(day: &Day, ports: &Ports) -> File {
     let late = day.troubles.iter().filter(|t| t.act == "list-late").map(|t| Late {
         at: t.at,
@@ -43,6 +45,7 @@
     File { list: Some(list), ..File::default() }
 }
 
+/// The configuration of a router; `keep` is where it persists the endpoint list.
 pub fn router(day: &Day, ports: &Ports, n: usize, keep: String) -> File {
     let router = Router {
         name: format!("router{n}"),
@@ -67,19 +70,19 @@
     File { router: Some(router), ..File::default() }
 }
 
-/// The day's tenants as its routers know them.
+/// The tenants as the routers know them: with the hashes of their keys.
 fn tenants(day: &Day) -> Vec<Tenant> {
     let known = day.tenants.iter().filter(|_| day.shares);
     let hash = |name: &str| blake3::hash(key(name).as_bytes()).to_hex().to_string();
     known.map(|t| Tenant { key: hash(&t.name), ..t.clone() }).collect()
 }
 
-/// What a day's clients show for a tenant.
+/// The key of a tenant that its clients send.
 fn key(tenant: &str) -> String {
     format!("the key of {tenant}")
 }
 
-/// The worker that stands at a place among all of the day's.
+/// The configuration of the worker at an index among all workers of the scenario.
 pub fn worker(day: &Day, ports: &Ports, place: usize, name: &str, group: &Group, n: usize) -> File {
     let cell = (n % usize::from(day.cells)) as u16;
     let mine = |t: &&tideroute_config_language::kinds::Trouble| t.who.iter().any(|w| w == name);
@@ -100,6 +103,7 @@
     File { worker: Some(worker), ..File::default() }
 }
 
+/// The configuration of the client load.
 pub fn load(day: &Day, ports: &Ports) -> File {
     let bursts = day.troubles.iter().filter(|t| t.act == "burst");
     let burst = |t: &tideroute_config_language::kinds::Trouble| Burst {
@@ -130,26 +134,25 @@
     File { load: Some(load), ..File::default() }
 }
 
-/// The workers, as a client that goes straight to them knows them.
-pub fn known(day: &Day, ports: &Ports) -> Vec<Known> {
+/// The workers, as the direct load knows them.
+pub fn known(day: &Day, ports: &Ports) -> Vec<KnownWorker> {
     let workers = day.workers().enumerate().filter_map(|(place, (_, group, n))| {
         let address = crate::convert::address(&ports.workers[place]).ok()?;
         let cell = (n % usize::from(day.cells)) as u16;
         let (reader, size) = (group.does.role == Role::Reader, group.does.size);
-        Some(Known { address, reader, cell, size })
+        Some(KnownWorker { address, reader, cell, size })
     });
     workers.collect()
 }
 
-/// Loss beyond which two routers may take each other for gone.
-const DEAFENING: f64 = 0.25;
+/// The loss beyond which two routers may declare each other dead.
+const PARTITIONING_LOSS: f64 = 0.25;
 
-/// What the views of routers that know each other are read by.
+/// What the membership checker needs to know of the scenario.
 pub fn members(day: &Day, begins: Micros) -> Option<Members> {
-    let cuts = day
-        .troubles
-        .iter()
-        .filter(|t| t.act == "cut" || t.act == "delay" && t.loss.is_some_and(|loss| loss > DEAFENING));
+    let cuts = day.troubles.iter().filter(|t| {
+        t.act == "cut" || t.act == "delay" && t.loss.is_some_and(|loss| loss > PARTITIONING_LOSS)
+    });
     let named = |names: &[String]| names.iter().flat_map(|name| day.named(name)).collect();
     let cuts = cuts.map(|t| Cut {
         from: begins + t.at,
@@ -160,7 +163,7 @@
     day.membership.then(|| Members { names: day.router_names().collect(), cuts: cuts.collect() })
 }
 
-/// What the rules are read by.
+/// What the trace checker needs to know of the scenario.
 pub fn rules(day: &Day, ports: &Ports) -> tideroute_trace_checker::Terms {
     let tracks = day.tracks.iter().map(|t| TrackTerms {
         name: t.name.clone(),
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -1,35 +1,35 @@
-//! Which connections of a day a relay stands in: those that some fault names, and no others.
+//! Which connections of a scenario go through the relay: those that a network fault names, and no others.
 
 use std::collections::{BTreeMap, HashSet};
 
 use tideroute_config_language::kinds::{Day, Door, Fault, File, Relay, Trouble};
 
-use crate::files::Ports;
+use crate::process_configs::Ports;
 
-/// A relay's doors of one sort, and who uses which of them in place of whom.
+/// Listeners of the relay of one kind (connections or datagrams), and who uses which of them in place of whom.
 #[derive(Default)]
-struct Doors {
-    /// Whom each door leads to, and by which faults it is met.
+struct RelayListeners {
+    /// The target of each listener, and the faults on the way.
     doors: Vec<(String, Vec<usize>)>,
-    places: BTreeMap<(String, Vec<usize>), usize>,
-    /// By dialler: the door in place of each target, by the target's name.
-    ways: BTreeMap<String, Vec<(String, usize)>>,
+    indices: BTreeMap<(String, Vec<usize>), usize>,
+    /// By client: the listener in place of each target, by the target's name.
+    address_overrides: BTreeMap<String, Vec<(String, usize)>>,
 }
 
-impl Doors {
-    fn add(&mut self, dialler: &str, target: &str, faults: Vec<usize>) {
-        if faults.is_empty() || dialler == target {
+impl RelayListeners {
+    fn add(&mut self, client: &str, target: &str, faults: Vec<usize>) {
+        if faults.is_empty() || client == target {
             return;
         }
         let key = (target.to_string(), faults);
-        let door = *self.places.entry(key.clone()).or_insert(self.doors.len());
+        let door = *self.indices.entry(key.clone()).or_insert(self.doors.len());
         if door == self.doors.len() {
             self.doors.push(key);
         }
-        self.ways.entry(dialler.to_string()).or_default().push((target.to_string(), door));
+        self.address_overrides.entry(client.to_string()).or_default().push((target.to_string(), door));
     }
 
-    /// Their records, in order, at these ports.
+    /// Their configuration, in order, at these addresses.
     fn records(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<Door> {
         let door = |((to, faults), listen): (&(String, Vec<usize>), &String)| {
             Some(Door { listen: listen.clone(), to: address(to)?, faults: faults.clone() })
@@ -37,31 +37,36 @@
         self.doors.iter().zip(ports).filter_map(door).collect()
     }
 
-    fn ways(&self, dialler: &str, ports: &[String], address: impl Fn(&str) -> Option<String>) -> String {
+    fn address_overrides(
+        &self,
+        client: &str,
+        ports: &[String],
+        address: impl Fn(&str) -> Option<String>,
+    ) -> String {
         let line =
             |(target, door): &(String, usize)| Some(format!("{} {}\n", address(target)?, ports.get(*door)?));
-        self.ways.get(dialler).into_iter().flatten().filter_map(line).collect()
+        self.address_overrides.get(client).into_iter().flatten().filter_map(line).collect()
     }
 }
 
-/// A relay's doors for connections, and those for datagrams between routers.
+/// Listeners of the relay for connections, and those for datagrams between routers.
 #[derive(Default)]
 pub struct Relays {
-    dialled: Doors,
-    datagrams: Doors,
+    connections: RelayListeners,
+    datagrams: RelayListeners,
     faults: Vec<Fault>,
     seed: u64,
 }
 
-/// What happens between two sets of processes.
-fn between(t: &&Trouble) -> bool {
+/// Whether a fault concerns the network between two sets of processes.
+fn is_network_fault(t: &&Trouble) -> bool {
     t.act == "cut" || t.act == "delay"
 }
 
 impl Relays {
     pub fn plan(day: &Day) -> Relays {
         let mut relays = Relays { seed: day.seed, ..Relays::default() };
-        let troubles: Vec<_> = day.troubles.iter().filter(between).collect();
+        let troubles: Vec<_> = day.troubles.iter().filter(is_network_fault).collect();
         let all = |names: &[String]| names.iter().flat_map(|n| day.named(n)).collect::<HashSet<_>>();
         let sets: Vec<_> = troubles.iter().map(|t| (all(&t.between), all(&t.and))).collect();
         for t in &troubles {
@@ -88,11 +93,11 @@
         let routers: Vec<_> = day.router_names().collect();
         let workers: Vec<_> = day.workers().map(|(name, ..)| name).collect();
         let list = ["list".to_string()];
-        let Relays { dialled, datagrams, faults, .. } = &mut relays;
-        let meet = |dialler: &String, target: &String| -> Vec<usize> {
+        let Relays { connections, datagrams, faults, .. } = &mut relays;
+        let meet = |client: &String, target: &String| -> Vec<usize> {
             let meets = |(n, (a, b)): (usize, &(HashSet<String>, HashSet<String>))| {
-                let there = (a.contains(dialler) && b.contains(target)).then_some(2 * n);
-                let back = (b.contains(dialler) && a.contains(target)).then_some(2 * n + 1);
+                let there = (a.contains(client) && b.contains(target)).then_some(2 * n);
+                let back = (b.contains(client) && a.contains(target)).then_some(2 * n + 1);
                 // What works both ways meets a link within both sets once.
                 let back = back.filter(|_| there.is_none() || faults[2 * n].way != "both");
                 there.into_iter().chain(back)
@@ -100,7 +105,7 @@
             sets.iter().enumerate().flat_map(meets).collect()
         };
         let mut dials =
-            |dialler: &String, target: &String| dialled.add(dialler, target, meet(dialler, target));
+            |client: &String, target: &String| connections.add(client, target, meet(client, target));
         let load = "load".to_string();
         routers.iter().for_each(|r| dials(&load, r));
         for router in &routers {
@@ -116,40 +121,44 @@
     }
 
     pub fn doors(&self) -> usize {
-        self.dialled.doors.len() + self.datagrams.doors.len()
+        self.connections.doors.len() + self.datagrams.doors.len()
     }
 
-    /// A relay's ports: first those for connections, then those for datagrams.
+    /// The relay's addresses: first those for connections, then those for datagrams.
     fn ports<'a>(&self, ports: &'a Ports) -> [&'a [String]; 2] {
-        let (dialled, datagrams) = ports.doors.split_at(self.dialled.doors.len().min(ports.doors.len()));
-        [dialled, datagrams]
+        let (connections, datagrams) =
+            ports.doors.split_at(self.connections.doors.len().min(ports.doors.len()));
+        [connections, datagrams]
     }
 
-    /// A door at which it shows that it is there, if it has one for connections.
+    /// A listener at which it can be checked that the relay runs, if it has one for connections.
     pub fn door<'a>(&self, ports: &'a Ports) -> Option<&'a String> {
         self.ports(ports)[0].first()
     }
 
-    /// The relay's record; None where no fault needs one.
+    /// The relay's configuration; None if no fault needs one.
     pub fn file(&self, day: &Day, ports: &Ports) -> Option<File> {
-        let [dialled, datagrams] = self.ports(ports);
-        let doors = self.dialled.records(dialled, |name| address_of(day, ports, name));
-        let datagrams = self.datagrams.records(datagrams, |name| member_of(day, ports, name));
+        let [connections, datagrams] = self.ports(ports);
+        let doors = self.connections.records(connections, |name| address_of(day, ports, name));
+        let datagrams = self.datagrams.records(datagrams, |name| membership_address(day, ports, name));
         let relay = Relay { doors, datagrams, faults: self.faults.clone(), seed: self.seed };
         (self.doors() > 0).then(|| File { relay: Some(relay), ..File::default() })
     }
 
-    /// Where a process is to dial in place of where others are, a line each; None where it dials all directly.
-    pub fn ways(&self, day: &Day, ports: &Ports, dialler: &str) -> Option<String> {
-        let [dialled, datagrams] = self.ports(ports);
-        let ways = self.dialled.ways(dialler, dialled, |name| address_of(day, ports, name))
-            + &self.datagrams.ways(dialler, datagrams, |name| member_of(day, ports, name));
-        (!ways.is_empty()).then_some(ways)
+    /// The address overrides of a process, a line each; None if it connects directly.
+    pub fn address_overrides(&self, day: &Day, ports: &Ports, client: &str) -> Option<String> {
+        let [connections, datagrams] = self.ports(ports);
+        let address_overrides =
+            self.connections.address_overrides(client, connections, |name| address_of(day, ports, name))
+                + &self
+                    .datagrams
+                    .address_overrides(client, datagrams, |name| membership_address(day, ports, name));
+        (!address_overrides.is_empty()).then_some(address_overrides)
     }
 }
 
-/// Where a router hears others.
-fn member_of(day: &Day, ports: &Ports, name: &str) -> Option<String> {
+/// The membership address of a router.
+fn membership_address(day: &Day, ports: &Ports, name: &str) -> Option<String> {
     ports.members.get(day.router_names().position(|r| r == name)?).cloned()
 }
 
--- /dev/null
+++ b/crates/simulation/src/simulator/mod.rs
@@ -0,0 +1,423 @@
+//! Programs in virtual time: one process, one thread, one order of events. What a program sends arrives after the
+//! network's delay, in order on each connection; nothing depends on the machine, so that a run is the same every time.
+//! All traffic is captured in the form that real processes write, and checked by the same rules.
+
+mod captures;
+mod event_queue;
+
+use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
+
+use bytes::Bytes;
+use tideroute_wire::capture::{CaptureEvent, CapturedFrame, CapturedProcess};
+use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
+use tideroute_wire::{Address, Micros};
+
+use event_queue::{Event, ScheduledEvent};
+
+/// A node: a place where a program can run, be killed and be restarted.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
+pub struct NodeId(pub usize);
+
+struct Node {
+    name: String,
+    role: String,
+    address: Option<Address>,
+    program: Option<Box<dyn EventHandler>>,
+    effects: Effects,
+    /// How often a program was started here; events for an earlier incarnation are void.
+    incarnation: u32,
+    process: u32,
+    /// Connections accepted so far, by all incarnations: no two have the same number.
+    accepted: u64,
+    persisted: Option<Bytes>,
+    /// The process is paused: events are deferred.
+    halted: bool,
+    deferred: Vec<ScheduledEvent>,
+    /// Partitioned: nothing that it sends arrives, and nothing arrives here, though connections stay open.
+    partitioned: bool,
+}
+
+/// One end of a connection.
+struct ConnectionEnd {
+    incarnation: u32,
+    peer: Option<(NodeId, ConnectionId)>,
+    open: bool,
+    /// Its program knows that it is established.
+    established: bool,
+    sent: u64,
+    received: u64,
+    paused: bool,
+    waiting: VecDeque<Bytes>,
+    /// When the last frame sent on it arrives; a later frame arrives no earlier.
+    last_arrival: Micros,
+}
+
+/// Runs programs at nodes in virtual time.
+pub struct Simulator {
+    now: Micros,
+    delay: Micros,
+    sequence: u64,
+    queue: BinaryHeap<ScheduledEvent>,
+    nodes: Vec<Node>,
+    connection_ends: HashMap<(NodeId, ConnectionId), ConnectionEnd>,
+    listens: BTreeMap<Address, NodeId>,
+    processes: Vec<CapturedProcess>,
+    captured: Vec<CapturedFrame>,
+    events: u64,
+}
+
+impl Simulator {
+    /// A simulator whose time begins at `now`, with that network delay between any two nodes.
+    pub fn new(now: Micros, delay: Micros) -> Simulator {
+        Simulator {
+            now,
+            delay,
+            sequence: 0,
+            queue: BinaryHeap::new(),
+            nodes: vec![],
+            connection_ends: HashMap::new(),
+            listens: BTreeMap::new(),
+            processes: vec![],
+            captured: vec![],
+            events: 0,
+        }
+    }
+
+    /// The virtual time.
+    pub fn now(&self) -> Micros {
+        self.now
+    }
+
+    /// Events that were dispatched.
+    pub fn events(&self) -> u64 {
+        self.events
+    }
+
+    /// Adds a node, which listens if it has an address.
+    pub fn add_node(&mut self, name: &str, role: &str, address: Option<Address>) -> NodeId {
+        let id = NodeId(self.nodes.len());
+        self.nodes.push(Node {
+            name: name.into(),
+            role: role.into(),
+            address,
+            program: None,
+            effects: Effects::default(),
+            incarnation: 0,
+            process: 0,
+            accepted: 0,
+            persisted: None,
+            halted: false,
+            deferred: vec![],
+            partitioned: false,
+        });
+        self.listens.extend(address.map(|a| (a, id)));
+        id
+    }
+
+    /// Deletes what the program at a node has persisted.
+    pub fn forget(&mut self, id: NodeId) {
+        self.nodes[id.0].persisted = None;
+    }
+
+    /// What the program at a node has persisted last.
+    pub fn persisted(&self, id: NodeId) -> Option<Bytes> {
+        self.nodes[id.0].persisted.clone()
+    }
+
+    /// Whether a program runs at a node.
+    pub fn runs(&self, id: NodeId) -> bool {
+        self.nodes[id.0].program.is_some()
+    }
+
+    /// Starts a program at a node.
+    pub fn start(&mut self, id: NodeId, program: Box<dyn EventHandler>) {
+        let number = self.processes.len() as u32 + 1;
+        let node = &mut self.nodes[id.0];
+        (node.incarnation, node.process) = (node.incarnation + 1, number);
+        node.program = Some(program);
+        let who = CapturedProcess {
+            number,
+            name: node.name.clone(),
+            role: node.role.clone(),
+            address: node.address,
+        };
+        self.processes.push(who);
+        self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessStarted, 0, &Bytes::new());
+        self.call(id, |program, now, effects| program.on_start(now, effects));
+    }
+
+    /// Kills a program; its peers find their connections reset.
+    pub fn kill(&mut self, id: NodeId) {
+        if self.nodes[id.0].program.take().is_none() {
+            return;
+        }
+        self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessKilled, 0, &Bytes::new());
+        let mut connections: Vec<_> = self
+            .connection_ends
+            .keys()
+            .filter(|(n, _)| *n == id)
+            .map(|(_, connection)| *connection)
+            .collect();
+        connections.sort_unstable();
+        for connection in connections {
+            self.disconnect(id, connection);
+        }
+    }
+
+    /// Pauses a node; events are deferred until it is resumed.
+    pub fn halt(&mut self, id: NodeId) {
+        self.nodes[id.0].halted = true;
+        self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessPaused, 0, &Bytes::new());
+    }
+
+    /// Resumes a paused node.
+    pub fn resume(&mut self, id: NodeId) {
+        self.nodes[id.0].halted = false;
+        self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessResumed, 0, &Bytes::new());
+        for mut queue in std::mem::take(&mut self.nodes[id.0].deferred) {
+            queue.at = self.now;
+            self.queue.push(queue);
+        }
+    }
+
+    /// Partitions a node from the network or heals it; no connection ends.
+    pub fn set_partitioned(&mut self, id: NodeId, partitioned: bool) {
+        self.nodes[id.0].partitioned = partitioned;
+    }
+
+    /// Sends a program a message of another thread of its process.
+    pub fn send_message(&mut self, id: NodeId, message: &Bytes) {
+        self.call(id, |program, now, effects| program.on_message(now, message, effects));
+    }
+
+    /// Asks a program to shut down.
+    pub fn stop(&mut self, id: NodeId) {
+        self.call(id, |program, now, effects| program.on_shutdown(now, effects));
+    }
+
+    /// Runs until a moment.
+    pub fn run_until(&mut self, until: Micros) {
+        while self.queue.peek().is_some_and(|queue| queue.at <= until) {
+            let Some(queue) = self.queue.pop() else { break };
+            self.now = self.now.max(queue.at);
+            self.dispatch(queue);
+        }
+        self.now = self.now.max(until);
+    }
+
+    /// Schedules an event for an incarnation of a node.
+    fn schedule(&mut self, at: Micros, node: NodeId, incarnation: u32, event: Event) {
+        self.sequence += 1;
+        self.queue.push(ScheduledEvent { at, sequence: self.sequence, node, incarnation, event });
+    }
+
+    /// Lets an event happen, unless its incarnation has ended.
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        let state = &mut self.nodes[scheduled.node.0];
+        if state.incarnation != scheduled.incarnation || state.program.is_none() {
+            return;
+        }
+        if state.halted {
+            return state.deferred.push(scheduled);
+        }
+        let ScheduledEvent { node, event, .. } = scheduled;
+        self.events += 1;
+        match event {
+            Event::Timer(key) => self.call(node, |program, now, effects| program.on_timer(now, key, effects)),
+            Event::Accepted(connection) => {
+                self.capture_established(node, connection, CaptureEvent::Accepted);
+                self.call(node, |program, now, effects| program.on_accepted(now, connection, 0, effects));
+            }
+            Event::Connected(connection) => {
+                self.capture_established(node, connection, CaptureEvent::Connected);
+                self.connection_ends
+                    .get_mut(&(node, connection))
+                    .into_iter()
+                    .for_each(|end| end.established = true);
+                self.call(node, |program, now, effects| program.on_connected(now, connection, effects));
+            }
+            Event::Frame(connection, frame) => {
+                let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open) else {
+                    return;
+                };
+                if end.paused || !end.waiting.is_empty() {
+                    return end.waiting.push_back(frame);
+                }
+                self.deliver(node, connection, &frame);
+            }
+            Event::ReadResumed(connection) => loop {
+                let end = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open && !e.paused);
+                let Some(frame) = end.and_then(|e| e.waiting.pop_front()) else { return };
+                self.deliver(node, connection, &frame);
+            },
+            Event::Disconnected(connection, reason) => {
+                let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open) else {
+                    return;
+                };
+                end.open = false;
+                match reason {
+                    DisconnectReason::Reset => self.capture_end(node, connection),
+                    DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
+                        self.capture_event(node, connection, CaptureEvent::ConnectFailed, 0, &Bytes::new())
+                    }
+                }
+                self.call(node, |program, now, effects| {
+                    program.on_disconnect(now, connection, reason, effects)
+                });
+            }
+        }
+    }
+
+    /// Delivers a frame to a program.
+    fn deliver(&mut self, node: NodeId, connection: ConnectionId, frame: &Bytes) {
+        let Some(end) = self.connection_ends.get_mut(&(node, connection)) else { return };
+        let position = end.received;
+        end.received += 1;
+        self.capture_event(node, connection, CaptureEvent::Received, position, frame);
+        self.call(node, |program, now, effects| program.on_data(now, connection, frame, effects));
+    }
+
+    /// Calls the program at a node and executes its effects.
+    fn call(&mut self, id: NodeId, call: impl FnOnce(&mut dyn EventHandler, Micros, &mut Effects)) {
+        let (now, node) = (self.now, &mut self.nodes[id.0]);
+        let Some(mut program) = node.program.take() else { return };
+        let mut effects = std::mem::take(&mut node.effects);
+        let incarnation = node.incarnation;
+        call(program.as_mut(), now, &mut effects);
+        program.on_iteration(now, &mut effects);
+        let (effects_to_run, finished) = (effects.take(), program.is_finished());
+        let node = &mut self.nodes[id.0];
+        (node.program, node.effects) = (Some(program), effects);
+        for effect in effects_to_run {
+            if self.nodes[id.0].incarnation == incarnation && self.nodes[id.0].program.is_some() {
+                self.execute(id, effect);
+            }
+        }
+        if finished && self.nodes[id.0].program.is_some() {
+            let mut open: Vec<_> = self
+                .connection_ends
+                .iter()
+                .filter(|((n, _), e)| *n == id && e.open)
+                .map(|((_, l), _)| *l)
+                .collect();
+            open.sort_unstable();
+            for connection in open {
+                self.capture_end(id, connection);
+                self.disconnect(id, connection);
+            }
+            self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessExited, 0, &Bytes::new());
+            self.nodes[id.0].program = None;
+        }
+    }
+
+    fn execute(&mut self, id: NodeId, effect: Effect) {
+        let incarnation = self.nodes[id.0].incarnation;
+        match effect {
+            Effect::Connect { connection, to, timeout } => self.connect(id, connection, to, timeout),
+            Effect::Send { connection, frame } => {
+                let now = self.now;
+                let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else {
+                    return;
+                };
+                let position = end.sent;
+                end.sent += 1;
+                end.last_arrival = end.last_arrival.max(now + self.delay);
+                let (at, peer) = (end.last_arrival, end.peer);
+                self.capture_event(id, connection, CaptureEvent::Sent, position, &frame);
+                if let Some((node, peer_connection)) = peer {
+                    if !self.nodes[id.0].partitioned && !self.nodes[node.0].partitioned {
+                        let incarnation =
+                            self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
+                        self.schedule(at, node, incarnation, Event::Frame(peer_connection, frame));
+                    }
+                }
+            }
+            // All that was sent is on its way already, so that closing and aborting are the same.
+            Effect::Close { connection, .. }
+            | Effect::Abort { connection }
+            | Effect::Reset { connection } => {
+                if self.connection_ends.get(&(id, connection)).is_some_and(|e| e.open) {
+                    self.capture_end(id, connection);
+                    self.disconnect(id, connection);
+                }
+            }
+            // Relays run as processes only, and nothing here annotates captures or receives datagrams.
+            Effect::SetListenerState { .. }
+            | Effect::Joined { .. }
+            | Effect::Datagram { .. }
+            | Effect::AnnotateCapture { .. } => {}
+            Effect::SetTimer { at, key } => {
+                self.schedule(at.max(self.now), id, incarnation, Event::Timer(key))
+            }
+            Effect::PauseReading { connection, paused } => {
+                let Some(end) = self.connection_ends.get_mut(&(id, connection)) else { return };
+                end.paused = paused;
+                if !paused {
+                    self.schedule(self.now, id, incarnation, Event::ReadResumed(connection));
+                }
+            }
+            Effect::Persist { bytes } => self.nodes[id.0].persisted = Some(bytes),
+            Effect::Publish { .. } => {}
+            Effect::Crash => self.kill(id),
+        }
+    }
+
+    /// Connects a node to the one that listens at an address.
+    fn connect(&mut self, id: NodeId, connection: ConnectionId, to: Address, timeout: Micros) {
+        self.capture_event(id, connection, CaptureEvent::Connecting, 0, &Bytes::copy_from_slice(&to));
+        let there = self.listens.get(&to).copied();
+        let partitioned = |n: NodeId| self.nodes[n.0].partitioned;
+        let incarnation = self.nodes[id.0].incarnation;
+        let now = self.now;
+        let end = |incarnation, peer| ConnectionEnd {
+            incarnation,
+            peer,
+            open: true,
+            established: false,
+            sent: 0,
+            received: 0,
+            paused: false,
+            waiting: VecDeque::new(),
+            last_arrival: now,
+        };
+        let lost = match there {
+            Some(n) if partitioned(n) || partitioned(id) => Some(timeout),
+            Some(n) if self.nodes[n.0].program.is_some() => None,
+            _ => Some(self.delay.min(timeout)),
+        };
+        if let Some(after) = lost {
+            self.connection_ends.insert((id, connection), end(incarnation, None));
+            return self.schedule(
+                self.now + after,
+                id,
+                incarnation,
+                Event::Disconnected(connection, DisconnectReason::ConnectFailed),
+            );
+        }
+        let Some(node) = there else { return };
+        let node_at = &mut self.nodes[node.0];
+        let peer_connection = ConnectionId(node_at.accepted);
+        node_at.accepted += 1;
+        let peer_incarnation = node_at.incarnation;
+        self.connection_ends.insert((node, peer_connection), end(peer_incarnation, Some((id, connection))));
+        self.connection_ends.insert((id, connection), end(incarnation, Some((node, peer_connection))));
+        self.schedule(self.now + self.delay, node, peer_incarnation, Event::Accepted(peer_connection));
+        self.schedule(self.now + 2 * self.delay, id, incarnation, Event::Connected(connection));
+    }
+
+    /// Closes one end of a connection; the other finds out after all that was sent before.
+    fn disconnect(&mut self, id: NodeId, connection: ConnectionId) {
+        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else { return };
+        end.open = false;
+        let at = end.last_arrival.max(self.now + self.delay);
+        if let Some((node, peer_connection)) = end.peer {
+            let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
+            self.schedule(
+                at,
+                node,
+                incarnation,
+                Event::Disconnected(peer_connection, DisconnectReason::Reset),
+            );
+        }
+    }
+}
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -1,5 +1,5 @@
-//! What clients will ask for, drawn ahead from a seed: sessions of several turns, many of which begin with a
-//! text that they share with others.
+//! The requests of a load, generated ahead from a seed: sessions of several turns, many of which begin with a text that
+//! they share with others.
 
 use bytes::Bytes;
 use rand::{RngExt, SeedableRng};
@@ -7,58 +7,66 @@
 use tideroute_config_language::kinds::{Burst, Load, Range, Traffic};
 use tideroute_wire::Micros;
 
-/// One submission that will be made, whatever happens before.
+/// One request that will be sent, whatever happens before.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// After the beginning of the load.
+    /// Microseconds after the begin of the load.
     pub at: Micros,
+    /// The request class, by its index.
     pub track: u8,
+    /// The session that it belongs to.
     pub session: u64,
+    /// The shared text that the prompt begins with; 0 for none.
     pub prefix: u64,
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
+    /// Tokens of the shared text.
     pub prefix_tokens: u32,
+    /// Tokens of the response at most.
     pub most_tokens: u32,
-    /// What its client waits for it, over all tries.
+    /// Microseconds that its client waits for it, over all attempts.
     pub left: Micros,
+    /// A random value that identifies it for deduplication.
     pub mark: u64,
+    /// The text of the prompt.
     pub prompt: Bytes,
-    /// Its client leaves after so many tokens.
+    /// Its client disconnects after so many tokens.
     pub leaves_after: Option<u32>,
-    /// Which client makes it.
+    /// The client that sends it.
     pub client: usize,
-    /// Whose it is, by its place among the load's keys.
+    /// Its tenant, by the index among the load's keys.
     pub tenant: Option<usize>,
 }
 
-/// Microseconds between two turns of a session on average: a person reads the answer and asks on.
-const THINKS: f64 = 2e6;
-/// Sets the draw of busy routers apart from that of the traffic.
-const UNEVEN: u64 = 0x756e_6576_656e;
-/// Bytes of a prompt's own text; its length in tokens is told beside it.
-const TEXT: usize = 48;
+/// Mean microseconds between two turns of a session: a person reads the response and writes.
+const MEAN_THINK_TIME: f64 = 2e6;
+/// Makes the random numbers for busy routers independent of those for the traffic.
+const UNEVEN_SEED: u64 = 0x756e_6576_656e;
+/// Bytes of a prompt's text; its length in tokens is sent beside it.
+const PROMPT_BYTES: usize = 48;
 
-/// All submissions of a load, in order of time.
+/// All requests of a load, in order of time.
 pub fn plan(load: &Load) -> Vec<Planned> {
     let mut planned = Vec::new();
-    // A session brings so many submissions on average; sessions come as a Poisson process.
+    // A session has so many requests on average; sessions arrive as a Poisson process.
     let parts: f64 = load.traffic.iter().map(|t| t.part).sum();
     let mut all = Pcg64::seed_from_u64(load.seed);
     for (place, traffic) in load.traffic.iter().enumerate() {
-        // A tenant's traffic is drawn by itself, so that it is the same whatever others do.
+        // A tenant's traffic has its own random numbers, so that it is the same whatever others do.
         let mut own = Pcg64::seed_from_u64(load.seed ^ (place as u64 + 1) << 40);
-        let chance = if load.keys.is_empty() { &mut all } else { &mut own };
+        let rng = if load.keys.is_empty() { &mut all } else { &mut own };
         let rate = load.rate * traffic.part / parts / traffic.turns / 1e6;
         let mut at = 0.0;
         // Sessions that began before the load are in the middle of their turns when it begins.
-        let before = THINKS * (traffic.turns - 1.0);
+        let before = MEAN_THINK_TIME * (traffic.turns - 1.0);
         at -= before;
         loop {
-            let surge = surge(&load.bursts, traffic, at);
-            at += -(1.0 - chance.random::<f64>()).ln() / (rate * surge);
+            let burst_factor = burst_factor(&load.bursts, traffic, at);
+            at += -(1.0 - rng.random::<f64>()).ln() / (rate * burst_factor);
             if at >= load.lasts as f64 {
                 break;
             }
-            session(load, traffic, place, at, chance, &mut planned);
+            session(load, traffic, place, at, rng, &mut planned);
         }
     }
     planned.sort_by_key(|p| (p.at, p.session, p.prompt_tokens));
@@ -69,11 +77,11 @@
 /// call it: all the same, or some of them so many times as many as the rest.
 pub fn routers_of(load: &Load, routers: usize) -> Vec<usize> {
     let Some(uneven) = load.uneven else { return (0..load.clients).map(|n| n % routers).collect() };
-    let mut chance = Pcg64::seed_from_u64(load.seed ^ UNEVEN);
+    let mut rng = Pcg64::seed_from_u64(load.seed ^ UNEVEN_SEED);
     let busy = ((routers as f64 * uneven.part).round() as usize).clamp(1, routers);
     let mut order: Vec<usize> = (0..routers).collect();
     for n in 0..busy {
-        let other = chance.random_range(n..routers);
+        let other = rng.random_range(n..routers);
         order.swap(n, other);
     }
     let mut weights = vec![1.0; routers];
@@ -92,15 +100,15 @@
     (0..load.clients).map(one).collect()
 }
 
-/// How many times the usual traffic comes at a moment.
-fn surge(bursts: &[Burst], traffic: &Traffic, at: f64) -> f64 {
+/// The factor by which bursts multiply the traffic at a moment.
+fn burst_factor(bursts: &[Burst], traffic: &Traffic, at: f64) -> f64 {
     let its = |b: &&Burst| b.tenant.is_none() || b.tenant == traffic.tenant;
     let now = |b: &&Burst| its(b) && at >= b.at as f64 && at < (b.at + b.lasts) as f64;
     bursts.iter().filter(now).map(|b| b.times).product()
 }
 
-fn within(range: Range, chance: &mut Pcg64) -> u32 {
-    chance.random_range(range.least..=range.most)
+fn within(range: Range, rng: &mut Pcg64) -> u32 {
+    rng.random_range(range.least..=range.most)
 }
 
 fn session(
@@ -108,13 +116,13 @@
     traffic: &Traffic,
     place: usize,
     began: f64,
-    chance: &mut Pcg64,
+    rng: &mut Pcg64,
     planned: &mut Vec<Planned>,
 ) {
     let track = load.tracks.iter().position(|t| t.name == traffic.track).unwrap_or(0);
-    let session: u64 = chance.random::<u64>() | 1;
-    let shares = chance.random::<f64>() < traffic.shared;
-    let text = u64::from(chance.random_range(0..traffic.texts));
+    let session: u64 = rng.random::<u64>() | 1;
+    let shares = rng.random::<f64>() < traffic.shared;
+    let text = u64::from(rng.random_range(0..traffic.texts));
     // A shared text's length belongs to the text, not to the session.
     let prefix = if shares { 1 + text + ((place as u64 + 1) << 32) } else { 0 };
     let mut of_text = Pcg64::seed_from_u64(load.seed ^ prefix);
@@ -124,23 +132,23 @@
     let client = match tenant {
         Some(tenant) => {
             let of_it = (load.clients - tenant).div_ceil(load.keys.len());
-            tenant + load.keys.len() * chance.random_range(0..of_it)
+            tenant + load.keys.len() * rng.random_range(0..of_it)
         }
-        None => chance.random_range(0..load.clients),
+        None => rng.random_range(0..load.clients),
     };
     let (mut at, mut prompt_tokens) = (began, prefix_tokens);
     let terms = &load.tracks[track];
     loop {
-        prompt_tokens += within(traffic.adds, chance);
+        prompt_tokens += within(traffic.adds, rng);
         if at >= load.lasts as f64 {
             return;
         }
-        let patience = chance.random_range(traffic.patience..=1.0);
+        let patience = rng.random_range(traffic.patience..=1.0);
         let stretch = u64::from(prompt_tokens) * terms.per_thousand / 1000;
-        let most_tokens = within(traffic.answer, chance);
-        let leaves = chance.random::<f64>() < load.leaves;
-        let mut prompt = vec![0; TEXT];
-        rand::Rng::fill_bytes(chance, &mut prompt);
+        let most_tokens = within(traffic.answer, rng);
+        let leaves = rng.random::<f64>() < load.leaves;
+        let mut prompt = vec![0; PROMPT_BYTES];
+        rand::Rng::fill_bytes(rng, &mut prompt);
         if at >= 0.0 {
             planned.push(Planned {
                 at: at as Micros,
@@ -151,16 +159,16 @@
                 prefix_tokens,
                 most_tokens,
                 left: ((terms.cut_off + stretch) as f64 * patience) as Micros,
-                mark: chance.random(),
+                mark: rng.random(),
                 prompt: prompt.into(),
-                leaves_after: leaves.then(|| chance.random_range(0..=most_tokens / 2)),
+                leaves_after: leaves.then(|| rng.random_range(0..=most_tokens / 2)),
                 client,
                 tenant,
             });
         }
-        if chance.random::<f64>() > 1.0 - 1.0 / traffic.turns {
+        if rng.random::<f64>() > 1.0 - 1.0 / traffic.turns {
             return;
         }
-        at += -(1.0 - chance.random::<f64>()).ln() * THINKS;
+        at += -(1.0 - rng.random::<f64>()).ln() * MEAN_THINK_TIME;
     }
 }
--- a/crates/simulation/tests/drawn.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use tideroute_config_language::kinds::Day;
-use tideroute_simulation::faults::drawn;
+use tideroute_simulation::faults::with_generated_faults;
 use tideroute_simulation::traffic::routers_of;
 
 fn day(more: &str) -> Day {
@@ -35,7 +35,7 @@
     let mut kinds = BTreeSet::new();
     for seed in 1..=300 {
         let day = day(&format!("faults: {{draw: 8, seed: {seed}, from: 2s, until: 15s, longest: 3s}}"));
-        let (one, two) = (drawn(&day), drawn(&day));
+        let (one, two) = (with_generated_faults(&day), with_generated_faults(&day));
         let text = |d: &Day| serde_json::to_string(&d.troubles).expect("plain data");
         assert_eq!(text(&one), text(&two));
         assert!(!one.troubles.is_empty() && one.faults.is_none());
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -2,7 +2,7 @@
 //! passed. Each test first shows that its case came about.
 
 use tideroute_config_language::kinds::Day;
-use tideroute_simulation::fleet::{play, Virtual};
+use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, CapturedFrame, Reader};
 
 /// A small day with a place for its troubles.
@@ -38,21 +38,21 @@
         .expect("a day")
 }
 
-fn kept(played: &Virtual) {
+fn kept(played: &VirtualOutcome) {
     assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
     assert_eq!((played.tally.wrong, played.tally.unanswered), (0, 0));
     assert!(played.report.counts.honoured > 50, "{:?}", played.report.counts);
     assert!(played.fallen.is_empty(), "{:?}", played.fallen);
 }
 
-fn passed(played: &Virtual) -> Vec<CapturedFrame> {
+fn passed(played: &VirtualOutcome) -> Vec<CapturedFrame> {
     let mut reader = Reader::new(played.record.as_slice());
     reader.head().expect("a head");
     std::iter::from_fn(|| reader.next_passed().expect("a whole record")).collect()
 }
 
 /// How many frames of a kind were heard: of a conversation's field number, the first byte's upper bits.
-fn heard(played: &Virtual, role: &str, field: u8) -> usize {
+fn heard(played: &VirtualOutcome, role: &str, field: u8) -> usize {
     let mut reader = Reader::new(played.record.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let of: Vec<_> = processes.iter().filter(|p| p.role == role).map(|p| p.number).collect();
@@ -119,7 +119,7 @@
 }
 
 /// Answers on places that a router heard after the read had ended.
-fn held_after_read(played: &Virtual) -> usize {
+fn held_after_read(played: &VirtualOutcome) -> usize {
     use tideroute_wire::{worker, Malformed};
     #[derive(Default)]
     struct Ear {
--- a/crates/simulation/tests/cores.rs
+++ b/crates/simulation/tests/many_routers.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use tideroute_config_language::kinds::Day;
-use tideroute_simulation::fleet::{play, Virtual};
+use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
 /// The field of a frame that asks a reader for a read.
@@ -39,7 +39,7 @@
 
 const BOTH: &str = r#"{track: "query", part: 3}, {track: "lodge"}"#;
 
-fn kept(played: &Virtual) {
+fn kept(played: &VirtualOutcome) {
     assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
     assert_eq!((played.tally.wrong, played.tally.unanswered), (0, 0));
     assert!(played.fallen.is_empty(), "{:?}", played.fallen);
--- a/crates/simulation/tests/crowd.rs
+++ b/crates/simulation/tests/member_cluster.rs
@@ -4,15 +4,15 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_simulation::crowd::{name, Crowd, Network, CALM};
+use tideroute_simulation::member_cluster::{name, MemberCluster, Network, CALM};
 use tideroute_wire::gossip::MemberStatus;
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
 const LOSSY: Network = Network { loss: 0.1, twice: 0.05, ..CALM };
 
-fn crowd(count: usize, seed: u64, network: Network) -> Crowd {
-    let mut crowd = Crowd::new(count, seed, network);
+fn crowd(count: usize, seed: u64, network: Network) -> MemberCluster {
+    let mut crowd = MemberCluster::new(count, seed, network);
     crowd.start_all(0..count);
     crowd.run_for(8 * S);
     assert_eq!(crowd.wrong(), [], "all see all, seed {seed}");
@@ -20,7 +20,7 @@
 }
 
 /// When each of the others saw it dead, after a moment, in order.
-fn known_dead(crowd: &Crowd, n: usize, since: u64) -> Vec<u64> {
+fn known_dead(crowd: &MemberCluster, n: usize, since: u64) -> Vec<u64> {
     let mut first = BTreeMap::new();
     for s in &crowd.sightings {
         if s.at >= since && s.seen.name == name(n) && s.seen.standing == MemberStatus::Dead {
@@ -121,7 +121,7 @@
     c.leave(33);
     c.run_for(1_500 * MS);
     assert_eq!(c.wrong(), []);
-    let of_it = |s: &&tideroute_simulation::crowd::Sighting| s.at >= at && s.seen.name == name(33);
+    let of_it = |s: &&tideroute_simulation::member_cluster::Sighting| s.at >= at && s.seen.name == name(33);
     let seen: Vec<_> = c.sightings.iter().filter(of_it).map(|s| s.seen.standing).collect();
     assert_eq!(seen.len(), 59);
     assert!(seen.iter().all(|s| *s == MemberStatus::Left), "{seen:?}");
@@ -132,7 +132,7 @@
     let rate = |count: usize| {
         let mut c = crowd(count, 9, CALM);
         c.run_for(5 * S);
-        let sent = |c: &Crowd| (0..count).map(|n| c.sent(n).0).sum::<u64>();
+        let sent = |c: &MemberCluster| (0..count).map(|n| c.sent(n).0).sum::<u64>();
         let before = sent(&c);
         c.run_for(10 * S);
         (sent(&c) - before) / 10 / count as u64
@@ -150,7 +150,7 @@
         let mut chance = Pcg64::seed_from_u64(seed);
         let count = chance.random_range(2..24);
         let loss = chance.random_range(0..25) as f64 / 100.0;
-        let mut c = Crowd::new(count, seed, Network { loss, twice: 0.1, least: 50, most: 20 * MS });
+        let mut c = MemberCluster::new(count, seed, Network { loss, twice: 0.1, least: 50, most: 20 * MS });
         c.start_all(0..count);
         for _ in 0..chance.random_range(3..15) {
             let n = chance.random_range(0..count);
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use tideroute_config_language::kinds::Day;
-use tideroute_simulation::fleet::{play, Virtual};
+use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
 fn day(name: &str) -> Day {
@@ -12,14 +12,14 @@
     tideroute_config_language::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
 }
 
-fn kept(played: &Virtual) {
+fn kept(played: &VirtualOutcome) {
     assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
     let t = &played.tally;
     assert_eq!((t.wrong, t.unanswered, t.denied), (0, 0, 0));
 }
 
 /// What of each tenant's earnings was answered in time.
-fn services(played: &Virtual) -> Vec<f64> {
+fn services(played: &VirtualOutcome) -> Vec<f64> {
     played.tally.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
 }
 
