--- a/crates/simulation/src/hop_latencies.rs
+++ b/crates/simulation/src/hop_latencies.rs
@@ -49,78 +49,107 @@
     let mut reader = Reader::new(record);
     let (processes, _) = reader.head()?;
     let roles: BTreeMap<u32, String> = processes.into_iter().map(|p| (p.number, p.role)).collect();
-    let histogram = || {
-        Histogram::new_with_max(MAX_LATENCY, 3).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
-    };
-    let mut hops = HopLatencies { first_token: histogram(), token: histogram() };
-    let mut requests: HashMap<u64, RequestTimes> = HashMap::new();
-    // Of routed days: numbers by client link, until the router's word on its own side tells the id.
-    let mut sent_at: HashMap<(u32, u64, u64), Micros> = HashMap::new();
-    let mut ids: HashMap<(u32, u64, u64), u64> = HashMap::new();
-    while let Some(p) = reader.next_passed()? {
-        let role = roles.get(&p.process).map_or("", String::as_str);
-        let Some(relevant_message) = relevant_message(&p, role) else { continue };
-        let is_received = p.event == CaptureEvent::Received;
-        match (relevant_message, role, is_received) {
-            (RelevantMessage::Submit(n), "client", false) => {
-                sent_at.insert((p.process, p.connection, n), p.at);
+    let mut collector = HopCollector::new(routed);
+    while let Some(frame) = reader.next_passed()? {
+        let role = roles.get(&frame.process).map_or("", String::as_str);
+        if let Some(message) = relevant_message(&frame, role) {
+            collector.on_message(message, role, &frame);
+        }
+    }
+    Ok(collector.hops)
+}
+
+/// A request as its client numbers it: the client's process, its connection, and the number there.
+type ClientRequest = (u32, u64, u64);
+
+/// Collects when the messages of each request passed.
+struct HopCollector {
+    /// Whether a router stands between client and workers.
+    routed: bool,
+    hops: HopLatencies,
+    /// By request id.
+    requests: HashMap<u64, RequestTimes>,
+    /// Of routed requests: when they were sent, until the router's acceptance tells their id.
+    sent_at: HashMap<ClientRequest, Micros>,
+    ids: HashMap<ClientRequest, u64>,
+}
+
+impl HopCollector {
+    fn new(routed: bool) -> HopCollector {
+        let hops = HopLatencies { first_token: histogram(), token: histogram() };
+        HopCollector { routed, hops, requests: HashMap::new(), sent_at: HashMap::new(), ids: HashMap::new() }
+    }
+
+    fn on_message(&mut self, message: RelevantMessage, role: &str, frame: &CapturedFrame) {
+        let is_received = frame.event == CaptureEvent::Received;
+        let client_request = |number: u64| (frame.process, frame.connection, number);
+        match (message, role, is_received) {
+            (RelevantMessage::Submit(number), "client", false) => {
+                self.sent_at.insert(client_request(number), frame.at);
             }
-            (RelevantMessage::Accepted(n, id), "client", true) => {
-                let key = (p.process, p.connection, n);
-                ids.insert(key, id);
-                requests.entry(id).or_default().sent_at = sent_at.remove(&key);
+            (RelevantMessage::Accepted(number, id), "client", true) => {
+                let request = client_request(number);
+                self.ids.insert(request, id);
+                self.times(id).sent_at = self.sent_at.remove(&request);
             }
-            (RelevantMessage::Prefill(id, shot), "client", false) => {
-                let times = requests.entry(id).or_default();
-                (times.sent_at, times.attempts) = (Some(p.at), shot);
+            (RelevantMessage::Prefill(id, attempt), "client", false) => {
+                let times = self.times(id);
+                times.sent_at = Some(frame.at);
+                times.attempts = attempt;
             }
-            (RelevantMessage::Prefill(id, shot), "worker", true) => {
-                let times = requests.entry(id).or_default();
-                (times.prefill_received, times.attempts) = (Some(p.at), shot);
+            (RelevantMessage::Prefill(id, attempt), "worker", true) => {
+                let times = self.times(id);
+                times.prefill_received = Some(frame.at);
+                times.attempts = attempt;
             }
             (RelevantMessage::PrefillCompleted(id), "worker", false) => {
-                requests.entry(id).or_default().prefill_completed_at = Some(p.at)
-            }
-            (RelevantMessage::Decode(id), "worker", true) => {
-                requests.entry(id).or_default().decode_received = Some(p.at)
+                self.times(id).prefill_completed_at = Some(frame.at);
             }
+            (RelevantMessage::Decode(id), "worker", true) => self.times(id).decode_received = Some(frame.at),
             (RelevantMessage::WorkerToken(id, index), "worker", false) => {
-                requests.entry(id).or_default().token_sent.insert(index, p.at);
+                self.times(id).token_sent.insert(index, frame.at);
             }
-            (RelevantMessage::ClientToken(n, index), "client", true) if routed => {
-                let id = ids.get(&(p.process, p.connection, n)).copied();
-                record_token(&mut hops, &mut requests, id, index, p.at);
+            (RelevantMessage::ClientToken(number, index), "client", true) if self.routed => {
+                if let Some(id) = self.ids.get(&client_request(number)).copied() {
+                    self.record_token(id, index, frame.at);
+                }
             }
             (RelevantMessage::WorkerToken(id, index), "client", true) => {
-                record_token(&mut hops, &mut requests, Some(id), index, p.at);
+                self.record_token(id, index, frame.at)
             }
             _ => {}
         }
     }
-    Ok(hops)
-}
 
-fn record_token(
-    hops: &mut HopLatencies,
-    requests: &mut HashMap<u64, RequestTimes>,
-    id: Option<u64>,
-    index: u32,
-    at: Micros,
-) {
-    let Some(times) = id.and_then(|id| requests.get_mut(&id)) else { return };
-    let Some(sent) = times.token_sent.remove(&index) else { return };
-    let last = at.saturating_sub(sent);
-    hops.token.saturating_record(last);
-    let (sent_at, read) = (times.sent_at, times.prefill_received);
-    if let (0, 0, Some(sent_at), Some(read), Some(done), Some(write)) =
-        (index, times.attempts, sent_at, read, times.prefill_completed_at, times.decode_received)
-    {
-        // Where waits of the router's own choice come in (a read held back), they count as its own.
-        let requests = read.saturating_sub(sent_at) + write.saturating_sub(done) + last;
-        hops.first_token.saturating_record(requests);
+    fn times(&mut self, id: u64) -> &mut RequestTimes {
+        self.requests.entry(id).or_default()
+    }
+
+    /// A token arrived at its client.
+    fn record_token(&mut self, id: u64, index: u32, at: Micros) {
+        let Some(times) = self.requests.get_mut(&id) else { return };
+        let Some(sent) = times.token_sent.remove(&index) else { return };
+        let last_hop = at.saturating_sub(sent);
+        self.hops.token.saturating_record(last_hop);
+        let is_first_attempt = index == 0 && times.attempts == 0;
+        if let (true, Some(sent_at), Some(prefill), Some(prefilled), Some(decode)) = (
+            is_first_attempt,
+            times.sent_at,
+            times.prefill_received,
+            times.prefill_completed_at,
+            times.decode_received,
+        ) {
+            // Waits that the router chooses (a prefill held back) count as its own.
+            let hops = prefill.saturating_sub(sent_at) + decode.saturating_sub(prefilled) + last_hop;
+            self.hops.first_token.saturating_record(hops);
+        }
     }
 }
 
+fn histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_LATENCY, 3).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
+}
+
 fn relevant_message(p: &CapturedFrame, role: &str) -> Option<RelevantMessage> {
     if !matches!(p.event, CaptureEvent::Sent | CaptureEvent::Received) || p.position == 0 {
         return None;
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -58,68 +58,87 @@
     seed: u64,
 }
 
+/// The processes on the two sides of a network fault.
+type FaultSets = (HashSet<String>, HashSet<String>);
+
+/// The same fault as those see it who connect from its first set, and from its second.
+fn both_directions(t: &Trouble) -> [Fault; 2] {
+    let way = t.way.as_deref().unwrap_or("both");
+    let back = match way {
+        "there" => "back",
+        "back" => "there",
+        both => both,
+    };
+    [way, back].map(|way| Fault {
+        at: t.at,
+        lasts: t.lasts.unwrap_or(0),
+        way: way.into(),
+        how: if t.act == "delay" { "late".into() } else { t.how.clone().unwrap_or_default() },
+        delay: t.delay.unwrap_or(0),
+        jitter: t.jitter.unwrap_or(0),
+        loss: t.loss.unwrap_or(0.0),
+    })
+}
+
 /// Whether a fault concerns the network between two sets of processes.
 fn is_network_fault(t: &&Trouble) -> bool {
     t.act == "cut" || t.act == "delay"
 }
 
 impl Relays {
+    /// Plans the listeners that the network faults of a scenario need.
     pub fn plan(day: &Day) -> Relays {
         let mut relays = Relays { seed: day.seed, ..Relays::default() };
         let troubles: Vec<_> = day.troubles.iter().filter(is_network_fault).collect();
-        let all = |names: &[String]| names.iter().flat_map(|n| day.named(n)).collect::<HashSet<_>>();
-        let sets: Vec<_> = troubles.iter().map(|t| (all(&t.between), all(&t.and))).collect();
-        for t in &troubles {
-            let way = t.way.as_deref().unwrap_or("both");
-            let back = match way {
-                "there" => "back",
-                "back" => "there",
-                both => both,
-            };
-            // The same fault as those see it who dial from its first set, and from its second.
-            relays.faults.extend([way, back].map(|way| Fault {
-                at: t.at,
-                lasts: t.lasts.unwrap_or(0),
-                way: way.into(),
-                how: if t.act == "delay" { "late".into() } else { t.how.clone().unwrap_or_default() },
-                delay: t.delay.unwrap_or(0),
-                jitter: t.jitter.unwrap_or(0),
-                loss: t.loss.unwrap_or(0.0),
-            }));
-        }
+        relays.faults = troubles.iter().flat_map(|t| both_directions(t)).collect();
         if troubles.is_empty() {
             return relays;
         }
+        let all = |names: &[String]| names.iter().flat_map(|n| day.named(n)).collect::<HashSet<_>>();
+        let sets: Vec<_> = troubles.iter().map(|t| (all(&t.between), all(&t.and))).collect();
         let routers: Vec<_> = day.router_names().collect();
         let workers: Vec<_> = day.workers().map(|(name, ..)| name).collect();
         let list = ["list".to_string()];
-        let Relays { connections, datagrams, faults, .. } = &mut relays;
-        let meet = |client: &String, target: &String| -> Vec<usize> {
-            let meets = |(n, (a, b)): (usize, &(HashSet<String>, HashSet<String>))| {
-                let there = (a.contains(client) && b.contains(target)).then_some(2 * n);
-                let back = (b.contains(client) && a.contains(target)).then_some(2 * n + 1);
-                // What works both ways meets a link within both sets once.
-                let back = back.filter(|_| there.is_none() || faults[2 * n].way != "both");
-                there.into_iter().chain(back)
-            };
-            sets.iter().enumerate().flat_map(meets).collect()
-        };
-        let mut dials =
-            |client: &String, target: &String| connections.add(client, target, meet(client, target));
         let load = "load".to_string();
-        routers.iter().for_each(|r| dials(&load, r));
         for router in &routers {
-            workers.iter().chain(&list).for_each(|t| dials(router, t));
+            relays.add_connection(&sets, &load, router);
         }
-        for worker in &workers {
-            workers.iter().chain(&list).for_each(|t| dials(worker, t));
+        for client in routers.iter().chain(&workers) {
+            for target in workers.iter().chain(&list) {
+                relays.add_connection(&sets, client, target);
+            }
         }
         for router in routers.iter().filter(|_| day.membership) {
-            routers.iter().for_each(|target| datagrams.add(router, target, meet(router, target)));
+            for target in &routers {
+                let faults = relays.faults_between(&sets, router, target);
+                relays.datagrams.add(router, target, faults);
+            }
         }
         relays
     }
 
+    fn add_connection(&mut self, sets: &[FaultSets], client: &str, target: &str) {
+        let faults = self.faults_between(sets, client, target);
+        self.connections.add(client, target, faults);
+    }
+
+    /// The indices of the faults on the way from a client to a target.
+    fn faults_between(&self, sets: &[FaultSets], client: &str, target: &str) -> Vec<usize> {
+        let mut indices = vec![];
+        for (n, (a, b)) in sets.iter().enumerate() {
+            let there = a.contains(client) && b.contains(target);
+            let back = b.contains(client) && a.contains(target);
+            if there {
+                indices.push(2 * n);
+            }
+            // A fault in both directions meets a connection within both sets once.
+            if back && (!there || self.faults[2 * n].way != "both") {
+                indices.push(2 * n + 1);
+            }
+        }
+        indices
+    }
+
     pub fn doors(&self) -> usize {
         self.connections.doors.len() + self.datagrams.doors.len()
     }
--- a/crates/simulation/src/simulator/mod.rs
+++ b/crates/simulation/src/simulator/mod.rs
@@ -3,15 +3,17 @@
 //! All traffic is captured in the form that real processes write, and checked by the same rules.
 
 mod captures;
+mod connections;
 mod event_queue;
 
-use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
+use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
 use bytes::Bytes;
 use tideroute_wire::capture::{CaptureEvent, CapturedFrame, CapturedProcess};
-use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
+use tideroute_wire::event_loop::{ConnectionId, Effect, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
+use connections::ConnectionEnd;
 use event_queue::{Event, ScheduledEvent};
 
 /// A node: a place where a program can run, be killed and be restarted.
@@ -37,21 +39,6 @@
     partitioned: bool,
 }
 
-/// One end of a connection.
-struct ConnectionEnd {
-    incarnation: u32,
-    peer: Option<(NodeId, ConnectionId)>,
-    open: bool,
-    /// Its program knows that it is established.
-    established: bool,
-    sent: u64,
-    received: u64,
-    paused: bool,
-    waiting: VecDeque<Bytes>,
-    /// When the last frame sent on it arrives; a later frame arrives no earlier.
-    last_arrival: Micros,
-}
-
 /// Runs programs at nodes in virtual time.
 pub struct Simulator {
     now: Micros,
@@ -230,10 +217,9 @@
             }
             Event::Connected(connection) => {
                 self.capture_established(node, connection, CaptureEvent::Connected);
-                self.connection_ends
-                    .get_mut(&(node, connection))
-                    .into_iter()
-                    .for_each(|end| end.established = true);
+                if let Some(end) = self.connection_ends.get_mut(&(node, connection)) {
+                    end.established = true;
+                }
                 self.call(node, |program, now, effects| program.on_connected(now, connection, effects));
             }
             Event::Frame(connection, frame) => {
@@ -250,33 +236,10 @@
                 let Some(frame) = end.and_then(|e| e.waiting.pop_front()) else { return };
                 self.deliver(node, connection, &frame);
             },
-            Event::Disconnected(connection, reason) => {
-                let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open) else {
-                    return;
-                };
-                end.open = false;
-                match reason {
-                    DisconnectReason::Reset => self.capture_end(node, connection),
-                    DisconnectReason::ConnectFailed | DisconnectReason::LocalFailure => {
-                        self.capture_event(node, connection, CaptureEvent::ConnectFailed, 0, &Bytes::new())
-                    }
-                }
-                self.call(node, |program, now, effects| {
-                    program.on_disconnect(now, connection, reason, effects)
-                });
-            }
+            Event::Disconnected(connection, reason) => self.lose(node, connection, reason),
         }
     }
 
-    /// Delivers a frame to a program.
-    fn deliver(&mut self, node: NodeId, connection: ConnectionId, frame: &Bytes) {
-        let Some(end) = self.connection_ends.get_mut(&(node, connection)) else { return };
-        let position = end.received;
-        end.received += 1;
-        self.capture_event(node, connection, CaptureEvent::Received, position, frame);
-        self.call(node, |program, now, effects| program.on_data(now, connection, frame, effects));
-    }
-
     /// Calls the program at a node and executes its effects.
     fn call(&mut self, id: NodeId, call: impl FnOnce(&mut dyn EventHandler, Micros, &mut Effects)) {
         let (now, node) = (self.now, &mut self.nodes[id.0]);
@@ -314,24 +277,7 @@
         let incarnation = self.nodes[id.0].incarnation;
         match effect {
             Effect::Connect { connection, to, timeout } => self.connect(id, connection, to, timeout),
-            Effect::Send { connection, frame } => {
-                let now = self.now;
-                let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else {
-                    return;
-                };
-                let position = end.sent;
-                end.sent += 1;
-                end.last_arrival = end.last_arrival.max(now + self.delay);
-                let (at, peer) = (end.last_arrival, end.peer);
-                self.capture_event(id, connection, CaptureEvent::Sent, position, &frame);
-                if let Some((node, peer_connection)) = peer {
-                    if !self.nodes[id.0].partitioned && !self.nodes[node.0].partitioned {
-                        let incarnation =
-                            self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
-                        self.schedule(at, node, incarnation, Event::Frame(peer_connection, frame));
-                    }
-                }
-            }
+            Effect::Send { connection, frame } => self.send(id, connection, frame),
             // All that was sent is on its way already, so that closing and aborting are the same.
             Effect::Close { connection, .. }
             | Effect::Abort { connection }
@@ -361,63 +307,4 @@
             Effect::Crash => self.kill(id),
         }
     }
-
-    /// Connects a node to the one that listens at an address.
-    fn connect(&mut self, id: NodeId, connection: ConnectionId, to: Address, timeout: Micros) {
-        self.capture_event(id, connection, CaptureEvent::Connecting, 0, &Bytes::copy_from_slice(&to));
-        let there = self.listens.get(&to).copied();
-        let partitioned = |n: NodeId| self.nodes[n.0].partitioned;
-        let incarnation = self.nodes[id.0].incarnation;
-        let now = self.now;
-        let end = |incarnation, peer| ConnectionEnd {
-            incarnation,
-            peer,
-            open: true,
-            established: false,
-            sent: 0,
-            received: 0,
-            paused: false,
-            waiting: VecDeque::new(),
-            last_arrival: now,
-        };
-        let lost = match there {
-            Some(n) if partitioned(n) || partitioned(id) => Some(timeout),
-            Some(n) if self.nodes[n.0].program.is_some() => None,
-            _ => Some(self.delay.min(timeout)),
-        };
-        if let Some(after) = lost {
-            self.connection_ends.insert((id, connection), end(incarnation, None));
-            return self.schedule(
-                self.now + after,
-                id,
-                incarnation,
-                Event::Disconnected(connection, DisconnectReason::ConnectFailed),
-            );
-        }
-        let Some(node) = there else { return };
-        let node_at = &mut self.nodes[node.0];
-        let peer_connection = ConnectionId(node_at.accepted);
-        node_at.accepted += 1;
-        let peer_incarnation = node_at.incarnation;
-        self.connection_ends.insert((node, peer_connection), end(peer_incarnation, Some((id, connection))));
-        self.connection_ends.insert((id, connection), end(incarnation, Some((node, peer_connection))));
-        self.schedule(self.now + self.delay, node, peer_incarnation, Event::Accepted(peer_connection));
-        self.schedule(self.now + 2 * self.delay, id, incarnation, Event::Connected(connection));
-    }
-
-    /// Closes one end of a connection; the other finds out after all that was sent before.
-    fn disconnect(&mut self, id: NodeId, connection: ConnectionId) {
-        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else { return };
-        end.open = false;
-        let at = end.last_arrival.max(self.now + self.delay);
-        if let Some((node, peer_connection)) = end.peer {
-            let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
-            self.schedule(
-                at,
-                node,
-                incarnation,
-                Event::Disconnected(peer_connection, DisconnectReason::Reset),
-            );
-        }
-    }
 }
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -111,6 +111,27 @@
     rng.random_range(range.least..=range.most)
 }
 
+/// The shared text that a session begins with, 0 for none, and its tokens.
+fn shared_text(load: &Load, traffic: &Traffic, place: usize, rng: &mut Pcg64) -> (u64, u32) {
+    let shares = rng.random::<f64>() < traffic.shared;
+    let text = u64::from(rng.random_range(0..traffic.texts));
+    if !shares {
+        return (0, 0);
+    }
+    let prefix = 1 + text + ((place as u64 + 1) << 32);
+    // A shared text's length belongs to the text, not to the session.
+    let mut text_rng = Pcg64::seed_from_u64(load.seed ^ prefix);
+    (prefix, within(traffic.text_tokens, &mut text_rng))
+}
+
+/// The client of a session; clients belong to the tenants in turn.
+fn client_of(load: &Load, tenant: Option<usize>, rng: &mut Pcg64) -> usize {
+    let Some(tenant) = tenant else { return rng.random_range(0..load.clients) };
+    let clients_of_tenant = (load.clients - tenant).div_ceil(load.keys.len());
+    tenant + load.keys.len() * rng.random_range(0..clients_of_tenant)
+}
+
+/// Plans the requests of one session.
 fn session(
     load: &Load,
     traffic: &Traffic,
@@ -121,21 +142,9 @@
 ) {
     let track = load.tracks.iter().position(|t| t.name == traffic.track).unwrap_or(0);
     let session: u64 = rng.random::<u64>() | 1;
-    let shares = rng.random::<f64>() < traffic.shared;
-    let text = u64::from(rng.random_range(0..traffic.texts));
-    // A shared text's length belongs to the text, not to the session.
-    let prefix = if shares { 1 + text + ((place as u64 + 1) << 32) } else { 0 };
-    let mut of_text = Pcg64::seed_from_u64(load.seed ^ prefix);
-    let prefix_tokens = if shares { within(traffic.text_tokens, &mut of_text) } else { 0 };
+    let (prefix, prefix_tokens) = shared_text(load, traffic, place, rng);
     let tenant = load.keys.iter().position(|k| Some(&k.tenant) == traffic.tenant.as_ref());
-    // Clients speak for the tenants in turn.
-    let client = match tenant {
-        Some(tenant) => {
-            let of_it = (load.clients - tenant).div_ceil(load.keys.len());
-            tenant + load.keys.len() * rng.random_range(0..of_it)
-        }
-        None => rng.random_range(0..load.clients),
-    };
+    let client = client_of(load, tenant, rng);
     let (mut at, mut prompt_tokens) = (began, prefix_tokens);
     let terms = &load.tracks[track];
     loop {
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -118,17 +118,39 @@
         self.simulator.run_until(self.begins);
         let client = self.simulator.add_node("load", "client", None);
         self.simulator.start(client, Box::new(self.load.clone()));
+        let killed = self.inject_faults()?;
+        self.simulator.run_until(self.begins + self.day.load.lasts);
+        let deadline = self.begins + self.day.load.lasts + DRAIN_TIME;
+        while self.simulator.runs(client) && self.simulator.now() < deadline {
+            self.run_for(START_TIME);
+        }
+        let has_fallen = |name: &&String| !self.simulator.runs(self.nodes[*name]) && !killed.contains(name);
+        let fallen = names.iter().filter(has_fallen).cloned().collect();
+        // Routers first, then the programs that they need.
+        for name in names.iter().rev() {
+            self.simulator.stop(self.nodes[name]);
+            self.run_for(START_TIME);
+        }
+        self.outcome(fallen)
+    }
+
+    fn run_for(&mut self, span: Micros) {
+        let until = self.simulator.now() + span;
+        self.simulator.run_until(until);
+    }
+
+    /// Injects the faults in time; returns the names of all nodes that were killed.
+    fn inject_faults(&mut self) -> Result<Vec<String>, VirtualScenarioError> {
         let mut actions = fault_timeline(&self.day.troubles);
         actions.sort_by_key(|(at, _)| *at);
-        let killed = actions.iter().filter_map(|(_, action)| match action {
-            FaultAction::Kill(who) => Some(who.to_string()),
-            _ => None,
-        });
-        let killed: Vec<String> = killed.collect();
+        let mut killed = vec![];
         for (at, action) in actions {
             self.simulator.run_until(self.begins + at);
             match action {
-                FaultAction::Kill(who) => self.simulator.kill(self.nodes[who]),
+                FaultAction::Kill(who) => {
+                    killed.push(who.to_string());
+                    self.simulator.kill(self.nodes[who]);
+                }
                 FaultAction::Start(who, keeps) if !self.simulator.runs(self.nodes[who]) => {
                     if !keeps {
                         self.simulator.forget(self.nodes[who]);
@@ -139,31 +161,23 @@
                 FaultAction::Halt(who) => self.simulator.halt(self.nodes[who]),
                 FaultAction::GoOn(who) => self.simulator.resume(self.nodes[who]),
                 FaultAction::Remove(tenant) => {
-                    let letter = tideroute_wire::tenant::removed(tenant, 1);
+                    let message = tideroute_wire::tenant::removed(tenant, 1);
                     for router in self.day.router_names() {
-                        self.simulator.send_message(self.nodes[&router], &letter);
+                        self.simulator.send_message(self.nodes[&router], &message);
                     }
                 }
             }
         }
-        self.simulator.run_until(self.begins + self.day.load.lasts);
-        let late = self.begins + self.day.load.lasts + DRAIN_TIME;
-        while self.simulator.runs(client) && self.simulator.now() < late {
-            let next = self.simulator.now() + START_TIME;
-            self.simulator.run_until(next);
-        }
-        let fallen = names.iter().filter(|n| !self.simulator.runs(self.nodes[*n]) && !killed.contains(n));
-        let fallen = fallen.cloned().collect();
-        // Routers first, then those that they need.
-        for name in names.iter().rev() {
-            self.simulator.stop(self.nodes[name]);
-            let next = self.simulator.now() + START_TIME;
-            self.simulator.run_until(next);
-        }
+        Ok(killed)
+    }
+
+    /// Checks the rules on the capture.
+    fn outcome(mut self, fallen: Vec<String>) -> Result<VirtualOutcome, VirtualScenarioError> {
         let terms = serde_json::to_string(&process_configs::rules(self.day, &self.ports)).unwrap_or_default();
         let record = self.simulator.capture(&terms)?;
         let report = tideroute_trace_checker::check(record.as_slice())?;
-        let (events, lasted) = (self.simulator.events(), self.simulator.now() - EPOCH);
+        let events = self.simulator.events();
+        let lasted = self.simulator.now() - EPOCH;
         let mut load = self.load.0.lock().unwrap_or_else(|e| e.into_inner());
         let tally = std::mem::replace(&mut load.tally, LoadStatistics::new(&self.day.tracks, []));
         Ok(VirtualOutcome { began: self.begins, report, tally, record, events, lasted, fallen })
