--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -42,11 +42,11 @@
             running.folder.join("tenants.redb").display()
         );
         std::fs::write(running.folder.join("router.cue"), record).expect("a file");
-        running.go();
+        running.start_process();
         running
     }
 
-    fn go(&mut self) {
+    fn start_process(&mut self) {
         let child = Command::new(env!("CARGO_BIN_EXE_tideroute"))
             .arg("router")
             .arg(self.folder.join("router.cue"))
@@ -72,7 +72,7 @@
     }
 
     /// What it printed, after it went well.
-    fn well(&self, arguments: &[&str]) -> String {
+    fn succeeds(&self, arguments: &[&str]) -> String {
         let output = self.admin(arguments);
         let [out, problem] =
             [&output.stdout, &output.stderr].map(|b| String::from_utf8_lossy(b).into_owned());
@@ -100,13 +100,13 @@
 }
 
 #[derive(Default, Debug)]
-struct Heard {
+struct Responses {
     taken: u32,
     turned_back: Vec<u64>,
     denied: Option<String>,
 }
 
-impl client::Client for Heard {
+impl client::Client for Responses {
     fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
         self.taken += 1;
         Ok(())
@@ -133,7 +133,7 @@
 struct Client {
     stream: TcpStream,
     arrived: BytesMut,
-    heard: Heard,
+    heard: Responses,
     number: u64,
 }
 
@@ -141,19 +141,19 @@
     fn new(running: &Running, key: &str) -> Client {
         let stream = TcpStream::connect(&running.listen).expect("it listens");
         stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        let mut client = Client { stream, arrived: BytesMut::new(), heard: Heard::default(), number: 0 };
-        client.say(&say_hello_with(Party::Client, "test", key.as_bytes()));
+        let mut client = Client { stream, arrived: BytesMut::new(), heard: Responses::default(), number: 0 };
+        client.send(&say_hello_with(Party::Client, "test", key.as_bytes()));
         client
     }
 
-    fn say(&mut self, body: &Bytes) {
+    fn send(&mut self, body: &Bytes) {
         let mut framed = BytesMut::new();
         frame::put(&mut framed, body);
         let _ = self.stream.write_all(&framed);
     }
 
     /// Reads until the condition holds or the connection ends.
-    fn hear(&mut self, enough: impl Fn(&Heard) -> bool) {
+    fn receive_until(&mut self, enough: impl Fn(&Responses) -> bool) {
         let mut piece = [0; 4096];
         while !enough(&self.heard) {
             let got = self.stream.read(&mut piece).unwrap_or(0);
@@ -172,21 +172,21 @@
         self.number += 1;
         let number = self.number;
         let prompt = Bytes::from_static(b"prompt");
-        self.say(&client::submit(number, 0, 1, 0, 10, 0, 5, left, 1, prompt));
+        self.send(&client::submit(number, 0, 1, 0, 10, 0, 5, left, 1, prompt));
         let began = Instant::now();
-        self.hear(|heard| heard.turned_back.contains(&number));
+        self.receive_until(|heard| heard.turned_back.contains(&number));
         assert!(self.heard.turned_back.contains(&number), "no answer: {:?}", self.heard);
         began.elapsed()
     }
 }
 
 #[test]
-fn tenants_come_change_and_go_while_it_runs() {
+fn tenants_are_added_changed_and_removed_while_the_router_runs() {
     let mut running = Running::start("life");
     // Nobody is there yet: each core denies.
     for _ in 0..8 {
         let mut nobody = Client::new(&running, "harbour's key");
-        nobody.hear(|heard| heard.denied.is_some());
+        nobody.receive_until(|heard| heard.denied.is_some());
         assert_eq!(nobody.heard.denied.as_deref(), Some("no tenant has this key"));
     }
     assert!(running.put("harbour", "one", None).status.success());
@@ -196,7 +196,7 @@
     assert!(clients.iter().all(|client| client.heard.taken == 1 && client.heard.denied.is_none()));
     let began = Instant::now();
     let shown = loop {
-        let shown = running.well(&["top", "--once"]);
+        let shown = running.succeeds(&["top", "--once"]);
         if shown.lines().any(|line| line.starts_with("harbour") && line.contains(" 8 ")) {
             break shown;
         }
@@ -211,28 +211,28 @@
         assert!(took < Duration::from_millis(500), "a dead key was held for {took:?}");
     }
     let mut old = Client::new(&running, "one");
-    old.hear(|heard| heard.denied.is_some());
+    old.receive_until(|heard| heard.denied.is_some());
     assert!(old.heard.denied.is_some());
     // What was confirmed is there after a kill.
     running.kill();
-    running.go();
+    running.start_process();
     let mut back: Vec<_> = (0..8).map(|_| Client::new(&running, "two")).collect();
     back.iter_mut().for_each(|client| _ = client.submit(200_000));
-    assert!(running.well(&["show", "harbour"]).contains("harbour"));
-    assert!(running.well(&["remove", "harbour", "--version", "2"]).contains("removed"));
+    assert!(running.succeeds(&["show", "harbour"]).contains("harbour"));
+    assert!(running.succeeds(&["remove", "harbour", "--version", "2"]).contains("removed"));
     for client in &mut back {
         assert!(client.submit(3_000_000) < Duration::from_millis(500));
         assert_eq!(client.heard.taken, 2, "it is answered like any other, at once");
     }
     let mut gone = Client::new(&running, "two");
-    gone.hear(|heard| heard.denied.is_some());
+    gone.receive_until(|heard| heard.denied.is_some());
     assert!(gone.heard.denied.is_some());
-    let history = running.well(&["history", "harbour"]);
+    let history = running.succeeds(&["history", "harbour"]);
     assert!(history.lines().count() == 4 && history.contains("ann"), "{history}");
 }
 
 #[test]
-fn the_command_line_tells_what_is_wrong() {
+fn the_command_line_reports_errors() {
     let running = Running::start("wrong");
     assert!(running.put("market", "k", None).status.success());
     let problems = [
@@ -254,7 +254,7 @@
     assert!(String::from_utf8_lossy(&output.stderr).contains("nobody has this key"));
     // A snapshot, and it taken back into a store of its own.
     let [file, store] = ["all.zst", "other.redb"].map(|name| running.folder.join(name).display().to_string());
-    running.well(&["snapshot", &file]);
+    running.succeeds(&["snapshot", &file]);
     let restored = Command::new(env!("CARGO_BIN_EXE_tideroute"))
         .args(["admin", "restore", &store, &file])
         .output()
--- a/crates/command/tests/cluster_membership.rs
+++ b/crates/command/tests/cluster_membership.rs
@@ -9,7 +9,7 @@
 
 /// Loss, a kill, halts, three that are back at once, and a cut in two: judged by the record alone.
 #[test]
-fn routers_see_each_other_as_they_are() {
+fn views_of_all_members_are_true_under_faults() {
     let day = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/members.cue");
     let played = Command::new(env!("CARGO_BIN_EXE_tideroute"))
         .args(["day", &day.display().to_string()])
@@ -25,19 +25,19 @@
 const KEY: &str = "0707070707070707070707070707070707070707070707070707070707070707";
 
 /// A folder of records of one fleet, with a list that nobody serves: membership needs none.
-struct Fleet {
+struct Cluster {
     folder: PathBuf,
     doors: Vec<String>,
 }
 
-impl Fleet {
-    fn new(name: &str, count: usize) -> Fleet {
+impl Cluster {
+    fn new(name: &str, count: usize) -> Cluster {
         let folder = std::env::temp_dir().join(format!("tideroute-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         // Held all at once, so that no two are the same.
         let held: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
         let doors = held.iter().map(|s| s.local_addr().expect("an address").to_string()).collect();
-        Fleet { folder, doors }
+        Cluster { folder, doors }
     }
 
     fn record(&self, n: usize, key: &str) -> PathBuf {
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
@@ -80,10 +80,10 @@
 }
 
 #[test]
-fn a_fleet_shows_who_is_there_and_who_left_and_what_a_stranger_sees() {
-    let fleet = Fleet::new("fleet-status", 4);
-    let records: Vec<_> = (0..3).map(|n| fleet.record(n, KEY)).collect();
-    let mut running: Vec<_> = records.iter().map(|r| fleet.start(r)).collect();
+fn fleet_status_shows_members_departures_and_strangers() {
+    let cluster = Cluster::new("fleet-status", 4);
+    let records: Vec<_> = (0..3).map(|n| cluster.record(n, KEY)).collect();
+    let mut running: Vec<_> = records.iter().map(|r| cluster.start(r)).collect();
     let seen = |n: usize, word: &str, code: i32| {
         until(|| {
             let (ended, said) = status(&records[n]);
@@ -92,7 +92,7 @@
     };
     let all = seen(1, "3 there, 0 suspected", 0);
     assert!(all.contains("of the others 2 see the same, 0 differ, 0 do not answer"), "{all}");
-    assert!(fleet.doors[..3].iter().all(|door| all.contains(door)), "{all}");
+    assert!(cluster.doors[..3].iter().all(|door| all.contains(door)), "{all}");
     // Who is told to end says goodbye; who is killed is missed.
     process::signal(&running[2].0, "-TERM");
     assert!(running[2].0.wait().expect("it ends").success());
@@ -105,20 +105,20 @@
         std::fs::read_to_string(records[0].with_extension("log")).ok()?.contains("alone: ").then_some(())
     });
     // With another key it is of no fleet that it could see, says so, and hears no answer with the right one.
-    let stranger = fleet.record(3, &KEY.replace('7', "8"));
-    let _stranger = fleet.start(&stranger);
+    let stranger = cluster.record(3, &KEY.replace('7', "8"));
+    let _stranger = cluster.start(&stranger);
     until(|| std::fs::read_to_string(stranger.with_extension("log")).ok()?.contains("alone: ").then_some(()));
-    let wrong = fleet.record(3, KEY);
+    let wrong = cluster.record(3, KEY);
     let (code, said) = status(&wrong);
     assert!(code == Some(2) && said.contains("r3 does not answer"), "{said}");
 }
 
 #[test]
-fn an_address_that_is_taken_ends_the_start() {
-    let fleet = Fleet::new("fleet-taken", 1);
-    let taken = UdpSocket::bind(&fleet.doors[0]).expect("it was free");
-    let path = fleet.record(0, KEY);
-    let mut running = fleet.start(&path);
+fn a_membership_address_in_use_ends_the_start() {
+    let cluster = Cluster::new("fleet-taken", 1);
+    let taken = UdpSocket::bind(&cluster.doors[0]).expect("it was free");
+    let path = cluster.record(0, KEY);
+    let mut running = cluster.start(&path);
     let ended = running.0.wait().expect("it ends");
     let said = std::fs::read_to_string(path.with_extension("log")).expect("a log");
     assert_eq!(ended.code(), Some(2), "{said}");
--- a/crates/command/tests/commands.rs
+++ b/crates/command/tests/commands.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn each_bad_file_has_one_clear_error_and_ends_with_2() {
+fn each_invalid_file_gives_one_clear_error_and_exit_code_2() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/bad");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("bad files").flatten() {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn wrong_calls_end_with_2_and_say_why() {
+fn wrong_calls_give_exit_code_2_and_say_why() {
     let folder = Folder::new("calls");
     let list = folder.file("list.cue", "list: {listen: \"127.0.0.1:0\"}");
     for (arguments, word) in [
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_short_day_on_real_processes_keeps_the_rules() {
+fn a_short_scenario_on_real_processes_keeps_the_rules() {
     let folder = Folder::new("short-day");
     let out = folder.0.join("out").display().to_string();
     let output = run(&["day", &days("short-day.cue"), "--out", &out]);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn the_same_day_in_virtual_time_is_the_same_twice() {
+fn a_scenario_in_virtual_time_is_deterministic() {
     let [one, two] = [0, 1].map(|_| run(&["day", &days("short-day.cue"), "--in-virtual-time"]));
     let table = |o: &Output| text(&o.stdout).lines().take(12).map(str::to_string).collect::<Vec<_>>();
     assert!(one.status.success(), "{}", text(&one.stdout));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn nothing_outlives_a_day_that_is_interrupted_or_killed() {
+fn no_process_outlives_an_interrupted_or_killed_scenario() {
     for how in ["-INT", "-KILL"] {
         let folder = Folder::new(&format!("ends{how}"));
         let out = folder.0.join("out").display().to_string();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_router_closes_on_garbage_answers_what_it_can_and_ends_in_order() {
+fn a_router_closes_on_malformed_input_and_shuts_down_gracefully() {
     let folder = Folder::new("garbage");
     let port = free_port();
     let file = router_file(&folder, port);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_core_that_dies_takes_only_its_own_with_it() {
+fn a_core_that_panics_loses_only_its_own_requests() {
     let folder = Folder::new("core");
     let port = free_port();
     let file = router_file(&folder, port);
--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -20,20 +20,20 @@
 use tideroute_wire::Micros;
 
 /// Customers drawn where nothing else is said, and how many of them play side by side.
-const CUSTOMERS: u64 = 8;
-const SIDE_BY_SIDE: u64 = 4;
+const DEPLOYMENTS: u64 = 8;
+const PARALLEL_RUNS: u64 = 4;
 /// How much later than in virtual time something may be seen on a machine that is busy.
-const NOISE: Micros = 400 * MS;
+const OBSERVATION_DELAY: Micros = 400 * MS;
 /// Requests come for so long, and then what is held is watched for a while.
-const BUSY: Duration = Duration::from_millis(2_500);
-const WATCHED: Duration = Duration::from_millis(2_500);
+const LOAD_TIME: Duration = Duration::from_millis(2_500);
+const WATCH_TIME: Duration = Duration::from_millis(2_500);
 /// Milliseconds that a client waits at most.
 const LONGEST_WAIT_MS: u64 = 1_500;
 /// Discovery's heartbeat.
-const BEAT: Duration = Duration::from_millis(1_000);
+const HEARTBEAT: Duration = Duration::from_millis(1_000);
 
-const SERVES: u8 = 0;
-const HANGS: u8 = 1;
+const SERVING: u8 = 0;
+const HANGING: u8 = 1;
 const VANISHED: u8 = 2;
 
 /// A worker's process: what it does now, and how often it has started.
@@ -54,18 +54,18 @@
 }
 
 /// Where one worker of the fleet runs.
-struct Machine {
+struct WorkerMachine {
     fleet: Arc<Fleet>,
     worker: usize,
 }
 
-impl Machine {
+impl WorkerMachine {
     fn server(&self) -> &Server {
         &self.fleet.servers[self.worker]
     }
 }
 
-impl Surroundings for Machine {
+impl Surroundings for WorkerMachine {
     fn take(&self, report: Report) -> bool {
         self.fleet.judge.take(report)
     }
@@ -84,7 +84,7 @@
     }
 
     fn hangs(&self) -> bool {
-        self.server().does.load(Ordering::SeqCst) == HANGS
+        self.server().does.load(Ordering::SeqCst) == HANGING
     }
 
     fn number(&self, _stream: &TcpStream) -> u64 {
@@ -109,7 +109,7 @@
     }
 
     /// Discovery tells all routers of a worker.
-    fn tell(&self, worker: usize, state: &str, started_ms: u64) {
+    fn notify(&self, worker: usize, state: &str, started_ms: u64) {
         let version = self.version.fetch_add(1, Ordering::Relaxed) + 1;
         let entry = self.entry(worker, state, started_ms);
         let line = chunk(&format!("{}\n", json!({"version": version, "full": false, "servers": [entry]})));
@@ -119,7 +119,7 @@
         self.judge.told(worker, (state == "DRAINING").then(|| self.judge.now()));
     }
 
-    fn hear_watches(self: &Arc<Fleet>, listener: TcpListener) {
+    fn accept_watches(self: &Arc<Fleet>, listener: TcpListener) {
         let fleet = self.clone();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -133,7 +133,7 @@
         let fleet = self.clone();
         std::thread::spawn(move || {
             while !fleet.is_over() {
-                std::thread::sleep(BEAT);
+                std::thread::sleep(HEARTBEAT);
                 for watch in fleet.watches.lock().expect("nobody panics with it").iter_mut() {
                     let _ = watch.write_all(chunk("\n").as_bytes());
                 }
@@ -143,12 +143,12 @@
 
     fn serve(self: &Arc<Fleet>, worker: usize, listener: TcpListener) {
         let kind = self.judge.customer.kind(worker);
-        let machine = Arc::new(Machine { fleet: self.clone(), worker });
+        let machine = Arc::new(WorkerMachine { fleet: self.clone(), worker });
         std::thread::spawn(move || worker::serve(listener, kind, machine));
     }
 
     /// Faults at drawn times, up to the end.
-    fn trouble(&self) {
+    fn inject_fault(&self) {
         let many = self.servers.len();
         while !self.is_over() {
             std::thread::sleep(Duration::from_millis(self.judge.between(100.0, 1_200.0)));
@@ -157,28 +157,28 @@
             let lasts = Duration::from_millis(self.judge.between(100.0, 1_500.0));
             match (self.judge.unit() * 4.0) as u8 {
                 0 => {
-                    server.does.store(HANGS, Ordering::SeqCst);
+                    server.does.store(HANGING, Ordering::SeqCst);
                     std::thread::sleep(lasts);
-                    server.does.store(SERVES, Ordering::SeqCst);
+                    server.does.store(SERVING, Ordering::SeqCst);
                 }
                 1 => {
                     server.does.store(VANISHED, Ordering::SeqCst);
-                    self.dies(worker);
+                    self.kill_worker(worker);
                     std::thread::sleep(lasts);
-                    server.does.store(SERVES, Ordering::SeqCst);
-                    self.tell(worker, "SERVING", unix_ms());
+                    server.does.store(SERVING, Ordering::SeqCst);
+                    self.notify(worker, "SERVING", unix_ms());
                 }
                 2 => {
-                    self.dies(worker);
-                    self.tell(worker, "SERVING", unix_ms());
+                    self.kill_worker(worker);
+                    self.notify(worker, "SERVING", unix_ms());
                 }
-                _ => self.tell(worker, "DRAINING", 0),
+                _ => self.notify(worker, "DRAINING", 0),
             }
         }
     }
 
     /// What the worker's process held and worked on is gone.
-    fn dies(&self, worker: usize) {
+    fn kill_worker(&self, worker: usize) {
         self.judge.worker_died(worker);
         self.servers[worker].start.fetch_add(1, Ordering::SeqCst);
     }
@@ -293,21 +293,21 @@
     let fleet = Arc::new(Fleet {
         servers: customer.workers.iter().map(|_| Server::default()).collect(),
         addresses: listeners.iter().map(|l| l.local_addr().expect("an address").to_string()).collect(),
-        judge: Judge::new(customer, draw, NOISE),
+        judge: Judge::new(customer, draw, OBSERVATION_DELAY),
         watches: Mutex::default(),
         version: AtomicU64::new(4),
         links: AtomicU64::new(0),
         over: AtomicBool::new(false),
     });
-    fleet.hear_watches(discovery);
+    fleet.accept_watches(discovery);
     listeners.into_iter().enumerate().for_each(|(worker, listener)| fleet.serve(worker, listener));
     let routers: Vec<_> = (0..1 + seed as usize % 3).map(|n| router(&fleet, &found_at, seed, n)).collect();
-    let ends = Instant::now() + BUSY;
+    let ends = Instant::now() + LOAD_TIME;
     std::thread::scope(|scope| {
-        scope.spawn(|| fleet.trouble());
+        scope.spawn(|| fleet.inject_fault());
         if seed % 4 == 1 {
             scope.spawn(|| {
-                std::thread::sleep(BUSY / 2);
+                std::thread::sleep(LOAD_TIME / 2);
                 let router = &routers[0];
                 router.killed.store(seed % 8 == 1, Ordering::SeqCst);
                 signal(&router.running.0, if seed % 8 == 1 { "-KILL" } else { "-TERM" });
@@ -322,7 +322,7 @@
             let fleet = &fleet;
             scope.spawn(move || client(fleet, router));
         }
-        while Instant::now() < ends + WATCHED && fleet.judge.broken().is_none() {
+        while Instant::now() < ends + WATCH_TIME && fleet.judge.broken().is_none() {
             fleet.judge.look();
             std::thread::sleep(LOOKS);
         }
@@ -343,12 +343,12 @@
 }
 
 #[test]
-fn every_rule_holds_for_drawn_customers_on_processes() {
+fn every_rule_holds_for_generated_deployments_on_processes() {
     let first = number("FIRST_CUSTOMER").unwrap_or(1);
-    let many = number("PROCESS_CUSTOMERS").unwrap_or(CUSTOMERS);
+    let many = number("PROCESS_CUSTOMERS").unwrap_or(DEPLOYMENTS);
     let mut broken = vec![];
-    for from in (first..first + many).step_by(SIDE_BY_SIDE as usize) {
-        let seeds = from..(from + SIDE_BY_SIDE).min(first + many);
+    for from in (first..first + many).step_by(PARALLEL_RUNS as usize) {
+        let seeds = from..(from + PARALLEL_RUNS).min(first + many);
         let threads: Vec<_> = seeds.map(|seed| std::thread::spawn(move || play(seed))).collect();
         broken.extend(threads.into_iter().filter_map(|thread| thread.join().expect("a customer")));
     }
--- a/crates/command/tests/gateway_signals.rs
+++ b/crates/command/tests/gateway_signals.rs
@@ -16,14 +16,14 @@
 use tideroute_test_support::{fixture, text};
 
 /// How long the clients ask, when the new configuration comes, and when the signal to end.
-const ASKS: Duration = Duration::from_millis(3_000);
-const NEW_FILE: Duration = Duration::from_millis(1_000);
-const END: Duration = Duration::from_millis(2_600);
+const LOAD_TIME: Duration = Duration::from_millis(3_000);
+const RELOAD_AT: Duration = Duration::from_millis(1_000);
+const SHUTDOWN_AT: Duration = Duration::from_millis(2_600);
 const CLIENTS: usize = 12;
 
 /// What passed, as the stand-ins saw it.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     /// Whole requests at each worker that were not proven void, by trace id: when, and where.
     shots: BTreeMap<String, Vec<(Instant, usize)>>,
     /// States that are held, and since when.
@@ -38,10 +38,10 @@
     broken: Vec<String>,
 }
 
-type Shared = Arc<Mutex<Seen>>;
+type Shared = Arc<Mutex<Observations>>;
 
-fn look<T>(seen: &Shared, at: impl FnOnce(&mut Seen) -> T) -> T {
-    at(&mut seen.lock().unwrap_or_else(|e| e.into_inner()))
+fn with_observations<T>(observations: &Shared, at: impl FnOnce(&mut Observations) -> T) -> T {
+    at(&mut observations.lock().unwrap_or_else(|e| e.into_inner()))
 }
 
 /// One message: its head, and its body by Content-Length or chunks. None at the end of the connection.
@@ -89,23 +89,23 @@
 }
 
 /// A reader or writer.
-fn worker(seen: Shared, number: usize, listener: TcpListener) {
+fn worker(observations: Shared, number: usize, listener: TcpListener) {
     serve(listener, move |mut stream| {
         let (mut kept, mut count) = (vec![], 0_usize);
         while let Some((head, _)) = message(&mut stream, &mut kept) {
             count += 1;
-            if !answer(&seen, number, count, &head, &mut stream) {
+            if !respond(&observations, number, count, &head, &mut stream) {
                 return;
             }
         }
     });
 }
 
-fn answer(seen: &Shared, number: usize, count: usize, head: &str, stream: &mut TcpStream) -> bool {
+fn respond(observations: &Shared, number: usize, count: usize, head: &str, stream: &mut TcpStream) -> bool {
     let (line, trace) = (head.split("\r\n").next().unwrap_or(""), field(head, "x-trace-id").to_string());
     let mut say = |text: &str| stream.write_all(text.as_bytes()).is_ok();
     if let Some(trace) = line.strip_prefix("delete /internal/reservations/") {
-        look(seen, |s| s.states.remove(trace.split(' ').next().unwrap_or("")));
+        with_observations(observations, |s| s.states.remove(trace.split(' ').next().unwrap_or("")));
         return say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     if line.starts_with("post /internal/reservations/") {
@@ -115,7 +115,7 @@
         return say(&text::plain(200, "", ""));
     }
     let now = Instant::now();
-    look(seen, |s| {
+    with_observations(observations, |s| {
         if s.drained.get(&number).is_some_and(|at| now > *at + Duration::from_millis(1_050)) {
             s.broken.push(format!("rule 3: {trace} came to worker {number} long after it was told to drain"));
         }
@@ -125,13 +125,13 @@
         if count.is_multiple_of(47) {
             return say(NEVER_RAN);
         }
-        look(seen, |s| s.states.insert(trace, Instant::now()));
+        with_observations(observations, |s| s.states.insert(trace, Instant::now()));
         return say(READ);
     }
     if count.is_multiple_of(43) {
         return say(NEVER_RAN);
     }
-    let state = look(seen, |s| {
+    let state = with_observations(observations, |s| {
         let state = s.states.remove(&trace);
         if let Some(since) = state {
             s.pinned = s.pinned.max(since.elapsed());
@@ -159,7 +159,7 @@
 }
 
 /// Discovery: one line with the whole list, then empty ones.
-fn discovery(seen: Shared, list: Value) -> String {
+fn discovery(observations: Shared, list: Value) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address").to_string();
     serve(listener, move |mut stream| {
@@ -169,7 +169,7 @@
         let line = text::chunk(&format!("{list}\n"));
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         let _ = stream.write_all(format!("{head}{line}").as_bytes());
-        look(&seen, |s| {
+        with_observations(&observations, |s| {
             let servers = list["servers"].as_array().into_iter().flatten().enumerate();
             for (n, _) in servers.filter(|(_, server)| server["state"] == "DRAINING") {
                 s.drained.entry(n).or_insert(Instant::now());
@@ -183,7 +183,7 @@
 }
 
 /// Asks until it is told to stop. A connection that ends before a byte of an answer came is opened anew once.
-fn client(seen: Shared, number: usize, router: String, stop: Arc<AtomicBool>) {
+fn client(observations: Shared, number: usize, router: String, stop: Arc<AtomicBool>) {
     let mut connection: Option<(TcpStream, Vec<u8>)> = None;
     for n in 0.. {
         if stop.load(Ordering::Relaxed) {
@@ -191,7 +191,7 @@
         }
         let (trace, track) = (format!("c{number}-{n}"), ["safe", "once", "keyed"][n % 3]);
         if track == "once" {
-            look(&seen, |s| s.single_use.insert(trace.clone()));
+            with_observations(&observations, |s| s.single_use.insert(trace.clone()));
         }
         let asked = text::ask_for(&trace, track, 2_000, "{\"model\":\"m\"}");
         for _ in 0..2 {
@@ -212,7 +212,7 @@
                 None if !kept.is_empty() => 1,
                 None => continue,
             };
-            look(&seen, |s| {
+            with_observations(&observations, |s| {
                 s.answers.entry(trace.clone()).or_default().push(status);
                 if status != 200 && status != 1 && sent.elapsed() > Duration::from_millis(2_050) {
                     s.broken.push(format!("rule 1: {trace} was answered {status} after its time"));
@@ -226,7 +226,7 @@
     }
 }
 
-fn up(router: &str) -> Option<()> {
+fn is_up(router: &str) -> Option<()> {
     let mut stream = TcpStream::connect(router).ok()?;
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").ok()?;
     let (head, _) = message(&mut stream, &mut vec![])?;
@@ -234,18 +234,18 @@
 }
 
 #[test]
-fn signals_under_load_break_no_rule() {
-    let seen = Shared::default();
+fn reload_and_shutdown_under_load_break_no_rule() {
+    let observations = Shared::default();
     let mut list = fixture::list(5);
     for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         server["addr"] = json!(listener.local_addr().expect("an address").to_string());
-        worker(seen.clone(), n, listener);
+        worker(observations.clone(), n, listener);
     }
     let mut drains = list.clone();
     drains["version"] = json!(6);
     drains["servers"][2]["state"] = json!("DRAINING");
-    let (old, new) = (discovery(seen.clone(), list.clone()), discovery(seen.clone(), drains));
+    let (old, new) = (discovery(observations.clone(), list.clone()), discovery(observations.clone(), drains));
     let (router, mut file) = (free(), fixture::file());
     (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old), list);
     let path = std::env::temp_dir().join(format!("tideroute-platform-{}.json", std::process::id()));
@@ -253,29 +253,29 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
     command.arg("platform").env("EDGE_CONFIG", &path).stdin(Stdio::null());
     let mut running = Running(command.spawn().expect("it runs"));
-    until(|| up(&router));
+    until(|| is_up(&router));
     let (stop, began) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
-            let (seen, router, stop) = (seen.clone(), router.clone(), stop.clone());
-            std::thread::spawn(move || client(seen, n, router, stop))
+            let (observations, router, stop) = (observations.clone(), router.clone(), stop.clone());
+            std::thread::spawn(move || client(observations, n, router, stop))
         })
         .collect();
-    until(|| (began.elapsed() >= NEW_FILE).then_some(()));
+    until(|| (began.elapsed() >= RELOAD_AT).then_some(()));
     file["discovery"] = json!(new);
     std::fs::write(&path, file.to_string()).expect("a file");
     signal(&running.0, "-HUP");
-    until(|| look(&seen, |s| s.drained.get(&2).copied()));
-    until(|| (began.elapsed() >= END).then_some(()));
+    until(|| with_observations(&observations, |s| s.drained.get(&2).copied()));
+    until(|| (began.elapsed() >= SHUTDOWN_AT).then_some(()));
     signal(&running.0, "-TERM");
     signal(&running.0, "-TERM");
-    until(|| (began.elapsed() >= ASKS).then_some(()));
+    until(|| (began.elapsed() >= LOAD_TIME).then_some(()));
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().expect("a client"));
     let ended = until(|| running.0.try_wait().expect("its end"));
     assert_eq!(ended.code(), Some(0));
     let _ = std::fs::remove_file(&path);
-    look(&seen, |s| {
+    with_observations(&observations, |s| {
         assert_eq!(s.broken, Vec::<String>::new());
         let honoured = s.answers.values().filter(|a| a[..] == [200]).count();
         assert!(honoured > 200, "{honoured} honoured of {}", s.answers.len());
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_configuration_that_can_not_be_used_ends_it_before_it_listens() {
+fn an_invalid_configuration_ends_the_start_before_it_listens() {
     let path = std::env::temp_dir().join(format!("tideroute-bad-{}.json", std::process::id()));
     let start = |file: Option<&str>| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
--- a/crates/command/tests/load_report_balance.rs
+++ b/crates/command/tests/load_report_balance.rs
@@ -11,7 +11,7 @@
 }
 
 /// The part of reader seconds that passed idle while another reader had reads waiting, and what was found kept.
-fn played(name: &str, text: &str) -> (f64, f64) {
+fn play(name: &str, text: &str) -> (f64, f64) {
     let folder = std::env::temp_dir().join(format!("tideroute-spread-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let day = folder.join("day.cue").display().to_string();
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn readers_that_are_asked_do_not_idle_while_others_have_reads_waiting() {
+fn prefill_workers_with_load_reports_do_not_idle_beside_queues() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/asks.cue");
     let text = std::fs::read_to_string(path).expect("the day");
-    let (idle, kept) = played("asked", &text);
-    let (idle_unasked, kept_unasked) = played("unasked", &text.replace("asks: true", "asks: false"));
+    let (idle, kept) = play("asked", &text);
+    let (idle_unasked, kept_unasked) = play("unasked", &text.replace("asks: true", "asks: false"));
     println!("idle {idle} asked, {idle_unasked} unasked; kept {kept} and {kept_unasked}");
     assert!(idle < 0.01, "{idle} asked, {idle_unasked} unasked");
     // The measure sees what it is there to see.
--- a/crates/command/tests/network_faults.rs
+++ b/crates/command/tests/network_faults.rs
@@ -21,7 +21,7 @@
 }
 
 /// All that routers and workers heard of each other after their Hellos, from the load's beginning on.
-fn heard(record: &Path) -> (u64, Vec<Frame>, Vec<CapturedFrame>) {
+fn received_frames(record: &Path) -> (u64, Vec<Frame>, Vec<CapturedFrame>) {
     let file = std::fs::File::open(record).expect("a record");
     let mut reader = Reader::new(zstd::Decoder::new(file).expect("compressed"));
     let (processes, _) = reader.head().expect("a head");
@@ -59,44 +59,44 @@
 }
 
 /// A day of its own folder, which must pass; where its record is.
-fn played(name: &str, more: &[&str]) -> PathBuf {
+fn play(name: &str, more: &[&str]) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("tideroute-{name}-{}", std::process::id()));
     let mut day = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     if !day.exists() {
         day = std::env::temp_dir().join(name);
     }
-    let played = Command::new(env!("CARGO_BIN_EXE_tideroute"))
+    let play = Command::new(env!("CARGO_BIN_EXE_tideroute"))
         .args(["day", &day.display().to_string(), "--out", &folder.display().to_string()])
         .args(more)
         .stdin(Stdio::null())
         .output()
         .expect("it runs");
-    let text = String::from_utf8_lossy(&played.stdout).into_owned();
-    assert!(played.status.success(), "{text}{}", String::from_utf8_lossy(&played.stderr));
+    let text = String::from_utf8_lossy(&play.stdout).into_owned();
+    assert!(play.status.success(), "{text}{}", String::from_utf8_lossy(&play.stderr));
     assert!(text.contains("rules: all kept"), "{text}");
     folder
 }
 
 /// Seeds 2 and 3 once broke rule 1 by the check's own fault, 1 did not.
 #[test]
-fn rules_are_kept_under_drawn_faults() {
+fn rules_are_kept_under_generated_faults() {
     for seed in ["2", "3"] {
-        let folder = played("faults.cue", &["--draw", seed]);
+        let folder = play("faults.cue", &["--draw", seed]);
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
 
 /// A halt that outlasts the load is over when the day is; left open in the record, it would excuse all that follows.
 #[test]
-fn a_halt_that_outlasts_its_day_ends_with_it() {
+fn a_pause_that_outlasts_its_scenario_ends_with_it() {
     let name = format!("tideroute-halt-{}.cue", std::process::id());
     let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/first.cue"))
         .expect("a day")
         .replace("routers: 1", "routers: 2")
         .replace("\texpect:", "\ttroubles: [{at: 1s, do: \"halt\", who: [\"router1\"], for: 1h}]\n\texpect:");
     std::fs::write(std::env::temp_dir().join(&name), text).expect("it is written");
-    let folder = played(&name, &[]);
-    let (_, _, all) = heard(&folder.join("day.record.zst"));
+    let folder = play(&name, &[]);
+    let (_, _, all) = received_frames(&folder.join("day.record.zst"));
     let whats: Vec<_> = all
         .iter()
         .map(|p| p.event)
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn what_is_cut_does_not_pass_and_comes_back() {
-    let folder = played("cuts.cue", &[]);
-    let (began, frames, all) = heard(&folder.join("day.record.zst"));
+fn a_partition_blocks_all_frames_and_heals() {
+    let folder = play("cuts.cue", &[]);
+    let (began, frames, all) = received_frames(&folder.join("day.record.zst"));
     let within = |f: &&Frame, from: u64, until: u64| {
         f.at >= began + from * MS + EDGE && f.at <= began + until * MS - EDGE
     };
--- a/crates/command/tests/soak/clients.rs
+++ b/crates/command/tests/soak/clients.rs
@@ -14,8 +14,8 @@
 /// Milliseconds that a client waits at most.
 const LONGEST_WAIT_MS: u64 = 1_500;
 /// In which bad clients are owed an error or a close, and how much later that may be seen on a busy machine.
-const BAD_CLIENT: Duration = Duration::from_millis(3_000);
-const NOISE: Duration = Duration::from_millis(400);
+const CLIENT_TIMEOUT_LIMIT: Duration = Duration::from_millis(3_000);
+const OBSERVATION_DELAY: Duration = Duration::from_millis(400);
 
 /// A connection to a router, and the life of its process.
 struct Connection {
@@ -44,10 +44,10 @@
 pub fn client(fleet: &Fleet, router: &Router) {
     let lot = fleet.judge.unit();
     match lot {
-        0.0..0.06 => stops_in_the_middle(fleet, router, false),
-        0.06..0.12 => stops_in_the_middle(fleet, router, true),
-        0.12..0.16 => says_nothing(fleet, router),
-        0.16..0.4 => asks_again_and_again(fleet, router),
+        0.0..0.06 => send_half_a_request(fleet, router, false),
+        0.06..0.12 => send_half_a_request(fleet, router, true),
+        0.12..0.16 => connect_and_stay_silent(fleet, router),
+        0.16..0.4 => send_requests_on_one_connection(fleet, router),
         _ => asks_once(fleet, router),
     }
 }
@@ -58,12 +58,12 @@
     let number = asked(fleet, &connection);
     let leaves = fleet.judge.unit() < 0.2;
     if let Went::Unanswered(end) = ask(fleet, &mut connection, number, leaves) {
-        left_alone(fleet, router, &connection, number, &end);
+        report_disconnect(fleet, router, &connection, number, &end);
     }
 }
 
 /// A request that crosses the end of a resting connection is sent once more, on a new one.
-fn asks_again_and_again(fleet: &Fleet, router: &Router) {
+fn send_requests_on_one_connection(fleet: &Fleet, router: &Router) {
     let Some(mut connection) = connect(router) else { return };
     for n in 0..4 {
         let number = asked(fleet, &connection);
@@ -77,28 +77,28 @@
                 };
                 lock(&fresh.life.asked).push(number);
                 if let Went::Unanswered(end) = ask(fleet, &mut fresh, number, false) {
-                    left_alone(fleet, router, &fresh, number, &end);
+                    report_disconnect(fleet, router, &fresh, number, &end);
                 }
                 return;
             }
-            Went::Unanswered(end) => return left_alone(fleet, router, &connection, number, &end),
+            Went::Unanswered(end) => return report_disconnect(fleet, router, &connection, number, &end),
         }
         std::thread::sleep(Duration::from_millis(fleet.judge.between(1.0, 600.0)));
     }
 }
 
 /// Half a request, on a new connection or behind one that is whole; then nothing more.
-fn stops_in_the_middle(fleet: &Fleet, router: &Router, behind_another: bool) {
+fn send_half_a_request(fleet: &Fleet, router: &Router, behind_another: bool) {
     let Some(mut connection) = connect(router) else { return };
     if behind_another {
         let number = asked(fleet, &connection);
         let half = &text(fleet, number, 500)[..40];
         let whole = text(fleet, number, wait_of(fleet, number));
         if connection.stream.write_all(format!("{whole}{half}").as_bytes()).is_err() {
-            return left_alone(fleet, router, &connection, number, "it could not be written");
+            return report_disconnect(fleet, router, &connection, number, "it could not be written");
         }
-        if let Went::Unanswered(end) = hear(fleet, &mut connection, number, None) {
-            return left_alone(fleet, router, &connection, number, &end);
+        if let Went::Unanswered(end) = receive_response(fleet, &mut connection, number, None) {
+            return report_disconnect(fleet, router, &connection, number, &end);
         }
     } else {
         let half = &ask_for("half", "class-0", 500, "{}")[..40];
@@ -108,7 +108,7 @@
     let mut piece = [0; 4096];
     while !fleet.is_over() {
         match connection.stream.read(&mut piece) {
-            Err(e) if waits(&e) && stopped.elapsed() < BAD_CLIENT + NOISE => {}
+            Err(e) if waits(&e) && stopped.elapsed() < CLIENT_TIMEOUT_LIMIT + OBSERVATION_DELAY => {}
             Err(e) if waits(&e) => {
                 let what = format!("a client that stopped in the middle was left alone by {}", router.listen);
                 return fleet.judge.breaks(what);
@@ -121,7 +121,7 @@
 }
 
 /// Connects, says nothing for a while, and goes.
-fn says_nothing(fleet: &Fleet, router: &Router) {
+fn connect_and_stay_silent(fleet: &Fleet, router: &Router) {
     let Some(connection) = connect(router) else { return };
     std::thread::sleep(Duration::from_millis(fleet.judge.between(10.0, 3_000.0)));
     drop(connection);
@@ -163,11 +163,16 @@
     if let Err(problem) = connection.stream.write_all(text.as_bytes()) {
         return Went::Unanswered(format!("writing: {problem}"));
     }
-    hear(fleet, connection, number, leaves)
+    receive_response(fleet, connection, number, leaves)
 }
 
 /// Hears the answer to a request, unless its client leaves before.
-fn hear(fleet: &Fleet, connection: &mut Connection, number: usize, leaves: Option<Instant>) -> Went {
+fn receive_response(
+    fleet: &Fleet,
+    connection: &mut Connection,
+    number: usize,
+    leaves: Option<Instant>,
+) -> Went {
     let (mut heard, mut piece) = (vec![], [0; 4096]);
     while !fleet.is_over() {
         if leaves.is_some_and(|at| Instant::now() > at) {
@@ -188,7 +193,7 @@
             fleet.judge.checker().client_answered(now, &fleet.judge.customer, number, status);
             fleet.judge.note(format!("request {number} is answered {status}"));
         }
-        if let Some(whole) = is_whole(&heard) {
+        if let Some(whole) = is_complete(&heard) {
             return if whole { Went::On } else { Went::Over };
         }
     }
@@ -196,7 +201,7 @@
 }
 
 /// Whether an answer that is complete lets its connection go on.
-fn is_whole(heard: &[u8]) -> Option<bool> {
+fn is_complete(heard: &[u8]) -> Option<bool> {
     let text = String::from_utf8_lossy(heard);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let length = head.split("content-length: ").nth(1).and_then(|l| l.split("\r\n").next()?.parse().ok());
@@ -208,7 +213,7 @@
 }
 
 /// The connection of a request ended with no answer: a break, unless its router was killed.
-fn left_alone(fleet: &Fleet, router: &Router, connection: &Connection, number: usize, end: &str) {
+fn report_disconnect(fleet: &Fleet, router: &Router, connection: &Connection, number: usize, end: &str) {
     // A kill is known here a moment after it was made.
     std::thread::sleep(Duration::from_millis(20));
     if fleet.is_over() || connection.life.killed.load(Ordering::SeqCst) {
--- a/crates/simulation/tests/generated_faults.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -6,7 +6,7 @@
 use tideroute_simulation::faults::with_generated_faults;
 use tideroute_simulation::traffic::routers_of;
 
-fn day(more: &str) -> Day {
+fn scenario(more: &str) -> Day {
     let text = format!(
         r#"
 day: {{
@@ -31,18 +31,20 @@
 }
 
 #[test]
-fn drawn_faults_are_the_same_by_seed_and_concern_processes_that_there_are() {
+fn generated_faults_are_the_same_by_seed_and_name_existing_processes() {
     let mut kinds = BTreeSet::new();
     for seed in 1..=300 {
-        let day = day(&format!("faults: {{draw: 8, seed: {seed}, from: 2s, until: 15s, longest: 3s}}"));
-        let (one, two) = (with_generated_faults(&day), with_generated_faults(&day));
+        let scenario =
+            scenario(&format!("faults: {{draw: 8, seed: {seed}, from: 2s, until: 15s, longest: 3s}}"));
+        let (one, two) = (with_generated_faults(&scenario), with_generated_faults(&scenario));
         let text = |d: &Day| serde_json::to_string(&d.troubles).expect("plain data");
         assert_eq!(text(&one), text(&two));
         assert!(!one.troubles.is_empty() && one.faults.is_none());
         let known: BTreeSet<String> =
-            day.workers().map(|(name, ..)| name).chain(day.router_names()).collect();
+            scenario.workers().map(|(name, ..)| name).chain(scenario.router_names()).collect();
         // Written down, as when a failed day was shrunk, it is the same day.
-        let file = tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
+        let file =
+            tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
         let printed = tideroute_config_language::print(&file).unwrap_or_else(|p| panic!("{p}"));
         let again = tideroute_config_language::read("printed", &printed).unwrap_or_else(|p| panic!("{p}"));
         assert_eq!(text(&again.day.expect("a day")), text(&one));
@@ -52,7 +54,7 @@
             assert!((2_000_000..=15_000_000).contains(&t.at));
             assert!(t.lasts.or(t.back).is_some_and(|l| (200_000..=3_000_000).contains(&l)), "{t:?}");
             assert!(t.who.iter().all(|who| known.contains(who)), "{t:?}");
-            assert!(t.between.iter().chain(&t.and).all(|name| !day.named(name).is_empty()), "{t:?}");
+            assert!(t.between.iter().chain(&t.and).all(|name| !scenario.named(name).is_empty()), "{t:?}");
             assert!(t.act != "clock" || t.who.iter().all(|who| clocks.insert(who.clone())), "{t:?}");
         }
     }
--- a/crates/simulation/tests/member_cluster.rs
+++ b/crates/simulation/tests/member_cluster.rs
@@ -1,4 +1,4 @@
-//! Membership in virtual time: what a fleet must bear, and drawn worlds.
+//! Cluster membership in virtual time: faults that it must tolerate, and generated histories.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 use tideroute_simulation::member_cluster::{name, MemberCluster, Network, CALM};
 use tideroute_wire::gossip::MemberStatus;
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 const MS: u64 = 1_000;
 const LOSSY: Network = Network { loss: 0.1, twice: 0.05, ..CALM };
 
-fn crowd(count: usize, seed: u64, network: Network) -> MemberCluster {
-    let mut crowd = MemberCluster::new(count, seed, network);
-    crowd.start_all(0..count);
-    crowd.run_for(8 * S);
-    assert_eq!(crowd.wrong(), [], "all see all, seed {seed}");
-    crowd
+fn converged_cluster(count: usize, seed: u64, network: Network) -> MemberCluster {
+    let mut converged_cluster = MemberCluster::new(count, seed, network);
+    converged_cluster.start_all(0..count);
+    converged_cluster.run_for(8 * SECOND);
+    assert_eq!(converged_cluster.wrong(), [], "all see all, seed {seed}");
+    converged_cluster
 }
 
 /// When each of the others saw it dead, after a moment, in order.
-fn known_dead(crowd: &MemberCluster, n: usize, since: u64) -> Vec<u64> {
+fn detection_delays(converged_cluster: &MemberCluster, n: usize, since: u64) -> Vec<u64> {
     let mut first = BTreeMap::new();
-    for s in &crowd.sightings {
+    for s in &converged_cluster.sightings {
         if s.at >= since && s.seen.name == name(n) && s.seen.standing == MemberStatus::Dead {
             first.entry(s.viewer).or_insert(s.at - since);
         }
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn a_killed_one_is_known_to_all_within_five_seconds_though_a_tenth_is_lost() {
+fn a_killed_member_is_known_to_all_within_five_seconds_at_a_tenth_of_loss() {
     for seed in 1..=4 {
-        let mut c = crowd(60, seed, LOSSY);
+        let mut c = converged_cluster(60, seed, LOSSY);
         for n in (40..60).rev() {
             let at = c.now();
             c.kill(n);
-            c.run_for(5 * S);
-            let known = known_dead(&c, n, at);
+            c.run_for(5 * SECOND);
+            let known = detection_delays(&c, n, at);
             assert_eq!(known.len(), n, "seed {seed}: all that are left know within 5 s");
         }
         assert!(c.falsely_dead(0).iter().all(|s| !c.is_up(s.viewer)), "seed {seed}");
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn none_is_taken_for_dead_that_is_halted_for_a_second() {
+fn a_member_paused_for_a_second_is_not_declared_dead() {
     for (seed, network) in [(1, CALM), (2, LOSSY), (3, LOSSY), (4, LOSSY)] {
-        let mut c = crowd(100, seed, network);
+        let mut c = converged_cluster(100, seed, network);
         let mut chance = Pcg64::seed_from_u64(seed);
         for _ in 0..20 {
-            (0..2).for_each(|_| c.halt(chance.random_range(0..100), S));
+            (0..2).for_each(|_| c.halt(chance.random_range(0..100), SECOND));
             c.run_for(1_100 * MS);
         }
-        c.run_for(3 * S);
+        c.run_for(3 * SECOND);
         let dead = c.falsely_dead(0);
         assert!(dead.is_empty(), "seed {seed}: {} deaths, first {:?}", dead.len(), dead[0]);
         assert_eq!(c.wrong(), []);
@@ -64,59 +64,59 @@
 }
 
 #[test]
-fn two_halves_that_were_cut_for_ten_seconds_meet_within_five_of_the_heal() {
+fn two_halves_partitioned_for_ten_seconds_merge_within_five_of_the_heal() {
     for seed in 1..=3 {
-        let mut c = crowd(100, seed, if seed == 1 { CALM } else { LOSSY });
+        let mut c = converged_cluster(100, seed, if seed == 1 { CALM } else { LOSSY });
         c.cut(0..50, 50..100);
         c.cut(50..100, 0..50);
-        c.run_for(10 * S);
+        c.run_for(10 * SECOND);
         assert!(c.wrong().len() > 2_000, "they have lost sight of each other: {}", c.wrong().len());
         c.heal();
-        c.run_for(5 * S);
+        c.run_for(5 * SECOND);
         assert_eq!(c.wrong(), [], "seed {seed}");
     }
 }
 
 /// What passes one way only takes nobody out for good, and once it is over all see all.
 #[test]
-fn a_cut_of_one_way_is_got_over() {
-    let mut c = crowd(40, 7, CALM);
+fn a_one_way_partition_is_tolerated() {
+    let mut c = converged_cluster(40, 7, CALM);
     c.cut(0..4, 4..40);
-    c.run_for(8 * S);
+    c.run_for(8 * SECOND);
     c.heal();
-    c.run_for(5 * S);
+    c.run_for(5 * SECOND);
     assert_eq!(c.wrong(), []);
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_and_back_are_seen_again() {
-    for (seed, away) in [(1, 500 * MS), (2, 8 * S)] {
-        let mut c = crowd(100, seed, LOSSY);
+fn seven_in_ten_killed_at_once_rejoin() {
+    for (seed, away) in [(1, 500 * MS), (2, 8 * SECOND)] {
+        let mut c = converged_cluster(100, seed, LOSSY);
         (30..100).for_each(|n| c.kill(n));
         c.run_for(away);
         c.start_all(30..100);
-        c.run_for(5 * S);
+        c.run_for(5 * SECOND);
         assert_eq!(c.wrong(), [], "seed {seed}");
     }
 }
 
 /// Its first incarnation is then below that of its former self, which others remember.
 #[test]
-fn one_that_comes_back_with_its_clock_set_back_is_believed_again() {
-    for away in [200 * MS, 8 * S] {
-        let mut c = crowd(20, 3, CALM);
+fn a_member_that_restarts_with_its_clock_set_back_rejoins() {
+    for away in [200 * MS, 8 * SECOND] {
+        let mut c = converged_cluster(20, 3, CALM);
         c.kill(9);
         c.run_for(away);
-        c.clock_off(9, -3_600 * S as i64);
+        c.clock_off(9, -3_600 * SECOND as i64);
         c.start(9);
-        c.run_for(5 * S);
+        c.run_for(5 * SECOND);
         assert_eq!(c.wrong(), []);
     }
 }
 
 #[test]
-fn one_that_leaves_is_gone_at_once_and_nobody_suspects_it() {
-    let mut c = crowd(60, 5, LOSSY);
+fn a_member_that_leaves_is_removed_at_once_and_never_suspected() {
+    let mut c = converged_cluster(60, 5, LOSSY);
     let at = c.now();
     c.leave(33);
     c.run_for(1_500 * MS);
@@ -128,13 +128,13 @@
 }
 
 #[test]
-fn what_a_router_says_does_not_grow_with_the_fleet() {
+fn traffic_of_a_member_does_not_grow_with_the_cluster() {
     let rate = |count: usize| {
-        let mut c = crowd(count, 9, CALM);
-        c.run_for(5 * S);
+        let mut c = converged_cluster(count, 9, CALM);
+        c.run_for(5 * SECOND);
         let sent = |c: &MemberCluster| (0..count).map(|n| c.sent(n).0).sum::<u64>();
         let before = sent(&c);
-        c.run_for(10 * S);
+        c.run_for(10 * SECOND);
         (sent(&c) - before) / 10 / count as u64
     };
     let (few, many) = (rate(10), rate(200));
@@ -145,7 +145,7 @@
 /// router has not reached, and nobody's sight of another goes back; when they are over, all see what there is, and
 /// the same seed brings the same sightings.
 #[test]
-fn drawn_worlds_end_with_all_seeing_what_there_is() {
+fn generated_histories_end_with_all_members_agreeing() {
     let play = |seed: u64| {
         let mut chance = Pcg64::seed_from_u64(seed);
         let count = chance.random_range(2..24);
@@ -176,7 +176,7 @@
         c.heal();
         c.network(CALM);
         // A halt, the worst of health, a suspicion at its longest, and its word.
-        c.run_for(20 * S);
+        c.run_for(20 * SECOND);
         assert_eq!(c.wrong(), [], "seed {seed}, {count} routers, loss {loss}");
         let mut last = BTreeMap::new();
         for s in &c.sightings {
--- a/crates/simulation/tests/many_routers.rs
+++ b/crates/simulation/tests/router_cores.rs
@@ -1,5 +1,5 @@
-//! What must hold over all cores together. Cores share nothing, so that N cores of one router are to everybody
-//! else N routers under terms that count them all: here they are played as such, in virtual time.
+//! What must hold over all cores of a router together. Cores share nothing, so that N cores are to everybody else N
+//! routers whose settings count them all: they are simulated as such here, in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -39,29 +39,29 @@
 
 const BOTH: &str = r#"{track: "query", part: 3}, {track: "lodge"}"#;
 
-fn kept(played: &VirtualOutcome) {
-    assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
-    assert_eq!((played.tally.wrong, played.tally.unanswered), (0, 0));
-    assert!(played.fallen.is_empty(), "{:?}", played.fallen);
+fn assert_rules_kept(outcome: &VirtualOutcome) {
+    assert!(outcome.report.kept(), "{:#?}", &outcome.report.broken[..outcome.report.broken.len().min(5)]);
+    assert_eq!((outcome.tally.wrong, outcome.tally.unanswered), (0, 0));
+    assert!(outcome.fallen.is_empty(), "{:?}", outcome.fallen);
 }
 
 #[test]
-fn a_stalled_core_sends_nothing_to_who_left_meanwhile() {
+fn a_stalled_core_sends_nothing_to_a_worker_that_was_removed_meanwhile() {
     let troubles = r#"
 		{at: 2s, do: "burst", for: 2s, times: 6},
 		{at: 2400ms, do: "halt", who: ["router1"], for: 900ms},
 		{at: 2450ms, do: "drain", who: ["reader0", "writer0"], for: 2s},
 		{at: 2500ms, do: "kill", who: ["writer1"], back: 2s},
 	"#;
-    let played = play(&day(4, 80, BOTH, troubles)).expect("it plays");
-    kept(&played);
-    let latest = played.report.counts.latest_after_drain;
+    let outcome = play(&day(4, 80, BOTH, troubles)).expect("it plays");
+    assert_rules_kept(&outcome);
+    let latest = outcome.report.counts.latest_after_drain;
     assert!(latest <= 500_000, "sent {latest} us after the drain was told");
-    assert!(played.report.counts.turned_back > 0, "the flood was no flood");
+    assert!(outcome.report.counts.turned_back > 0, "the flood was no flood");
 }
 
 #[test]
-fn fresh_workers_are_not_overfilled_by_any_number_of_cores() {
+fn warming_up_workers_are_not_overloaded_by_any_number_of_cores() {
     let mut fullest: f64 = 0.0;
     for cores in [1, 2, 4, 8] {
         for (rate, burst) in [(15, 1), (60, 5)] {
@@ -71,9 +71,9 @@
 		{{at: 1500ms, do: "burst", for: 2s, times: {burst}}},
 	"#
             );
-            let played = play(&day(cores, rate, BOTH, &troubles)).expect("it plays");
-            kept(&played);
-            let cold = played.report.counts.fullest_cold;
+            let outcome = play(&day(cores, rate, BOTH, &troubles)).expect("it plays");
+            assert_rules_kept(&outcome);
+            let cold = outcome.report.counts.fullest_cold;
             assert!(cold <= 1.0, "{cores} cores filled a cold worker to {cold} of its limit");
             fullest = fullest.max(cold);
         }
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn half_of_all_traffic_on_one_text_spreads_over_readers() {
+fn half_of_all_traffic_on_one_shared_text_spreads_over_prefill_workers() {
     let traffic = r#"
 		{track: "query", shared: 100%, texts: 1, text_tokens: {least: 800, most: 800}},
 		{track: "query", shared: 0%},
 	"#;
-    let played = play(&day(4, 150, traffic, "")).expect("it plays");
-    kept(&played);
-    assert!(played.tally.service() > 0.9, "{}", played.tally.table());
-    let mut reader = Reader::new(played.record.as_slice());
+    let outcome = play(&day(4, 150, traffic, "")).expect("it plays");
+    assert_rules_kept(&outcome);
+    assert!(outcome.tally.service() > 0.9, "{}", outcome.tally.table());
+    let mut reader = Reader::new(outcome.record.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let readers: BTreeMap<u32, String> =
         processes.into_iter().filter(|p| p.name.starts_with("reader")).map(|p| (p.number, p.name)).collect();
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -12,15 +12,15 @@
     tideroute_config_language::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
 }
 
-fn kept(played: &VirtualOutcome) {
-    assert!(played.report.kept(), "{:#?}", &played.report.broken[..played.report.broken.len().min(5)]);
-    let t = &played.tally;
+fn assert_rules_kept(outcome: &VirtualOutcome) {
+    assert!(outcome.report.kept(), "{:#?}", &outcome.report.broken[..outcome.report.broken.len().min(5)]);
+    let t = &outcome.tally;
     assert_eq!((t.wrong, t.unanswered, t.denied), (0, 0, 0));
 }
 
 /// What of each tenant's earnings was answered in time.
-fn services(played: &VirtualOutcome) -> Vec<f64> {
-    played.tally.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
+fn service_by_tenant(outcome: &VirtualOutcome) -> Vec<f64> {
+    outcome.tally.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
 }
 
 #[test]
@@ -29,8 +29,9 @@
     calm.troubles.retain(|t| t.act != "burst");
     bare.shares = false;
     let [calm, flood, bare] = [&calm, &day, &bare].map(|day| play(day).expect("it plays"));
-    [&calm, &flood, &bare].into_iter().for_each(kept);
-    let (without, with, unshared) = (services(&calm), services(&flood), services(&bare));
+    [&calm, &flood, &bare].into_iter().for_each(assert_rules_kept);
+    let (without, with, unshared) =
+        (service_by_tenant(&calm), service_by_tenant(&flood), service_by_tenant(&bare));
     println!("without a flood {without:.3?}, with one {with:.3?}, with one and no shares {unshared:.3?}");
     for n in 0..3 {
         assert!(with[n] >= 0.97 * without[n], "{n}: {with:.3?} beside {without:.3?}");
@@ -40,15 +41,15 @@
 }
 
 #[test]
-fn and_so_they_are_on_other_seeds() {
+fn calm_tenants_are_served_beside_a_flood_on_other_seeds() {
     let threads = (32..38).map(|seed| {
         std::thread::spawn(move || {
             let [mut calm, flood] = [(); 2].map(|()| Day { seed, ..day("neighbour-flood.cue") });
             calm.troubles.retain(|t| t.act != "burst");
             let [without, with] = [&calm, &flood].map(|day| {
-                let played = play(day).expect("it plays");
-                kept(&played);
-                services(&played)
+                let outcome = play(day).expect("it plays");
+                assert_rules_kept(&outcome);
+                service_by_tenant(&outcome)
             });
             assert!((0..3).all(|n| with[n] >= 0.97 * without[n]), "{seed}: {with:.3?} beside {without:.3?}");
         })
@@ -58,22 +59,28 @@
 }
 
 #[test]
-fn a_removed_tenant_gets_nothing_more_and_nothing_of_it_is_lost() {
+fn a_removed_tenant_is_rejected_and_its_requests_in_flight_are_completed() {
     let removed = day("tenant-removed.cue");
-    let played = play(&removed).expect("it plays");
-    kept(&played);
+    let outcome = play(&removed).expect("it plays");
+    assert_rules_kept(&outcome);
     let mut quiet = day("tenant-removed.cue");
     quiet.troubles.retain(|t| t.act != "remove");
     let without = play(&quiet).expect("it plays");
-    kept(&without);
-    let (services, others) = (services(&played), services(&without));
-    assert!(services[0] >= 0.97 * others[0], "who stays lost by it: {services:?} beside {others:?}");
-    assert!(services[1] < 0.8 * others[1], "nothing was removed: {services:?} beside {others:?}");
-    let counts = &played.report.counts;
+    assert_rules_kept(&without);
+    let (service_by_tenant, others) = (service_by_tenant(&outcome), service_by_tenant(&without));
+    assert!(
+        service_by_tenant[0] >= 0.97 * others[0],
+        "who stays lost by it: {service_by_tenant:?} beside {others:?}"
+    );
+    assert!(
+        service_by_tenant[1] < 0.8 * others[1],
+        "nothing was removed: {service_by_tenant:?} beside {others:?}"
+    );
+    let counts = &outcome.report.counts;
     assert!(counts.turned_back > 100 && counts.honoured > 100 && counts.void == 0, "{counts:?}");
     // What its clients ask after the removal never comes to a worker.
-    let gone = played.began + removed.troubles.iter().find(|t| t.act == "remove").expect("a removal").at;
-    let mut reader = Reader::new(played.record.as_slice());
+    let gone = outcome.began + removed.troubles.iter().find(|t| t.act == "remove").expect("a removal").at;
+    let mut reader = Reader::new(outcome.record.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let routers: BTreeSet<u32> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let (mut of_it, mut too_late, mut before) = (BTreeSet::new(), BTreeSet::new(), 0);
