--- a/crates/simulation/src/client_load/event_handler.rs
+++ b/crates/simulation/src/client_load/event_handler.rs
@@ -46,7 +46,7 @@
         lost.sort_unstable();
         for place in lost {
             let harmless = loss != DisconnectReason::Reset;
-            self.retry_or_end(now, place, harmless, FAILOVER_DELAY, effects, |t| &mut t.unheard);
+            self.retry_or_end(now, place, harmless, FAILOVER_DELAY, effects, |t| &mut t.disconnected);
         }
         effects.set_timer(now + FAILOVER_DELAY, timer_key(RECONNECT, n));
     }
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -202,8 +202,8 @@
                 p.prompt.clone(),
             ),
         );
-        self.tally.tries += 1;
-        self.progress.made.store(self.next as u64, Ordering::Relaxed);
+        self.tally.attempts += 1;
+        self.progress.sent.store(self.next as u64, Ordering::Relaxed);
         effects.set_timer(request.until + RESPONSE_GRACE, timer_key(GIVE_UP, place));
         if p.leaves_after == Some(0) {
             self.cancel(place, effects);
@@ -219,7 +219,7 @@
         if let Some(connection) = self.clients[n].connection {
             effects.send(connection, client::cancel(number));
         }
-        self.finish(place, |t| &mut t.left);
+        self.finish(place, |t| &mut t.cancelled);
     }
 
     /// Ends a request and counts how.
--- a/crates/simulation/src/client_load/responses.rs
+++ b/crates/simulation/src/client_load/responses.rs
@@ -46,7 +46,7 @@
 
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
         if let Some(place) = self.take_request(number) {
-            self.add_progress(|p| &p.honoured);
+            self.add_progress(|p| &p.completed);
             self.load.on_completed(self.now, place, tokens);
         }
         Ok(())
@@ -54,23 +54,23 @@
 
     fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
         if let Some(place) = self.take_request(number) {
-            self.add_progress(|p| &p.turned_back);
-            self.load.retry_or_end(self.now, place, true, after, self.effects, |t| &mut t.turned_back);
+            self.add_progress(|p| &p.rejected);
+            self.load.retry_or_end(self.now, place, true, after, self.effects, |t| &mut t.rejected);
         }
         Ok(())
     }
 
     fn failed(&mut self, number: u64) -> Result<(), Malformed> {
         if let Some(place) = self.take_request(number) {
-            self.add_progress(|p| &p.abandoned);
-            self.load.retry_or_end(self.now, place, false, 0, self.effects, |t| &mut t.abandoned);
+            self.add_progress(|p| &p.failed);
+            self.load.retry_or_end(self.now, place, false, 0, self.effects, |t| &mut t.failed);
         }
         Ok(())
     }
 
     fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
         tracing::error!(client = self.n, why, "a router does not take this client");
-        self.load.tally.denied += 1;
+        self.load.tally.unauthorized += 1;
         Ok(())
     }
 }
--- a/crates/simulation/src/load_statistics.rs
+++ b/crates/simulation/src/load_statistics.rs
@@ -17,13 +17,13 @@
     /// Requests planned.
     pub planned: AtomicU64,
     /// Requests sent.
-    pub made: AtomicU64,
+    pub sent: AtomicU64,
     /// Responses completed.
-    pub honoured: AtomicU64,
+    pub completed: AtomicU64,
     /// Attempts rejected.
-    pub turned_back: AtomicU64,
+    pub rejected: AtomicU64,
     /// Attempts failed.
-    pub abandoned: AtomicU64,
+    pub failed: AtomicU64,
 }
 
 impl Progress {
@@ -32,11 +32,11 @@
         let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
         format!(
             "{} of {} made, {} honoured, {} turned back, {} abandoned",
-            read(&self.made),
+            read(&self.sent),
             read(&self.planned),
-            read(&self.honoured),
-            read(&self.turned_back),
-            read(&self.abandoned)
+            read(&self.completed),
+            read(&self.rejected),
+            read(&self.failed)
         )
     }
 }
@@ -45,19 +45,19 @@
 #[derive(Debug)]
 pub struct LoadStatistics {
     /// Requests sent, and attempts for them.
-    pub submissions: u64,
+    pub requests: u64,
     /// Attempts.
-    pub tries: u64,
+    pub attempts: u64,
     /// How each request ended: by its last attempt.
-    pub honoured: u64,
+    pub completed: u64,
     /// Rejected.
-    pub turned_back: u64,
+    pub rejected: u64,
     /// Failed.
-    pub abandoned: u64,
+    pub failed: u64,
     /// Left by their client.
-    pub left: u64,
+    pub cancelled: u64,
     /// No router could be reached, or the connection was lost.
-    pub unheard: u64,
+    pub disconnected: u64,
     /// No response came before the deadline.
     pub unanswered: u64,
     /// First tokens after the latency objective.
@@ -65,23 +65,23 @@
     /// Responses whose tokens were not those of the prompt: a corrupted KV state was used.
     pub wrong: u64,
     /// Priority weights: of all requests, of completed ones (late ones in part), and of those in time.
-    pub asked: f64,
+    pub offered_weight: f64,
     /// Weights earned.
-    pub earned: f64,
+    pub earned_weight: f64,
     /// Weights earned in time.
-    pub in_time: f64,
+    pub in_time_weight: f64,
     /// Microseconds from the first attempt to the first token, and between tokens.
     pub first_token: Histogram<u64>,
     /// Microseconds between tokens.
     pub gaps: Histogram<u64>,
     /// Weights of all requests and of those in time, by request class, by second of sending and by tenant.
-    pub by_track: Vec<(String, f64, f64)>,
+    pub by_class: Vec<(String, f64, f64)>,
     /// By second of sending.
     pub by_second: Vec<(f64, f64)>,
     /// By tenant.
     pub by_tenant: Vec<(String, f64, f64)>,
     /// Connections that a router did not authorize.
-    pub denied: u64,
+    pub unauthorized: u64,
 }
 
 fn histogram() -> Histogram<u64> {
@@ -92,74 +92,74 @@
 
 impl LoadStatistics {
     /// Empty statistics for these request classes and tenants.
-    pub fn new(tracks: &[Track], tenants: impl IntoIterator<Item = String>) -> LoadStatistics {
+    pub fn new(classes: &[Track], tenants: impl IntoIterator<Item = String>) -> LoadStatistics {
         LoadStatistics {
-            submissions: 0,
-            tries: 0,
-            honoured: 0,
-            turned_back: 0,
-            abandoned: 0,
-            left: 0,
-            unheard: 0,
+            requests: 0,
+            attempts: 0,
+            completed: 0,
+            rejected: 0,
+            failed: 0,
+            cancelled: 0,
+            disconnected: 0,
             unanswered: 0,
             late: 0,
             wrong: 0,
-            asked: 0.0,
-            earned: 0.0,
-            in_time: 0.0,
+            offered_weight: 0.0,
+            earned_weight: 0.0,
+            in_time_weight: 0.0,
             first_token: histogram(),
             gaps: histogram(),
-            by_track: tracks.iter().map(|t| (t.name.clone(), 0.0, 0.0)).collect(),
+            by_class: classes.iter().map(|t| (t.name.clone(), 0.0, 0.0)).collect(),
             by_second: vec![],
             by_tenant: tenants.into_iter().map(|name| (name, 0.0, 0.0)).collect(),
-            denied: 0,
+            unauthorized: 0,
         }
     }
 
     /// Counts a request that is sent at a second of the load.
-    pub fn record_request(&mut self, track: u8, tenant: Option<usize>, earnings: f64, second: usize) {
-        self.submissions += 1;
-        self.asked += earnings;
-        self.by_track[usize::from(track)].1 += earnings;
-        tenant.into_iter().for_each(|t| self.by_tenant[t].1 += earnings);
+    pub fn record_request(&mut self, class: u8, tenant: Option<usize>, priority_weight: f64, second: usize) {
+        self.requests += 1;
+        self.offered_weight += priority_weight;
+        self.by_class[usize::from(class)].1 += priority_weight;
+        tenant.into_iter().for_each(|t| self.by_tenant[t].1 += priority_weight);
         if self.by_second.len() <= second {
             self.by_second.resize(second + 1, (0.0, 0.0));
         }
-        self.by_second[second].0 += earnings;
+        self.by_second[second].0 += priority_weight;
     }
 
     /// Counts a complete response: its weight, or the part of it that a late one is worth.
     pub fn record_response(
         &mut self,
-        track: u8,
+        class: u8,
         tenant: Option<usize>,
-        earnings: f64,
+        priority_weight: f64,
         late: Option<f64>,
         second: usize,
     ) {
-        self.honoured += 1;
+        self.completed += 1;
         if let Some(part) = late {
             self.late += 1;
-            self.earned += earnings * part;
+            self.earned_weight += priority_weight * part;
             return;
         }
-        self.earned += earnings;
-        self.in_time += earnings;
-        self.by_track[usize::from(track)].2 += earnings;
-        tenant.into_iter().for_each(|t| self.by_tenant[t].2 += earnings);
+        self.earned_weight += priority_weight;
+        self.in_time_weight += priority_weight;
+        self.by_class[usize::from(class)].2 += priority_weight;
+        tenant.into_iter().for_each(|t| self.by_tenant[t].2 += priority_weight);
         if let Some(slot) = self.by_second.get_mut(second) {
-            slot.1 += earnings;
+            slot.1 += priority_weight;
         }
     }
 
     /// The fraction of all weights that was served within the latency objective.
     pub fn service(&self) -> f64 {
-        self.in_time / self.asked.max(1e-9)
+        self.in_time_weight / self.offered_weight.max(1e-9)
     }
 
     /// The fraction of requests, those left by their clients aside, that were completed.
-    pub fn honoured_part(&self) -> f64 {
-        self.honoured as f64 / (self.submissions - self.left).max(1) as f64
+    pub fn completed_fraction(&self) -> f64 {
+        self.completed as f64 / (self.requests - self.cancelled).max(1) as f64
     }
 
     /// Records the time to a first token.
@@ -170,32 +170,37 @@
     /// The results as a table.
     pub fn table(&self) -> String {
         let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
-        let part = |n: u64| 100.0 * n as f64 / self.submissions.max(1) as f64;
-        let mut lines = vec![format!("{} submissions, {} tries", self.submissions, self.tries)];
+        let part = |n: u64| 100.0 * n as f64 / self.requests.max(1) as f64;
+        let mut lines = vec![format!("{} submissions, {} tries", self.requests, self.attempts)];
         let rows = [
-            ("honoured", self.honoured),
+            ("honoured", self.completed),
             ("  of them late", self.late),
-            ("turned back", self.turned_back),
-            ("abandoned", self.abandoned),
-            ("left by their client", self.left),
-            ("router not there", self.unheard),
+            ("turned back", self.rejected),
+            ("abandoned", self.failed),
+            ("left by their client", self.cancelled),
+            ("router not there", self.disconnected),
             ("unanswered", self.unanswered),
             ("wrong tokens", self.wrong),
-            ("clients denied", self.denied),
+            ("clients denied", self.unauthorized),
         ];
         lines.extend(rows.iter().map(|(name, n)| format!("  {name:<22}{n:>8}  {:>6.2}%", part(*n))));
         for (name, h) in [("first token", &self.first_token), ("between tokens", &self.gaps)] {
             let [p50, p99, p999] = [0.5, 0.99, 0.999].map(|q| ms(h, q));
             lines.push(format!("  {name:<22}p50 {p50:.2} ms  p99 {p99:.2} ms  p99.9 {p999:.2} ms"));
         }
-        let earned = format!(
+        let earned_weight = format!(
             "{:.0} of {:.0} asked for, {:.0} in contract time",
-            self.earned, self.asked, self.in_time
+            self.earned_weight, self.offered_weight, self.in_time_weight
         );
-        lines.push(format!("  {:<22}{earned} ({:.1}%)", "earnings", 100.0 * self.service()));
-        let parts = self.by_track.iter().chain(&self.by_tenant);
-        for (name, asked, in_time) in parts.filter(|(_, asked, _)| *asked > 0.0) {
-            lines.push(format!("    {name:<20}{:>6.1}% in contract time", 100.0 * in_time / asked));
+        lines.push(format!("  {:<22}{earned_weight} ({:.1}%)", "earnings", 100.0 * self.service()));
+        let parts = self.by_class.iter().chain(&self.by_tenant);
+        for (name, offered_weight, in_time_weight) in
+            parts.filter(|(_, offered_weight, _)| *offered_weight > 0.0)
+        {
+            lines.push(format!(
+                "    {name:<20}{:>6.1}% in contract time",
+                100.0 * in_time_weight / offered_weight
+            ));
         }
         lines.join("\n")
     }
@@ -211,13 +216,13 @@
             })
         };
         serde_json::json!({
-            "submissions": self.submissions, "tries": self.tries, "honoured": self.honoured,
-            "late": self.late, "turned_back": self.turned_back, "abandoned": self.abandoned,
-            "left": self.left, "unheard": self.unheard, "unanswered": self.unanswered,
-            "wrong": self.wrong, "asked": self.asked, "earned": self.earned, "in_time": self.in_time,
-            "service": self.service(), "honoured_part": self.honoured_part(),
+            "submissions": self.requests, "tries": self.attempts, "honoured": self.completed,
+            "late": self.late, "turned_back": self.rejected, "abandoned": self.failed,
+            "left": self.cancelled, "unheard": self.disconnected, "unanswered": self.unanswered,
+            "wrong": self.wrong, "asked": self.offered_weight, "earned": self.earned_weight, "in_time": self.in_time_weight,
+            "service": self.service(), "honoured_part": self.completed_fraction(),
             "first_token": h(&self.first_token), "gaps": h(&self.gaps), "by_second": self.by_second,
-            "by_tenant": self.by_tenant, "denied": self.denied,
+            "by_tenant": self.by_tenant, "denied": self.unauthorized,
         })
     }
 }
--- a/crates/simulation/tests/generated_faults.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -43,8 +43,7 @@
         let known: BTreeSet<String> =
             scenario.workers().map(|(name, ..)| name).chain(scenario.router_names()).collect();
         // Written down, as when a failed day was shrunk, it is the same day.
-        let file =
-            tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
+        let file = tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
         let printed = tideroute_config_language::print(&file).unwrap_or_else(|p| panic!("{p}"));
         let again = tideroute_config_language::read("printed", &printed).unwrap_or_else(|p| panic!("{p}"));
         assert_eq!(text(&again.day.expect("a day")), text(&one));
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -15,7 +15,7 @@
 fn assert_rules_kept(outcome: &VirtualOutcome) {
     assert!(outcome.report.kept(), "{:#?}", &outcome.report.broken[..outcome.report.broken.len().min(5)]);
     let t = &outcome.tally;
-    assert_eq!((t.wrong, t.unanswered, t.denied), (0, 0, 0));
+    assert_eq!((t.wrong, t.unanswered, t.unauthorized), (0, 0, 0));
 }
 
 /// What of each tenant's earnings was answered in time.
