--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -62,7 +62,7 @@
         Chooser::Policy(name) => {
             let (scenario, interrupted) = (&measured.scenario, &measured.interrupted);
             let capture =
-                scenario::straight(scenario, &measured.program, &measured.folder, interrupted, name)?;
+                scenario::play_direct(scenario, &measured.program, &measured.folder, interrupted, name)?;
             Ok(Run { capture, service: String::new(), rules_kept: None })
         }
         Chooser::Routers { load_reports } => {
--- a/crates/simulation/src/client_load/event_handler.rs
+++ b/crates/simulation/src/client_load/event_handler.rs
@@ -42,11 +42,13 @@
         client.connection = None;
         // As a load balancer before the routers would choose.
         client.router = (client.router + 1) % self.routers.len();
-        let mut lost: Vec<usize> = client.in_flight.drain().map(|(_, place)| place).collect();
+        let mut lost: Vec<usize> = client.in_flight.drain().map(|(_, request_index)| request_index).collect();
         lost.sort_unstable();
-        for place in lost {
-            let harmless = loss != DisconnectReason::Reset;
-            self.retry_or_end(now, place, harmless, FAILOVER_DELAY, effects, |t| &mut t.disconnected);
+        for request_index in lost {
+            let is_safe_to_retry = loss != DisconnectReason::Reset;
+            self.retry_or_end(now, request_index, is_safe_to_retry, FAILOVER_DELAY, effects, |t| {
+                &mut t.disconnected
+            });
         }
         effects.set_timer(now + FAILOVER_DELAY, timer_key(RECONNECT, n));
     }
@@ -54,36 +56,39 @@
     fn on_backpressure(&mut self, _now: Micros, _link: ConnectionId, _crowded: bool, _out: &mut Effects) {}
 
     fn on_timer(&mut self, now: Micros, timer: u64, effects: &mut Effects) {
-        let (kind, what) = (timer >> TIMER_KIND_SHIFT, (timer & ((1 << TIMER_KIND_SHIFT) - 1)) as usize);
+        let (kind, index) = (timer >> TIMER_KIND_SHIFT, (timer & ((1 << TIMER_KIND_SHIFT) - 1)) as usize);
         match kind {
             NEXT_REQUEST => self.send_due_requests(now, effects),
-            RETRY => self.send_attempt(now, what, effects),
+            RETRY => self.send_attempt(now, index, effects),
             GIVE_UP => {
                 // A stream that has begun may go on; nothing else may still be in flight.
                 let waits = |c: &RequestProgress| {
-                    !c.over && c.in_flight.is_some() && c.tokens == 0 && now >= c.until + RESPONSE_GRACE
+                    !c.finished
+                        && c.in_flight.is_some()
+                        && c.tokens == 0
+                        && now >= c.deadline + RESPONSE_GRACE
                 };
-                if let Some(c) = self.requests.get(&what).filter(|c| waits(c)) {
-                    tracing::error!(place = what, began = c.began, "no answer came in time");
+                if let Some(c) = self.requests.get(&index).filter(|c| waits(c)) {
+                    tracing::error!(request_index = index, began = c.began, "no answer came in time");
                     if let Some((n, number)) = c.in_flight {
                         self.clients[n].in_flight.remove(&number);
                     }
-                    self.finish(what, |t| &mut t.unanswered);
+                    self.finish(index, |t| &mut t.unanswered);
                 }
             }
             PAUSE_READING | RESUME_READING => {
-                let Some(connection) = self.clients[what].connection else { return };
+                let Some(connection) = self.clients[index].connection else { return };
                 effects.pause_reading(connection, kind == PAUSE_READING);
                 let (then, next) = if kind == PAUSE_READING {
                     (SLUGGISH_PAUSE, RESUME_READING)
                 } else {
                     (SLUGGISH_READ, PAUSE_READING)
                 };
-                effects.set_timer(now + then, timer_key(next, what));
+                effects.set_timer(now + then, timer_key(next, index));
             }
             _ => {
                 if !self.stopped {
-                    self.connection(what, effects);
+                    self.connection(index, effects);
                 }
             }
         }
@@ -91,7 +96,7 @@
 
     fn on_iteration(&mut self, now: Micros, effects: &mut Effects) {
         // Finished requests at the front are removed.
-        while self.requests.first_key_value().is_some_and(|(_, c)| c.over) {
+        while self.requests.first_key_value().is_some_and(|(_, c)| c.finished) {
             self.requests.pop_first();
         }
         if self.next == self.planned.len() && self.requests.is_empty() && !self.stopped {
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use tideroute_config_language::kinds::Load as Record;
+use tideroute_config_language::kinds::Load as LoadConfig;
 use tideroute_emulator::state;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{client, say_hello_with, Address, Malformed, Micros, Party};
@@ -42,31 +42,31 @@
 const RECONNECT: u64 = 5;
 const TIMER_KIND_SHIFT: u32 = 56;
 
-fn timer_key(kind: u64, what: usize) -> u64 {
-    kind << TIMER_KIND_SHIFT | what as u64
+fn timer_key(kind: u64, index: usize) -> u64 {
+    kind << TIMER_KIND_SHIFT | index as u64
 }
 
 /// The progress of one request.
 struct RequestProgress {
     began: Micros,
-    until: Micros,
-    tries: u32,
+    deadline: Micros,
+    attempts: u32,
     /// The attempt in flight: its client and number.
     in_flight: Option<(usize, u64)>,
     tokens: u32,
     last_token: Micros,
     first_token: Option<Micros>,
     wrong: bool,
-    over: bool,
+    finished: bool,
     /// The checksum of the KV state that its response must be made from.
-    crc: Option<u32>,
+    state_checksum: Option<u32>,
 }
 
 /// One connection to a router.
 struct Client {
     router: usize,
     connection: Option<ConnectionId>,
-    numbers: u64,
+    last_number: u64,
     /// The requests in flight by their numbers on this connection.
     in_flight: HashMap<u64, usize>,
     sluggish: bool,
@@ -74,7 +74,7 @@
 
 /// All clients and their requests.
 pub struct Load {
-    terms: Record,
+    terms: LoadConfig,
     routers: Vec<Address>,
     planned: Vec<Planned>,
     next: usize,
@@ -90,13 +90,13 @@
 
 impl Load {
     /// A load that begins when it is started; `routers` are those of its configuration, as addresses.
-    pub fn new(terms: Record, routers: Vec<Address>) -> Load {
+    pub fn new(terms: LoadConfig, routers: Vec<Address>) -> Load {
         let planned = plan(&terms);
         let at = routers_of(&terms, routers.len());
         let client = |n: usize| Client {
             router: at[n],
             connection: None,
-            numbers: 0,
+            last_number: 0,
             in_flight: HashMap::new(),
             sluggish: n < terms.sluggish,
         };
@@ -122,32 +122,32 @@
         self.progress.clone()
     }
 
-    fn arrival_second(&self, place: usize) -> usize {
-        (self.planned[place].at / 1_000_000) as usize
+    fn arrival_second(&self, request_index: usize) -> usize {
+        (self.planned[request_index].at / 1_000_000) as usize
     }
 
     /// Sends the requests that are due.
     fn send_due_requests(&mut self, now: Micros, effects: &mut Effects) {
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now) {
-            let (place, left) = (self.next, p.left);
-            let earnings = self.terms.tracks[usize::from(p.track)].earnings;
-            self.tally.record_request(p.track, p.tenant, earnings, self.arrival_second(place));
-            let began = self.began + self.planned[place].at;
+            let (request_index, remaining) = (self.next, p.left);
+            let priority_weight = self.terms.tracks[usize::from(p.track)].earnings;
+            self.tally.record_request(p.track, p.tenant, priority_weight, self.arrival_second(request_index));
+            let began = self.began + self.planned[request_index].at;
             let request = RequestProgress {
                 began,
-                until: began + left,
-                tries: 0,
+                deadline: began + remaining,
+                attempts: 0,
                 in_flight: None,
                 tokens: 0,
                 last_token: 0,
                 first_token: None,
                 wrong: false,
-                over: false,
-                crc: None,
+                finished: false,
+                state_checksum: None,
             };
-            self.requests.insert(place, request);
+            self.requests.insert(request_index, request);
             self.next += 1;
-            self.send_attempt(now, place, effects);
+            self.send_attempt(now, request_index, effects);
         }
         if let Some(p) = self.planned.get(self.next) {
             effects.set_timer(self.began + p.at, timer_key(NEXT_REQUEST, 0));
@@ -162,11 +162,11 @@
         }
         let connection = effects.connect(self.routers[client.router], CONNECT_TIMEOUT);
         client.connection = Some(connection);
-        (client.numbers, client.in_flight) = (0, HashMap::new());
+        (client.last_number, client.in_flight) = (0, HashMap::new());
         self.by_connection.insert(connection, n);
         let keys = &self.terms.keys;
-        let shown = if keys.is_empty() { "" } else { &keys[n % keys.len()].key };
-        effects.send(connection, say_hello_with(Party::Client, &format!("client{n}"), shown.as_bytes()));
+        let shown_key = if keys.is_empty() { "" } else { &keys[n % keys.len()].key };
+        effects.send(connection, say_hello_with(Party::Client, &format!("client{n}"), shown_key.as_bytes()));
         if client.sluggish {
             effects.set_timer(0, timer_key(PAUSE_READING, n));
         }
@@ -174,58 +174,58 @@
     }
 
     /// Sends an attempt of a request, or ends it at its deadline.
-    fn send_attempt(&mut self, now: Micros, place: usize, effects: &mut Effects) {
-        let n = self.planned[place].client;
+    fn send_attempt(&mut self, now: Micros, request_index: usize, effects: &mut Effects) {
+        let n = self.planned[request_index].client;
         let connection = self.connection(n, effects);
-        let Some(request) = self.requests.get_mut(&place).filter(|c| !c.over) else { return };
-        if now >= request.until {
-            return self.finish(place, |t| &mut t.unanswered);
+        let Some(request) = self.requests.get_mut(&request_index).filter(|c| !c.finished) else { return };
+        if now >= request.deadline {
+            return self.finish(request_index, |t| &mut t.unanswered);
         }
-        let (p, client) = (&self.planned[place], &mut self.clients[n]);
-        client.numbers += 1;
-        client.in_flight.insert(client.numbers, place);
-        request.in_flight = Some((n, client.numbers));
-        (request.tries, request.tokens) = (request.tries + 1, 0);
-        let left = request.until - now;
+        let (p, client) = (&self.planned[request_index], &mut self.clients[n]);
+        client.last_number += 1;
+        client.in_flight.insert(client.last_number, request_index);
+        request.in_flight = Some((n, client.last_number));
+        (request.attempts, request.tokens) = (request.attempts + 1, 0);
+        let remaining = request.deadline - now;
         effects.send(
             connection,
             client::submit(
-                client.numbers,
+                client.last_number,
                 p.track,
                 p.session,
                 p.prefix,
                 p.prompt_tokens,
                 p.prefix_tokens,
                 p.most_tokens,
-                left,
+                remaining,
                 p.mark,
                 p.prompt.clone(),
             ),
         );
         self.tally.attempts += 1;
         self.progress.sent.store(self.next as u64, Ordering::Relaxed);
-        effects.set_timer(request.until + RESPONSE_GRACE, timer_key(GIVE_UP, place));
+        effects.set_timer(request.deadline + RESPONSE_GRACE, timer_key(GIVE_UP, request_index));
         if p.leaves_after == Some(0) {
-            self.cancel(place, effects);
+            self.cancel(request_index, effects);
         }
     }
 
     /// The client leaves: its attempt is cancelled.
-    fn cancel(&mut self, place: usize, effects: &mut Effects) {
-        let Some((n, number)) = self.requests.get_mut(&place).and_then(|c| c.in_flight.take()) else {
+    fn cancel(&mut self, request_index: usize, effects: &mut Effects) {
+        let Some((n, number)) = self.requests.get_mut(&request_index).and_then(|c| c.in_flight.take()) else {
             return;
         };
         self.clients[n].in_flight.remove(&number);
         if let Some(connection) = self.clients[n].connection {
             effects.send(connection, client::cancel(number));
         }
-        self.finish(place, |t| &mut t.cancelled);
+        self.finish(request_index, |t| &mut t.cancelled);
     }
 
     /// Ends a request and counts how.
-    fn finish(&mut self, place: usize, count: impl Fn(&mut LoadStatistics) -> &mut u64) {
-        if let Some(request) = self.requests.get_mut(&place).filter(|c| !c.over) {
-            (request.over, request.in_flight) = (true, None);
+    fn finish(&mut self, request_index: usize, count: impl Fn(&mut LoadStatistics) -> &mut u64) {
+        if let Some(request) = self.requests.get_mut(&request_index).filter(|c| !c.finished) {
+            (request.finished, request.in_flight) = (true, None);
             *count(&mut self.tally) += 1;
         }
     }
@@ -234,24 +234,25 @@
     fn retry_or_end(
         &mut self,
         now: Micros,
-        place: usize,
-        harmless: bool,
+        request_index: usize,
+        is_safe_to_retry: bool,
         after: Micros,
         effects: &mut Effects,
         count: impl Fn(&mut LoadStatistics) -> &mut u64,
     ) {
-        let track = &self.terms.tracks[usize::from(self.planned[place].track)];
-        let repeats = track.repeat == "replayable" || track.repeat == "referenced" && track.group == "all";
-        let Some(request) = self.requests.get_mut(&place) else { return };
+        let track = &self.terms.tracks[usize::from(self.planned[request_index].track)];
+        let is_retryable =
+            track.repeat == "replayable" || track.repeat == "referenced" && track.group == "all";
+        let Some(request) = self.requests.get_mut(&request_index) else { return };
         request.in_flight = None;
         let at = now + after.max(self.terms.retry_wait);
-        let may = (harmless || repeats)
-            && request.tries <= self.terms.retries
-            && at + MIN_RETRY_TIME < request.until;
-        if may && !request.over && !self.stopped {
-            effects.set_timer(at, timer_key(RETRY, place));
+        let may_retry = (is_safe_to_retry || is_retryable)
+            && request.attempts <= self.terms.retries
+            && at + MIN_RETRY_TIME < request.deadline;
+        if may_retry && !request.finished && !self.stopped {
+            effects.set_timer(at, timer_key(RETRY, request_index));
         } else {
-            self.finish(place, count);
+            self.finish(request_index, count);
         }
     }
 
@@ -266,43 +267,52 @@
     }
 
     /// A response is complete: its tokens are checked and its value is counted.
-    fn on_completed(&mut self, now: Micros, place: usize, tokens: u32) {
-        let p = &self.planned[place];
+    fn on_completed(&mut self, now: Micros, request_index: usize, tokens: u32) {
+        let p = &self.planned[request_index];
         let track = &self.terms.tracks[usize::from(p.track)];
-        let Some(request) = self.requests.get_mut(&place) else { return };
-        let expected = request.crc.map(|crc| state::answer_tokens(crc, p.most_tokens));
+        let Some(request) = self.requests.get_mut(&request_index) else { return };
+        let expected =
+            request.state_checksum.map(|state_checksum| state::answer_tokens(state_checksum, p.most_tokens));
         if request.wrong || expected != Some(tokens) || request.tokens != tokens {
             self.tally.wrong += 1;
-            tracing::error!(place, tokens, ?expected, "an answer is not that of its prompt");
+            tracing::error!(request_index, tokens, ?expected, "an answer is not that of its prompt");
         }
-        let took = request.first_token.map_or(now - request.began, |at| at - request.began);
-        let contract = track.contract + u64::from(p.prompt_tokens) * track.per_thousand / 1000;
-        let late = (took > contract).then_some(track.late);
-        let (number, earnings, arrival_second) = (p.track, track.earnings, self.arrival_second(place));
+        let elapsed = request.first_token.map_or(now - request.began, |at| at - request.began);
+        let objective = track.contract + u64::from(p.prompt_tokens) * track.per_thousand / 1000;
+        let late = (elapsed > objective).then_some(track.late);
+        let (number, priority_weight, arrival_second) =
+            (p.track, track.earnings, self.arrival_second(request_index));
         let tenant = p.tenant;
-        self.tally.record_response(number, tenant, earnings, late, arrival_second);
-        self.tally.record_first_token(took);
-        if let Some(request) = self.requests.get_mut(&place) {
-            (request.over, request.in_flight) = (true, None);
+        self.tally.record_response(number, tenant, priority_weight, late, arrival_second);
+        self.tally.record_first_token(elapsed);
+        if let Some(request) = self.requests.get_mut(&request_index) {
+            (request.finished, request.in_flight) = (true, None);
         }
     }
 
     /// A token arrived.
-    fn on_token(&mut self, now: Micros, place: usize, index: u32, text: &Bytes, effects: &mut Effects) {
-        let p = &self.planned[place];
-        let Some(request) = self.requests.get_mut(&place) else { return };
-        let crc = *request.crc.get_or_insert_with(|| {
+    fn on_token(
+        &mut self,
+        now: Micros,
+        request_index: usize,
+        index: u32,
+        text: &Bytes,
+        effects: &mut Effects,
+    ) {
+        let p = &self.planned[request_index];
+        let Some(request) = self.requests.get_mut(&request_index) else { return };
+        let state_checksum = *request.state_checksum.get_or_insert_with(|| {
             let bytes = self.terms.state_bytes_a_token;
             crc32fast::hash(&state::make(&p.prompt, p.prompt_tokens, bytes))
         });
         if request.tokens > 0 {
             self.tally.gaps.saturating_record(now - request.last_token);
         }
-        request.wrong |= index != request.tokens || text[..] != state::text(crc, index);
+        request.wrong |= index != request.tokens || text[..] != state::text(state_checksum, index);
         (request.tokens, request.last_token) = (request.tokens + 1, now);
         request.first_token.get_or_insert(now);
         if p.leaves_after.is_some_and(|after| request.tokens >= after.max(1)) {
-            self.cancel(place, effects);
+            self.cancel(request_index, effects);
         }
     }
 }
--- a/crates/simulation/src/client_load/responses.rs
+++ b/crates/simulation/src/client_load/responses.rs
@@ -19,7 +19,7 @@
 
 impl ResponseHandler<'_> {
     /// The request that a number stands for; None if the client has cancelled it or given it up.
-    fn place(&self, number: u64) -> Option<usize> {
+    fn request_index(&self, number: u64) -> Option<usize> {
         self.load.clients[self.n].in_flight.get(&number).copied()
     }
 
@@ -38,32 +38,32 @@
     }
 
     fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed> {
-        if let Some(place) = self.place(number) {
-            self.load.on_token(self.now, place, index, &text, self.effects);
+        if let Some(request_index) = self.request_index(number) {
+            self.load.on_token(self.now, request_index, index, &text, self.effects);
         }
         Ok(())
     }
 
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
-        if let Some(place) = self.take_request(number) {
+        if let Some(request_index) = self.take_request(number) {
             self.add_progress(|p| &p.completed);
-            self.load.on_completed(self.now, place, tokens);
+            self.load.on_completed(self.now, request_index, tokens);
         }
         Ok(())
     }
 
     fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
-        if let Some(place) = self.take_request(number) {
+        if let Some(request_index) = self.take_request(number) {
             self.add_progress(|p| &p.rejected);
-            self.load.retry_or_end(self.now, place, true, after, self.effects, |t| &mut t.rejected);
+            self.load.retry_or_end(self.now, request_index, true, after, self.effects, |t| &mut t.rejected);
         }
         Ok(())
     }
 
     fn failed(&mut self, number: u64) -> Result<(), Malformed> {
-        if let Some(place) = self.take_request(number) {
+        if let Some(request_index) = self.take_request(number) {
             self.add_progress(|p| &p.failed);
-            self.load.retry_or_end(self.now, place, false, 0, self.effects, |t| &mut t.failed);
+            self.load.retry_or_end(self.now, request_index, false, 0, self.effects, |t| &mut t.failed);
         }
         Ok(())
     }
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -13,7 +13,7 @@
 use tideroute_wire::{Address, Micros, Origin};
 
 /// Microseconds in a tenth of a millisecond, the scheduler's unit of time.
-const TENTH: u64 = 100;
+const MICROS_PER_TENTH_MILLI: u64 = 100;
 
 /// Why a value of a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -51,31 +51,30 @@
     Ok([a, b, c, d, high, low])
 }
 
-fn tenths(micros: u64) -> types::TenthMillis {
-    (micros / TENTH) as types::TenthMillis
+fn tenth_millis(micros: u64) -> types::TenthMillis {
+    (micros / MICROS_PER_TENTH_MILLI) as types::TenthMillis
 }
 
-fn track(t: &Track) -> types::RequestClass {
-    let group = match t.group.as_str() {
+fn request_class(t: &Track) -> types::RequestClass {
+    let scope = match t.group.as_str() {
         "zone" => DeduplicationScope::Zone,
         "cell" => DeduplicationScope::Cell,
         _ => DeduplicationScope::All,
     };
-    let repeat = match t.repeat.as_str() {
+    let idempotency = match t.repeat.as_str() {
         "replayable" => Idempotency::Idempotent,
-        "referenced" => Idempotency::IdempotentWithKey { scope: group, window: tenths(t.window) },
+        "referenced" => Idempotency::IdempotentWithKey { scope, window: tenth_millis(t.window) },
         _ => Idempotency::NonIdempotent,
     };
-    let (contract, per_thousand) = (tenths(t.contract), tenths(t.per_thousand));
     types::RequestClass {
-        idempotency: repeat,
-        ttft_objective: contract,
-        ttft_objective_per_1000_tokens: per_thousand,
+        idempotency,
+        ttft_objective: tenth_millis(t.contract),
+        ttft_objective_per_1000_tokens: tenth_millis(t.per_thousand),
         priority_weight: t.earnings,
     }
 }
 
-fn module(terms: &Terms, r: &Router) -> types::SchedulerConfig {
+fn scheduler_config(terms: &Terms, config: &Router) -> types::SchedulerConfig {
     let role = |role: &Role| match role {
         Role::Reader => types::Role::Prefill,
         Role::Writer => types::Role::Decode,
@@ -83,15 +82,15 @@
     };
     types::SchedulerConfig {
         router_count: terms.routers,
-        classes: r.tracks.iter().map(track).collect(),
-        role_by_kind: r.kinds.iter().map(|k| role(&k.role)).collect(),
+        classes: config.tracks.iter().map(request_class).collect(),
+        role_by_kind: config.kinds.iter().map(|k| role(&k.role)).collect(),
         reservations_enabled: terms.places,
         decode_workers_prefill: terms.writers_read,
-        state_release_timeout: tenths(terms.release),
+        state_release_timeout: tenth_millis(terms.release),
         cold_capacity_share: terms.cold_share,
-        warm_up_time: tenths(terms.warm_after),
+        warm_up_time: tenth_millis(terms.warm_after),
         overload_multiple: terms.fall_multiple,
-        overload_window: tenths(terms.fall_span),
+        overload_window: tenth_millis(terms.fall_span),
         max_attempts: terms.most_shots,
         cancellation_enabled: terms.withdrawals,
         health_checks_enabled: terms.probes,
@@ -100,44 +99,44 @@
         // The list is asked for once, and again whenever it was lost.
         endpoint_watch_enabled: true,
         retry_after_enabled: terms.advice,
-        max_retry_after: tenths(terms.longest_advice),
+        max_retry_after: tenth_millis(terms.longest_advice),
     }
 }
 
-/// The terms of one core of a router. Each is a router of its own to the decisions, so that what all of them
-/// send to a cold worker stays within the rule with no word between them; bounds are shared out evenly.
+/// The settings of one core of a router. To the scheduler each core is a router of its own, so that all of them
+/// together stay within the slow-start budget of a worker without communicating; limits are divided evenly.
 pub fn router(
-    r: &Router,
+    config: &Router,
     core: u32,
     seed: u64,
     origin: Origin,
 ) -> Result<tideroute_lifecycle::RouterConfig, ConvertError> {
-    let cores = r.cores as usize;
-    let mut module = module(&r.terms, r);
-    module.router_count = module.router_count.saturating_mul(r.cores);
-    let books = tideroute_lifecycle::LifecycleConfig {
-        name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
-        scheduler: module,
-        classes: r.tracks.iter().map(|t| t.name.clone()).collect(),
-        connect_timeout: r.terms.unheard,
-        max_open_requests: r.terms.most_open.div_ceil(cores),
-        tenants: tenants(r)?,
-        limits_share: 1.0 / f64::from(r.terms.routers) / f64::from(r.cores),
-        max_admission_wait: r.terms.longest_wait,
+    let cores = config.cores as usize;
+    let mut scheduler_config = scheduler_config(&config.terms, config);
+    scheduler_config.router_count = scheduler_config.router_count.saturating_mul(config.cores);
+    let lifecycle_config = tideroute_lifecycle::LifecycleConfig {
+        name: if config.cores > 1 { format!("{}/{core}", config.name) } else { config.name.clone() },
+        scheduler: scheduler_config,
+        classes: config.tracks.iter().map(|t| t.name.clone()).collect(),
+        connect_timeout: config.terms.unheard,
+        max_open_requests: config.terms.most_open.div_ceil(cores),
+        tenants: tenants(config)?,
+        limits_share: 1.0 / f64::from(config.terms.routers) / f64::from(config.cores),
+        max_admission_wait: config.terms.longest_wait,
         seed,
     };
     Ok(tideroute_lifecycle::RouterConfig {
-        lifecycle: books,
-        discovery: address(&r.list)?,
+        lifecycle: lifecycle_config,
+        discovery: address(&config.list)?,
         origin,
-        network_delay: r.terms.travel,
-        stream_window_tokens: r.terms.window,
-        max_requests_per_client: r.terms.most_a_client,
-        max_clients: r.terms.most_clients.div_ceil(cores),
+        network_delay: config.terms.travel,
+        stream_window_tokens: config.terms.window,
+        max_requests_per_client: config.terms.most_a_client,
+        max_clients: config.terms.most_clients.div_ceil(cores),
     })
 }
 
-/// The terms of a fleet's member, and the seal of the fleet.
+/// The settings of a cluster member, and the key that authenticates messages of the cluster.
 pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(tideroute_membership::Terms, Seal), ConvertError> {
     let key = hash(&f.key)
         .map_err(|e| ConvertError::Key { owner: format!("the fleet {}", f.name), source: Box::new(e) })?;
@@ -146,10 +145,10 @@
     Ok((terms, Seal::new(&f.name, &key)))
 }
 
-/// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
-fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
-    let named = r.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
-    Ok((r.admin.is_some() || !named.is_empty()).then_some(named))
+/// The tenants of a router; None if clients need no key. Those of a store come from the administration API.
+fn tenants(config: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
+    let named = config.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
+    Ok((config.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
 fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
@@ -165,8 +164,8 @@
     Ok(tideroute_lifecycle::TenantConfig { name: t.name.clone(), version: 0, keys: vec![key], limits })
 }
 
-/// What of a script is still to come, from `now` on.
-fn to_come<T>(from: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
+/// The steps of a script that are still ahead at `now`.
+fn remaining_steps<T>(from: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
     let later = steps.into_iter().map(|(at, what)| (from + at, what)).filter(|(at, _)| *at >= now);
     later.map(|(at, what)| (at - now, what)).collect()
 }
@@ -186,41 +185,41 @@
 }
 
 /// The settings of an emulated worker whose script began at a time and that starts now.
-pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, ConvertError> {
-    let able: &Able = &w.does;
+pub fn worker(config: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerTerms, ConvertError> {
+    let capabilities: &Able = &config.does;
     Ok(WorkerTerms {
-        name: w.name.clone(),
-        address: address(&w.listen)?,
-        list: address(&w.list)?,
-        does: match able.role {
+        name: config.name.clone(),
+        address: address(&config.listen)?,
+        list: address(&config.list)?,
+        does: match capabilities.role {
             Role::Reader => Does::Read,
             Role::Writer => Does::Write,
             Role::Mixed => Does::Both,
         },
-        kind: w.kind,
-        size: able.size,
-        cell: w.cell,
-        zone: w.zone,
-        warm: w.warm && !cold,
-        reads_at_once: able.reads_at_once,
-        reads_waiting: able.reads_waiting,
-        read_rate: able.read_rate,
-        streams_at_once: able.streams_at_once,
-        streams_waiting: able.streams_waiting,
-        token_gap: able.token_gap,
-        state_bytes_a_token: able.state_bytes_a_token,
-        cold_share: w.terms.cold_share,
-        warm_after: w.terms.warm_after,
-        fall_multiple: w.terms.fall_multiple,
-        fall_span: w.terms.fall_span,
-        keeps: able.keeps,
-        script: to_come(from, now, w.script.iter().flat_map(steps).collect()),
+        kind: config.kind,
+        size: capabilities.size,
+        cell: config.cell,
+        zone: config.zone,
+        warm: config.warm && !cold,
+        reads_at_once: capabilities.reads_at_once,
+        reads_waiting: capabilities.reads_waiting,
+        read_rate: capabilities.read_rate,
+        streams_at_once: capabilities.streams_at_once,
+        streams_waiting: capabilities.streams_waiting,
+        token_gap: capabilities.token_gap,
+        state_bytes_a_token: capabilities.state_bytes_a_token,
+        cold_share: config.terms.cold_share,
+        warm_after: config.terms.warm_after,
+        fall_multiple: config.terms.fall_multiple,
+        fall_span: config.terms.fall_span,
+        keeps: capabilities.keeps,
+        script: remaining_steps(from, now, config.script.iter().flat_map(steps).collect()),
     })
 }
 
 /// A relay whose script began at a time and that starts now.
-pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
-    let door = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
+pub fn relay(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
+    let route = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
     let since = now.saturating_sub(from);
     let ahead = from.saturating_sub(now);
     let fault = |f: &Fault| tideroute_relay::Fault {
@@ -237,18 +236,18 @@
             _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
         },
     };
-    let doors = |doors: &[Door]| doors.iter().map(door).collect::<Result<Vec<_>, ConvertError>>();
-    let (listeners, datagram_sockets) = (doors(&r.doors)?, doors(&r.datagrams)?);
+    let routes = |routes: &[Door]| routes.iter().map(route).collect::<Result<Vec<_>, ConvertError>>();
+    let (listeners, datagram_sockets) = (routes(&config.doors)?, routes(&config.datagrams)?);
     Ok(RelayConfig {
         listeners,
         datagram_sockets,
-        faults: r.faults.iter().map(fault).collect(),
-        seed: r.seed,
+        faults: config.faults.iter().map(fault).collect(),
+        seed: config.seed,
     })
 }
 
 /// The settings of an endpoint list whose script began at a time and that starts now.
-pub fn list(l: &List, from: Micros, now: Micros) -> ListTerms {
-    let late = l.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, l.lag)]);
-    ListTerms { lag: l.lag, script: to_come(from, now, late.collect()) }
+pub fn list(config: &List, from: Micros, now: Micros) -> ListTerms {
+    let late = config.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, config.lag)]);
+    ListTerms { lag: config.lag, script: remaining_steps(from, now, late.collect()) }
 }
--- a/crates/simulation/src/direct_load.rs
+++ b/crates/simulation/src/direct_load.rs
@@ -1,6 +1,6 @@
-//! The same load straight to the stand-ins, with no router between: a client that knows the workers and sends
-//! each submission to a reader, the next one or by a [`PrefillPolicy`](crate::prefill_policies::Way), and a writer beside it. It shows
-//! what the way itself takes, so that what a router adds can be told, and how plain ways to choose spread it.
+//! The baseline without a router: a client that knows the workers and sends each request to a prefill worker, chosen by
+//! a [`PrefillPolicy`], and to a decode worker of its cell. It shows the latency that a router adds, and how simple
+//! policies balance the load.
 
 use std::collections::BTreeMap;
 
--- a/crates/simulation/src/hop_latencies.rs
+++ b/crates/simulation/src/hop_latencies.rs
@@ -155,7 +155,7 @@
         return None;
     }
     let mut handler = MessageHandler(None);
-    // A client of a straight day speaks to workers as a router does.
+    // A client of direct requests speaks to workers as a router does.
     let sent = p.event == CaptureEvent::Sent;
     let _ = match (role, sent) {
         ("client", true) => client::receive_from_client(&p.frame, &mut handler)
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -43,10 +43,10 @@
     Start(io::Error),
     /// A process did not listen in time.
     #[error("{0} does not listen")]
-    Deaf(String),
+    NotListening(String),
     /// A configuration file could not be written.
     #[error("{0}")]
-    Printed(#[from] Problems),
+    Config(#[from] Problems),
     /// The captures of the processes could not be merged.
     #[error("the record could not be merged: {0}")]
     Record(#[from] CaptureError),
@@ -133,22 +133,22 @@
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
-    straight: bool,
+    direct: bool,
 ) -> Result<HopLatencies, ScenarioError> {
-    let record = play_and_merge(day, program, folder, interrupted, straight.then_some("next"))?;
-    Ok(measure_hops(open(&record)?, !straight)?)
+    let record = play_and_merge(day, program, folder, interrupted, direct.then_some("next"))?;
+    Ok(measure_hops(open(&record)?, !direct)?)
 }
 
 /// Plays a scenario without routers: its load goes directly to workers, with that policy to choose prefill workers
 /// ([`PrefillPolicy`](crate::prefill_policies::Way)). Returns where the capture is.
-pub fn straight(
+pub fn play_direct(
     day: &Day,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
-    way: &str,
+    policy: &str,
 ) -> Result<PathBuf, ScenarioError> {
-    play_and_merge(day, program, folder, interrupted, Some(way))
+    play_and_merge(day, program, folder, interrupted, Some(policy))
 }
 
 fn play_and_merge(
@@ -156,9 +156,9 @@
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
-    straight: Option<&str>,
+    direct_policy: Option<&str>,
 ) -> Result<PathBuf, ScenarioError> {
-    let (player, ports) = play_processes(day, program, folder, interrupted, straight)?;
+    let (player, ports) = play_processes(day, program, folder, interrupted, direct_policy)?;
     let record = folder.join("day.record.zst");
     let terms = serde_json::to_string(&process_configs::rules(day, &ports)).unwrap_or_default();
     capture_merge::merge(&player.processes.parts, &terms, &record)?;
@@ -171,7 +171,7 @@
     program: &Path,
     folder: &'a Path,
     interrupted: &'a AtomicBool,
-    straight: Option<&'a str>,
+    direct_policy: Option<&'a str>,
 ) -> Result<(ScenarioPlayer<'a>, Ports), ScenarioError> {
     std::fs::create_dir_all(folder).map_err(|e| ScenarioError::File(folder.display().to_string(), e))?;
     let relays = Relays::plan(day);
@@ -189,7 +189,7 @@
         fallen: vec![],
         exits: BTreeMap::new(),
         table: String::new(),
-        straight,
+        direct_policy,
         interrupted,
     };
     player.write_files(&ports, &relays)?;
--- a/crates/simulation/src/scenario/player.rs
+++ b/crates/simulation/src/scenario/player.rs
@@ -26,21 +26,26 @@
 
 /// The running processes of a scenario.
 pub struct ScenarioPlayer<'a> {
+    /// The scenario.
     pub day: &'a Day,
+    /// Where configurations, captures and logs lie.
     pub folder: &'a Path,
+    /// When the load begins.
     pub begins: Micros,
+    /// When the first process was started.
     pub started: Micros,
+    /// When all processes listened.
     pub listened: Micros,
     pub processes: Processes,
     pub recipes: BTreeMap<String, Recipe>,
     /// Workers that ended without being killed.
     pub fallen: Vec<String>,
-    /// Whether each router ended in order when it was told.
+    /// Whether each router shut down gracefully.
     pub exits: BTreeMap<String, bool>,
     /// What the load printed.
     pub table: String,
-    /// The load goes straight to the workers, choosing that way; there are no routers.
-    pub straight: Option<&'a str>,
+    /// The policy of a load that goes directly to workers; there are no routers then.
+    pub direct_policy: Option<&'a str>,
     pub interrupted: &'a AtomicBool,
 }
 
@@ -71,12 +76,12 @@
         let (day, folder, begins) = (self.day, self.folder, self.begins.to_string());
         let path = write(folder, "list", &process_configs::list(day, ports))?;
         self.add("list", "list", Some(&ports.list), &["list", &path, "--script-start", &begins]);
-        for (place, (name, group, n)) in day.workers().enumerate() {
-            let path = write(folder, &name, &process_configs::worker(day, ports, place, &name, group, n))?;
+        for (index, (name, group, n)) in day.workers().enumerate() {
+            let path = write(folder, &name, &process_configs::worker(day, ports, index, &name, group, n))?;
             let arguments = ["worker", &path, "--script-start", &begins];
-            self.add(&name, "worker", Some(&ports.workers[place]), &arguments);
+            self.add(&name, "worker", Some(&ports.workers[index]), &arguments);
         }
-        let routers = if self.straight.is_some() { 0 } else { day.routers };
+        let routers = if self.direct_policy.is_some() { 0 } else { day.routers };
         for (n, name) in day.router_names().enumerate().take(routers) {
             let keep = folder.join(format!("{name}.list")).display().to_string();
             let path = write(folder, &name, &process_configs::router(day, ports, n, keep))?;
@@ -85,11 +90,11 @@
         let path = write(folder, "load", &process_configs::load(day, ports))?;
         let [json, table] = ["load.json", "load.txt"].map(|f| folder.join(f).display().to_string());
         let mut arguments = vec!["load", &path, "--json", &json, "--table", &table, "--begin-at", &begins];
-        let straight = folder.join("workers.json").display().to_string();
-        if let Some(way) = self.straight {
+        let workers = folder.join("workers.json").display().to_string();
+        if let Some(policy) = self.direct_policy {
             let known = serde_json::to_string(&process_configs::known(day, ports)).unwrap_or_default();
-            std::fs::write(&straight, known).map_err(|e| ScenarioError::File(straight.clone(), e))?;
-            arguments.extend(["--direct-to", &straight, "--policy", way]);
+            std::fs::write(&workers, known).map_err(|e| ScenarioError::File(workers.clone(), e))?;
+            arguments.extend(["--direct-to", &workers, "--policy", policy]);
         }
         self.add("load", "client", None, &arguments);
         if let Some(file) = relays.file(day, ports) {
@@ -137,7 +142,7 @@
             while TcpStream::connect(at).is_err() {
                 self.pause()?;
                 if self.processes.exit_status(name).is_some() || self.processes.now() > self.begins {
-                    return Err(ScenarioError::Deaf(name.clone()));
+                    return Err(ScenarioError::NotListening(name.clone()));
                 }
             }
         }
@@ -158,7 +163,7 @@
         let mut actions = fault_timeline(&self.day.troubles);
         actions.sort_by_key(|(at, _)| *at);
         let mut actions = actions.into_iter().peekable();
-        let mut looked = 0;
+        let mut last_sample = 0;
         let longest = self.day.tracks.iter().map(|t| t.cut_off).max().unwrap_or(0);
         let latest = self.begins + self.day.load.lasts + 4 * longest + SHUTDOWN_TIMEOUT;
         loop {
@@ -179,9 +184,9 @@
                     FaultAction::Remove(_) => return Err(ScenarioError::VirtualOnly),
                 }
             }
-            if now > looked + RESOURCE_SAMPLE_INTERVAL {
+            if now > last_sample + RESOURCE_SAMPLE_INTERVAL {
                 self.processes.sample_all();
-                looked = now;
+                last_sample = now;
                 for name in self.processes.running_names() {
                     if self.recipes[&name].role != "client" && self.processes.exit_status(&name).is_some() {
                         self.fallen.push(name);
