--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -74,7 +74,8 @@
             match output {
                 Output::Send { to, message } => {
                     let datagram = self.authenticator.sign(&message);
-                    counter!("tideroute_membership_bytes_total", "direction" => "out").increment(datagram.len() as u64);
+                    counter!("tideroute_membership_bytes_total", "direction" => "out")
+                        .increment(datagram.len() as u64);
                     effects.send_datagram(SOCKET, to, datagram);
                 }
                 Output::StatusChanged(member) => report_status(&member, effects),
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -1,4 +1,4 @@
-//! Records as the terms of the parts that they configure.
+//! Converts sections of configuration files into the settings of the programs that they configure.
 
 use std::net::SocketAddrV4;
 
@@ -8,53 +8,73 @@
     Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
 };
 use tideroute_emulator::{DiscoveryConfig, ScriptedFault, WorkerConfig, WorkerRole};
-use tideroute_membership::{MembershipConfig, MessageAuthenticator};
+use tideroute_membership::MessageAuthenticator;
 use tideroute_relay::{FaultDirection, FaultKind, RelayConfig, Route};
 use tideroute_wire::{Address, Micros, Origin};
 
-/// Microseconds in one of the module's tenths of a millisecond.
-const TENTH: u64 = 100;
+/// Microseconds in a tenth of a millisecond, the scheduler's unit of time.
+const MICROS_PER_TENTH_MILLI: u64 = 100;
 
-pub fn socket(text: &str) -> Result<SocketAddrV4, String> {
-    text.parse().map_err(|_| format!("{text:?} is no address"))
+/// Why a value of a configuration file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConvertError {
+    /// The text is no IPv4 address with a port.
+    #[error("{0:?} is no address")]
+    InvalidAddress(String),
+    /// The text is no hash of 64 hexadecimal digits.
+    #[error(transparent)]
+    InvalidHash(blake3::HexError),
+    /// The key of a tenant or of a cluster is no hash.
+    #[error("the key of {owner}: {source}")]
+    Key {
+        /// Whose key it is.
+        owner: String,
+        /// What is wrong with it.
+        source: Box<ConvertError>,
+    },
+}
+
+/// An IPv4 address with a port.
+pub fn socket(text: &str) -> Result<SocketAddrV4, ConvertError> {
+    text.parse().map_err(|_| ConvertError::InvalidAddress(text.to_string()))
 }
 
 /// A hash as 64 hexadecimal digits.
-pub fn hash(text: &str) -> Result<[u8; 32], String> {
-    blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(|e| e.to_string())
+pub fn hash(text: &str) -> Result<[u8; 32], ConvertError> {
+    blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(ConvertError::InvalidHash)
 }
 
-pub fn address(text: &str) -> Result<Address, String> {
+/// The address in the form of the wire protocol.
+pub fn address(text: &str) -> Result<Address, ConvertError> {
     let parsed = socket(text)?;
     let ([a, b, c, d], [high, low]) = (parsed.ip().octets(), parsed.port().to_be_bytes());
     Ok([a, b, c, d, high, low])
 }
 
-fn tenths(micros: u64) -> types::TenthMillis {
-    (micros / TENTH) as types::TenthMillis
+fn tenth_millis(micros: u64) -> types::TenthMillis {
+    (micros / MICROS_PER_TENTH_MILLI) as types::TenthMillis
 }
 
-fn track(t: &Track) -> types::RequestClass {
-    let group = match t.group.as_str() {
+fn request_class(t: &Track) -> types::RequestClass {
+    let scope = match t.group.as_str() {
         "zone" => DeduplicationScope::Zone,
         "cell" => DeduplicationScope::Cell,
         _ => DeduplicationScope::All,
     };
-    let repeat = match t.repeat.as_str() {
+    let idempotency = match t.repeat.as_str() {
         "replayable" => Idempotency::Idempotent,
-        "referenced" => Idempotency::IdempotentWithKey { scope: group, window: tenths(t.window) },
+        "referenced" => Idempotency::IdempotentWithKey { scope, window: tenth_millis(t.window) },
         _ => Idempotency::NonIdempotent,
     };
-    let (contract, per_thousand) = (tenths(t.contract), tenths(t.per_thousand));
     types::RequestClass {
-        idempotency: repeat,
-        ttft_objective: contract,
-        ttft_objective_per_1000_tokens: per_thousand,
+        idempotency,
+        ttft_objective: tenth_millis(t.contract),
+        ttft_objective_per_1000_tokens: tenth_millis(t.per_thousand),
         priority_weight: t.earnings,
     }
 }
 
-fn module(terms: &Terms, r: &Router) -> types::SchedulerConfig {
+fn scheduler_config(terms: &Terms, config: &Router) -> types::SchedulerConfig {
     let role = |role: &Role| match role {
         Role::Reader => types::Role::Prefill,
         Role::Writer => types::Role::Decode,
@@ -62,15 +82,15 @@
     };
     types::SchedulerConfig {
         router_count: terms.routers,
-        classes: r.tracks.iter().map(track).collect(),
-        role_by_kind: r.kinds.iter().map(|k| role(&k.role)).collect(),
+        classes: config.tracks.iter().map(request_class).collect(),
+        role_by_kind: config.kinds.iter().map(|k| role(&k.role)).collect(),
         reservations_enabled: terms.places,
         decode_workers_prefill: terms.writers_read,
-        state_release_timeout: tenths(terms.release),
+        state_release_timeout: tenth_millis(terms.release),
         cold_capacity_share: terms.cold_share,
-        warm_up_time: tenths(terms.warm_after),
+        warm_up_time: tenth_millis(terms.warm_after),
         overload_multiple: terms.fall_multiple,
-        overload_window: tenths(terms.fall_span),
+        overload_window: tenth_millis(terms.fall_span),
         max_attempts: terms.most_shots,
         cancellation_enabled: terms.withdrawals,
         health_checks_enabled: terms.probes,
@@ -79,62 +99,71 @@
         // The list is asked for once, and again whenever it was lost.
         endpoint_watch_enabled: true,
         retry_after_enabled: terms.advice,
-        max_retry_after: tenths(terms.longest_advice),
+        max_retry_after: tenth_millis(terms.longest_advice),
     }
 }
 
-/// The terms of one core of a router. Each is a router of its own to the decisions, so that what all of them
-/// send to a cold worker stays within the rule with no word between them; bounds are shared out evenly.
+/// The settings of one core of a router. To the scheduler each core is a router of its own, so that all of them
+/// together stay within the slow-start budget of a worker without communicating; limits are divided evenly.
 pub fn router(
-    r: &Router,
+    config: &Router,
     core: u32,
     seed: u64,
     origin: Origin,
-) -> Result<tideroute_lifecycle::RouterConfig, String> {
-    let cores = r.cores as usize;
-    let mut module = module(&r.terms, r);
-    module.router_count = module.router_count.saturating_mul(r.cores);
-    let books = tideroute_lifecycle::LifecycleConfig {
-        name: if r.cores > 1 { format!("{}/{core}", r.name) } else { r.name.clone() },
-        scheduler: module,
-        classes: r.tracks.iter().map(|t| t.name.clone()).collect(),
-        connect_timeout: r.terms.unheard,
-        max_open_requests: r.terms.most_open.div_ceil(cores),
-        tenants: tenants(r)?,
-        limits_share: 1.0 / f64::from(r.terms.routers) / f64::from(r.cores),
-        max_admission_wait: r.terms.longest_wait,
+) -> Result<tideroute_lifecycle::RouterConfig, ConvertError> {
+    let cores = config.cores as usize;
+    let mut scheduler_config = scheduler_config(&config.terms, config);
+    scheduler_config.router_count = scheduler_config.router_count.saturating_mul(config.cores);
+    let lifecycle_config = tideroute_lifecycle::LifecycleConfig {
+        name: if config.cores > 1 { format!("{}/{core}", config.name) } else { config.name.clone() },
+        scheduler: scheduler_config,
+        classes: config.tracks.iter().map(|t| t.name.clone()).collect(),
+        connect_timeout: config.terms.unheard,
+        max_open_requests: config.terms.most_open.div_ceil(cores),
+        tenants: tenants(config)?,
+        limits_share: 1.0 / f64::from(config.terms.routers) / f64::from(config.cores),
+        max_admission_wait: config.terms.longest_wait,
         seed,
     };
     Ok(tideroute_lifecycle::RouterConfig {
-        lifecycle: books,
-        discovery: address(&r.list)?,
+        lifecycle: lifecycle_config,
+        discovery: address(&config.list)?,
         origin,
-        network_delay: r.terms.travel,
-        stream_window_tokens: r.terms.window,
-        max_requests_per_client: r.terms.most_a_client,
-        max_clients: r.terms.most_clients.div_ceil(cores),
+        network_delay: config.terms.travel,
+        stream_window_tokens: config.terms.window,
+        max_requests_per_client: config.terms.most_a_client,
+        max_clients: config.terms.most_clients.div_ceil(cores),
     })
 }
 
-/// The terms of a fleet's member, and the seal of the fleet.
-pub fn member(name: &str, f: &Fleet, seed: u64) -> Result<(MembershipConfig, MessageAuthenticator), String> {
-    let key = hash(&f.key).map_err(|e| format!("the key of the fleet {}: {e}", f.name))?;
+/// The settings of a cluster member, and the key that authenticates messages of the cluster.
+pub fn member(
+    name: &str,
+    f: &Fleet,
+    seed: u64,
+) -> Result<(tideroute_membership::MembershipConfig, MessageAuthenticator), ConvertError> {
+    let key = hash(&f.key)
+        .map_err(|e| ConvertError::Key { owner: format!("the fleet {}", f.name), source: Box::new(e) })?;
     let seeds = f.seeds.iter().map(|s| address(s)).collect::<Result<_, _>>()?;
-    let terms =
-        MembershipConfig { name: name.to_string(), address: address(&f.listen)?, seeds, rng_seed: seed };
+    let terms = tideroute_membership::MembershipConfig {
+        name: name.to_string(),
+        address: address(&f.listen)?,
+        seeds,
+        rng_seed: seed,
+    };
     Ok((terms, MessageAuthenticator::new(&f.name, &key)))
 }
 
-/// The tenants of a record; None where anybody may come. Those of a store are told by who administers it.
-fn tenants(r: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, String> {
-    let named = r.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
-    Ok((r.admin.is_some() || !named.is_empty()).then_some(named))
+/// The tenants of a router; None if clients need no key. Those of a store come from the administration API.
+fn tenants(config: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
+    let named = config.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
+    Ok((config.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
-fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, String> {
+fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
     let rate =
         |a_second: Option<f64>, burst| a_second.map(|a_second| RateLimit { per_second: a_second, burst });
-    let key = hash(&t.key).map_err(|e| format!("the key of {}: {e}", t.name))?;
+    let key = hash(&t.key).map_err(|e| ConvertError::Key { owner: t.name.clone(), source: Box::new(e) })?;
     let limits = Limits {
         requests: rate(t.submissions, t.submissions_once),
         tokens: rate(t.tokens, t.tokens_once),
@@ -145,8 +174,8 @@
     Ok(tideroute_lifecycle::TenantConfig { name: t.name.clone(), version: 0, keys: vec![key], limits })
 }
 
-/// What of a script is still to come, from `now` on.
-fn to_come<T>(from: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
+/// The steps of a script that are still ahead at `now`.
+fn remaining_steps<T>(from: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
     let later = steps.into_iter().map(|(at, what)| (from + at, what)).filter(|(at, _)| *at >= now);
     later.map(|(at, what)| (at - now, what)).collect()
 }
@@ -165,41 +194,42 @@
     [(step.at, begin)].into_iter().chain(end).collect()
 }
 
-pub fn worker(w: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerConfig, String> {
-    let able: &Able = &w.does;
+/// The settings of an emulated worker whose script began at a time and that starts now.
+pub fn worker(config: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerConfig, ConvertError> {
+    let capabilities: &Able = &config.does;
     Ok(WorkerConfig {
-        name: w.name.clone(),
-        address: address(&w.listen)?,
-        discovery: address(&w.list)?,
-        role: match able.role {
+        name: config.name.clone(),
+        address: address(&config.listen)?,
+        discovery: address(&config.list)?,
+        role: match capabilities.role {
             Role::Reader => WorkerRole::Prefill,
             Role::Writer => WorkerRole::Decode,
             Role::Mixed => WorkerRole::Mixed,
         },
-        kind: w.kind,
-        size: able.size,
-        cell: w.cell,
-        zone: w.zone,
-        is_warm: w.warm && !cold,
-        prefill_slots: able.reads_at_once,
-        max_queued_prefills: able.reads_waiting,
-        prefill_tokens_per_second: able.read_rate,
-        decode_slots: able.streams_at_once,
-        max_queued_streams: able.streams_waiting,
-        token_interval: able.token_gap,
-        state_bytes_per_token: able.state_bytes_a_token,
-        cold_capacity_share: w.terms.cold_share,
-        warm_up: w.terms.warm_after,
-        overload_multiple: w.terms.fall_multiple,
-        overload_window: w.terms.fall_span,
-        max_cached_prefixes: able.keeps,
-        script: to_come(from, now, w.script.iter().flat_map(steps).collect()),
+        kind: config.kind,
+        size: capabilities.size,
+        cell: config.cell,
+        zone: config.zone,
+        is_warm: config.warm && !cold,
+        prefill_slots: capabilities.reads_at_once,
+        max_queued_prefills: capabilities.reads_waiting,
+        prefill_tokens_per_second: capabilities.read_rate,
+        decode_slots: capabilities.streams_at_once,
+        max_queued_streams: capabilities.streams_waiting,
+        token_interval: capabilities.token_gap,
+        state_bytes_per_token: capabilities.state_bytes_a_token,
+        cold_capacity_share: config.terms.cold_share,
+        warm_up: config.terms.warm_after,
+        overload_multiple: config.terms.fall_multiple,
+        overload_window: config.terms.fall_span,
+        max_cached_prefixes: capabilities.keeps,
+        script: remaining_steps(from, now, config.script.iter().flat_map(steps).collect()),
     })
 }
 
 /// A relay whose script began at a time and that starts now.
-pub fn relay(r: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, String> {
-    let door = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
+pub fn relay(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
+    let route = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
     let since = now.saturating_sub(from);
     let ahead = from.saturating_sub(now);
     let fault = |f: &Fault| tideroute_relay::Fault {
@@ -216,17 +246,18 @@
             _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
         },
     };
-    let doors = |doors: &[Door]| doors.iter().map(door).collect::<Result<Vec<_>, String>>();
-    let (listeners, datagram_sockets) = (doors(&r.doors)?, doors(&r.datagrams)?);
+    let routes = |routes: &[Door]| routes.iter().map(route).collect::<Result<Vec<_>, ConvertError>>();
+    let (listeners, datagram_sockets) = (routes(&config.doors)?, routes(&config.datagrams)?);
     Ok(RelayConfig {
         listeners,
         datagram_sockets,
-        faults: r.faults.iter().map(fault).collect(),
-        seed: r.seed,
+        faults: config.faults.iter().map(fault).collect(),
+        seed: config.seed,
     })
 }
 
-pub fn list(l: &List, from: Micros, now: Micros) -> DiscoveryConfig {
-    let late = l.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, l.lag)]);
-    DiscoveryConfig { notification_delay: l.lag, script: to_come(from, now, late.collect()) }
+/// The settings of an endpoint list whose script began at a time and that starts now.
+pub fn list(config: &List, from: Micros, now: Micros) -> DiscoveryConfig {
+    let late = config.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, config.lag)]);
+    DiscoveryConfig { notification_delay: config.lag, script: remaining_steps(from, now, late.collect()) }
 }
