--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -309,7 +309,7 @@
             let began = std::time::Instant::now();
             let Some(group) = &mut self.nodes[n].group else { return };
             let act = group.next_output(now).map(|act| match act {
-                Output::Send { to, message: message } => (Some((to, self.seal.sign(&message))), None),
+                Output::Send { to, message } => (Some((to, self.seal.sign(&message))), None),
                 Output::StatusChanged(seen) => (None, Some(seen)),
             });
             self.spent += began.elapsed();
--- a/crates/simulation/src/process_configs.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -6,7 +6,7 @@
     Burst, Day, File, Fleet, Group, Key, Late, List, Load, Role, Router, Step, Tenant, Terms, Worker,
 };
 use tideroute_membership_checker::{FleetMembers, Partition};
-use tideroute_trace_checker::{CheckerConfig, ClassConfig, DeduplicationScope, Idempotency, WorkerConfig};
+use tideroute_trace_checker::{ClassConfig, DeduplicationScope, Idempotency, WorkerConfig};
 use tideroute_wire::Micros;
 
 use crate::direct_load::KnownWorker;
