--- a/crates/command/src/admin_commands.rs
+++ b/crates/command/src/admin_commands.rs
@@ -18,7 +18,7 @@
 /// One command of `admin`.
 #[derive(Subcommand)]
 pub enum AdminCommand {
-    /// Makes a key: prints it once, and the hash that a record or a tenant holds of it.
+    /// Makes a key: prints it once, and the hash that a configuration or a tenant holds of it.
     Key,
     /// All tenants.
     List(ApiClient),
--- a/crates/command/src/cli.rs
+++ b/crates/command/src/cli.rs
@@ -228,7 +228,7 @@
     /// When its script begins, microseconds since 1970; without it, when it starts.
     #[arg(long, alias = "script-from", value_name = "MICROS")]
     pub script_start: Option<u64>,
-    /// Redirects some addresses: a line for each, with the address and the one to dial in its place.
+    /// Redirects some addresses: a line for each, with the original address and the one to connect to in its place.
     #[arg(long, alias = "ways", value_name = "PATH", hide = true)]
     pub address_overrides: Option<PathBuf>,
     /// A skew of its clock: from, until (microseconds since 1970), rate, microseconds ahead.
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -27,7 +27,7 @@
     rules_kept: Option<bool>,
 }
 
-/// Prints one line for each way to choose a prefill worker, over the same load; a failure if a rule was broken.
+/// Prints one line for each policy to choose a prefill worker, over the same load; a failure if a rule was broken.
 pub fn run(path: &Path, seconds: u64) -> CommandResult {
     let mut measured = Measured::read(path, "tideroute-spread")?;
     measured.scenario.load.lasts = seconds * 1_000_000;
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -29,12 +29,12 @@
     let mut well = true;
     for &count in routers {
         let count = count as usize;
-        let mut crowd = MemberCluster::new(count, seed, network);
-        crowd.start_all(0..count);
-        let converged = measure_convergence(&mut crowd);
-        let quiet = measure_quiet(&mut crowd, count);
-        let detection = measure_kills(&mut crowd, count);
-        let falsely_dead = crowd.falsely_dead(0).len();
+        let mut cluster = MemberCluster::new(count, seed, network);
+        cluster.start_all(0..count);
+        let converged = measure_convergence(&mut cluster);
+        let quiet = measure_quiet(&mut cluster, count);
+        let detection = measure_kills(&mut cluster, count);
+        let falsely_dead = cluster.falsely_dead(0).len();
         well &= detection.complete && falsely_dead == 0;
         println!(
             "{count:>7}   {converged:>13.1}   {:>5.0}   {:>9.1}   {:>6.3}   {:>9}   {:.2}  {:.2}   {:.2}   {falsely_dead:>12}",
@@ -51,13 +51,13 @@
 }
 
 /// Seconds until all members know each other; runs until the end of the time that they have for it.
-fn measure_convergence(crowd: &mut MemberCluster) -> f64 {
-    let started = crowd.now();
-    while !crowd.wrong().is_empty() && crowd.now() < started + CONVERGENCE * SECOND {
-        crowd.run_for(SECOND / 2);
+fn measure_convergence(cluster: &mut MemberCluster) -> f64 {
+    let started = cluster.now();
+    while !cluster.wrong().is_empty() && cluster.now() < started + CONVERGENCE * SECOND {
+        cluster.run_for(SECOND / 2);
     }
-    let converged = (crowd.now() - started) as f64 / SECOND as f64;
-    crowd.run_until(started + CONVERGENCE * SECOND);
+    let converged = (cluster.now() - started) as f64 / SECOND as f64;
+    cluster.run_until(started + CONVERGENCE * SECOND);
     converged
 }
 
@@ -70,17 +70,19 @@
     suspicions: usize,
 }
 
-fn measure_quiet(crowd: &mut MemberCluster, count: usize) -> QuietCost {
-    let sent = |crowd: &MemberCluster| {
-        (0..count).map(|member| crowd.sent(member)).fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
+fn measure_quiet(cluster: &mut MemberCluster, count: usize) -> QuietCost {
+    let sent = |cluster: &MemberCluster| {
+        (0..count)
+            .map(|member| cluster.sent(member))
+            .fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
     };
-    let started = crowd.now();
-    let (bytes_before, datagrams_before) = sent(crowd);
-    let cpu_before = crowd.spent;
-    crowd.run_for(QUIET * SECOND);
-    let (bytes, datagrams) = sent(crowd);
-    let cpu = crowd.spent - cpu_before;
-    let suspicions = crowd
+    let started = cluster.now();
+    let (bytes_before, datagrams_before) = sent(cluster);
+    let cpu_before = cluster.spent;
+    cluster.run_for(QUIET * SECOND);
+    let (bytes, datagrams) = sent(cluster);
+    let cpu = cluster.spent - cpu_before;
+    let suspicions = cluster
         .sightings
         .iter()
         .filter(|sighting| sighting.at >= started)
@@ -112,21 +114,21 @@
 }
 
 /// Kills the last members one after the other.
-fn measure_kills(crowd: &mut MemberCluster, count: usize) -> KillDetection {
+fn measure_kills(cluster: &mut MemberCluster, count: usize) -> KillDetection {
     let mut delays = vec![];
     let mut complete = true;
     for kill in 0..KILLS.min(count - 1) {
         let killed = count - 1 - kill;
-        let killed_at = crowd.now();
-        crowd.kill(killed);
-        crowd.run_for(KILL_INTERVAL * SECOND);
+        let killed_at = cluster.now();
+        cluster.kill(killed);
+        cluster.run_for(KILL_INTERVAL * SECOND);
         let is_detection = |sighting: &&Sighting| {
             sighting.at >= killed_at
                 && sighting.seen.standing == MemberStatus::Dead
                 && sighting.seen.name == name(killed)
         };
         let known_before = delays.len();
-        delays.extend(crowd.sightings.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
+        delays.extend(cluster.sightings.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
         complete &= delays.len() - known_before == killed;
     }
     delays.sort_unstable();
--- a/crates/command/src/multi_core/tests.rs
+++ b/crates/command/src/multi_core/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::sync::Barrier;
 
-/// Starts as a fleet that is restarted makes them: all in one moment, many in each process number's place.
+/// Starts as a restarted cluster makes them: all in one moment, many with the same process id.
 #[test]
 fn no_two_of_thousands_of_starts_in_one_moment_have_the_same_origin() {
     const AT_ONCE: usize = 16;
@@ -19,7 +19,7 @@
     });
     let all: HashSet<_> = drawn.iter().flatten().collect();
     assert_eq!(all.len(), AT_ONCE * EACH);
-    // Drawn, and not counted or told by a clock: every byte varies, those of the top and of the bottom.
+    // Random, and not a counter or a clock: every byte varies, the highest and the lowest.
     for byte in 0..16 {
         let values: HashSet<_> = all.iter().map(|origin| (*origin >> (8 * byte)) as u8).collect();
         assert_eq!(values.len(), 256, "byte {byte}");
--- a/crates/command/src/process.rs
+++ b/crates/command/src/process.rs
@@ -84,7 +84,7 @@
     Ok(reactor)
 }
 
-/// Reads lines of two addresses: the one that is dialled, and the one to dial in its place.
+/// Reads lines of two addresses: the original, and the one to connect to in its place.
 fn read_address_overrides(path: &Path) -> Result<HashMap<Address, Address>, CommandError> {
     let text = std::fs::read_to_string(path).map_err(CommandError::in_file(path))?;
     let mut overrides = HashMap::new();
--- a/crates/command/tests/network_faults.rs
+++ b/crates/command/tests/network_faults.rs
@@ -65,14 +65,14 @@
     if !day.exists() {
         day = std::env::temp_dir().join(name);
     }
-    let play = Command::new(env!("CARGO_BIN_EXE_tideroute"))
+    let played = Command::new(env!("CARGO_BIN_EXE_tideroute"))
         .args(["day", &day.display().to_string(), "--out", &folder.display().to_string()])
         .args(more)
         .stdin(Stdio::null())
         .output()
         .expect("it runs");
-    let text = String::from_utf8_lossy(&play.stdout).into_owned();
-    assert!(play.status.success(), "{text}{}", String::from_utf8_lossy(&play.stderr));
+    let text = String::from_utf8_lossy(&played.stdout).into_owned();
+    assert!(played.status.success(), "{text}{}", String::from_utf8_lossy(&played.stderr));
     assert!(text.contains("rules: all kept"), "{text}");
     folder
 }
--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Kills a member without a word to the others.
+    /// Kills a member; it does not tell the others.
     pub fn kill(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         (node.group, node.paused, node.wakes_at) = (None, false, Micros::MAX);
--- a/crates/simulation/src/prefill_policies.rs
+++ b/crates/simulation/src/prefill_policies.rs
@@ -22,7 +22,7 @@
     FewestOwn,
     /// Of two random workers the one with fewer prefills, by current load.
     TwoChoices,
-    /// The worker with the fewest prefills, by load information of [`GOSSIP_DELAY`] ago.
+    /// The worker with the fewest prefills, by load information of some rounds of gossip ago.
     Greedy,
     /// The worker with the fewest prefills, by current load.
     Perfect,
--- a/crates/simulation/src/prefill_policies/tests.rs
+++ b/crates/simulation/src/prefill_policies/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// How many of 200 reads in one moment each of ten readers gets.
+/// How many of 200 prefills in one moment each of ten workers gets.
 fn counts(policy: PrefillPolicy) -> Vec<usize> {
     let workers: Vec<(Address, f64)> = (0..10).map(|n| ([127, 0, 0, n, 0, 1], 1.0)).collect();
     let (mut chooser, mut counts) = (PrefillChooser::new(policy, 50, 3), vec![0; 10]);
@@ -24,7 +24,7 @@
         spread(PrefillPolicy::Greedy) > spread(PrefillPolicy::TwoChoices),
         "without news greedy is random"
     );
-    // Once news have come of a reader that was empty, all go there until other news come.
+    // Once an update says that a worker is idle, all go there until the next update arrives.
     let workers: Vec<(Address, f64)> = (0..10).map(|n| ([127, 0, 0, n, 0, 1], 1.0)).collect();
     let mut greedy = PrefillChooser::new(PrefillPolicy::Greedy, 50, 3);
     (1..10).for_each(|n| greedy.record(0, n, workers[n].0, true));
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -77,7 +77,7 @@
     pub figures: serde_json::Value,
     /// The table of the client load.
     pub table: String,
-    /// Expectations of the day, each with what was seen and whether it held.
+    /// Expectations of the scenario, each with what was seen and whether it held.
     pub expected: Vec<(String, String, bool)>,
     /// The most memory of each process, in bytes.
     pub memory: BTreeMap<String, u64>,
@@ -140,7 +140,7 @@
 }
 
 /// Plays a scenario without routers: its load goes directly to workers, with that policy to choose prefill workers
-/// ([`PrefillPolicy`](crate::prefill_policies::Way)). Returns where the capture is.
+/// ([`PrefillPolicy`](crate::prefill_policies::PrefillPolicy)). Returns where the capture is.
 pub fn play_direct(
     day: &Day,
     program: &Path,
