--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -24,6 +24,8 @@
 
 #[path = "soak/clients.rs"]
 mod clients;
+#[path = "soak/discovery.rs"]
+mod discovery;
 #[path = "soak/faults.rs"]
 mod faults;
 #[path = "soak/fleet.rs"]
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -1,27 +1,22 @@
-//! The processes of a run: routers, workers and the proxies before them; and discovery, which the test itself runs.
+//! The processes of a run: routers, workers and the proxies before them.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
-use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicI64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
 use tideroute_test_support::judge::Judge;
 use tideroute_test_support::process::{free, Running};
-use tideroute_test_support::text::{chunk, BEGAN, MS};
+use tideroute_test_support::text::BEGAN;
 use tideroute_wire::Micros;
 
+use crate::discovery::Discovery;
 use crate::{Failure, ROLE};
 
-/// Discovery's heartbeat.
-const HEARTBEAT: Duration = Duration::from_millis(1_000);
-/// How long the old address of discovery still serves the watches that it has.
-const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1_500);
-/// How long a change may take to arrive, whatever becomes of the watch, also after a reload.
-const NOTIFICATION_LIMIT: Micros = 6_000 * MS;
 /// How long a process may take to listen.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -40,9 +35,9 @@
 
 pub struct Router {
     pub listen: String,
-    config: PathBuf,
+    pub config: PathBuf,
     life: Mutex<Arc<Life>>,
-    restarts: Mutex<()>,
+    pub restarts: Mutex<()>,
 }
 
 impl Router {
@@ -59,24 +54,6 @@
     own: String,
 }
 
-/// An open watch: at which of discovery's addresses, and whether it has fallen silent.
-struct Watch {
-    stream: TcpStream,
-    address: usize,
-    silent: bool,
-}
-
-#[derive(Default)]
-struct Discovery {
-    addresses: [String; 2],
-    current: AtomicUsize,
-    down: AtomicBool,
-    watches: Mutex<Vec<Watch>>,
-    list: Mutex<(u64, Vec<Value>)>,
-    /// Until then what is told may come late.
-    late_until: AtomicU64,
-}
-
 pub struct Fleet {
     pub judge: Arc<Judge>,
     pub seed: u64,
@@ -86,7 +63,7 @@
     pub over: AtomicBool,
     routers: OnceLock<Vec<Router>>,
     lives: AtomicUsize,
-    discovery: Discovery,
+    pub discovery: Discovery,
     control: String,
 }
 
@@ -150,7 +127,7 @@
         self.over.load(Ordering::SeqCst)
     }
 
-    fn configuration(&self, listen: &str) -> Value {
+    pub fn configuration(&self, listen: &str) -> Value {
         let current = self.discovery.current.load(Ordering::SeqCst);
         let mut file = self.judge.customer.file.clone();
         (file["listen"], file["discovery"]) = (json!(listen), json!(self.discovery.addresses[current]));
@@ -266,13 +243,13 @@
         }
     }
 
-    fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
+    pub fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
         let mut entry = self.judge.customer.entry(worker, state, started_ms);
         entry["addr"] = json!(self.workers[worker].address);
         entry
     }
 
-    fn list(&self) -> Value {
+    pub fn list(&self) -> Value {
         let (version, servers) = &*lock(&self.discovery.list);
         json!({"version": version, "full": true, "servers": servers})
     }
@@ -283,112 +260,6 @@
         now.saturating_add_signed(self.clock_ahead_ms.load(Ordering::SeqCst))
     }
 
-    /// Discovery notifies all routers of a worker, as far as it reaches them.
-    pub fn notify(&self, worker: usize, state: &str, started_ms: u64) {
-        let entry = self.entry(worker, state, started_ms);
-        let version = {
-            let mut list = lock(&self.discovery.list);
-            (list.0, list.1[worker]) = (list.0 + 1, entry.clone());
-            list.0
-        };
-        self.judge.note(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
-        self.send_to_watches(&format!(
-            "{}\n",
-            json!({"version": version, "full": false, "servers": [entry]})
-        ));
-        let told = self.judge.now().max(self.discovery.late_until.load(Ordering::SeqCst));
-        self.judge.told(worker, (state == "DRAINING").then_some(told));
-    }
-
-    /// Says a line on all watches that are not silent.
-    fn send_to_watches(&self, line: &str) {
-        let line = chunk(line);
-        if self.discovery.down.load(Ordering::SeqCst) {
-            return;
-        }
-        lock(&self.discovery.watches)
-            .retain_mut(|watch| watch.silent || watch.stream.write_all(line.as_bytes()).is_ok());
-    }
-
-    /// What is told from now on, for so long, may come late.
-    fn allow_late(&self, lasts: Duration) {
-        let until = self.judge.now() + lasts.as_micros() as Micros + NOTIFICATION_LIMIT;
-        self.discovery.late_until.fetch_max(until, Ordering::SeqCst);
-    }
-
-    /// All open watches fall silent, with no error.
-    pub fn watches_fall_silent(&self) {
-        self.allow_late(Duration::ZERO);
-        lock(&self.discovery.watches).iter_mut().for_each(|watch| watch.silent = true);
-    }
-
-    /// All open watches end, some in half a line.
-    pub fn watches_break(&self, in_half_a_line: bool) {
-        self.allow_late(Duration::ZERO);
-        for mut watch in lock(&self.discovery.watches).drain(..) {
-            if in_half_a_line {
-                let line = chunk(&format!("{}\n", self.list()));
-                let _ = watch.stream.write_all(&line.as_bytes()[..line.len() / 2]);
-            }
-        }
-    }
-
-    /// Discovery can't be reached for so long.
-    pub fn discovery_is_down(&self, lasts: Duration) {
-        self.allow_late(lasts);
-        self.discovery.down.store(true, Ordering::SeqCst);
-        lock(&self.discovery.watches).clear();
-        std::thread::sleep(lasts);
-        self.discovery.down.store(false, Ordering::SeqCst);
-    }
-
-    /// New configurations move discovery to its other address; their files are whole only a while after the signal, if
-    /// that is asked for.
-    pub fn discovery_moves(&self, half_written: bool, signal: impl Fn(&Life)) -> Result<(), Failure> {
-        self.allow_late(OLD_ADDRESS_GRACE);
-        let old = self.discovery.current.fetch_xor(1, Ordering::SeqCst);
-        for router in self.routers() {
-            // No router starts by half a file.
-            let _no_restart = lock(&router.restarts);
-            let text = self.configuration(&router.listen).to_string();
-            if half_written {
-                std::fs::write(&router.config, &text[..text.len() / 2])?;
-                signal(&router.life());
-                std::thread::sleep(Duration::from_millis(100));
-            }
-            let fresh = router.config.with_extension("fresh");
-            std::fs::write(&fresh, &text)?;
-            std::fs::rename(&fresh, &router.config)?;
-            if !half_written {
-                signal(&router.life());
-            }
-        }
-        std::thread::sleep(OLD_ADDRESS_GRACE);
-        lock(&self.discovery.watches).retain(|watch| watch.address != old);
-        Ok(())
-    }
-
-    fn accept_watches(&self, address: usize, door: &TcpListener) {
-        for mut stream in door.incoming().flatten() {
-            let elsewhere = self.discovery.current.load(Ordering::SeqCst) != address;
-            if elsewhere || self.discovery.down.load(Ordering::SeqCst) {
-                continue;
-            }
-            let line = chunk(&format!("{}\n", self.list()));
-            let head = format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{line}");
-            if stream.write_all(head.as_bytes()).is_ok() {
-                lock(&self.discovery.watches).push(Watch { stream, address, silent: false });
-            }
-        }
-    }
-
-    fn send_heartbeats(&self) {
-        while !self.is_over() {
-            std::thread::sleep(HEARTBEAT);
-            self.send_to_watches("\n");
-        }
-    }
-
     /// Ends all processes, whoever still holds the fleet.
     pub fn end(&self) {
         self.over.store(true, Ordering::SeqCst);
