--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,64 +1,89 @@
-//! What is to go wrong, and how often.
+//! The fault plan: which faults are injected, how often, and when.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A plan, as words of the form `key=value` between semicolons.
+/// Which faults are injected into a process. Rates are probabilities of one call, from 0 to 1.
 #[derive(Debug, Default)]
-pub struct Plan {
-    draws: AtomicU64,
-    /// The part of calls on sockets that fail outright.
-    pub fail: f64,
-    /// The part of reads and writes that are cut short.
-    pub short: f64,
-    /// The part of calls that a signal interrupts.
-    pub interrupt: f64,
-    /// The part of calls on files that fail.
-    pub files: f64,
-    /// Calls fail from then on, and until then, in milliseconds since the process began.
+pub struct FaultPlan {
+    /// State of the random number generator (SplitMix64), whose first value is the seed.
+    random_state: AtomicU64,
+    /// Rate of calls on sockets that fail outright.
+    pub socket_failure_rate: f64,
+    /// Rate of reads and writes on sockets that transfer fewer bytes than asked.
+    pub partial_transfer_rate: f64,
+    /// Rate of calls on sockets that a signal interrupts.
+    pub interrupt_rate: f64,
+    /// Rate of calls on files that fail.
+    pub file_failure_rate: f64,
+    /// Age of the process, in milliseconds, from which on calls fail.
     pub from_ms: i64,
+    /// Age of the process, in milliseconds, at which calls stop failing.
     pub until_ms: i64,
-    /// The wall clock is so many milliseconds ahead from that age on.
-    pub steps: Vec<Step>,
+    /// Steps of the wall clock, in the order of the plan; the last one that is due holds.
+    pub clock_steps: Vec<ClockStep>,
 }
 
-/// The wall clock is stepped at an age of the process.
-#[derive(Clone, Copy, Debug)]
-pub struct Step {
+/// From an age of the process on, the wall clock differs from the machine's by an offset.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct ClockStep {
+    /// Age of the process, in milliseconds.
     pub at_ms: i64,
-    pub ahead_ms: i64,
+    /// Milliseconds by which the wall clock is ahead of the machine's; behind it if negative.
+    pub offset_ms: i64,
 }
 
-impl Plan {
-    /// Reads a plan; an unknown key or a value that is none is an error that names it.
-    pub fn read(text: &str) -> Result<Plan, String> {
-        let mut plan = Plan { until_ms: i64::MAX, ..Plan::default() };
-        for word in text.split(';').filter(|word| !word.is_empty()) {
-            let (key, value) = word.split_once('=').ok_or(format!("{word}: expected key=value"))?;
-            let bad = || format!("{word}: {value} is no value for {key}");
-            let part = || value.parse().ok().filter(|p| (0.0..=1.0).contains(p)).ok_or_else(bad);
-            let whole = || value.parse::<i64>().map_err(|_| bad());
+/// Why a plan does not parse, with the part of it that is wrong.
+#[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
+pub enum PlanError {
+    /// A part is not of the form `key=value`.
+    #[error("{0}: expected key=value")]
+    NotAPair(String),
+    /// The value is not a number, or out of the range of its key.
+    #[error("{pair}: {value} is no value for {key}")]
+    BadValue {
+        /// The part of the plan.
+        pair: String,
+        /// Its key.
+        key: String,
+        /// Its value.
+        value: String,
+    },
+    /// A plan has no such key.
+    #[error("{0}: no such key")]
+    UnknownKey(String),
+}
+
+impl FaultPlan {
+    /// Parses a plan: `key=value` pairs with semicolons between them. Keys are `seed`, the rates `fail`, `short`,
+    /// `interrupt` and `files`, the ages `from` and `until` in milliseconds, and `wall=OFFSET_MS@AGE_MS`, which may
+    /// stand more than once.
+    pub fn parse(text: &str) -> Result<FaultPlan, PlanError> {
+        let mut plan = FaultPlan { until_ms: i64::MAX, ..FaultPlan::default() };
+        for pair in text.split(';').filter(|pair| !pair.is_empty()) {
+            let (key, value) = pair.split_once('=').ok_or_else(|| PlanError::NotAPair(pair.to_string()))?;
+            let bad_value = || PlanError::BadValue {
+                pair: pair.to_string(),
+                key: key.to_string(),
+                value: value.to_string(),
+            };
             match key {
-                "seed" => plan.draws = AtomicU64::new(value.parse().map_err(|_| bad())?),
-                "fail" => plan.fail = part()?,
-                "short" => plan.short = part()?,
-                "interrupt" => plan.interrupt = part()?,
-                "files" => plan.files = part()?,
-                "from" => plan.from_ms = whole()?,
-                "until" => plan.until_ms = whole()?,
-                "wall" => {
-                    let (ahead, at) = value.split_once('@').ok_or_else(bad)?;
-                    let number = |text: &str| text.parse::<i64>().map_err(|_| bad());
-                    plan.steps.push(Step { at_ms: number(at)?, ahead_ms: number(ahead)? });
-                }
-                _ => return Err(format!("{key}: no such key")),
+                "seed" => plan.random_state = AtomicU64::new(value.parse().map_err(|_| bad_value())?),
+                "fail" => plan.socket_failure_rate = parse_rate(value).ok_or_else(bad_value)?,
+                "short" => plan.partial_transfer_rate = parse_rate(value).ok_or_else(bad_value)?,
+                "interrupt" => plan.interrupt_rate = parse_rate(value).ok_or_else(bad_value)?,
+                "files" => plan.file_failure_rate = parse_rate(value).ok_or_else(bad_value)?,
+                "from" => plan.from_ms = value.parse().map_err(|_| bad_value())?,
+                "until" => plan.until_ms = value.parse().map_err(|_| bad_value())?,
+                "wall" => plan.clock_steps.push(parse_clock_step(value).ok_or_else(bad_value)?),
+                _ => return Err(PlanError::UnknownKey(key.to_string())),
             }
         }
         Ok(plan)
     }
 
-    /// How far ahead the wall clock is at an age of the process.
-    pub fn ahead_ms(&self, age_ms: i64) -> i64 {
-        self.steps.iter().rfind(|step| step.at_ms <= age_ms).map_or(0, |step| step.ahead_ms)
+    /// Milliseconds by which the wall clock is ahead at an age of the process.
+    pub fn clock_offset_ms(&self, age_ms: i64) -> i64 {
+        self.clock_steps.iter().rfind(|step| step.at_ms <= age_ms).map_or(0, |step| step.offset_ms)
     }
 
     /// Whether calls may fail at an age of the process.
@@ -66,16 +91,26 @@
         (self.from_ms..self.until_ms).contains(&age_ms)
     }
 
-    /// The next number between 0 and 1 (SplitMix64).
-    pub fn draw(&self) -> f64 {
-        let mut z = self.draws.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+    /// The next random number, from 0 to below 1 (SplitMix64).
+    pub fn random_unit(&self) -> f64 {
+        let mut z = self.random_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// One of several, by chance.
-    pub fn one_of(&self, all: &[i32]) -> i32 {
-        all[((self.draw() * all.len() as f64) as usize).min(all.len() - 1)]
+    /// One of several error numbers, each as probable as the others.
+    pub fn choose(&self, errors: &[i32]) -> i32 {
+        let index = (self.random_unit() * errors.len() as f64) as usize;
+        errors[index.min(errors.len() - 1)]
     }
 }
+
+fn parse_rate(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|rate| (0.0..=1.0).contains(rate))
+}
+
+fn parse_clock_step(text: &str) -> Option<ClockStep> {
+    let (offset, at) = text.split_once('@')?;
+    Some(ClockStep { at_ms: at.parse().ok()?, offset_ms: offset.parse().ok()? })
+}
