--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use tideroute_wire::{client, frame, say_hello_with, Malformed, Party};
 
-use tideroute_test_support::process::{free, until, PATIENCE};
+use tideroute_test_support::process::{unused_address, wait_for, TEST_TIMEOUT};
 
 const KEY: &str = "a-key-for-tests";
 
@@ -26,7 +26,7 @@
         let folder = std::env::temp_dir().join(format!("tideroute-admin-{what}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut running = Running { folder, child: None, listen: free(), admin: free() };
+        let mut running = Running { folder, child: None, listen: unused_address(), admin: unused_address() };
         let hash = blake3::hash(KEY.as_bytes()).to_hex();
         let record = format!(
             r#"router: {{
@@ -37,7 +37,7 @@
 	admin: {{listen: "{}", store: "{}", keys: [{{name: "ann", key: "{hash}", role: "own"}}]}}
 }}"#,
             running.listen,
-            free(),
+            unused_address(),
             running.admin,
             running.folder.join("tenants.redb").display()
         );
@@ -55,7 +55,7 @@
             .spawn()
             .expect("it starts");
         self.child = Some(child);
-        until(|| TcpStream::connect(&self.listen).and(TcpStream::connect(&self.admin)).ok());
+        wait_for(|| TcpStream::connect(&self.listen).and(TcpStream::connect(&self.admin)).ok());
     }
 
     fn kill(&mut self) {
@@ -140,7 +140,7 @@
 impl Client {
     fn new(running: &Running, key: &str) -> Client {
         let stream = TcpStream::connect(&running.listen).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         let mut client = Client { stream, arrived: BytesMut::new(), heard: Heard::default(), number: 0 };
         client.say(&say_hello_with(Party::Client, "test", key.as_bytes()));
         client
@@ -200,7 +200,7 @@
         if shown.lines().any(|line| line.starts_with("harbour") && line.contains(" 8 ")) {
             break shown;
         }
-        assert!(began.elapsed() < PATIENCE, "the figures never came: {shown}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "the figures never came: {shown}");
         std::thread::sleep(Duration::from_millis(50));
     };
     assert!(shown.starts_with("tenant"), "{shown}");
--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -14,7 +14,7 @@
 use tideroute::rng::Rng;
 use tideroute_test_support::customer::Customer;
 use tideroute_test_support::judge::{Judge, Report};
-use tideroute_test_support::process::{free, signal, until, Running};
+use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
 use tideroute_test_support::text::{ask_for, chunk, MS};
 use tideroute_test_support::worker::{self, waits, Surroundings, LOOKS};
 use tideroute_wire::Micros;
@@ -245,7 +245,7 @@
 
 /// A router's process, its configuration and where it listens.
 struct Router {
-    running: Running,
+    running: KillOnDrop,
     path: PathBuf,
     log: PathBuf,
     listen: String,
@@ -262,7 +262,7 @@
 
 fn router(fleet: &Fleet, discovery: &str, seed: u64, number: usize) -> Router {
     let mut file = fleet.judge.customer.file.clone();
-    let listen = free().replace("127.0.0.1", &format!("127.3.{}.{}", seed % 250 + 1, number + 1));
+    let listen = unused_address().replace("127.0.0.1", &format!("127.3.{}.{}", seed % 250 + 1, number + 1));
     (file["listen"], file["discovery"], file["known"]) = (json!(listen), json!(discovery), fleet.list());
     let path =
         std::env::temp_dir().join(format!("tideroute-customer-{seed}-{number}-{}.json", std::process::id()));
@@ -271,8 +271,8 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
     command.args(["--log", "debug", "platform"]).env("EDGE_CONFIG", &path).stdin(Stdio::null());
     command.stderr(std::fs::File::create(&log).expect("a log"));
-    let running = Running(command.spawn().expect("it runs"));
-    until(|| {
+    let running = KillOnDrop(command.spawn().expect("it runs"));
+    wait_for(|| {
         let mut stream = TcpStream::connect(&listen).ok()?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").ok()?;
         let mut answer = [0; 12];
@@ -310,7 +310,7 @@
                 std::thread::sleep(BUSY / 2);
                 let router = &routers[0];
                 router.killed.store(seed % 8 == 1, Ordering::SeqCst);
-                signal(&router.running.0, if seed % 8 == 1 { "-KILL" } else { "-TERM" });
+                send_signal(&router.running.0, if seed % 8 == 1 { "-KILL" } else { "-TERM" });
                 // What a router held when it was killed is nobody's duty any more.
                 let asked = router.asked.lock().expect("nobody panics with it");
                 asked.iter().filter(|_| seed % 8 == 1).for_each(|n| fleet.judge.checker().router_killed(*n));
--- a/crates/command/tests/deployed.rs
+++ b/crates/command/tests/deployed.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 use tideroute_test_support::fixture;
-use tideroute_test_support::process::{free, until, Running};
+use tideroute_test_support::process::{unused_address, wait_for, KillOnDrop};
 
 /// A value of the deploy file, which has one assignment a line.
 fn line(key: &str) -> String {
@@ -19,13 +19,13 @@
 }
 
 /// `run`, but with the binary under test in place of the release build.
-fn started(config: &std::path::Path) -> Running {
+fn started(config: &std::path::Path) -> KillOnDrop {
     let program = env!("CARGO_BIN_EXE_tideroute");
     let run = line("run").replace("target/release/tideroute", program);
     assert!(run.contains(program), "{run}");
     let mut command = Command::new("/bin/sh");
     command.arg("-c").arg(run).env("EDGE_CONFIG", config);
-    Running(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap())
+    KillOnDrop(command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap())
 }
 
 fn read(pid: u32, file: &str) -> String {
@@ -59,14 +59,14 @@
 
 #[test]
 fn run_is_one_process_that_waits_without_spinning() {
-    let (listen, mut file) = (free(), fixture::file());
+    let (listen, mut file) = (unused_address(), fixture::file());
     // Nobody is at discovery: it has nothing to do but to ask again.
-    (file["listen"], file["discovery"]) = (json!(listen), json!(free()));
+    (file["listen"], file["discovery"]) = (json!(listen), json!(unused_address()));
     let path = std::env::temp_dir().join(format!("deployed-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).unwrap();
     let mut running = started(&path);
     let pid = running.0.id();
-    until(|| {
+    wait_for(|| {
         assert!(running.0.try_wait().unwrap().is_none(), "it ended");
         TcpStream::connect(&listen).ok()
     });
--- a/crates/command/tests/endings.rs
+++ b/crates/command/tests/endings.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 
 use tideroute_test_support::fixture::WORKERS;
-use tideroute_test_support::process::{free, signal, until, Running, PATIENCE};
+use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop, TEST_TIMEOUT};
 use tideroute_test_support::text::{ask, ask_for, chunk, plain, unchunked, EVENTS, HEAD, NEVER_RAN, READ};
 use tideroute_test_support::{fixture, text};
 
@@ -77,7 +77,7 @@
 }
 
 struct Rig {
-    running: Running,
+    running: KillOnDrop,
     path: PathBuf,
     file: Value,
     calls: Receiver<Call>,
@@ -112,7 +112,7 @@
         file["discovery"] = json!(discovery.local_addr().expect("an address").to_string());
         // An address of its own: no listener of another test is given its port meanwhile.
         let number = RIGS.fetch_add(1, Ordering::Relaxed);
-        let own = free().replace("127.0.0.1", &format!("127.1.1.{number}"));
+        let own = unused_address().replace("127.0.0.1", &format!("127.1.1.{number}"));
         (file["listen"], file["known"]) = (json!(own), list);
         set(&mut file);
         listen(discovery, DISCOVERY, sender.clone());
@@ -122,13 +122,13 @@
         let script = format!("{limit} exec {} platform", env!("CARGO_BIN_EXE_tideroute"));
         let mut command = Command::new("sh");
         command.args(["-c", &script]).env("EDGE_CONFIG", &path).stdin(Stdio::null());
-        let running = Running(command.spawn().expect("it runs"));
-        let mut watch = calls.recv_timeout(PATIENCE).expect("a watch");
+        let running = KillOnDrop(command.spawn().expect("it runs"));
+        let mut watch = calls.recv_timeout(TEST_TIMEOUT).expect("a watch");
         assert!(watch.at == DISCOVERY && watch.text.starts_with("GET /discovery/hosts?watch=1&after="));
         watch.say("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         watch.say(chunk(&format!("{}\n", file["known"])));
         let mut rig = Rig { running, path, file, calls, early: VecDeque::new(), watch, _sender: sender };
-        until(|| (rig.up() == 200).then_some(()));
+        wait_for(|| (rig.up() == 200).then_some(()));
         rig
     }
 
@@ -149,7 +149,7 @@
     fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.file["listen"].as_str().expect("an address")).expect("a door");
         stream.set_nodelay(true).expect("no delay");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
         stream
     }
 
@@ -161,7 +161,7 @@
 
     /// The next call that begins so; probes are answered, and what else comes is kept.
     fn call(&mut self, begins: &str) -> Call {
-        self.call_within(begins, PATIENCE).unwrap_or_else(|| panic!("no call that begins with {begins}"))
+        self.call_within(begins, TEST_TIMEOUT).unwrap_or_else(|| panic!("no call that begins with {begins}"))
     }
 
     fn call_within(&mut self, begins: &str, time: Duration) -> Option<Call> {
@@ -205,11 +205,11 @@
     }
 
     fn signal(&self, name: &str) {
-        signal(&self.running.0, name);
+        send_signal(&self.running.0, name);
     }
 
     fn ended(&mut self) -> ExitStatus {
-        until(|| self.running.0.try_wait().expect("its end"))
+        wait_for(|| self.running.0.try_wait().expect("its end"))
     }
 }
 
@@ -431,7 +431,7 @@
     let mut rig = Rig::new("room", without_places);
     let (mut client, _, mut writer) = rig.read("room", "once");
     rig.file["settings"]["classes"][2]["key_ttl_ms"] = json!(0);
-    rig.file["discovery"] = json!(free());
+    rig.file["discovery"] = json!(unused_address());
     std::fs::write(&rig.path, rig.file.to_string()).expect("a file");
     rig.signal("-HUP");
     // Its watch stays where it is, and a change on it is heard.
@@ -488,7 +488,7 @@
         pours.write_all(b"0\r\n\r\n").expect("the router goes on");
     });
     let began = Instant::now();
-    until(|| (began.elapsed() > Duration::from_secs(6)).then_some(()));
+    wait_for(|| (began.elapsed() > Duration::from_secs(6)).then_some(()));
     let whole = answer(&mut slow);
     poured.join().expect("all was taken");
     assert!(whole.ends_with("0\r\n\r\n") && whole.len() > 400 * 60_000);
@@ -576,7 +576,7 @@
     let mut rig = Rig::new("owes", without_places);
     let (client, _, _writer) = rig.read("owes", "safe");
     rig.signal("-TERM");
-    until(|| (rig.up() == 503).then_some(()));
+    wait_for(|| (rig.up() == 503).then_some(()));
     drop(client);
     let mut release = rig.call(RELEASE);
     assert!(rig.running.0.try_wait().expect("its state").is_none());
@@ -640,7 +640,7 @@
     };
     let (pid, began) = (rig.running.0.id(), Instant::now());
     let before = used(pid);
-    until(|| (began.elapsed() > Duration::from_secs(1)).then_some(()));
+    wait_for(|| (began.elapsed() > Duration::from_secs(1)).then_some(()));
     let ticks = used(pid) - before;
     assert!(ticks < 30, "{ticks} hundredths of a second of processor time in one");
     drop(idle);
--- a/crates/command/tests/fleet.rs
+++ b/crates/command/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Stdio};
 
 use tideroute_test_support::process;
-use tideroute_test_support::process::{free, until, Running};
+use tideroute_test_support::process::{unused_address, wait_for, KillOnDrop};
 
 /// Loss, a kill, halts, three that are back at once, and a cut in two: judged by the record alone.
 #[test]
@@ -41,7 +41,7 @@
     }
 
     fn record(&self, n: usize, key: &str) -> PathBuf {
-        let (listen, list, at, seed) = (free(), free(), &self.doors[n], &self.doors[0]);
+        let (listen, list, at, seed) = (unused_address(), unused_address(), &self.doors[n], &self.doors[0]);
         let text = format!(
             r#"router: {{
 	name: "r{n}", listen: "{listen}", list: "{list}"
@@ -56,11 +56,11 @@
         path
     }
 
-    fn start(&self, path: &Path) -> Running {
+    fn start(&self, path: &Path) -> KillOnDrop {
         let log = std::fs::File::create(path.with_extension("log")).expect("a log");
         let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
         command.arg("router").arg(path).stdin(Stdio::null()).stderr(log);
-        Running(command.spawn().expect("it starts"))
+        KillOnDrop(command.spawn().expect("it starts"))
     }
 }
 
@@ -85,7 +85,7 @@
     let records: Vec<_> = (0..3).map(|n| fleet.record(n, KEY)).collect();
     let mut running: Vec<_> = records.iter().map(|r| fleet.start(r)).collect();
     let seen = |n: usize, word: &str, code: i32| {
-        until(|| {
+        wait_for(|| {
             let (ended, said) = status(&records[n]);
             (ended == Some(code) && said.contains(word)).then_some(said)
         })
@@ -94,20 +94,22 @@
     assert!(all.contains("of the others 2 see the same, 0 differ, 0 do not answer"), "{all}");
     assert!(fleet.doors[..3].iter().all(|door| all.contains(door)), "{all}");
     // Who is told to end says goodbye; who is killed is missed.
-    process::signal(&running[2].0, "-TERM");
+    process::send_signal(&running[2].0, "-TERM");
     assert!(running[2].0.wait().expect("it ends").success());
     seen(0, "2 there, 0 suspected, 0 dead, 1 left", 0);
     drop(running.pop());
     drop(running.pop());
     let alone = seen(0, "1 dead, 1 left", 1);
     assert!(alone.contains("ALONE"), "{alone}");
-    until(|| {
+    wait_for(|| {
         std::fs::read_to_string(records[0].with_extension("log")).ok()?.contains("alone: ").then_some(())
     });
     // With another key it is of no fleet that it could see, says so, and hears no answer with the right one.
     let stranger = fleet.record(3, &KEY.replace('7', "8"));
     let _stranger = fleet.start(&stranger);
-    until(|| std::fs::read_to_string(stranger.with_extension("log")).ok()?.contains("alone: ").then_some(()));
+    wait_for(|| {
+        std::fs::read_to_string(stranger.with_extension("log")).ok()?.contains("alone: ").then_some(())
+    });
     let wrong = fleet.record(3, KEY);
     let (code, said) = status(&wrong);
     assert!(code == Some(2) && said.contains("r3 does not answer"), "{said}");
--- a/crates/command/tests/platform.rs
+++ b/crates/command/tests/platform.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{json, Value};
 
-use tideroute_test_support::process::{free, signal, until, Running};
+use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
 use tideroute_test_support::text::{EVENTS, NEVER_RAN, READ};
 use tideroute_test_support::{fixture, text};
 
@@ -246,14 +246,14 @@
     drains["version"] = json!(6);
     drains["servers"][2]["state"] = json!("DRAINING");
     let (old, new) = (discovery(seen.clone(), list.clone()), discovery(seen.clone(), drains));
-    let (router, mut file) = (free(), fixture::file());
+    let (router, mut file) = (unused_address(), fixture::file());
     (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old), list);
     let path = std::env::temp_dir().join(format!("tideroute-platform-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
     command.arg("platform").env("EDGE_CONFIG", &path).stdin(Stdio::null());
-    let mut running = Running(command.spawn().expect("it runs"));
-    until(|| up(&router));
+    let mut running = KillOnDrop(command.spawn().expect("it runs"));
+    wait_for(|| up(&router));
     let (stop, began) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
@@ -261,18 +261,18 @@
             std::thread::spawn(move || client(seen, n, router, stop))
         })
         .collect();
-    until(|| (began.elapsed() >= NEW_FILE).then_some(()));
+    wait_for(|| (began.elapsed() >= NEW_FILE).then_some(()));
     file["discovery"] = json!(new);
     std::fs::write(&path, file.to_string()).expect("a file");
-    signal(&running.0, "-HUP");
-    until(|| look(&seen, |s| s.drained.get(&2).copied()));
-    until(|| (began.elapsed() >= END).then_some(()));
-    signal(&running.0, "-TERM");
-    signal(&running.0, "-TERM");
-    until(|| (began.elapsed() >= ASKS).then_some(()));
+    send_signal(&running.0, "-HUP");
+    wait_for(|| look(&seen, |s| s.drained.get(&2).copied()));
+    wait_for(|| (began.elapsed() >= END).then_some(()));
+    send_signal(&running.0, "-TERM");
+    send_signal(&running.0, "-TERM");
+    wait_for(|| (began.elapsed() >= ASKS).then_some(()));
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().expect("a client"));
-    let ended = until(|| running.0.try_wait().expect("its end"));
+    let ended = wait_for(|| running.0.try_wait().expect("its end"));
     assert_eq!(ended.code(), Some(0));
     let _ = std::fs::remove_file(&path);
     look(&seen, |s| {
--- a/crates/command/tests/program.rs
+++ b/crates/command/tests/program.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-use tideroute_test_support::process::{signal, until, PATIENCE};
+use tideroute_test_support::process::{send_signal, wait_for, TEST_TIMEOUT};
 
 fn tideroute() -> Command {
     Command::new(env!("CARGO_BIN_EXE_tideroute"))
@@ -142,11 +142,11 @@
             .spawn()
             .expect("it starts");
         // The list, six workers, two routers, the load and the day itself.
-        until(|| (processes(&folder.0).len() >= 11).then_some(()));
-        signal(&day, how);
-        let status = until(|| day.try_wait().expect("a child"));
+        wait_for(|| (processes(&folder.0).len() >= 11).then_some(()));
+        send_signal(&day, how);
+        let status = wait_for(|| day.try_wait().expect("a child"));
         assert!(!status.success());
-        until(|| processes(&folder.0).is_empty().then_some(()));
+        wait_for(|| processes(&folder.0).is_empty().then_some(()));
     }
 }
 
@@ -168,8 +168,8 @@
 }
 
 fn connect(port: u16) -> TcpStream {
-    let stream = until(|| TcpStream::connect(("127.0.0.1", port)).ok());
-    stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+    let stream = wait_for(|| TcpStream::connect(("127.0.0.1", port)).ok());
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a timeout");
     stream
 }
 
@@ -228,8 +228,8 @@
     let second = run(&["router", &file]);
     assert_eq!(second.status.code(), Some(2));
     assert!(text(&second.stderr).contains("cannot listen"), "{}", text(&second.stderr));
-    signal(&router, "-TERM");
-    assert!(until(|| router.try_wait().expect("a child")).success());
+    send_signal(&router, "-TERM");
+    assert!(wait_for(|| router.try_wait().expect("a child")).success());
 }
 
 #[test]
@@ -256,7 +256,7 @@
         let read = c.read(&mut [0; 8]);
         !matches!(&read, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
     };
-    let gone = until(|| {
+    let gone = wait_for(|| {
         let gone = clients.iter_mut().filter_map(|c| ended(c).then_some(())).count();
         (gone > 0).then_some(gone)
     });
@@ -267,6 +267,6 @@
     for _ in 0..24 {
         connect(port).write_all(&hello).expect("it is sent");
     }
-    signal(&router, "-TERM");
-    assert!(until(|| router.try_wait().expect("a child")).success());
+    send_signal(&router, "-TERM");
+    assert!(wait_for(|| router.try_wait().expect("a child")).success());
 }
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{json, Value};
 use tideroute_test_support::judge::Judge;
-use tideroute_test_support::process::{free, Running};
+use tideroute_test_support::process::{unused_address, KillOnDrop};
 use tideroute_test_support::text::{chunk, BEGAN, MS};
 use tideroute_wire::Micros;
 
@@ -31,7 +31,7 @@
 
 /// One life of a router's process.
 pub struct Life {
-    pub running: Mutex<Running>,
+    pub running: Mutex<KillOnDrop>,
     /// It was killed: what it held is nobody's duty any more.
     pub killed: AtomicBool,
     /// The requests that were asked of it.
@@ -52,8 +52,8 @@
 }
 
 pub struct Worker {
-    pub running: Mutex<Running>,
-    proxy: Mutex<Running>,
+    pub running: Mutex<KillOnDrop>,
+    proxy: Mutex<KillOnDrop>,
     /// Where its proxy is, which routers take for it, and where it is itself.
     pub address: String,
     own: String,
@@ -131,7 +131,8 @@
         std::thread::spawn(move || at.beat());
         let mut routers = vec![];
         for number in 0..2 + seed as usize % 2 {
-            let listen = free().replace("127.0.0.1", &format!("127.4.{}.{}", seed % 250 + 1, number + 1));
+            let listen =
+                unused_address().replace("127.0.0.1", &format!("127.4.{}.{}", seed % 250 + 1, number + 1));
             let config = std::env::temp_dir()
                 .join(format!("tideroute-soak-{seed}-{number}-{}.json", std::process::id()));
             std::fs::write(&config, fleet.configuration(&listen).to_string())?;
@@ -193,7 +194,7 @@
             command.env("TIDEROUTE_SHIM", plan).env("TIDEROUTE_SHIM_PROOF", &proof);
         }
         self.judge.note(format!("router {listen} starts as life {life}, shim {plan:?}"));
-        let running = Running(command.spawn()?);
+        let running = KillOnDrop(command.spawn()?);
         self.wait_for_listener(listen)?;
         // A library that can't be loaded is passed over by the loader: a run without it is none.
         if plan.is_some() {
@@ -236,7 +237,7 @@
         Ok(())
     }
 
-    fn spawn_worker(&self, number: usize, listen: &str) -> Result<Running, Failure> {
+    fn spawn_worker(&self, number: usize, listen: &str) -> Result<KillOnDrop, Failure> {
         let seed = self.judge.between(1.0, 1e9);
         let kind = self.judge.customer.kind(number);
         let kind = serde_json::to_string(&kind)?;
@@ -248,7 +249,8 @@
     fn start_worker(&self, number: usize) -> Result<Worker, Failure> {
         // Addresses of their own: no connection that is dialled elsewhere is given one of their ports.
         let at = |net: u8| {
-            free().replace("127.0.0.1", &format!("127.{net}.{}.{}", self.seed % 250 + 1, number + 1))
+            unused_address()
+                .replace("127.0.0.1", &format!("127.{net}.{}.{}", self.seed % 250 + 1, number + 1))
         };
         let (own, address) = (at(5), at(6));
         let running = self.spawn_worker(number, &own)?;
@@ -440,10 +442,10 @@
 }
 
 /// A stand-in's process: this program in another role.
-fn stand_in(role: &str, arguments: &[String]) -> Result<Running, Failure> {
+fn stand_in(role: &str, arguments: &[String]) -> Result<KillOnDrop, Failure> {
     let mut command = Command::new(std::env::current_exe()?);
     command.env(ROLE, role).args(arguments).stdin(Stdio::piped());
-    Ok(Running(command.spawn()?))
+    Ok(KillOnDrop(command.spawn()?))
 }
 
 /// Milliseconds of a run at a moment of it.
--- a/crates/command/tests/soak/troubles.rs
+++ b/crates/command/tests/soak/troubles.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use tideroute_test_support::process::signal;
+use tideroute_test_support::process::send_signal;
 
 use crate::clients;
 use crate::fleet::{lock, Fleet, Life, Router};
@@ -87,7 +87,7 @@
 fn tell(life: &Life, name: &str) {
     let mut running = lock(&life.running);
     if running.0.try_wait().is_ok_and(|ended| ended.is_none()) {
-        signal(&running.0, name);
+        send_signal(&running.0, name);
     }
 }
 
@@ -127,9 +127,9 @@
                 self.tell(worker, "SERVING", self.started_ms());
             }
             Trouble::WorkerHangs => {
-                signal(&lock(&self.workers[worker].running).0, "-STOP");
+                send_signal(&lock(&self.workers[worker].running).0, "-STOP");
                 std::thread::sleep(lasts);
-                signal(&lock(&self.workers[worker].running).0, "-CONT");
+                send_signal(&lock(&self.workers[worker].running).0, "-CONT");
             }
             Trouble::WorkerDrains => self.tell(worker, "DRAINING", 0),
             Trouble::PathIsSilent => self.for_a_while(worker, "silent", lasts),
