--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -13,9 +13,10 @@
 use serde_json::{json, Value};
 use tideroute::rng::Rng;
 use tideroute_test_support::customer::Customer;
+use tideroute_test_support::http_messages::{chat_request_with, chunk};
 use tideroute_test_support::judge::{Judge, Report};
 use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
-use tideroute_test_support::text::{ask_for, chunk, MS};
+use tideroute_test_support::virtual_time::MS;
 use tideroute_test_support::worker::{self, waits, Surroundings, LOOKS};
 use tideroute_wire::Micros;
 
@@ -200,7 +201,8 @@
         fleet.judge.checker().asked(now, class, wait_ms * MS)
     };
     asked.lock().expect("nobody panics with it").push(number);
-    let text = ask_for(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}");
+    let text =
+        chat_request_with(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}");
     let written = stream.write_all(text.as_bytes());
     let (written_at, mut end) = (fleet.judge.now_ms(), String::new());
     let leaves = (fleet.judge.unit() < 0.2)
--- a/crates/command/tests/deployed.rs
+++ b/crates/command/tests/deployed.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn run_is_one_process_that_waits_without_spinning() {
-    let (listen, mut file) = (unused_address(), fixture::file());
+    let (listen, mut file) = (unused_address(), fixture::router_config());
     // Nobody is at discovery: it has nothing to do but to ask again.
     (file["listen"], file["discovery"]) = (json!(listen), json!(unused_address()));
     let path = std::env::temp_dir().join(format!("deployed-{}.json", std::process::id()));
--- a/crates/command/tests/endings.rs
+++ b/crates/command/tests/endings.rs
@@ -13,15 +13,18 @@
 use serde_json::{json, Value};
 
 use tideroute_test_support::fixture::WORKERS;
+use tideroute_test_support::http_messages::{
+    chat_request, chat_request_with, chunk, decode_chunked, response, NEVER_RAN, PREFILL_COMPLETE,
+    STREAM_EVENTS, STREAM_HEAD,
+};
 use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop, TEST_TIMEOUT};
-use tideroute_test_support::text::{ask, ask_for, chunk, plain, unchunked, EVENTS, HEAD, NEVER_RAN, READ};
-use tideroute_test_support::{fixture, text};
+use tideroute_test_support::{fixture, http_messages};
 
 const RELEASE: &str = "DELETE /internal/reservations/";
 const PLACE: &str = "POST /internal/reservations/";
 const ATTEMPT: &str = "POST /v1/chat/completions";
 const FREED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-/// What the protocol allows for what is held, by the settings of `fixture::file`.
+/// What the protocol allows for what is held, by the settings of `fixture::router_config`.
 const HELD: Duration = Duration::from_millis(1_300);
 
 /// A request at a worker, or a watch at discovery.
@@ -101,14 +104,14 @@
     /// The process under a limit that its shell sets.
     fn limited(name: &str, limit: &str, set: impl FnOnce(&mut Value)) -> Rig {
         let (sender, calls) = channel();
-        let mut list = fixture::list(4);
+        let mut list = fixture::endpoint_list(4);
         for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             server["addr"] = json!(listener.local_addr().expect("an address").to_string());
             listen(listener, n, sender.clone());
         }
         let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let mut file = fixture::file();
+        let mut file = fixture::router_config();
         file["discovery"] = json!(discovery.local_addr().expect("an address").to_string());
         // An address of its own: no listener of another test is given its port meanwhile.
         let number = RIGS.fetch_add(1, Ordering::Relaxed);
@@ -155,7 +158,7 @@
 
     fn ask(&self, trace: &str, class: &str) -> TcpStream {
         let mut client = self.client();
-        client.write_all(ask(trace, class).as_bytes()).expect("the router is there");
+        client.write_all(chat_request(trace, class).as_bytes()).expect("the router is there");
         client
     }
 
@@ -174,7 +177,7 @@
             if call.text.starts_with(begins) {
                 return Some(call);
             } else if call.text.starts_with("GET /alive") {
-                call.say(plain(200, "", ""));
+                call.say(response(200, "", ""));
             } else {
                 self.early.push_back(call);
             }
@@ -185,7 +188,7 @@
     fn read(&mut self, trace: &str, class: &str) -> (TcpStream, Instant, Call) {
         let client = self.ask(trace, class);
         let mut reader = self.call(ATTEMPT);
-        reader.say(READ);
+        reader.say(PREFILL_COMPLETE);
         (client, Instant::now(), self.call(ATTEMPT))
     }
 
@@ -287,7 +290,7 @@
     let mut place = rig.call(PLACE);
     drop(client);
     rig.call(RELEASE).say(FREED);
-    place.say(plain(200, "", ""));
+    place.say(response(200, "", ""));
     let again = rig.call(RELEASE);
     assert!(place.came.elapsed() < HELD && again.text.contains("/behind "));
     reader.ends();
@@ -297,8 +300,9 @@
 fn a_client_that_closes_behind_bytes_of_a_further_request_has_gone() {
     let mut rig = Rig::new("gone", without_places);
     let mut client = rig.client();
-    let more = ask_for("second", "safe", 4_000, &format!("{{\"pad\":\"{}\"}}", "x".repeat(150_000)));
-    client.write_all(ask("first", "safe").as_bytes()).expect("written");
+    let more =
+        chat_request_with("second", "safe", 4_000, &format!("{{\"pad\":\"{}\"}}", "x".repeat(150_000)));
+    client.write_all(chat_request("first", "safe").as_bytes()).expect("written");
     let first = rig.call(ATTEMPT);
     client.write_all(more.as_bytes()).expect("written");
     client.shutdown(Shutdown::Write).expect("ended");
@@ -331,14 +335,14 @@
     let (mut client, _, mut writer) = rig.read("drain", "safe");
     let change = rig.change(5, writer.at, "DRAINING");
     rig.discover(&change);
-    writer.say(format!("{HEAD}{}", chunk(EVENTS[0])));
+    writer.say(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     for n in 0..6 {
         let (other, _, mut elsewhere) = rig.read(&format!("other-{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
-        elsewhere.say(text::stream());
+        elsewhere.say(http_messages::streamed_response());
         drop(other);
     }
-    writer.say(format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    writer.say(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert!(answer(&mut client).contains("[DONE]"));
 }
 
@@ -353,8 +357,8 @@
     rig.discover(&change);
     first.ends();
     let mut second = rig.call(ATTEMPT);
-    second.say(READ);
-    rig.call(ATTEMPT).say(text::stream());
+    second.say(PREFILL_COMPLETE);
+    rig.call(ATTEMPT).say(http_messages::streamed_response());
     drop(client);
 }
 
@@ -380,7 +384,7 @@
 fn a_new_configuration_and_a_drain_together_are_both_heard_and_disturb_nothing() {
     let mut rig = Rig::new("hup", without_places);
     let (mut client, _, mut writer) = rig.read("hup", "once");
-    writer.say(format!("{HEAD}{}", chunk(EVENTS[0])));
+    writer.say(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     let moved = TcpListener::bind("127.0.0.1:0").expect("a port");
     rig.file["discovery"] = json!(moved.local_addr().expect("an address").to_string());
     listen(moved, DISCOVERY, rig._sender.clone());
@@ -401,9 +405,9 @@
         let (_client, _, elsewhere) = rig.read(&format!("h{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
     }
-    writer.say(format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    writer.say(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     hear(&mut client, &mut kept, "0\r\n\r\n");
-    assert_eq!(unchunked(&kept), (EVENTS.concat(), true));
+    assert_eq!(decode_chunked(&kept), (STREAM_EVENTS.concat(), true));
 }
 
 /// No second signal comes for it: within four seconds of the one that came it has to be in force.
@@ -441,7 +445,7 @@
         let (_client, _, elsewhere) = rig.read(&format!("h{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
     }
-    writer.say(text::stream());
+    writer.say(http_messages::streamed_response());
     assert!(answer(&mut client).contains("[DONE]"));
     // At the start it ends the program, with key, value and what is needed.
     let output =
@@ -460,14 +464,14 @@
     let (_slow, _, mut flood) = rig.read("slow", "safe");
     let (mut client, _, mut writer) = rig.read("quick", "safe");
     let big = format!("data: {}\n\n", "x".repeat(60_000));
-    flood.say(HEAD);
+    flood.say(STREAM_HEAD);
     let mut pours = flood.stream.try_clone().expect("a handle");
     pours.set_write_timeout(Some(Duration::from_millis(50))).expect("a time");
     while pours.write_all(chunk(&big).as_bytes()).is_ok() {}
     let mut kept = String::new();
-    for (n, event) in EVENTS.iter().enumerate() {
+    for (n, event) in STREAM_EVENTS.iter().enumerate() {
         let said = Instant::now();
-        writer.say(if n == 0 { format!("{HEAD}{}", chunk(event)) } else { chunk(event) });
+        writer.say(if n == 0 { format!("{STREAM_HEAD}{}", chunk(event)) } else { chunk(event) });
         hear(&mut client, &mut kept, event);
         assert!(said.elapsed() < Duration::from_millis(300), "{n}: {:?}", said.elapsed());
     }
@@ -477,7 +481,7 @@
 fn a_stream_whose_client_does_not_read_for_longer_than_a_silent_one_may_last_goes_on() {
     let mut rig = Rig::new("stalls", without_places);
     let (mut slow, _, mut writer) = rig.read("stalls", "once");
-    writer.say(HEAD);
+    writer.say(STREAM_HEAD);
     let mut pours = writer.stream.try_clone().expect("a handle");
     // The writer writes until nobody takes any more, then the rest once its client reads again.
     let event = format!("data: {}\n\n", "x".repeat(60_000));
@@ -498,9 +502,9 @@
 fn fields_of_a_client_reach_both_workers() {
     let mut rig = Rig::new("fields", without_places);
     let mut client = rig.client();
-    let asked = ask("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
+    let asked = chat_request("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
     client.write_all(asked.as_bytes()).expect("written");
-    for answer in [READ.to_string(), text::stream()] {
+    for answer in [PREFILL_COMPLETE.to_string(), http_messages::streamed_response()] {
         let mut call = rig.call(ATTEMPT);
         assert!(call.text.contains("\r\nidempotency-key: 29-55\r\n"), "{}", call.text);
         call.say(answer);
@@ -512,8 +516,8 @@
     let mut rig = Rig::new("moved", without_places);
     let mut first = rig.ask("first", "safe");
     let mut reader = rig.call(ATTEMPT);
-    reader.say(READ);
-    rig.call(ATTEMPT).say(text::stream());
+    reader.say(PREFILL_COMPLETE);
+    rig.call(ATTEMPT).say(http_messages::streamed_response());
     answer(&mut first);
     let there = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut change = rig.change(5, reader.at, "SERVING");
@@ -531,18 +535,18 @@
 fn the_end_closes_what_rests_serves_what_comes_and_runs_streams_to_their_end() {
     let mut rig = Rig::new("term", without_places);
     let (mut streaming, _, mut writer) = rig.read("streams", "once");
-    writer.say(format!("{HEAD}{}", chunk(EVENTS[0])));
+    writer.say(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     let mut kept = String::new();
     hear(&mut streaming, &mut kept, "\"a\":1");
     let (between, _, mut waits) = rig.read("between", "safe");
     let read = rig.ask("read", "safe");
     let mut reader = rig.call(ATTEMPT);
     let (mut half, resting) = (rig.client(), rig.client());
-    let asked = ask("half", "safe");
+    let asked = chat_request("half", "safe");
     half.write_all(&asked.as_bytes()[..40]).expect("written");
     let mut used = rig.ask("used", "safe");
-    rig.call(ATTEMPT).say(READ);
-    rig.call(ATTEMPT).say(text::stream());
+    rig.call(ATTEMPT).say(PREFILL_COMPLETE);
+    rig.call(ATTEMPT).say(http_messages::streamed_response());
     hear(&mut used, &mut String::new(), "0\r\n\r\n");
     rig.signal("-TERM");
     // Those that rest end first; a request that crosses it is never read, so its client may send it again.
@@ -552,22 +556,22 @@
     half.write_all(&asked.as_bytes()[40..]).expect("written");
     let mut late = rig.call(ATTEMPT);
     assert_eq!(late.trace(), "half");
-    late.say(READ);
-    rig.call(ATTEMPT).say(text::stream());
-    waits.say(text::stream());
-    reader.say(READ);
-    rig.call(ATTEMPT).say(text::stream());
+    late.say(PREFILL_COMPLETE);
+    rig.call(ATTEMPT).say(http_messages::streamed_response());
+    waits.say(http_messages::streamed_response());
+    reader.say(PREFILL_COMPLETE);
+    rig.call(ATTEMPT).say(http_messages::streamed_response());
     for client in [between, read, half] {
         let answer = rest(client);
         assert!(
-            answer.contains("connection: close") && unchunked(&answer) == (EVENTS.concat(), true),
+            answer.contains("connection: close") && decode_chunked(&answer) == (STREAM_EVENTS.concat(), true),
             "{answer}"
         );
     }
     assert!(rig.running.0.try_wait().expect("its state").is_none(), "a stream is open");
-    writer.say(format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    writer.say(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     kept.push_str(&rest(streaming));
-    assert_eq!(unchunked(&kept), (EVENTS.concat(), true));
+    assert_eq!(decode_chunked(&kept), (STREAM_EVENTS.concat(), true));
     assert_eq!(rig.ended().code(), Some(0));
 }
 
@@ -592,14 +596,14 @@
         // The client goes and the stream comes, both before the router looks, in either order.
         if n % 2 == 0 {
             drop(client);
-            let _ = writer.stream.write_all(text::stream().as_bytes());
+            let _ = writer.stream.write_all(http_messages::streamed_response().as_bytes());
         } else {
-            writer.say(text::stream());
+            writer.say(http_messages::streamed_response());
             drop(client);
         }
     }
     let (mut client, _, mut writer) = rig.read("after", "safe");
-    writer.say(format!("{}HTTP/1.1 200 OK\r\n", text::stream()));
+    writer.say(format!("{}HTTP/1.1 200 OK\r\n", http_messages::streamed_response()));
     let _ = writer.stream.shutdown(Shutdown::Both);
     assert!(answer(&mut client).ends_with("0\r\n\r\n"));
 }
@@ -617,11 +621,11 @@
         if answered {
             // The same state at another writer, or a new read.
             let mut next = rig.call(ATTEMPT);
-            if WORKERS[next.at].1 == "reading" {
-                next.say(READ);
+            if WORKERS[next.at].kind == "reading" {
+                next.say(PREFILL_COMPLETE);
                 next = rig.call(ATTEMPT);
             }
-            next.say(text::stream());
+            next.say(http_messages::streamed_response());
         }
         let status = answer(&mut client);
         assert_eq!(status.starts_with("HTTP/1.1 200"), answered, "{class} {breaks}: {status}");
@@ -645,6 +649,6 @@
     assert!(ticks < 30, "{ticks} hundredths of a second of processor time in one");
     drop(idle);
     let (mut client, _, mut writer) = rig.read("after", "safe");
-    writer.say(text::stream());
+    writer.say(http_messages::streamed_response());
     assert!(answer(&mut client).contains("[DONE]"));
 }
--- a/crates/command/tests/platform.rs
+++ b/crates/command/tests/platform.rs
@@ -11,9 +11,9 @@
 
 use serde_json::{json, Value};
 
+use tideroute_test_support::http_messages::{NEVER_RAN, PREFILL_COMPLETE, STREAM_EVENTS};
 use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
-use tideroute_test_support::text::{EVENTS, NEVER_RAN, READ};
-use tideroute_test_support::{fixture, text};
+use tideroute_test_support::{fixture, http_messages};
 
 /// How long the clients ask, when the new configuration comes, and when the signal to end.
 const ASKS: Duration = Duration::from_millis(3_000);
@@ -109,10 +109,10 @@
         return say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     if line.starts_with("post /internal/reservations/") {
-        return say(&text::plain(if count.is_multiple_of(41) { 409 } else { 200 }, "", ""));
+        return say(&http_messages::response(if count.is_multiple_of(41) { 409 } else { 200 }, "", ""));
     }
     if line.starts_with("get /alive") {
-        return say(&text::plain(200, "", ""));
+        return say(&http_messages::response(200, "", ""));
     }
     let now = Instant::now();
     look(seen, |s| {
@@ -120,13 +120,13 @@
             s.broken.push(format!("rule 3: {trace} came to worker {number} long after it was told to drain"));
         }
     });
-    if fixture::WORKERS[number].1 == "reading" {
+    if fixture::WORKERS[number].kind == "reading" {
         std::thread::sleep(Duration::from_millis(5));
         if count.is_multiple_of(47) {
             return say(NEVER_RAN);
         }
         look(seen, |s| s.states.insert(trace, Instant::now()));
-        return say(READ);
+        return say(PREFILL_COMPLETE);
     }
     if count.is_multiple_of(43) {
         return say(NEVER_RAN);
@@ -146,12 +146,12 @@
     if count.is_multiple_of(29) {
         return false;
     }
-    if !say(text::HEAD) {
+    if !say(http_messages::STREAM_HEAD) {
         return false;
     }
-    for (n, event) in EVENTS.iter().enumerate() {
+    for (n, event) in STREAM_EVENTS.iter().enumerate() {
         std::thread::sleep(Duration::from_millis(3));
-        if (n == 2 && count.is_multiple_of(31)) || !say(&text::chunk(event)) {
+        if (n == 2 && count.is_multiple_of(31)) || !say(&http_messages::chunk(event)) {
             return false;
         }
     }
@@ -166,7 +166,7 @@
         if message(&mut stream, &mut vec![]).is_none() {
             return;
         }
-        let line = text::chunk(&format!("{list}\n"));
+        let line = http_messages::chunk(&format!("{list}\n"));
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         let _ = stream.write_all(format!("{head}{line}").as_bytes());
         look(&seen, |s| {
@@ -175,7 +175,7 @@
                 s.drained.entry(n).or_insert(Instant::now());
             }
         });
-        while stream.write_all(text::chunk("\n").as_bytes()).is_ok() {
+        while stream.write_all(http_messages::chunk("\n").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
@@ -193,7 +193,7 @@
         if track == "once" {
             look(&seen, |s| s.single_use.insert(trace.clone()));
         }
-        let asked = text::ask_for(&trace, track, 2_000, "{\"model\":\"m\"}");
+        let asked = http_messages::chat_request_with(&trace, track, 2_000, "{\"model\":\"m\"}");
         for _ in 0..2 {
             let Some((mut stream, mut kept)) = connection.take().or_else(|| {
                 let stream = TcpStream::connect(&router).ok()?;
@@ -236,7 +236,7 @@
 #[test]
 fn signals_under_load_break_no_rule() {
     let seen = Shared::default();
-    let mut list = fixture::list(5);
+    let mut list = fixture::endpoint_list(5);
     for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         server["addr"] = json!(listener.local_addr().expect("an address").to_string());
@@ -246,7 +246,7 @@
     drains["version"] = json!(6);
     drains["servers"][2]["state"] = json!("DRAINING");
     let (old, new) = (discovery(seen.clone(), list.clone()), discovery(seen.clone(), drains));
-    let (router, mut file) = (unused_address(), fixture::file());
+    let (router, mut file) = (unused_address(), fixture::router_config());
     (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old), list);
     let path = std::env::temp_dir().join(format!("tideroute-platform-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("a file");
@@ -312,12 +312,12 @@
     assert!(code == Some(2) && told.contains("EDGE_CONFIG"), "{told}");
     let (code, told) = start(Some("{"));
     assert!(code == Some(2) && told.contains("no JSON") && told.contains("tideroute-bad"), "{told}");
-    let mut file = fixture::file();
+    let mut file = fixture::router_config();
     file["limits"] = json!({});
     let (code, told) = start(Some(&file.to_string()));
     assert!(code == Some(2) && told.contains("limits.sockets: expected"), "{told}");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut file = fixture::file();
+    let mut file = fixture::router_config();
     file["listen"] = json!(taken.local_addr().expect("an address").to_string());
     let (code, told) = start(Some(&file.to_string()));
     assert!(code == Some(2) && told.contains("cannot listen at"), "{told}");
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -18,7 +18,7 @@
 use tideroute_test_support::customer::Customer;
 use tideroute_test_support::judge::Judge;
 use tideroute_test_support::proxy::Orders;
-use tideroute_test_support::text::MS;
+use tideroute_test_support::virtual_time::MS;
 use tideroute_test_support::worker::LOOKS;
 use tideroute_wire::Micros;
 
--- a/crates/command/tests/soak/clients.rs
+++ b/crates/command/tests/soak/clients.rs
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use tideroute_test_support::text::{ask_for, MS};
+use tideroute_test_support::http_messages::chat_request_with;
+use tideroute_test_support::virtual_time::MS;
 use tideroute_test_support::worker::{waits, LOOKS};
 
 use crate::fleet::{lock, ms, Fleet, Life, Router};
@@ -101,7 +102,7 @@
             return left_alone(fleet, router, &connection, number, &end);
         }
     } else {
-        let half = &ask_for("half", "class-0", 500, "{}")[..40];
+        let half = &chat_request_with("half", "class-0", 500, "{}")[..40];
         let _ = connection.stream.write_all(half.as_bytes());
     }
     let stopped = Instant::now();
@@ -154,7 +155,7 @@
 
 fn text(fleet: &Fleet, number: usize, wait_ms: u64) -> String {
     let class = fleet.judge.checker().class(number);
-    ask_for(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}")
+    chat_request_with(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}")
 }
 
 fn ask(fleet: &Fleet, connection: &mut Connection, number: usize, leaves: bool) -> Went {
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -9,9 +9,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
+use tideroute_test_support::http_messages::chunk;
 use tideroute_test_support::judge::Judge;
 use tideroute_test_support::process::{unused_address, KillOnDrop};
-use tideroute_test_support::text::{chunk, BEGAN, MS};
+use tideroute_test_support::virtual_time::{EPOCH, MS};
 use tideroute_wire::Micros;
 
 use crate::{Failure, ROLE};
@@ -450,5 +451,5 @@
 
 /// Milliseconds of a run at a moment of it.
 pub fn ms(at: Micros) -> f64 {
-    (at - BEGAN) as f64 / 1e3
+    (at - EPOCH) as f64 / 1e3
 }
--- a/crates/command/tests/soak/stories.rs
+++ b/crates/command/tests/soak/stories.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_test_support::judge::{attempt_of, word, Report};
+use tideroute_test_support::http_messages::{attempted_request, value_after};
+use tideroute_test_support::judge::Report;
 
 use crate::fleet::Fleet;
 
@@ -45,10 +46,10 @@
 fn call_of(fleet: &Fleet, report: &Report) -> Option<Call> {
     let Report::Arrives { on, head } = report else { return None };
     let worker = fleet.workers[on.worker].address.clone();
-    if let Some(request) = attempt_of(head) {
+    if let Some(request) = attempted_request(head) {
         return Some((format!("t{request}"), worker, "attempt"));
     }
-    let trace = word(head, "/internal/reservations/").to_string();
+    let trace = value_after(head, "/internal/reservations/").to_string();
     let kind = if head.starts_with("DELETE ") { "release" } else { "place" };
     (!trace.is_empty()).then_some((trace, worker, kind))
 }
--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -12,7 +12,7 @@
 
 /// Requests that are not valid, with the status of their rejection.
 fn invalid_requests() -> Vec<(u16, String)> {
-    let sound = ask("id", "safe");
+    let sound = chat_request("id", "safe");
     let with = |from: &str, to: &str| sound.replace(from, to);
     vec![
         (400, "\u{16}\u{3}\u{1}\u{0} noise\r\n\r\n".to_string()),
@@ -67,10 +67,10 @@
 fn a_body_cannot_smuggle_a_second_request() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let hidden = ask("hidden", "once");
+    let hidden = chat_request("hidden", "once");
     let body = format!("0\r\n\r\n{hidden}");
-    let outer =
-        ask_for("outer", "safe", 4_000, &body).replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
+    let outer = chat_request_with("outer", "safe", 4_000, &body)
+        .replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
     harness.deliver(client, outer);
     assert_eq!(harness.statuses(client), [400]);
     assert_eq!(attempts(&mut harness), 0);
@@ -80,7 +80,7 @@
 fn a_chunked_body_is_forwarded_with_its_length() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    let complete = ask("id", "safe");
+    let complete = chat_request("id", "safe");
     let (head, _) = complete.split_once("Content-Length").expect("a length");
     let body = r#"{"model":"m"}"#;
     harness.deliver(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
@@ -98,33 +98,33 @@
 fn a_duplicate_trace_id_is_rejected_and_the_open_request_goes_on() {
     let mut harness = Harness::new();
     let (first, second) = (harness.connect_client(), harness.connect_client());
-    harness.deliver(first, ask("id", "safe"));
+    harness.deliver(first, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(second, ask("id", "safe"));
+    harness.deliver(second, chat_request("id", "safe"));
     assert_eq!(harness.statuses(second), [409]);
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert_eq!(unchunked(&harness.sent_text(first)), (EVENTS.concat(), true));
+    harness.deliver(decode, streamed_response());
+    assert_eq!(decode_chunked(&harness.sent_text(first)), (STREAM_EVENTS.concat(), true));
     // Once the request is closed, its trace id may be used again.
     let third = harness.connect_client();
-    harness.deliver(third, ask("id", "safe"));
+    harness.deliver(third, chat_request("id", "safe"));
     assert_eq!(attempts(&mut harness), 1);
 }
 
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let mut harness = Harness::new();
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let client = harness.connect_client();
-    let request = ["a", "b", "c"].map(|id| ask(id, "safe")).concat();
+    let request = ["a", "b", "c"].map(|id| chat_request(id, "safe")).concat();
     harness.deliver(client, format!("{request}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
     for id in ["a", "b", "c"] {
         let (prefill, _) = harness.attempt();
         assert!(harness.sent_text(prefill).contains(&format!("x-trace-id: {id}\r\n")));
-        harness.deliver(prefill, READ);
+        harness.deliver(prefill, PREFILL_COMPLETE);
         let (decode, _) = harness.attempt();
-        harness.deliver(decode, stream());
+        harness.deliver(decode, streamed_response());
     }
     assert_eq!(harness.statuses(client), [200, 200, 200, 200]);
     assert_eq!(harness.sent_text(client).matches("data: [DONE]").count(), 3);
@@ -135,7 +135,7 @@
 fn a_disconnect_behind_pipelined_bytes_is_seen_in_bounded_memory() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("a", "safe"));
+    harness.deliver(client, chat_request("a", "safe"));
     let (prefill, _) = harness.attempt();
     (0..60).for_each(|_| harness.deliver(client, vec![b'x'; 10_000]));
     assert!(harness.paused.is_empty(), "its end could not be seen behind what is not read");
@@ -145,16 +145,16 @@
     assert!(harness.ended.contains_key(&prefill), "and ends with it");
     // One that stays is answered, and its connection is closed: what was discarded can't be parsed.
     let waiting = harness.connect_client();
-    harness.deliver(waiting, ask("b", "safe"));
+    harness.deliver(waiting, chat_request("b", "safe"));
     let (prefill, _) = harness.attempt();
     (0..60).for_each(|_| harness.deliver(waiting, vec![b'x'; 10_000]));
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
+    harness.deliver(decode, streamed_response());
     assert_eq!((harness.statuses(waiting), harness.ended.get(&waiting)), (vec![200], Some(&false)));
     // One that sends without end is disconnected.
     let endless = harness.connect_client();
-    harness.deliver(endless, ask("c", "safe"));
+    harness.deliver(endless, chat_request("c", "safe"));
     let (prefill, _) = harness.attempt();
     (0..140).for_each(|_| harness.deliver(endless, vec![b'x'; 10_000]));
     assert!(harness.ended.contains_key(&endless));
@@ -167,13 +167,13 @@
 fn a_large_pipelined_request_is_answered_in_its_turn() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("a", "safe"));
-    let behind = ask_for("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
+    harness.deliver(client, chat_request("a", "safe"));
+    let behind = chat_request_with("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
     behind.as_bytes().chunks(10_000).for_each(|piece| harness.deliver(client, piece));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
+    harness.deliver(decode, streamed_response());
     assert_eq!(attempts(&mut harness), 1, "the second follows");
 }
 
@@ -182,7 +182,7 @@
     let mut harness = Harness::new();
     let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
     harness.deliver(half, "POST /v1/chat");
-    let complete = ask("id", "safe");
+    let complete = chat_request("id", "safe");
     harness.deliver(body, &complete[..complete.len() - 5]);
     for _ in 0..25 {
         harness.advance(100 * MS);
@@ -200,7 +200,7 @@
     let open: Vec<_> = (0..60)
         .map(|n| {
             let client = harness.connect_client();
-            harness.deliver(client, ask(&format!("id{n}"), "safe"));
+            harness.deliver(client, chat_request(&format!("id{n}"), "safe"));
             client
         })
         .collect();
@@ -220,7 +220,7 @@
     let mut full = None;
     for n in 0..107 {
         let client = harness.connect_client();
-        harness.deliver(client, ask_for(&format!("id{n}"), "safe", 4_000, "{}"));
+        harness.deliver(client, chat_request_with(&format!("id{n}"), "safe", 4_000, "{}"));
         if harness.statuses(client) == [503] {
             full = Some(client);
             break;
@@ -238,7 +238,7 @@
     let mut rejected = 0;
     for n in 0..60 {
         let client = harness.connect_client();
-        let complete = ask_for(&format!("id{n}"), "safe", 4_000, &body);
+        let complete = chat_request_with(&format!("id{n}"), "safe", 4_000, &body);
         // All but the last byte: it is buffered and can go nowhere.
         harness.deliver(client, &complete[..complete.len() - 1]);
         rejected += usize::from(harness.statuses(client) == [503]);
@@ -252,11 +252,11 @@
 #[test]
 fn rejections_for_capacity_carry_retry_after_where_the_settings_allow() {
     for (sends_retry_after, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
-        let mut config = file();
+        let mut config = router_config();
         config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
         config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
         let body = format!("\"{}\"", "x".repeat(250_000));
-        let complete = ask_for("id", "safe", 4_000, &body);
+        let complete = chat_request_with("id", "safe", 4_000, &body);
         // Open requests exhaust one limit, bodies without their last byte the other.
         for (reason, request) in
             [("full", ""), ("no memory for one more request", &complete[..complete.len() - 1])]
@@ -264,8 +264,11 @@
             let mut harness = Harness::with_config(&config);
             let response = (0..200).find_map(|n| {
                 let client = harness.connect_client();
-                let sent =
-                    if request.is_empty() { ask(&format!("id{n}"), "safe") } else { request.to_string() };
+                let sent = if request.is_empty() {
+                    chat_request(&format!("id{n}"), "safe")
+                } else {
+                    request.to_string()
+                };
                 harness.deliver(client, sent);
                 (harness.statuses(client) == [503]).then(|| harness.sent_text(client))
             });
@@ -280,20 +283,20 @@
 fn incomplete_pipelined_request(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
-    harness.deliver(client, format!("{}{part}", ask("first", "safe")));
+    harness.deliver(client, format!("{}{part}", chat_request("first", "safe")));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.advance(answered_after * MS);
-    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert_eq!(harness.statuses(client), [200]);
     (harness, client)
 }
 
 #[test]
 fn an_incomplete_pipelined_request_times_out() {
-    let complete = ask("second", "safe");
+    let complete = chat_request("second", "safe");
     let (head, _) = complete.split_once("\r\n\r\n").expect("a head");
     for part in [&complete[..20], head, &complete[..complete.len() - 1]] {
         for answered_after in [100, 1_999, 2_500, 4_000] {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use tideroute_gateway::{Config, Gateway};
 pub use tideroute_test_support::fixture::*;
-pub use tideroute_test_support::text::*;
+pub use tideroute_test_support::http_messages::*;
+pub use tideroute_test_support::virtual_time::*;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effect, Effects, EventHandler};
 use tideroute_wire::{Address, Micros};
 
@@ -39,12 +40,12 @@
 
 impl Harness {
     pub fn new() -> Harness {
-        Harness::with_config(&file())
+        Harness::with_config(&router_config())
     }
 
     /// One whose settings allow no decode reservations.
     pub fn without_reservations() -> Harness {
-        let mut file = file();
+        let mut file = router_config();
         file["settings"]["family_info"]["ahead"] = false.into();
         Harness::with_config(&file)
     }
@@ -52,8 +53,8 @@
     pub fn with_config(file: &serde_json::Value) -> Harness {
         let config = Config::parse(file.to_string().as_bytes()).expect("a sound configuration");
         let mut harness = Harness {
-            gateway: Gateway::new(config, BEGAN),
-            now: BEGAN,
+            gateway: Gateway::new(config, EPOCH),
+            now: EPOCH,
             effects: Effects::default(),
             timers: BTreeSet::new(),
             accepted: 0,
@@ -278,14 +279,14 @@
 /// Completes the prefill of a request; its decode attempt is out afterwards.
 pub fn complete_prefill(harness: &mut Harness) {
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
 }
 
 /// A client whose request is prefilled and out at a decode worker.
 pub fn decoding_request(class: &str) -> (Harness, ConnectionId, ConnectionId) {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", class));
+    harness.deliver(client, chat_request("id", class));
     complete_prefill(&mut harness);
     let (decode, _) = harness.attempt();
     (harness, client, decode)
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -9,12 +9,12 @@
 #[test]
 fn a_config_reload_moves_the_watch_and_disturbs_no_request() {
     let mut harness = Harness::new();
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
     let (old, _) = harness.watch();
-    let mut fresh = file();
+    let mut fresh = router_config();
     fresh["discovery"] = json!("127.0.8.8:85");
     assert!(harness.reload_config(&fresh));
     let (new, request) = harness.watch();
@@ -24,10 +24,10 @@
         assert!(!harness.reload_config(&bad));
         assert_eq!(harness.watch().0, new, "a bad file changes nothing");
     }
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert!(unchunked(&harness.sent_text(client)).1);
+    harness.deliver(decode, streamed_response());
+    assert!(decode_chunked(&harness.sent_text(client)).1);
 }
 
 /// Values that a field can't have, by the field's path, with the message that names it.
@@ -75,7 +75,7 @@
 #[test]
 fn an_invalid_configuration_names_the_field() {
     for (path, value, message) in invalid_fields() {
-        let mut bad = file();
+        let mut bad = router_config();
         *bad.pointer_mut(path).expect("there") = value;
         let problem = Config::parse(bad.to_string().as_bytes()).expect_err(path);
         assert_eq!(problem.to_string(), message);
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -9,7 +9,7 @@
 /// The worker that a request's prefill goes to.
 fn prefill_worker_of(harness: &mut Harness, trace: &str) -> usize {
     let client = harness.connect_client();
-    harness.deliver(client, ask(trace, "safe"));
+    harness.deliver(client, chat_request(trace, "safe"));
     let (connection, at) = harness.attempt();
     harness.reset(client);
     assert!(harness.ended.contains_key(&connection));
@@ -27,12 +27,12 @@
 fn the_router_is_ready_once_discovery_has_answered_or_timed_out() {
     let mut harness = Harness::new();
     assert_eq!(ready_status(&mut harness), 503);
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     assert_eq!(ready_status(&mut harness), 200);
     let mut harness = Harness::new();
     harness.advance(1_100 * MS);
     assert_eq!(ready_status(&mut harness), 200, "a dead agent does not stop it");
-    let mut unknown = file();
+    let mut unknown = router_config();
     unknown["known"] = json!({"version": 0, "full": true, "servers": []});
     let mut harness = Harness::with_config(&unknown);
     harness.advance(1_100 * MS);
@@ -45,7 +45,7 @@
     let (connection, request) = harness.watch();
     assert!(request.starts_with("GET /discovery/hosts?watch=1&after=4 HTTP/1.1\r\n"), "{request}");
     let drain = |version, states: [&str; 3]| {
-        let servers: Vec<_> = [0, 1, 4].iter().zip(states).map(|(w, s)| entry(*w, s, 0)).collect();
+        let servers: Vec<_> = [0, 1, 4].iter().zip(states).map(|(w, s)| endpoint_entry(*w, s, 0)).collect();
         json!({"version": version, "full": false, "servers": servers})
     };
     let text = format!(
@@ -136,7 +136,7 @@
         let next = other(&mut harness, connection);
         fail(&mut harness, next);
         other(&mut harness, next);
-        harness.send_update(&list(9));
+        harness.send_update(&endpoint_list(9));
         let took = harness.now - silent;
         assert!(took < 5_200 * MS, "{what}: {took} us");
     }
@@ -145,7 +145,7 @@
 #[test]
 fn updates_may_be_indented_over_many_lines() {
     let mut harness = Harness::new();
-    let mut newer = list(9);
+    let mut newer = endpoint_list(9);
     newer["servers"][0]["state"] = json!("DRAINING");
     newer["servers"][4]["state"] = json!("DRAINING");
     let (connection, _) = harness.watch();
@@ -164,10 +164,10 @@
 #[test]
 fn a_long_list_in_small_pieces_is_scanned_once() {
     let mut harness = Harness::new();
-    let mut newer = list(9);
+    let mut newer = endpoint_list(9);
     let servers = newer["servers"].as_array_mut().expect("a list");
     for n in 0..3_200 {
-        let mut server = entry(1, "DRAINING", 0);
+        let mut server = endpoint_entry(1, "DRAINING", 0);
         server["id"] = json!(format!("more-{n} with a \\ \" {{ ["));
         servers.push(server);
     }
@@ -188,15 +188,15 @@
 #[test]
 fn an_older_list_is_ignored_until_it_persists() {
     let mut harness = Harness::new();
-    let mut newer = list(9);
+    let mut newer = endpoint_list(9);
     newer["servers"][0]["state"] = json!("DRAINING");
     harness.send_update(&newer);
-    harness.send_update(&list(7));
+    harness.send_update(&endpoint_list(7));
     for n in 0..20 {
         assert_ne!(prefill_worker_of(&mut harness, &format!("id{n}")), 0, "it drains still");
     }
     harness.advance(11_000 * MS);
-    harness.send_update(&list(7));
+    harness.send_update(&endpoint_list(7));
     let prefill_workers: Vec<_> =
         (0..40).map(|n| prefill_worker_of(&mut harness, &format!("x{n}"))).collect();
     assert!(
@@ -207,7 +207,7 @@
 
 #[test]
 fn workers_are_ranked_by_name_and_not_by_address() {
-    let mut moved = file();
+    let mut moved = router_config();
     for (n, server) in moved["known"]["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         server["addr"] = json!(format!("127.0.1.{}:80", 6 - n));
     }
@@ -224,25 +224,24 @@
 #[test]
 fn calls_not_yet_sent_to_a_draining_or_removed_worker_never_are() {
     let removed = |is_full: bool, worker: usize| {
-        let mut page = list(5);
+        let mut page = endpoint_list(5);
         let servers = page["servers"].as_array_mut().expect("a list");
         if is_full {
             servers.remove(worker);
         } else {
-            *servers = vec![json!({"id": WORKERS[worker].0, "state": "DELETED"})];
+            *servers = vec![json!({"id": WORKERS[worker].id, "state": "DELETED"})];
             page["full"] = false.into();
         }
         page
     };
-    let draining =
-        |worker: usize| json!({"version": 5, "full": false, "servers": [entry(worker, "DRAINING", 0)]});
+    let draining = |worker: usize| json!({"version": 5, "full": false, "servers": [endpoint_entry(worker, "DRAINING", 0)]});
     for update in
         [&draining as &dyn Fn(usize) -> serde_json::Value, &|w| removed(false, w), &|w| removed(true, w)]
     {
         let mut harness = Harness::new();
         let client = harness.connect_client();
         harness.is_immediate = false;
-        harness.deliver(client, ask("id", "once"));
+        harness.deliver(client, chat_request("id", "once"));
         let (prefill, at) = harness.attempt();
         harness.send_update(&update(at));
         assert!(harness.ended.contains_key(&prefill), "its first byte might leave after the grace");
@@ -266,12 +265,12 @@
 fn idle_connections_to_a_workers_former_address_are_closed() {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
-    harness.deliver(client, ask("a", "safe"));
+    harness.deliver(client, chat_request("a", "safe"));
     let (prefill, at) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    let mut moved = entry(at, "SERVING", 0);
+    harness.deliver(decode, streamed_response());
+    let mut moved = endpoint_entry(at, "SERVING", 0);
     moved["addr"] = "127.0.1.77:80".into();
     harness.send_update(&json!({"version": 5, "full": false, "servers": [moved]}));
     assert!(harness.ended.contains_key(&prefill));
--- a/crates/gateway/tests/generated_deployments/events.rs
+++ b/crates/gateway/tests/generated_deployments/events.rs
@@ -53,7 +53,8 @@
         }
         let connection = under_test.harness.connect_client();
         let number = self.checker.asked(self.now, class, (wait_ms + slow_ms) * MS);
-        let text = ask_for(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
+        let text =
+            chat_request_with(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
         (self.requests[n].number, self.requests[n].connection) = (Some(number), Some(connection));
         if slow_ms == 0 {
             under_test.harness.deliver(connection, text);
@@ -66,7 +67,8 @@
     pub(super) fn send_rest(&mut self, n: usize) {
         let PlannedRequest { router, class, wait_ms, connection, number, .. } = self.requests[n];
         let (Some(connection), Some(number)) = (connection, number) else { return };
-        let text = ask_for(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
+        let text =
+            chat_request_with(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
         self.routers[router].harness.deliver(connection, &text[40..]);
     }
 
--- a/crates/gateway/tests/generated_deployments/servers.rs
+++ b/crates/gateway/tests/generated_deployments/servers.rs
@@ -30,7 +30,7 @@
     /// A call that is no attempt.
     pub(super) fn handle(&mut self, on: Connection, text: &str) {
         if text.starts_with("GET ") {
-            return self.deliver(on, &plain(200, "", "TEXT outstanding=2, x1=0.5"));
+            return self.deliver(on, &response(200, "", "TEXT outstanding=2, x1=0.5"));
         }
         let name = after(text, "/internal/reservations/t");
         let request: usize = name.parse().expect("a number");
@@ -54,11 +54,11 @@
             self.checker.holds_state(self.now, request, worker);
         }
         match roll {
-            0..86 => self.deliver(on, READ),
+            0..86 => self.deliver(on, PREFILL_COMPLETE),
             // It completes just as its connection breaks.
             86..92 => self.break_connection(on),
             92..96 => self.deliver(on, NEVER_RAN),
-            _ => self.deliver(on, &plain(500, "", "")),
+            _ => self.deliver(on, &response(500, "", "")),
         }
     }
 
@@ -79,7 +79,7 @@
             }
             20..26 => {
                 self.checker.attempts_end(self.now, on);
-                self.deliver(on, &plain(500, "", ""));
+                self.deliver(on, &response(500, "", ""));
             }
             26..30 => {
                 self.checker.attempts_end(self.now, on);
@@ -87,7 +87,7 @@
             }
             _ => {
                 self.checker.begins(request);
-                self.deliver(on, &format!("{HEAD}{}", chunk(EVENTS[0])));
+                self.deliver(on, &format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
                 let takes = self.random_range(1, 300);
                 self.schedule(takes, Event::StreamEnds(on));
             }
@@ -108,8 +108,8 @@
         }
         let text = match (knows_prefill, held) {
             (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
-            (true, true) => plain(200, "", ""),
-            (true, false) => plain(409, "", ""),
+            (true, true) => response(200, "", ""),
+            (true, false) => response(409, "", ""),
         };
         self.deliver(on, &text);
     }
@@ -138,6 +138,6 @@
 
     pub(super) fn stream_ends(&mut self, on: Connection) {
         self.checker.attempts_end(self.now, on);
-        self.deliver(on, &format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+        self.deliver(on, &format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     }
 }
--- a/crates/gateway/tests/generated_deployments/world.rs
+++ b/crates/gateway/tests/generated_deployments/world.rs
@@ -114,9 +114,9 @@
         let servers = customer.workers.iter().map(|_| Server::default()).collect();
         let mut world = World {
             customer,
-            checker: Checker::new(BEGAN, 0),
+            checker: Checker::new(EPOCH, 0),
             rng,
-            now: BEGAN,
+            now: EPOCH,
             routers,
             servers,
             requests: vec![],
@@ -192,7 +192,7 @@
 
     fn log(&mut self, message: impl FnOnce() -> String) {
         if self.is_verbose {
-            println!("{:>8.3} ms  {}", (self.now - BEGAN) as f64 / MS as f64, message());
+            println!("{:>8.3} ms  {}", (self.now - EPOCH) as f64 / MS as f64, message());
         }
     }
 
@@ -221,7 +221,7 @@
 
     /// The rule that is broken first, if one is.
     pub fn play(mut self) -> Option<Break> {
-        let end = BEGAN + END_MS * MS;
+        let end = EPOCH + END_MS * MS;
         loop {
             let event = self.queue.peek().map_or(end, |Reverse((at, ..))| *at);
             let timers = self.routers.iter().filter_map(|under_test| under_test.harness.next_timer());
--- a/crates/gateway/tests/graceful_shutdown.rs
+++ b/crates/gateway/tests/graceful_shutdown.rs
@@ -8,13 +8,13 @@
 #[test]
 fn shutdown_finishes_open_requests_and_reservations() {
     let mut harness = Harness::new();
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let (open, idle) = (harness.connect_client(), harness.connect_client());
     harness.deliver(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
-    harness.deliver(open, ask("open", "safe"));
+    harness.deliver(open, chat_request("open", "safe"));
     complete_prefill(&mut harness);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.shut_down();
     harness.shut_down();
     assert!(harness.ended.contains_key(&idle) && !harness.ended.contains_key(&open));
@@ -22,23 +22,25 @@
     // Clients may not know of the shutdown yet: one that connects now is served.
     harness.advance(300 * MS);
     let late = harness.connect_client();
-    harness.deliver(late, ask("late", "safe"));
+    harness.deliver(late, chat_request("late", "safe"));
     complete_prefill(&mut harness);
     let (late_writer, _) = harness.attempt();
-    harness.deliver(late_writer, stream());
-    assert!(unchunked(&harness.sent_text(late)).1 && harness.sent_text(late).contains("connection: close"));
+    harness.deliver(late_writer, streamed_response());
+    assert!(
+        decode_chunked(&harness.sent_text(late)).1 && harness.sent_text(late).contains("connection: close")
+    );
     assert!(harness.ended.contains_key(&late), "its connection ends between requests");
     harness.advance(500 * MS);
     let too_late = harness.connect_client();
-    harness.deliver(too_late, ask("too-late", "safe"));
+    harness.deliver(too_late, chat_request("too-late", "safe"));
     assert_eq!(harness.statuses(too_late), [503]);
     assert!(!is_finished(&harness), "a stream is open");
-    harness.deliver(decode, format!("{}0\r\n\r\n", chunk(EVENTS[1])));
-    assert!(unchunked(&harness.sent_text(open)).1);
+    harness.deliver(decode, format!("{}0\r\n\r\n", chunk(STREAM_EVENTS[1])));
+    assert!(decode_chunked(&harness.sent_text(open)).1);
     assert!(!is_finished(&harness), "nobody has said what became of the places");
     for (reservation, _) in harness.calls("POST /internal/reservations/") {
         assert!(!is_finished(&harness));
-        harness.deliver(reservation, plain(409, "", ""));
+        harness.deliver(reservation, response(409, "", ""));
     }
     assert!(is_finished(&harness));
 }
@@ -47,7 +49,7 @@
 #[test]
 fn shutdown_serves_clients_that_just_connected_and_waits_for_no_silent_one() {
     let mut harness = Harness::without_reservations();
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let (old, asks, silent, half) = (
         harness.connect_client(),
         harness.connect_client(),
@@ -58,13 +60,15 @@
     harness.shut_down();
     assert!(harness.ended.contains_key(&old), "it rested between requests");
     assert!(!harness.ended.contains_key(&asks));
-    harness.deliver(half, &ask("half", "safe")[..40]);
+    harness.deliver(half, &chat_request("half", "safe")[..40]);
     harness.advance(150 * MS);
-    harness.deliver(asks, ask("asks", "safe"));
+    harness.deliver(asks, chat_request("asks", "safe"));
     complete_prefill(&mut harness);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
-    assert!(unchunked(&harness.sent_text(asks)).1 && harness.sent_text(asks).contains("connection: close"));
+    harness.deliver(decode, streamed_response());
+    assert!(
+        decode_chunked(&harness.sent_text(asks)).1 && harness.sent_text(asks).contains("connection: close")
+    );
     harness.advance(450 * MS);
     assert!(harness.ended.contains_key(&silent) && harness.statuses(silent).is_empty());
     assert!(!harness.ended.contains_key(&half), "it has as long as ever to be whole");
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -33,7 +33,7 @@
 impl MalformedInput {
     fn new() -> MalformedInput {
         let mut harness = Harness::new();
-        harness.send_update(&list(5));
+        harness.send_update(&endpoint_list(5));
         MalformedInput {
             harness,
             clients: vec![],
@@ -75,7 +75,8 @@
     /// Counts attempts of non-idempotent requests that decode workers have received and did not prove not to have run.
     fn count_executions(&mut self) {
         for (&connection, to) in &self.harness.outbound {
-            let writing = WORKERS.get(usize::from(to[3]) - 1).is_some_and(|w| w.1 == "writing" && to[2] == 1);
+            let writing =
+                WORKERS.get(usize::from(to[3]) - 1).is_some_and(|w| w.kind == "writing" && to[2] == 1);
             let text = self.harness.sent_text(connection);
             let seen = self.seen_attempts.entry(connection).or_default();
             let parts: Vec<_> = text.split("POST /v1/chat/completions").skip(1 + *seen).collect();
@@ -114,12 +115,12 @@
             1..=3 => {
                 self.count += 1;
                 *self.requests.entry(client).or_default() += 1;
-                self.harness.deliver(client, ask(&format!("id{}", self.count), class));
+                self.harness.deliver(client, chat_request(&format!("id{}", self.count), class));
             }
             4 => {
                 // Mangled bytes may hold a request, and what follows them more.
                 *self.requests.entry(client).or_default() += 2;
-                self.harness.deliver(client, Self::mangle(&ask("mangled", class), byte, which));
+                self.harness.deliver(client, Self::mangle(&chat_request("mangled", class), byte, which));
             }
             _ => {
                 self.clients.retain(|open| *open != client);
@@ -133,14 +134,21 @@
         let Some(connection) = self.worker(which) else { return };
         match kind {
             6..=8 => {
-                let answers = [READ, &stream(), NEVER_RAN, &plain(200, "", ""), &plain(500, "", "x"), HEAD];
+                let answers = [
+                    PREFILL_COMPLETE,
+                    &streamed_response(),
+                    NEVER_RAN,
+                    &response(200, "", ""),
+                    &response(500, "", "x"),
+                    STREAM_HEAD,
+                ];
                 let answer = answers[usize::from(byte) % answers.len()];
                 if answer == NEVER_RAN {
                     self.never_ran(connection);
                 }
                 self.harness.deliver(connection, answer);
             }
-            9 => self.harness.deliver(connection, Self::mangle(&stream(), byte, which)),
+            9 => self.harness.deliver(connection, Self::mangle(&streamed_response(), byte, which)),
             _ => {
                 let is_reset = byte.is_multiple_of(2);
                 let reason = if is_reset { DisconnectReason::Reset } else { DisconnectReason::ConnectFailed };
@@ -161,7 +169,7 @@
     fn update_endpoint(&mut self, byte: u8, which: u16) {
         let state = ["SERVING", "DRAINING", "DELETED"][usize::from(byte) % 3];
         let started = if which.is_multiple_of(3) { self.harness.now / MS } else { 0 };
-        let changed = entry(usize::from(which) % WORKERS.len(), state, started);
+        let changed = endpoint_entry(usize::from(which) % WORKERS.len(), state, started);
         let version = 6 + self.count as u64;
         let line = serde_json::json!({"version": version, "full": false, "servers": [changed]});
         let ended = &self.harness.ended;
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -16,9 +16,9 @@
 fn prefilled_request(class: &str) -> (Harness, ConnectionId, ConnectionId, usize) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", class));
+    harness.deliver(client, chat_request("id", class));
     let (prefill, at) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     (harness, client, prefill, at)
 }
 
@@ -29,7 +29,7 @@
         harness
             .calls("GET /alive")
             .into_iter()
-            .for_each(|(connection, _)| harness.deliver(connection, plain(200, "", "")));
+            .for_each(|(connection, _)| harness.deliver(connection, response(200, "", "")));
     }
 }
 
@@ -45,8 +45,8 @@
         assert_eq!(harness.call(RELEASE).0, prefill, "{class}: where it is held, and no handshake is needed");
         harness.deliver(prefill, FREED);
         // A worker that has the attempt after all may answer it.
-        harness.deliver(decode, stream());
-        assert_eq!(unchunked(&harness.sent_text(client)), (EVENTS.concat(), true), "{class}");
+        harness.deliver(decode, streamed_response());
+        assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true), "{class}");
         harness.advance(2_000 * MS);
         assert!(harness.calls(RELEASE).is_empty(), "{class}: once is enough");
     }
@@ -98,7 +98,7 @@
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     for _ in 0..400 {
         harness
             .attempts()
@@ -139,7 +139,7 @@
 fn state_of_a_failed_prefill_is_released_in_time_under_a_silent_retry() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (first, _) = harness.attempt();
     harness.calls("POST /internal");
     harness.advance(100 * MS);
@@ -160,11 +160,11 @@
     {
         let (mut harness, old) = with_an_older_connection_to_the_prefill_worker();
         let client = harness.connect_client();
-        harness.deliver(client, ask("id", "safe"));
+        harness.deliver(client, chat_request("id", "safe"));
         let (_reader, _) = harness.attempt();
         let (reservation, _) = harness.call("POST /internal/reservations/id ");
         match answer {
-            Some("") => harness.deliver(reservation, plain(200, "", "")),
+            Some("") => harness.deliver(reservation, response(200, "", "")),
             Some(unknown) => harness.deliver(reservation, unknown),
             None => {}
         }
@@ -183,17 +183,17 @@
 fn with_an_older_connection_to_the_prefill_worker() -> (Harness, ConnectionId) {
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
-    harness.deliver(client, ask("older", "safe"));
+    harness.deliver(client, chat_request("older", "safe"));
     let (old, _) = harness.attempt();
     let (reservation, _) = harness.call("POST /internal/reservations/older ");
-    harness.deliver(reservation, plain(200, "", ""));
+    harness.deliver(reservation, response(200, "", ""));
     (harness, old)
 }
 
 /// A configuration with one prefill worker and one decode worker.
 fn one_worker_of_each_role() -> serde_json::Value {
-    let mut file = file();
-    let mut known = list(4);
+    let mut file = router_config();
+    let mut known = endpoint_list(4);
     known["servers"].as_array_mut().expect("a list").retain(|s| s["id"] == "r1" || s["id"] == "w1");
     file["known"] = known;
     file["settings"]["caps"]["probing"] = false.into();
@@ -202,15 +202,15 @@
 
 #[test]
 fn a_reservation_is_kept_while_the_prefill_worker_answers_health_checks() {
-    let mut file = file();
+    let mut file = router_config();
     // Guards against a cancellation that would hide what is tested.
     file["settings"]["classes"][0]["on_time_ms"] = 4_000.0.into();
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
-    harness.deliver(client, ask_for("id", "safe", 5_000, "{}"));
+    harness.deliver(client, chat_request_with("id", "safe", 5_000, "{}"));
     let (_reader, _) = harness.attempt();
     let (reservation, _) = harness.call("POST /internal/reservations/id ");
-    harness.deliver(reservation, plain(200, "", ""));
+    harness.deliver(reservation, response(200, "", ""));
     advance_answering_health_checks(&mut harness, 2_500);
     assert!(harness.calls(RELEASE).is_empty(), "its reader runs");
     harness.advance(1_300 * MS);
@@ -221,11 +221,11 @@
 fn a_reservation_is_requested_again_during_a_long_prefill_without_health_checks() {
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (_reader, _) = harness.attempt();
     let (mut reservation, _) = harness.call("POST /internal/reservations/id ");
     for _ in 0..3 {
-        harness.deliver(reservation, plain(200, "", ""));
+        harness.deliver(reservation, response(200, "", ""));
         harness.advance(900 * MS);
         (reservation, _) = harness.call("POST /internal/reservations/id ");
     }
@@ -241,7 +241,7 @@
     let mut harness = Harness::new();
     harness.is_immediate = written;
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
     harness.complete_write(prefill);
     let (reservation, _) = harness.call("POST /internal/reservations/id ");
@@ -275,7 +275,7 @@
 
 #[test]
 fn a_reservation_granted_after_its_release_is_released_again() {
-    for answer in [plain(200, "", ""), FREED.into()] {
+    for answer in [response(200, "", ""), FREED.into()] {
         let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
         harness.advance(50 * MS);
         assert!(harness.calls(RELEASE).is_empty());
@@ -284,7 +284,7 @@
     }
     // What was refused, or never arrived, is not held.
     let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
-    harness.deliver(reservation, plain(409, "", ""));
+    harness.deliver(reservation, response(409, "", ""));
     harness.advance(2_000 * MS);
     assert!(harness.calls(RELEASE).is_empty());
     // The call is not answered: it is released again in time.
@@ -307,11 +307,11 @@
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
     harness.complete_write(prefill);
     let (reservation, _) = harness.call("POST /internal/reservations/id ");
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     harness.attempt();
     assert!(harness.ended.contains_key(&reservation), "it would come too late");
 }
@@ -320,18 +320,18 @@
 fn a_reservation_that_may_be_held_during_the_stream_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
     let (reservation, _) = harness.call("POST /internal/reservations/id ");
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     assert!(harness.calls(RELEASE).is_empty());
     harness.deliver(reservation, FREED);
     let (release, _) = harness.call(RELEASE);
     harness.deliver(release, FREED);
-    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
-    assert_eq!(unchunked(&harness.sent_text(client)), (EVENTS.concat(), true));
+    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
+    assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true));
 }
 
 #[test]
@@ -362,9 +362,9 @@
     let (decode, _) = harness.attempt();
     // Another client's request is answered meanwhile, by others.
     let other = harness.connect_client();
-    harness.deliver(other, ask("other", "safe"));
+    harness.deliver(other, chat_request("other", "safe"));
     let (second, heard) = harness.attempt();
-    harness.deliver(second, READ);
+    harness.deliver(second, PREFILL_COMPLETE);
     harness.reset(client);
     harness.advance(MS);
     assert!(harness.ended.contains_key(&decode));
--- a/crates/gateway/tests/scheduling_settings.rs
+++ b/crates/gateway/tests/scheduling_settings.rs
@@ -13,14 +13,14 @@
 
 /// A configuration in which all workers prefill and decode.
 fn all_workers_do_both() -> Value {
-    let mut file = file();
+    let mut file = router_config();
     file["settings"]["family_info"]["kind_role"] = json!(["both", "both"]);
     file
 }
 
 /// A configuration in which decode workers prefill too, in a cell each, and one class is deduplicated within its cell.
 fn decode_workers_prefill() -> Value {
-    let mut file = file();
+    let mut file = router_config();
     let settings = &mut file["settings"];
     settings["family_info"]["kind_role"] = json!(["write", "write"]);
     settings["family_info"]["writers_read"] = json!(true);
@@ -43,7 +43,7 @@
 fn a_keyed_request_that_may_have_run_stays_in_its_cell_where_decode_workers_prefill() {
     let mut harness = Harness::with_config(&decode_workers_prefill());
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "keyed"));
+    harness.deliver(client, chat_request("id", "keyed"));
     let (first, _) = harness.attempt();
     harness.reset(first);
     harness.advance(1_500 * MS);
@@ -51,7 +51,7 @@
     assert_eq!(harness.statuses(client), [502], "answered, and not with a refusal");
     // What may run anywhere is retried elsewhere.
     let other = harness.connect_client();
-    harness.deliver(other, ask("other", "safe"));
+    harness.deliver(other, chat_request("other", "safe"));
     let (attempt, _) = harness.attempt();
     harness.reset(attempt);
     assert_eq!(harness.attempts().len(), 1);
@@ -61,7 +61,7 @@
 fn state_of_an_attempt_that_prefilled_by_itself_is_released() {
     let mut harness = Harness::with_config(&all_workers_do_both());
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "once"));
+    harness.deliver(client, chat_request("id", "once"));
     let (attempt, worker) = harness.attempt();
     harness.advance(400 * MS);
     harness.reset(attempt);
@@ -73,9 +73,9 @@
 fn state_that_a_silent_attempt_waits_with_is_released_repeatedly() {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "once"));
+    harness.deliver(client, chat_request("id", "once"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     harness.attempt();
     // Guards against a decode worker that vanishes after the first release, which freed nothing that was waited with.
     for round in 0..4 {
@@ -90,7 +90,7 @@
 fn a_reservation_granted_long_after_the_request_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     harness.attempt();
     let (reservation, _) = harness.call(RESERVATION);
     harness.reset(client);
@@ -100,7 +100,7 @@
     harness.advance(3_000 * MS);
     harness.calls(RELEASE).into_iter().for_each(|(connection, _)| harness.deliver(connection, FREED));
     assert!(!harness.ended.contains_key(&reservation), "its answer is waited for");
-    harness.deliver(reservation, plain(200, "", ""));
+    harness.deliver(reservation, response(200, "", ""));
     harness.call(RELEASE);
 }
 
@@ -109,12 +109,12 @@
     let mut harness = Harness::new();
     for n in 0..100 {
         let client = harness.connect_client();
-        harness.deliver(client, ask(&format!("id{n}"), "safe"));
+        harness.deliver(client, chat_request(&format!("id{n}"), "safe"));
         for (attempt, _) in harness.attempts() {
-            harness.deliver(attempt, READ);
+            harness.deliver(attempt, PREFILL_COMPLETE);
         }
         for (attempt, _) in harness.attempts() {
-            harness.deliver(attempt, stream());
+            harness.deliver(attempt, streamed_response());
         }
         harness.advance(1_010 * MS);
         for (connection, _) in harness.calls("DELETE") {
@@ -131,17 +131,17 @@
 
 #[test]
 fn an_attempt_not_written_in_time_is_given_up() {
-    let mut file = file();
+    let mut file = router_config();
     file["settings"]["family_info"]["ahead"] = json!(false);
     file["settings"]["caps"]["dial_timeout_ms"] = json!(100.0);
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "keyed"));
+    harness.deliver(client, chat_request("id", "keyed"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (first, _) = harness.attempt();
     harness.is_immediate = false;
-    harness.deliver(first, plain(500, "", ""));
+    harness.deliver(first, response(500, "", ""));
     // A retry that waits in a full socket would arrive after its deduplication window.
     let (second, _) = harness.attempt();
     harness.complete_connect(second);
@@ -155,18 +155,18 @@
 
 #[test]
 fn no_attempt_begins_for_a_disconnected_client_where_cancelling_is_off() {
-    let mut file = file();
+    let mut file = router_config();
     file["settings"]["caps"]["cancel"] = json!(false);
     let mut harness = Harness::with_config(&file);
     harness.is_immediate = false;
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (unsent, _) = harness.attempt();
     harness.reset(client);
     assert!(harness.ended.contains_key(&unsent), "it has not left, so nothing is called back");
     // What has been sent runs on until its client's deadline.
     let client = harness.connect_client();
-    harness.deliver(client, ask_for("id", "safe", 2_000, "{}"));
+    harness.deliver(client, chat_request_with("id", "safe", 2_000, "{}"));
     let (prefill, _) = harness.attempt();
     harness.complete_write(prefill);
     harness.reset(client);
@@ -181,28 +181,28 @@
 
 #[test]
 fn a_stream_that_begins_for_a_disconnected_client_is_ended() {
-    let mut file = file();
+    let mut file = router_config();
     file["settings"]["caps"]["cancel"] = json!(false);
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
     harness.reset(client);
     assert!(!harness.ended.contains_key(&decode));
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     assert!(harness.ended.contains_key(&decode));
 }
 
 #[test]
 fn an_attempt_carries_the_remaining_time_at_its_sending() {
-    let mut file = file();
+    let mut file = router_config();
     file["settings"]["caps"]["dial_timeout_ms"] = json!(1_000.0);
     let mut harness = Harness::with_config(&file);
     harness.is_immediate = false;
     let client = harness.connect_client();
-    harness.deliver(client, ask_for("id", "safe", 2_000, "{}"));
+    harness.deliver(client, chat_request_with("id", "safe", 2_000, "{}"));
     let (prefill, _) = harness.attempt();
     harness.advance(800 * MS);
     harness.complete_connect(prefill);
@@ -215,11 +215,12 @@
     let mut harness = Harness::new();
     harness.is_immediate = false;
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, at) = harness.attempt();
-    let cell = WORKERS[at].2;
-    let decode_workers = (0..WORKERS.len()).filter(|w| WORKERS[*w].1 == "writing" && WORKERS[*w].2 == cell);
-    let draining: Vec<_> = decode_workers.map(|w| entry(w, "DRAINING", 0)).collect();
+    let cell = WORKERS[at].cell;
+    let decode_workers =
+        (0..WORKERS.len()).filter(|w| WORKERS[*w].kind == "writing" && WORKERS[*w].cell == cell);
+    let draining: Vec<_> = decode_workers.map(|w| endpoint_entry(w, "DRAINING", 0)).collect();
     harness.send_update(&json!({"version": 5, "full": false, "servers": draining}));
     harness.advance(240 * MS);
     harness.complete_write(prefill);
@@ -228,7 +229,7 @@
 
 #[test]
 fn infeasible_settings_are_reported_and_kept() {
-    let mut file = file();
+    let mut file = router_config();
     assert!(tideroute_gateway::Config::parse(file.to_string().as_bytes())
         .expect("sound")
         .infeasible_settings()
@@ -242,9 +243,9 @@
     // A retry might arrive when no worker remembers the first attempt.
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "keyed"));
+    harness.deliver(client, chat_request("id", "keyed"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
     harness.reset(decode);
     harness.advance(300 * MS);
--- a/crates/gateway/tests/shutdown_obligations/clients.rs
+++ b/crates/gateway/tests/shutdown_obligations/clients.rs
@@ -9,7 +9,7 @@
         let remaining_ms = self.random_range(800, 4_000);
         let class = ["safe", "once", "keyed"][self.random_range(0, 3) as usize];
         let mut client = Client { connection, answered_by: now + remaining_ms * MS, disconnected_at: None };
-        self.harness.deliver(connection, ask_for(&format!("t{n}"), class, remaining_ms, "{}"));
+        self.harness.deliver(connection, chat_request_with(&format!("t{n}"), class, remaining_ms, "{}"));
         if self.random_bool(0.3) {
             let at = self.random_range(0, 1_500);
             self.schedule(at, Event::ClientDisconnects(n));
@@ -50,7 +50,7 @@
         let now = self.harness.now;
         self.version += 1;
         self.draining_since.insert(worker, now);
-        let line = json!({"version": self.version, "full": false, "servers": [entry(worker, "DRAINING", 0)]});
+        let line = json!({"version": self.version, "full": false, "servers": [endpoint_entry(worker, "DRAINING", 0)]});
         let line = format!("{line}\n");
         let (watch, _) = self.harness.watch();
         self.harness.deliver(watch, chunk(&line));
--- a/crates/gateway/tests/shutdown_obligations/workers.rs
+++ b/crates/gateway/tests/shutdown_obligations/workers.rs
@@ -8,7 +8,7 @@
         let after =
             |head: &str| text.split(head).nth(1).and_then(|t| t.split(['\r', ' ']).next()).unwrap_or("");
         if text.starts_with("GET ") {
-            return self.schedule(1, Event::Response(connection, plain(200, "", "")));
+            return self.schedule(1, Event::Response(connection, response(200, "", "")));
         }
         if text.starts_with("DELETE ") {
             let request = self.requests.entry(after("/internal/reservations/").into()).or_default();
@@ -24,7 +24,7 @@
         }
         let (trace, roll) = (after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
         let request = self.requests.entry(trace.clone()).or_default();
-        if WORKERS[worker].1 == "reading" {
+        if WORKERS[worker].kind == "reading" {
             request.prefills.insert(connection);
             let takes = self.random_range(2, 120);
             self.schedule(takes, Event::PrefillEnds(connection, trace, roll));
@@ -55,11 +55,11 @@
         let request = self.requests.entry(trace).or_default();
         request.has_state |= roll < 90;
         match roll {
-            0..85 => self.deliver(connection, READ),
+            0..85 => self.deliver(connection, PREFILL_COMPLETE),
             // It completes just as its connection breaks.
             85..90 => self.break_connection(connection),
             90..95 => self.deliver(connection, NEVER_RAN),
-            _ => self.deliver(connection, &plain(500, "", "")),
+            _ => self.deliver(connection, &response(500, "", "")),
         }
     }
 
@@ -86,9 +86,9 @@
                 request.has_state = false;
                 request.is_reserved = false;
                 request.has_response = true;
-                self.deliver(connection, &format!("{HEAD}{}", chunk(EVENTS[0])));
+                self.deliver(connection, &format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
                 let takes = self.random_range(1, 300);
-                let rest = format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2]));
+                let rest = format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2]));
                 self.schedule(takes, Event::Response(connection, rest));
             }
         }
@@ -112,8 +112,8 @@
         }
         let text = match (knows_prefill, held) {
             (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
-            (true, true) => plain(200, "", ""),
-            (true, false) => plain(409, "", ""),
+            (true, true) => response(200, "", ""),
+            (true, false) => response(409, "", ""),
         };
         self.deliver(connection, &text);
     }
--- a/crates/gateway/tests/shutdown_obligations/world.rs
+++ b/crates/gateway/tests/shutdown_obligations/world.rs
@@ -73,7 +73,7 @@
 
 impl World {
     pub fn new(seed: u64) -> World {
-        let (mut rng, mut file) = (Rng::new(seed), file());
+        let (mut rng, mut file) = (Rng::new(seed), router_config());
         file["settings"]["family_info"]["ahead"] = (rng.unit() < 0.7).into();
         file["settings"]["caps"]["probing"] = (rng.unit() < 0.8).into();
         let mut harness = Harness::with_config(&file);
@@ -94,7 +94,7 @@
         };
         let (watch, _) = world.harness.watch();
         world.harness.complete_write(watch);
-        world.harness.send_update(&list(4));
+        world.harness.send_update(&endpoint_list(4));
         for n in 0..world.random_range(1, 6) {
             let at = world.random_range(0, 1_500);
             world.schedule(at, Event::SendRequest(n as usize));
@@ -131,7 +131,7 @@
     }
 
     fn rule_broken(&mut self, description: String) {
-        let at = (self.harness.now - BEGAN) / MS;
+        let at = (self.harness.now - EPOCH) / MS;
         self.broken.get_or_insert(format!("at {at} ms: {description}"));
     }
 
@@ -257,7 +257,7 @@
         });
         if let Some((trace, request)) = held {
             let (since, what) =
-                ((request.since - BEGAN) / MS, if request.has_state { "state" } else { "place" });
+                ((request.since - EPOCH) / MS, if request.has_state { "state" } else { "place" });
             let what = format!("a {what} of {trace} is held since {since} ms");
             return self.rule_broken(what);
         }
--- a/crates/gateway/tests/streaming.rs
+++ b/crates/gateway/tests/streaming.rs
@@ -13,15 +13,15 @@
         ("its connection ends", ""),
     ] {
         let (mut harness, client, decode) = decoding_request("safe");
-        harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+        harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
         if bytes.is_empty() {
             harness.reset(decode);
         } else {
             harness.deliver(decode, bytes);
         }
         assert_eq!(harness.ended.get(&client), Some(&false), "{what}: the client's connection ends at once");
-        let (body, whole) = unchunked(&harness.sent_text(client));
-        assert!(body.starts_with(EVENTS[0]) && !whole, "{what}: {body}");
+        let (body, whole) = decode_chunked(&harness.sent_text(client));
+        assert!(body.starts_with(STREAM_EVENTS[0]) && !whole, "{what}: {body}");
         assert!(harness.calls("POST /v1/chat").is_empty(), "{what}: nothing more is sent");
     }
 }
@@ -29,7 +29,7 @@
 #[test]
 fn an_incomplete_first_event_is_not_forwarded() {
     let (mut harness, client, decode) = decoding_request("safe");
-    harness.deliver(decode, format!("{HEAD}{}", chunk("data: {\"a\"")));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk("data: {\"a\"")));
     assert_eq!(harness.sent_text(client), "");
     harness.reset(decode);
     assert_eq!(harness.calls("POST /v1/chat").len(), 1, "the client has seen nothing: another shot goes out");
@@ -39,14 +39,14 @@
 fn backpressure_of_a_client_pauses_its_own_stream_only() {
     let mut harness = Harness::new();
     let (slow, other) = (harness.connect_client(), harness.connect_client());
-    harness.deliver(slow, ask("a", "safe"));
+    harness.deliver(slow, chat_request("a", "safe"));
     complete_prefill(&mut harness);
     let (slow_writer, _) = harness.attempt();
-    harness.deliver(other, ask("b", "safe"));
+    harness.deliver(other, chat_request("b", "safe"));
     complete_prefill(&mut harness);
     let (decode, _) = harness.attempt();
-    harness.deliver(slow_writer, format!("{HEAD}{}", chunk(EVENTS[0])));
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(slow_writer, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(slow, true);
     assert!(harness.paused.contains(&slow_writer) && !harness.paused.contains(&decode));
     harness.set_backpressure(slow, false);
@@ -56,17 +56,17 @@
 #[test]
 fn a_paused_stream_does_not_count_as_silent() {
     let (mut harness, client, decode) = decoding_request("once");
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(client, true);
     harness.advance(6_000 * MS);
     assert!(!harness.ended.contains_key(&decode), "nothing was read from it: that is no silence");
     harness.set_backpressure(client, false);
     harness.advance(4_000 * MS);
-    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
-    assert_eq!(unchunked(&harness.sent_text(client)), (EVENTS.concat(), true));
+    harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
+    assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true));
     // One that never reads again does not hold its worker for ever.
     let (mut harness, client, decode) = decoding_request("once");
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(client, true);
     harness.advance(15_100 * MS);
     assert!(harness.ended.contains_key(&decode) && harness.ended.contains_key(&client));
@@ -75,24 +75,24 @@
 #[test]
 fn a_silent_stream_is_ended_within_five_seconds() {
     let (mut harness, client, decode) = decoding_request("safe");
-    harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+    harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     // Slow events are no reason to end a stream.
     for _ in 0..3 {
         harness.advance(4_000 * MS);
-        harness.deliver(decode, chunk(EVENTS[1]));
+        harness.deliver(decode, chunk(STREAM_EVENTS[1]));
     }
     harness.advance(4_400 * MS);
     assert!(!harness.ended.contains_key(&client));
     harness.advance(200 * MS);
     assert_eq!(harness.ended.get(&client), Some(&false), "within the five seconds that the platform allows");
-    assert!(harness.ended.contains_key(&decode) && !unchunked(&harness.sent_text(client)).1);
+    assert!(harness.ended.contains_key(&decode) && !decode_chunked(&harness.sent_text(client)).1);
 }
 
 #[test]
 fn a_stream_malformed_after_it_began_does_not_make_its_worker_suspect() {
     // What a decode worker sends, and whether it is suspected for it.
     for (bytes, suspected) in
-        [(format!("{HEAD}{}zz\r\n", chunk(EVENTS[0])), false), ("noise\r\n\r\n".into(), true)]
+        [(format!("{STREAM_HEAD}{}zz\r\n", chunk(STREAM_EVENTS[0])), false), ("noise\r\n\r\n".into(), true)]
     {
         let (mut harness, _, decode) = decoding_request("safe");
         harness.deliver(decode, bytes);
@@ -108,10 +108,10 @@
     for (class, statuses) in [("once", vec![502]), ("safe", vec![503])] {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        harness.deliver(client, ask_for("id", class, 6_000, "{}"));
+        harness.deliver(client, chat_request_with("id", class, 6_000, "{}"));
         complete_prefill(&mut harness);
         let (decode, _) = harness.attempt();
-        harness.deliver(decode, format!("{HEAD}{}", chunk("data: {\"a\"")));
+        harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk("data: {\"a\"")));
         harness.advance(4_700 * MS);
         assert!(harness.ended.contains_key(&decode), "it is not waited for any longer");
         assert_eq!(harness.statuses(client), statuses, "{class}");
--- a/crates/gateway/tests/worker_connections.rs
+++ b/crates/gateway/tests/worker_connections.rs
@@ -7,8 +7,8 @@
 #[test]
 fn bytes_behind_a_response_close_the_connection_and_keep_the_response() {
     let (mut harness, client, decode) = decoding_request("safe");
-    harness.deliver(decode, format!("{}HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi", stream()));
-    assert_eq!(unchunked(&harness.sent_text(client)), (EVENTS.concat(), true));
+    harness.deliver(decode, format!("{}HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi", streamed_response()));
+    assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true));
     assert!(harness.ended.contains_key(&decode));
     // And so do bytes on an idle connection.
     let (resting, _) = harness
@@ -37,11 +37,11 @@
 fn idle_connections_are_closed_before_the_workers_idle_timeout() {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, _) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
+    harness.deliver(decode, streamed_response());
     harness.advance(4_900 * MS);
     assert!(!harness.ended.contains_key(&prefill));
     harness.advance(200 * MS);
@@ -53,13 +53,13 @@
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     // A request served whole; both connections are idle afterwards.
-    let request = |trace: &str| ask(trace, "safe").replace("prefix=5c0f,", "");
+    let request = |trace: &str| chat_request(trace, "safe").replace("prefix=5c0f,", "");
     let serve = |harness: &mut Harness, trace: &str| {
         harness.deliver(client, request(trace));
         let prefill = harness.attempt().0;
-        harness.deliver(prefill, READ);
+        harness.deliver(prefill, PREFILL_COMPLETE);
         let decode = harness.attempt().0;
-        harness.deliver(decode, stream());
+        harness.deliver(decode, streamed_response());
         (prefill, decode)
     };
     let (prefill, _) = serve(&mut harness, "a");
@@ -74,9 +74,9 @@
     harness.advance(20 * MS);
     // The prefill is retried elsewhere; what has been idle for more than half as long is not used.
     let (other, _) = harness.attempt();
-    harness.deliver(other, READ);
+    harness.deliver(other, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
+    harness.deliver(decode, streamed_response());
     harness.advance(300 * MS);
     let dials = harness.outbound.len();
     serve(&mut harness, "d");
@@ -88,12 +88,12 @@
     let mut harness = Harness::new();
     let client = harness.connect_client();
     for (trace, class) in [("a", "safe"), ("b", "once")] {
-        harness.deliver(client, ask(trace, class));
+        harness.deliver(client, chat_request(trace, class));
         complete_prefill(&mut harness);
         let (decode, _) = harness.attempt();
         let request = harness.sent_text(decode).matches("POST /v1/chat").count();
         assert_eq!(request, 1, "{class}");
-        harness.deliver(decode, stream());
+        harness.deliver(decode, streamed_response());
     }
 }
 
@@ -104,23 +104,23 @@
     for late in [1, 5, 15] {
         let mut harness = Harness::without_reservations();
         let client = harness.connect_client();
-        harness.deliver(client, ask("first", "safe"));
+        harness.deliver(client, chat_request("first", "safe"));
         let (prefill, _) = harness.attempt();
-        harness.deliver(prefill, READ);
+        harness.deliver(prefill, PREFILL_COMPLETE);
         let (decode, at) = harness.attempt();
-        harness.deliver(decode, stream());
+        harness.deliver(decode, streamed_response());
         // The next request comes at once, and is at the same decode worker when the second response comes.
-        harness.deliver(client, ask("second", "safe"));
+        harness.deliver(client, chat_request("second", "safe"));
         complete_prefill(&mut harness);
         let (second, again) = harness.attempt();
         harness.advance(late * MS);
-        harness.deliver(decode, stream());
+        harness.deliver(decode, streamed_response());
         assert_eq!(
             harness.statuses(client),
             [200],
             "after {late} ms, at {at} and {again}: nobody has answered it"
         );
-        harness.deliver(second, stream());
+        harness.deliver(second, streamed_response());
         assert_eq!(harness.statuses(client), [200, 200]);
     }
 }
--- a/crates/gateway/tests/worker_restarts.rs
+++ b/crates/gateway/tests/worker_restarts.rs
@@ -8,13 +8,15 @@
 #[test]
 fn a_restarted_worker_invalidates_its_old_connections() {
     let mut harness = Harness::new();
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let client = harness.connect_client();
-    harness.deliver(client, ask("id", "safe"));
+    harness.deliver(client, chat_request("id", "safe"));
     let (prefill, at) = harness.attempt();
     harness.advance(1_000 * MS);
     let started = harness.now / MS - 100;
-    harness.send_update(&json!({"version": 6, "full": false, "servers": [entry(at, "SERVING", started)]}));
+    harness.send_update(
+        &json!({"version": 6, "full": false, "servers": [endpoint_entry(at, "SERVING", started)]}),
+    );
     assert!(harness.ended.contains_key(&prefill));
     harness.advance(20 * MS);
     assert_ne!(harness.attempt().1, at, "it is read elsewhere: that one is cold");
@@ -44,11 +46,11 @@
 /// Serves a request whole and returns its prefill worker.
 fn served_by(harness: &mut Harness, trace: &str) -> usize {
     let client = harness.connect_client();
-    harness.deliver(client, ask(trace, "safe"));
+    harness.deliver(client, chat_request(trace, "safe"));
     let (prefill, at) = harness.attempt();
-    harness.deliver(prefill, READ);
+    harness.deliver(prefill, PREFILL_COMPLETE);
     let (decode, _) = harness.attempt();
-    harness.deliver(decode, stream());
+    harness.deliver(decode, streamed_response());
     assert_eq!(harness.statuses(client), [200]);
     at
 }
@@ -56,13 +58,13 @@
 /// A worker's entry reports another start, by a clock that was stepped, while discovery was heard all along. Returns
 /// the worker and its entry.
 fn restart_with_clock(harness: &mut Harness, clock: WorkerClock) -> (usize, serde_json::Value) {
-    harness.send_update(&list(5));
+    harness.send_update(&endpoint_list(5));
     let worker = served_by(harness, "home");
     for version in 6..16 {
         harness.advance(2_000 * MS);
-        harness.send_update(&list(version));
+        harness.send_update(&endpoint_list(version));
     }
-    let restarted = entry(worker, "SERVING", reported_start(harness, clock));
+    let restarted = endpoint_entry(worker, "SERVING", reported_start(harness, clock));
     harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
     (worker, restarted)
 }
@@ -71,20 +73,20 @@
 fn a_restart_reported_by_a_stepped_clock_ends_streams_of_the_old_process() {
     for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
         let mut harness = Harness::without_reservations();
-        harness.send_update(&list(5));
+        harness.send_update(&endpoint_list(5));
         let client = harness.connect_client();
-        harness.deliver(client, ask("id", "safe"));
+        harness.deliver(client, chat_request("id", "safe"));
         let (prefill, _) = harness.attempt();
-        harness.deliver(prefill, READ);
+        harness.deliver(prefill, PREFILL_COMPLETE);
         let (decode, at) = harness.attempt();
-        harness.deliver(decode, format!("{HEAD}{}", chunk(EVENTS[0])));
+        harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
         // Longer than an update may be late: what was out then was out before the start.
         for version in 6..11 {
             harness.advance(2_000 * MS);
-            harness.send_update(&list(version));
-            harness.deliver(decode, chunk(EVENTS[1]));
+            harness.send_update(&endpoint_list(version));
+            harness.deliver(decode, chunk(STREAM_EVENTS[1]));
         }
-        let restarted = entry(at, "SERVING", reported_start(&harness, clock));
+        let restarted = endpoint_entry(at, "SERVING", reported_start(&harness, clock));
         harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
         assert!(harness.ended.contains_key(&decode), "{clock:?}; the process that had it is gone");
         assert!(harness.ended.contains_key(&client));
@@ -117,10 +119,10 @@
         let (worker, restarted) = restart_with_clock(&mut harness, clock);
         harness.advance(11_000 * MS);
         let client = harness.connect_client();
-        harness.deliver(client, ask("out", "once"));
+        harness.deliver(client, chat_request("out", "once"));
         let (prefill, at) = harness.attempt();
         assert_eq!(at, worker);
-        let mut whole = list(30);
+        let mut whole = endpoint_list(30);
         whole["servers"][worker] = restarted;
         harness.send_update(&whole);
         assert!(
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -7,7 +7,7 @@
 use tideroute_wire::Micros;
 
 use crate::customer::{Customer, Effect};
-use crate::text::MS;
+use crate::virtual_time::MS;
 
 /// What the protocol allows on sockets beyond each limit.
 const SLACK: Micros = 50 * MS;
--- a/crates/test-support/src/customer.rs
+++ b/crates/test-support/src/customer.rs
@@ -5,7 +5,7 @@
 use tideroute::rng::Rng;
 use tideroute_wire::Micros;
 
-use crate::text::{address_of, DISCOVERY, MS};
+use crate::virtual_time::{worker_address, DISCOVERY_ADDRESS, MS};
 use crate::worker::Kind;
 
 const ZONES: [&str; 3] = ["east", "west", "north"];
@@ -129,7 +129,7 @@
         };
         let serving: Vec<_> = (0..customer.workers.len()).map(|w| customer.entry(w, "SERVING", 0)).collect();
         customer.file = json!({
-            "name": "n1", "listen": "127.0.0.1:80", "discovery": DISCOVERY,
+            "name": "n1", "listen": "127.0.0.1:80", "discovery": DISCOVERY_ADDRESS,
             "seed": format!("{:016x}", (draw.unit() * 4e9) as u64),
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
             "known": {"version": 4, "full": true, "servers": serving},
@@ -141,7 +141,7 @@
     /// A worker as discovery lists it.
     pub fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
         let Worker { kind, zone, cell, .. } = self.workers[worker];
-        json!({"id": format!("w{worker}"), "addr": address_of(worker), "zone": ZONES[zone],
+        json!({"id": format!("w{worker}"), "addr": worker_address(worker), "zone": ZONES[zone],
             "kind": format!("kind-{kind}"), "cell": cell, "state": state, "weight": 1.0, "started_ms": started_ms})
     }
 
--- a/crates/test-support/src/fixture.rs
+++ b/crates/test-support/src/fixture.rs
@@ -1,42 +1,57 @@
-//! One deployment that many tests use: its workers, its list and its configuration.
+//! One deployment that many tests use: its workers, its endpoint list and its configuration.
 
 use serde_json::json;
 
-use crate::text::{address_of, DISCOVERY};
+use crate::virtual_time::{worker_address, DISCOVERY_ADDRESS};
 
-/// Two readers and two writers in one cell, and one of each in another.
-pub const WORKERS: [(&str, &str, u16); 6] = [
-    ("r1", "reading", 0),
-    ("r2", "reading", 0),
-    ("w1", "writing", 0),
-    ("w2", "writing", 0),
-    ("r3", "reading", 1),
-    ("w3", "writing", 1),
+/// A worker of the deployment.
+#[derive(Clone, Copy, Debug)]
+pub struct FixtureWorker {
+    /// Its id in the endpoint list.
+    pub id: &'static str,
+    /// Its worker kind: `reading` for prefill workers, `writing` for decode workers.
+    pub kind: &'static str,
+    /// Its cell.
+    pub cell: u16,
+}
+
+const fn worker(id: &'static str, kind: &'static str, cell: u16) -> FixtureWorker {
+    FixtureWorker { id, kind, cell }
+}
+
+/// Two prefill and two decode workers in one cell, and one of each in another.
+pub const WORKERS: [FixtureWorker; 6] = [
+    worker("r1", "reading", 0),
+    worker("r2", "reading", 0),
+    worker("w1", "writing", 0),
+    worker("w2", "writing", 0),
+    worker("r3", "reading", 1),
+    worker("w3", "writing", 1),
 ];
 
-/// A worker as discovery lists it.
-pub fn entry(worker: usize, state: &str, started_ms: u64) -> serde_json::Value {
-    let (id, kind, cell) = WORKERS[worker];
-    json!({"id": id, "addr": address_of(worker), "zone": "east", "kind": kind, "cell": cell, "state": state,
+/// A worker's entry of the endpoint list.
+pub fn endpoint_entry(worker: usize, state: &str, started_ms: u64) -> serde_json::Value {
+    let FixtureWorker { id, kind, cell } = WORKERS[worker];
+    json!({"id": id, "addr": worker_address(worker), "zone": "east", "kind": kind, "cell": cell, "state": state,
         "weight": 1.0, "started_ms": started_ms})
 }
 
-/// The whole list, all serving.
-pub fn list(version: u64) -> serde_json::Value {
-    let servers: Vec<_> = (0..WORKERS.len()).map(|w| entry(w, "SERVING", 0)).collect();
+/// A full snapshot of the endpoint list, with all workers serving.
+pub fn endpoint_list(version: u64) -> serde_json::Value {
+    let servers: Vec<_> = (0..WORKERS.len()).map(|worker| endpoint_entry(worker, "SERVING", 0)).collect();
     json!({"version": version, "full": true, "servers": servers})
 }
 
-/// A configuration: three tracks, one of each kind of repeat.
-pub fn file() -> serde_json::Value {
-    let class = |name: &str, repeat: &str| {
-        json!({"name": name, "idempotency": repeat, "dedup_scope": "all", "key_ttl_ms": 5_000.0,
+/// The router's configuration: three request classes, one of each idempotency.
+pub fn router_config() -> serde_json::Value {
+    let class = |name: &str, idempotency: &str| {
+        json!({"name": name, "idempotency": idempotency, "dedup_scope": "all", "key_ttl_ms": 5_000.0,
             "on_time_ms": 1_000.0, "hard_limit_ms": 5_000.0, "worth": 1.0})
     };
     json!({
-        "name": "n1", "listen": "127.0.0.1:80", "discovery": DISCOVERY, "seed": "00000000000000ab",
+        "name": "n1", "listen": "127.0.0.1:80", "discovery": DISCOVERY_ADDRESS, "seed": "00000000000000ab",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256},
-        "known": list(4),
+        "known": endpoint_list(4),
         "settings": {
             "balancers": 1,
             "caps": {"cancel": true, "conn_idle_ms": 10_000.0, "dial_timeout_ms": 250.0, "max_attempts": 6,
--- a/crates/test-support/src/judge.rs
+++ b/crates/test-support/src/judge.rs
@@ -11,7 +11,8 @@
 
 use crate::checker::{Break, Checker};
 use crate::customer::{between, Customer, Role};
-use crate::text::{BEGAN, MS};
+use crate::http_messages::{attempted_request, value_after};
+use crate::virtual_time::{EPOCH, MS};
 
 /// The part of reads that end well just as their connection ends.
 const READ_AT_THE_END: f64 = 0.1;
@@ -96,7 +97,7 @@
         Judge {
             customer,
             began: Instant::now(),
-            checker: Mutex::new(Checker::new(BEGAN, noise)),
+            checker: Mutex::new(Checker::new(EPOCH, noise)),
             draw: Mutex::new(draw),
             drains: Mutex::default(),
             notes: Mutex::default(),
@@ -105,12 +106,12 @@
     }
 
     pub fn now(&self) -> Micros {
-        BEGAN + self.began.elapsed().as_micros() as Micros
+        EPOCH + self.began.elapsed().as_micros() as Micros
     }
 
     /// Milliseconds since the beginning.
     pub fn now_ms(&self) -> f64 {
-        (self.now() - BEGAN) as f64 / MS as f64
+        (self.now() - EPOCH) as f64 / MS as f64
     }
 
     pub fn checker(&self) -> MutexGuard<'_, Checker> {
@@ -216,8 +217,8 @@
         if head.starts_with("POST ") {
             checker.leaves(now, &self.customer, &head[..head.len().min(25)], told);
         }
-        if let Some(request) = attempt_of(head) {
-            let told_ms: u64 = word(head, "x-expires-in-ms: ").parse().unwrap_or(u64::MAX / 2_000);
+        if let Some(request) = attempted_request(head) {
+            let told_ms: u64 = value_after(head, "x-expires-in-ms: ").parse().unwrap_or(u64::MAX / 2_000);
             checker.tells_deadline(now, request, told_ms * MS);
             let writes = self.writes(on.worker);
             checker.arrives(now, &self.customer, request, (on.worker, on.connection()), writes);
@@ -235,25 +236,3 @@
         }
     }
 }
-
-/// The number of the request of which a head is an attempt.
-pub fn attempt_of(head: &str) -> Option<usize> {
-    head.starts_with("POST /v1").then(|| word(head, "x-trace-id: t").parse().ok()).flatten()
-}
-
-/// The word behind a text.
-pub fn word<'a>(text: &'a str, before: &str) -> &'a str {
-    text.split(before).nth(1).and_then(|t| t.split(['\r', ' ']).next()).unwrap_or("")
-}
-
-/// Takes the next whole request off the front of what has arrived; its head.
-pub fn next_request(arrived: &mut Vec<u8>) -> Option<String> {
-    let end = arrived.windows(4).position(|w| w == b"\r\n\r\n")?;
-    let head = String::from_utf8_lossy(&arrived[..end]).into_owned();
-    let length = word(&head, "content-length: ").parse().unwrap_or(0);
-    let whole = end + 4 + length;
-    (arrived.len() >= whole).then(|| {
-        arrived.drain(..whole);
-        head
-    })
-}
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::judge::{next_request, On, Report};
+use crate::http_messages::take_request;
+use crate::judge::{On, Report};
 use crate::worker::{waits, Surroundings, LOOKS};
 
 const OPEN: u8 = 0;
@@ -72,7 +73,7 @@
             let mut arrived = vec![];
             Way { from: near, to: far, orders }.pass(|bytes| {
                 arrived.extend_from_slice(bytes);
-                while let Some(head) = next_request(&mut arrived) {
+                while let Some(head) = take_request(&mut arrived) {
                     at.take(Report::Arrives { on, head });
                 }
             });
--- a/crates/test-support/src/worker.rs
+++ b/crates/test-support/src/worker.rs
@@ -9,8 +9,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::customer::Role;
-use crate::judge::{attempt_of, next_request, word, On, Report};
-use crate::text::{chunk, plain, stream, EVENTS, HEAD, NEVER_RAN, READ};
+use crate::http_messages::{
+    attempted_request, chunk, response, streamed_response, take_request, value_after, NEVER_RAN,
+    PREFILL_COMPLETE, STREAM_EVENTS, STREAM_HEAD,
+};
+use crate::judge::{On, Report};
 
 /// How often a worker at work looks whether its connection is still there.
 pub const LOOKS: Duration = Duration::from_millis(3);
@@ -114,7 +117,7 @@
     fn next(&mut self) -> Option<String> {
         let mut piece = [0; 4096];
         loop {
-            if let Some(head) = next_request(&mut self.arrived) {
+            if let Some(head) = take_request(&mut self.arrived) {
                 return Some(head);
             }
             if self.at.is_over() || !self.lives() {
@@ -157,12 +160,12 @@
     /// Does what is asked; none if the connection is over.
     fn handle(&mut self, head: &str) -> Option<()> {
         if head.starts_with("GET ") {
-            return self.say(&plain(200, "", "TEXT outstanding=2, x1=0.5"));
+            return self.say(&response(200, "", "TEXT outstanding=2, x1=0.5"));
         }
         if head.starts_with("POST /v1") {
-            return self.attempt(attempt_of(head)?);
+            return self.attempt(attempted_request(head)?);
         }
-        let request: usize = word(head, "/internal/reservations/t").parse().ok()?;
+        let request: usize = value_after(head, "/internal/reservations/t").parse().ok()?;
         if head.starts_with("DELETE ") {
             self.at.take(Report::Released { request });
             return self.say("HTTP/1.1 204 No Content\r\n\r\n");
@@ -179,8 +182,8 @@
         }
         match (knows, held) {
             (false, _) => self.say("HTTP/1.1 204 No Content\r\n\r\n"),
-            (true, true) => self.say(&plain(200, "", "")),
-            (true, false) => self.say(&plain(409, "", "")),
+            (true, true) => self.say(&response(200, "", "")),
+            (true, false) => self.say(&response(409, "", "")),
         }
     }
 
@@ -198,10 +201,10 @@
     fn read(&mut self, request: usize, lot: f64) -> Option<()> {
         self.at.take(Report::Read { on: self.on, request, left_state: lot < 0.92 });
         match lot {
-            0.0..0.86 => self.say(READ),
+            0.0..0.86 => self.say(PREFILL_COMPLETE),
             0.86..0.92 => None,
             0.92..0.96 => self.say(NEVER_RAN),
-            _ => self.say(&plain(500, "", "")),
+            _ => self.say(&response(500, "", "")),
         }
     }
 
@@ -213,17 +216,17 @@
         }
         if lot < 0.25 {
             self.at.take(Report::Failed { on: self.on, request, never_ran: false });
-            return if lot < 0.18 { None } else { self.say(&plain(500, "", "")) };
+            return if lot < 0.18 { None } else { self.say(&response(500, "", "")) };
         }
         self.at.take(Report::Begins { request });
-        self.say(&format!("{HEAD}{}", chunk(EVENTS[0])))?;
+        self.say(&format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])))?;
         let lasts_ms = if self.at.unit() < LONG_STREAMS { LONG_MS } else { 200.0 };
         self.works(between(&*self.at, 1.0, lasts_ms))?;
         self.at.take(Report::Answered { on: self.on });
-        self.say(&format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])))?;
+        self.say(&format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])))?;
         if self.at.unit() < SECOND_ANSWERS {
             std::thread::sleep(Duration::from_millis(between(&*self.at, 1.0, LATE_MS)));
-            self.say(&stream())?;
+            self.say(&streamed_response())?;
         }
         Some(())
     }
