--- a/crates/command/tests/customers.rs
+++ b/crates/command/tests/customers.rs
@@ -12,12 +12,13 @@
 
 use serde_json::{json, Value};
 use tideroute::rng::Rng;
-use tideroute_test_support::customer::Customer;
+use tideroute_test_support::deployment::GeneratedDeployment;
+use tideroute_test_support::emulated_worker::{self, is_timeout, WorkerEnvironment, POLL_INTERVAL};
 use tideroute_test_support::http_messages::{chat_request_with, chunk};
-use tideroute_test_support::judge::{Judge, Report};
+use tideroute_test_support::monitor::Monitor;
 use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
 use tideroute_test_support::virtual_time::MS;
-use tideroute_test_support::worker::{self, waits, Surroundings, LOOKS};
+use tideroute_test_support::worker_event::WorkerEvent;
 use tideroute_wire::Micros;
 
 /// Customers drawn where nothing else is said, and how many of them play side by side.
@@ -45,7 +46,7 @@
 }
 
 struct Fleet {
-    judge: Judge,
+    judge: Monitor,
     servers: Vec<Server>,
     addresses: Vec<String>,
     watches: Mutex<Vec<TcpStream>>,
@@ -66,29 +67,29 @@
     }
 }
 
-impl Surroundings for Machine {
-    fn take(&self, report: Report) -> bool {
-        self.fleet.judge.take(report)
+impl WorkerEnvironment for Machine {
+    fn handle(&self, event: WorkerEvent) -> bool {
+        self.fleet.judge.handle(event)
     }
 
-    fn unit(&self) -> f64 {
-        self.fleet.judge.unit()
+    fn random_unit(&self) -> f64 {
+        self.fleet.judge.random_unit()
     }
 
     fn is_over(&self) -> bool {
         self.fleet.is_over()
     }
 
-    fn start(&self) -> Option<u64> {
+    fn process_start(&self) -> Option<u64> {
         let away = self.server().does.load(Ordering::SeqCst) == VANISHED;
         (!away).then(|| self.server().start.load(Ordering::SeqCst))
     }
 
-    fn hangs(&self) -> bool {
+    fn is_hung(&self) -> bool {
         self.server().does.load(Ordering::SeqCst) == HANGS
     }
 
-    fn number(&self, _stream: &TcpStream) -> u64 {
+    fn connection_number(&self, _stream: &TcpStream) -> u64 {
         self.fleet.links.fetch_add(1, Ordering::Relaxed)
     }
 }
@@ -99,7 +100,7 @@
     }
 
     fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
-        let mut entry = self.judge.customer.entry(worker, state, started_ms);
+        let mut entry = self.judge.deployment.endpoint_entry(worker, state, started_ms);
         entry["addr"] = json!(self.addresses[worker]);
         entry
     }
@@ -117,7 +118,7 @@
         for watch in self.watches.lock().expect("nobody panics with it").iter_mut() {
             let _ = watch.write_all(line.as_bytes());
         }
-        self.judge.told(worker, (state == "DRAINING").then(|| self.judge.now()));
+        self.judge.endpoint_updated(worker, (state == "DRAINING").then(|| self.judge.now()));
     }
 
     fn hear_watches(self: &Arc<Fleet>, listener: TcpListener) {
@@ -143,20 +144,20 @@
     }
 
     fn serve(self: &Arc<Fleet>, worker: usize, listener: TcpListener) {
-        let kind = self.judge.customer.kind(worker);
+        let kind = self.judge.deployment.worker_spec(worker);
         let machine = Arc::new(Machine { fleet: self.clone(), worker });
-        std::thread::spawn(move || worker::serve(listener, kind, machine));
+        std::thread::spawn(move || emulated_worker::serve(listener, kind, machine));
     }
 
     /// Faults at drawn times, up to the end.
     fn trouble(&self) {
         let many = self.servers.len();
         while !self.is_over() {
-            std::thread::sleep(Duration::from_millis(self.judge.between(100.0, 1_200.0)));
-            let worker = (2.min(many - 1) + (self.judge.unit() * many as f64) as usize).min(many - 1);
+            std::thread::sleep(Duration::from_millis(self.judge.random_range(100.0, 1_200.0)));
+            let worker = (2.min(many - 1) + (self.judge.random_unit() * many as f64) as usize).min(many - 1);
             let server = &self.servers[worker];
-            let lasts = Duration::from_millis(self.judge.between(100.0, 1_500.0));
-            match (self.judge.unit() * 4.0) as u8 {
+            let lasts = Duration::from_millis(self.judge.random_range(100.0, 1_500.0));
+            match (self.judge.random_unit() * 4.0) as u8 {
                 0 => {
                     server.does.store(HANGS, Ordering::SeqCst);
                     std::thread::sleep(lasts);
@@ -191,31 +192,31 @@
 
 /// One request of a client, on a connection of its own.
 fn client(fleet: &Fleet, Router { listen, killed, asked, .. }: &Router) {
-    let class = (fleet.judge.unit() * fleet.judge.customer.classes.len() as f64) as usize;
-    let longest = fleet.judge.customer.classes[class].deadline_ms.clamp(100, LONGEST_WAIT_MS);
-    let wait_ms = fleet.judge.between(longest as f64 * 0.5, longest as f64);
+    let class = (fleet.judge.random_unit() * fleet.judge.deployment.classes.len() as f64) as usize;
+    let longest = fleet.judge.deployment.classes[class].deadline_ms.clamp(100, LONGEST_WAIT_MS);
+    let wait_ms = fleet.judge.random_range(longest as f64 * 0.5, longest as f64);
     let Ok(mut stream) = TcpStream::connect(listen) else { return };
-    let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(LOOKS)));
+    let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(POLL_INTERVAL)));
     let number = {
         let now = fleet.judge.now();
-        fleet.judge.checker().asked(now, class, wait_ms * MS)
+        fleet.judge.checker().request_sent(now, class, wait_ms * MS)
     };
     asked.lock().expect("nobody panics with it").push(number);
     let text =
-        chat_request_with(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}");
+        chat_request_with(&format!("t{number}"), &fleet.judge.deployment.classes[class].name, wait_ms, "{}");
     let written = stream.write_all(text.as_bytes());
     let (written_at, mut end) = (fleet.judge.now_ms(), String::new());
-    let leaves = (fleet.judge.unit() < 0.2)
-        .then(|| Instant::now() + Duration::from_millis(fleet.judge.between(1.0, 800.0)));
+    let leaves = (fleet.judge.random_unit() < 0.2)
+        .then(|| Instant::now() + Duration::from_millis(fleet.judge.random_range(1.0, 800.0)));
     let (mut kept, mut piece) = (vec![], [0; 4096]);
     while !fleet.is_over() && !kept.ends_with(b"0\r\n\r\n") {
         if leaves.is_some_and(|at| Instant::now() > at) {
             let now = fleet.judge.now();
-            return fleet.judge.checker().client_closed(now, number);
+            return fleet.judge.checker().client_disconnected(now, number);
         }
         match stream.read(&mut piece) {
             Ok(got @ 1..) => kept.extend_from_slice(&piece[..got]),
-            Err(e) if waits(&e) => {}
+            Err(e) if is_timeout(&e) => {}
             _ if killed.load(Ordering::SeqCst) => return fleet.judge.checker().router_killed(number),
             how => {
                 end = format!("{how:?}");
@@ -223,9 +224,9 @@
             }
         }
         let status = kept.get(9..12).and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
-        if let Some(status) = status.filter(|_| !fleet.judge.checker().is_answered(number)) {
+        if let Some(status) = status.filter(|_| !fleet.judge.checker().has_response(number)) {
             let now = fleet.judge.now();
-            fleet.judge.checker().client_answered(now, &fleet.judge.customer, number, status);
+            fleet.judge.checker().response_started(now, &fleet.judge.deployment, number, status);
             if status != 200 {
                 return;
             }
@@ -238,7 +239,7 @@
             stream.local_addr(),
             fleet.judge.now_ms()
         );
-        fleet.judge.checker().client_left_alone(now, number);
+        fleet.judge.checker().connection_ended_without_response(now, number);
     }
     if killed.load(Ordering::SeqCst) {
         fleet.judge.checker().router_killed(number);
@@ -263,7 +264,7 @@
 }
 
 fn router(fleet: &Fleet, discovery: &str, seed: u64, number: usize) -> Router {
-    let mut file = fleet.judge.customer.file.clone();
+    let mut file = fleet.judge.deployment.config.clone();
     let listen = unused_address().replace("127.0.0.1", &format!("127.3.{}.{}", seed % 250 + 1, number + 1));
     (file["listen"], file["discovery"], file["known"]) = (json!(listen), json!(discovery), fleet.list());
     let path =
@@ -287,15 +288,15 @@
 /// Plays one customer; what broke, if something did.
 fn play(seed: u64) -> Option<String> {
     let mut draw = Rng::new(2 * seed);
-    let customer = Customer::drawn(&mut draw);
+    let deployment = GeneratedDeployment::generate(&mut draw);
     let listeners: Vec<_> =
-        customer.workers.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
+        deployment.workers.iter().map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
     let found_at = discovery.local_addr().expect("an address").to_string();
     let fleet = Arc::new(Fleet {
-        servers: customer.workers.iter().map(|_| Server::default()).collect(),
+        servers: deployment.workers.iter().map(|_| Server::default()).collect(),
         addresses: listeners.iter().map(|l| l.local_addr().expect("an address").to_string()).collect(),
-        judge: Judge::new(customer, draw, NOISE),
+        judge: Monitor::new(deployment, draw, NOISE),
         watches: Mutex::default(),
         version: AtomicU64::new(4),
         links: AtomicU64::new(0),
@@ -319,18 +320,18 @@
             });
         }
         while Instant::now() < ends {
-            std::thread::sleep(Duration::from_millis(fleet.judge.between(5.0, 150.0)));
-            let router = &routers[(fleet.judge.unit() * routers.len() as f64) as usize];
+            std::thread::sleep(Duration::from_millis(fleet.judge.random_range(5.0, 150.0)));
+            let router = &routers[(fleet.judge.random_unit() * routers.len() as f64) as usize];
             let fleet = &fleet;
             scope.spawn(move || client(fleet, router));
         }
-        while Instant::now() < ends + WATCHED && fleet.judge.broken().is_none() {
-            fleet.judge.look();
-            std::thread::sleep(LOOKS);
+        while Instant::now() < ends + WATCHED && fleet.judge.violation().is_none() {
+            fleet.judge.check();
+            std::thread::sleep(POLL_INTERVAL);
         }
         fleet.over.store(true, Ordering::Relaxed);
     });
-    let broken = fleet.judge.broken().map(|b| format!("customer {seed}: {b}"));
+    let broken = fleet.judge.violation().map(|b| format!("customer {seed}: {b}"));
     for router in &routers {
         match &broken {
             Some(broken) => eprintln!("{broken}; the log of {}: {}", router.listen, router.log.display()),
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -14,12 +14,12 @@
 use std::time::{Duration, Instant};
 
 use tideroute::rng::Rng;
-use tideroute_test_support::control::Remote;
-use tideroute_test_support::customer::Customer;
-use tideroute_test_support::judge::Judge;
-use tideroute_test_support::proxy::Orders;
+use tideroute_test_support::deployment::GeneratedDeployment;
+use tideroute_test_support::emulated_worker::POLL_INTERVAL;
+use tideroute_test_support::monitor::Monitor;
+use tideroute_test_support::monitor_channel::RemoteMonitor;
+use tideroute_test_support::proxy::ProxyControl;
 use tideroute_test_support::virtual_time::MS;
-use tideroute_test_support::worker::LOOKS;
 use tideroute_wire::Micros;
 
 #[path = "soak/clients.rs"]
@@ -82,10 +82,10 @@
     let lists_are_in_time = fleet.seed.is_multiple_of(2);
     std::thread::scope(|scope| {
         while Instant::now() < ends {
-            let many = 2 + (fleet.judge.unit() * 2.0) as usize;
+            let many = 2 + (fleet.judge.random_unit() * 2.0) as usize;
             let mut drawn: Vec<Trouble> = vec![];
             while drawn.len() < many {
-                let next = ALL[(fleet.judge.unit() * ALL.len() as f64) as usize];
+                let next = ALL[(fleet.judge.random_unit() * ALL.len() as f64) as usize];
                 let one_of_all = next.is_of_all() && drawn.iter().any(|t| t.is_of_all());
                 if !(one_of_all || next.makes_lists_late() && lists_are_in_time) {
                     drawn.push(next);
@@ -95,7 +95,7 @@
             let pairs = (0..many).flat_map(|a| (a + 1..many).map(move |b| (a, b)));
             lock(met).extend(pairs.map(|(a, b)| (drawn[a], drawn[b])));
             for trouble in drawn {
-                let after = Duration::from_millis(fleet.judge.between(1.0, 300.0));
+                let after = Duration::from_millis(fleet.judge.random_range(1.0, 300.0));
                 scope.spawn(move || {
                     std::thread::sleep(after);
                     if let Err(failure) = fleet.suffers(trouble) {
@@ -103,7 +103,7 @@
                     }
                 });
             }
-            std::thread::sleep(Duration::from_millis(fleet.judge.between(300.0, 1_500.0)));
+            std::thread::sleep(Duration::from_millis(fleet.judge.random_range(300.0, 1_500.0)));
         }
     });
 }
@@ -119,8 +119,8 @@
 
 fn play(seed: u64) -> Result<Run, Failure> {
     let mut draw = Rng::new(3 * seed + 1);
-    let customer = Customer::drawn(&mut draw);
-    let judge = Arc::new(Judge::new(customer, draw, NOISE));
+    let deployment = GeneratedDeployment::generate(&mut draw);
+    let judge = Arc::new(Monitor::new(deployment, draw, NOISE));
     let fleet = Fleet::start(judge.clone(), seed)?;
     let _ending = Ending(&fleet);
     let (met, failed) = (Mutex::default(), Mutex::default());
@@ -128,15 +128,15 @@
     std::thread::scope(|scope| {
         scope.spawn(|| trouble(&fleet, &met, &failed));
         while Instant::now() < ends {
-            std::thread::sleep(Duration::from_millis(judge.between(5.0, 120.0)));
+            std::thread::sleep(Duration::from_millis(judge.random_range(5.0, 120.0)));
             let routers = fleet.routers();
-            let router = &routers[(judge.unit() * routers.len() as f64) as usize];
+            let router = &routers[(judge.random_unit() * routers.len() as f64) as usize];
             let fleet = &fleet;
             scope.spawn(move || clients::client(fleet, router));
         }
-        while Instant::now() < ends + WATCHED && judge.broken().is_none() {
-            judge.look();
-            std::thread::sleep(LOOKS);
+        while Instant::now() < ends + WATCHED && judge.violation().is_none() {
+            judge.check();
+            std::thread::sleep(POLL_INTERVAL);
         }
         fleet.over.store(true, Ordering::SeqCst);
     });
@@ -144,14 +144,14 @@
         return Err(failure);
     }
     fleet.end();
-    fleet.violations().into_iter().chain(stories::gaps(&fleet)).for_each(|what| judge.breaks(what));
-    let broken = judge.broken().map(|broken| format!("soak {seed}: {broken}"));
+    fleet.violations().into_iter().chain(stories::gaps(&fleet)).for_each(|what| judge.report_violation(what));
+    let broken = judge.violation().map(|broken| format!("soak {seed}: {broken}"));
     if broken.is_some() {
         let path = std::env::temp_dir().join(format!("tideroute-soak-{seed}-{}.trace", std::process::id()));
-        std::fs::write(path, judge.notes().join("\n"))?;
+        std::fs::write(path, judge.log_lines().join("\n"))?;
     }
     fleet.clean_up(broken.is_some());
-    let requests = judge.checker().requests();
+    let requests = judge.checker().request_count();
     let met = lock(&met).clone();
     Ok(Run { broken, processes: fleet.processes(), requests, met })
 }
@@ -202,20 +202,22 @@
     match role {
         "worker" => {
             let kind = serde_json::from_str(argument(1)?)?;
-            let at = Remote::new(argument(2)?, argument(3)?.parse()?);
-            std::thread::spawn(move || tideroute_test_support::worker::serve(listener, kind, Arc::new(at)));
+            let at = RemoteMonitor::new(argument(2)?, argument(3)?.parse()?);
+            std::thread::spawn(move || {
+                tideroute_test_support::emulated_worker::serve(listener, kind, Arc::new(at))
+            });
             let _ = std::io::read_to_string(std::io::stdin())?;
         }
         "proxy" => {
-            let (worker, at) = (argument(1)?.parse()?, Remote::new(argument(2)?, 0));
-            let (to, orders) = (argument(3)?.clone(), Arc::new(Orders::default()));
+            let (worker, at) = (argument(1)?.parse()?, RemoteMonitor::new(argument(2)?, 0));
+            let (to, orders) = (argument(3)?.clone(), Arc::new(ProxyControl::default()));
             let taken = orders.clone();
             std::thread::spawn(move || {
                 tideroute_test_support::proxy::serve(listener, worker, &to, &taken, Arc::new(at));
             });
             for line in std::io::stdin().lines() {
                 let line = line?;
-                if !orders.take(&line) {
+                if !orders.apply(&line) {
                     return Err(Failure(format!("{line}: no such order")));
                 }
             }
--- a/crates/command/tests/soak/clients.rs
+++ b/crates/command/tests/soak/clients.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use tideroute_test_support::emulated_worker::{is_timeout, POLL_INTERVAL};
 use tideroute_test_support::http_messages::chat_request_with;
 use tideroute_test_support::virtual_time::MS;
-use tideroute_test_support::worker::{waits, LOOKS};
 
 use crate::fleet::{lock, ms, Fleet, Life, Router};
 
@@ -28,7 +28,7 @@
     // The life is looked up first: a connection to a later one than that is not taken for a killed one's.
     let life = router.life();
     let stream = TcpStream::connect(&router.listen).ok()?;
-    let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(LOOKS)));
+    let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(POLL_INTERVAL)));
     Some(Connection { stream, life })
 }
 
@@ -43,7 +43,7 @@
 
 /// One client: some ask once, some several times on a connection, some go early, some behave badly.
 pub fn client(fleet: &Fleet, router: &Router) {
-    let lot = fleet.judge.unit();
+    let lot = fleet.judge.random_unit();
     match lot {
         0.0..0.06 => stops_in_the_middle(fleet, router, false),
         0.06..0.12 => stops_in_the_middle(fleet, router, true),
@@ -57,7 +57,7 @@
 pub fn asks_once(fleet: &Fleet, router: &Router) {
     let Some(mut connection) = connect(router) else { return };
     let number = asked(fleet, &connection);
-    let leaves = fleet.judge.unit() < 0.2;
+    let leaves = fleet.judge.random_unit() < 0.2;
     if let Went::Unanswered(end) = ask(fleet, &mut connection, number, leaves) {
         left_alone(fleet, router, &connection, number, &end);
     }
@@ -84,7 +84,7 @@
             }
             Went::Unanswered(end) => return left_alone(fleet, router, &connection, number, &end),
         }
-        std::thread::sleep(Duration::from_millis(fleet.judge.between(1.0, 600.0)));
+        std::thread::sleep(Duration::from_millis(fleet.judge.random_range(1.0, 600.0)));
     }
 }
 
@@ -109,10 +109,10 @@
     let mut piece = [0; 4096];
     while !fleet.is_over() {
         match connection.stream.read(&mut piece) {
-            Err(e) if waits(&e) && stopped.elapsed() < BAD_CLIENT + NOISE => {}
-            Err(e) if waits(&e) => {
+            Err(e) if is_timeout(&e) && stopped.elapsed() < BAD_CLIENT + NOISE => {}
+            Err(e) if is_timeout(&e) => {
                 let what = format!("a client that stopped in the middle was left alone by {}", router.listen);
-                return fleet.judge.breaks(what);
+                return fleet.judge.report_violation(what);
             }
             // An answer of the first may still come; what was owed is an error or a close.
             Ok(got) if got > 0 && !String::from_utf8_lossy(&piece[..got]).contains("HTTP/1.1 4") => {}
@@ -124,21 +124,21 @@
 /// Connects, says nothing for a while, and goes.
 fn says_nothing(fleet: &Fleet, router: &Router) {
     let Some(connection) = connect(router) else { return };
-    std::thread::sleep(Duration::from_millis(fleet.judge.between(10.0, 3_000.0)));
+    std::thread::sleep(Duration::from_millis(fleet.judge.random_range(10.0, 3_000.0)));
     drop(connection);
 }
 
 /// A request is about to be asked; its number.
 fn asked(fleet: &Fleet, connection: &Connection) -> usize {
-    let class = (fleet.judge.unit() * fleet.judge.customer.classes.len() as f64) as usize;
-    let longest = fleet.judge.customer.classes[class].deadline_ms.clamp(100, LONGEST_WAIT_MS);
-    let mut wait = fleet.judge.between(longest as f64 * 0.5, longest as f64) * MS;
+    let class = (fleet.judge.random_unit() * fleet.judge.deployment.classes.len() as f64) as usize;
+    let longest = fleet.judge.deployment.classes[class].deadline_ms.clamp(100, LONGEST_WAIT_MS);
+    let mut wait = fleet.judge.random_range(longest as f64 * 0.5, longest as f64) * MS;
     // Some have very little time left.
-    if fleet.judge.unit() < 0.05 {
-        wait = fleet.judge.between(1.0, 50.0) * MS;
+    if fleet.judge.random_unit() < 0.05 {
+        wait = fleet.judge.random_range(1.0, 50.0) * MS;
     }
     let now = fleet.judge.now();
-    let number = fleet.judge.checker().asked(now, class, wait);
+    let number = fleet.judge.checker().request_sent(now, class, wait);
     lock(&connection.life.asked).push(number);
     // Who was killed just before is not asked any more.
     if connection.life.killed.load(Ordering::SeqCst) {
@@ -149,18 +149,18 @@
 
 /// Milliseconds that are left of a request's time.
 fn wait_of(fleet: &Fleet, number: usize) -> u64 {
-    let until = fleet.judge.checker().until(number);
+    let until = fleet.judge.checker().deadline(number);
     until.saturating_sub(fleet.judge.now()) / MS
 }
 
 fn text(fleet: &Fleet, number: usize, wait_ms: u64) -> String {
-    let class = fleet.judge.checker().class(number);
-    chat_request_with(&format!("t{number}"), &fleet.judge.customer.classes[class].name, wait_ms, "{}")
+    let class = fleet.judge.checker().class_of(number);
+    chat_request_with(&format!("t{number}"), &fleet.judge.deployment.classes[class].name, wait_ms, "{}")
 }
 
 fn ask(fleet: &Fleet, connection: &mut Connection, number: usize, leaves: bool) -> Went {
     let text = text(fleet, number, wait_of(fleet, number));
-    let leaves = leaves.then(|| Instant::now() + Duration::from_millis(fleet.judge.between(1.0, 800.0)));
+    let leaves = leaves.then(|| Instant::now() + Duration::from_millis(fleet.judge.random_range(1.0, 800.0)));
     if let Err(problem) = connection.stream.write_all(text.as_bytes()) {
         return Went::Unanswered(format!("writing: {problem}"));
     }
@@ -173,21 +173,21 @@
     while !fleet.is_over() {
         if leaves.is_some_and(|at| Instant::now() > at) {
             let now = fleet.judge.now();
-            fleet.judge.checker().client_closed(now, number);
+            fleet.judge.checker().client_disconnected(now, number);
             let _ = connection.stream.shutdown(std::net::Shutdown::Both);
             return Went::Over;
         }
         match connection.stream.read(&mut piece) {
             Ok(got @ 1..) => heard.extend_from_slice(&piece[..got]),
-            Err(e) if waits(&e) => {}
+            Err(e) if is_timeout(&e) => {}
             _ if !heard.is_empty() => return Went::Over,
             how => return Went::Unanswered(format!("{how:?}")),
         }
         let status = heard.get(9..12).and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
-        if let Some(status) = status.filter(|_| !fleet.judge.checker().is_answered(number)) {
+        if let Some(status) = status.filter(|_| !fleet.judge.checker().has_response(number)) {
             let now = fleet.judge.now();
-            fleet.judge.checker().client_answered(now, &fleet.judge.customer, number, status);
-            fleet.judge.note(format!("request {number} is answered {status}"));
+            fleet.judge.checker().response_started(now, &fleet.judge.deployment, number, status);
+            fleet.judge.log(format!("request {number} is answered {status}"));
         }
         if let Some(whole) = is_whole(&heard) {
             return if whole { Went::On } else { Went::Over };
@@ -217,9 +217,7 @@
     }
     let now = fleet.judge.now();
     let own = connection.stream.local_addr();
-    fleet
-        .judge
-        .note(format!("request {number} at {} from {own:?} ends with no answer: {end}", router.listen));
+    fleet.judge.log(format!("request {number} at {} from {own:?} ends with no answer: {end}", router.listen));
     println!("request {number} at {} from {own:?}: no answer at {} ms: {end}", router.listen, ms(now));
-    fleet.judge.checker().client_left_alone(now, number);
+    fleet.judge.checker().connection_ended_without_response(now, number);
 }
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{json, Value};
 use tideroute_test_support::http_messages::chunk;
-use tideroute_test_support::judge::Judge;
+use tideroute_test_support::monitor::Monitor;
 use tideroute_test_support::process::{unused_address, KillOnDrop};
 use tideroute_test_support::virtual_time::{EPOCH, MS};
 use tideroute_wire::Micros;
@@ -79,7 +79,7 @@
 }
 
 pub struct Fleet {
-    pub judge: Arc<Judge>,
+    pub judge: Arc<Monitor>,
     pub seed: u64,
     pub workers: Vec<Worker>,
     /// Milliseconds by which discovery's clock is ahead.
@@ -97,7 +97,7 @@
 
 impl Fleet {
     /// Starts everything that runs in the run of that seed.
-    pub fn start(judge: Arc<Judge>, seed: u64) -> Result<Arc<Fleet>, Failure> {
+    pub fn start(judge: Arc<Monitor>, seed: u64) -> Result<Arc<Fleet>, Failure> {
         let control = listener()?;
         let doors = [listener()?, listener()?];
         let mut discovery = Discovery::default();
@@ -116,8 +116,8 @@
             control: control.local_addr()?.to_string(),
         };
         let to = fleet.judge.clone();
-        std::thread::spawn(move || tideroute_test_support::control::hear(control, to));
-        for number in 0..fleet.judge.customer.workers.len() {
+        std::thread::spawn(move || tideroute_test_support::monitor_channel::serve(control, to));
+        for number in 0..fleet.judge.deployment.workers.len() {
             let worker = fleet.start_worker(number)?;
             fleet.workers.push(worker);
         }
@@ -154,7 +154,7 @@
 
     fn configuration(&self, listen: &str) -> Value {
         let current = self.discovery.current.load(Ordering::SeqCst);
-        let mut file = self.judge.customer.file.clone();
+        let mut file = self.judge.deployment.config.clone();
         (file["listen"], file["discovery"]) = (json!(listen), json!(self.discovery.addresses[current]));
         file["known"] = self.list();
         file
@@ -162,7 +162,7 @@
 
     /// What goes wrong inside a router's process, by the shim: some have no fault of their own.
     fn shim_plan(&self, life: usize) -> Option<String> {
-        let draw = || self.judge.unit();
+        let draw = || self.judge.random_unit();
         if draw() < 0.3 {
             return None;
         }
@@ -173,7 +173,7 @@
         }
         if draw() < 0.5 {
             let from = 200 + (draw() * 3_000.0) as u64;
-            let lasts = self.judge.between(50.0, 1_000.0);
+            let lasts = self.judge.random_range(50.0, 1_000.0);
             plan += &format!(";fail={:.3};from={from};until={}", draw() * 0.3, from + lasts);
         }
         if draw() < 0.6 {
@@ -194,7 +194,7 @@
             command.env("LD_PRELOAD", crate::shim()?);
             command.env("TIDEROUTE_SHIM", plan).env("TIDEROUTE_SHIM_PROOF", &proof);
         }
-        self.judge.note(format!("router {listen} starts as life {life}, shim {plan:?}"));
+        self.judge.log(format!("router {listen} starts as life {life}, shim {plan:?}"));
         let running = KillOnDrop(command.spawn()?);
         self.wait_for_listener(listen)?;
         // A library that can't be loaded is passed over by the loader: a run without it is none.
@@ -239,8 +239,8 @@
     }
 
     fn spawn_worker(&self, number: usize, listen: &str) -> Result<KillOnDrop, Failure> {
-        let seed = self.judge.between(1.0, 1e9);
-        let kind = self.judge.customer.kind(number);
+        let seed = self.judge.random_range(1.0, 1e9);
+        let kind = self.judge.deployment.worker_spec(number);
         let kind = serde_json::to_string(&kind)?;
         let running = stand_in("worker", &[listen.into(), kind, self.control.clone(), seed.to_string()])?;
         self.wait_for_listener(listen)?;
@@ -270,7 +270,7 @@
     }
 
     fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
-        let mut entry = self.judge.customer.entry(worker, state, started_ms);
+        let mut entry = self.judge.deployment.endpoint_entry(worker, state, started_ms);
         entry["addr"] = json!(self.workers[worker].address);
         entry
     }
@@ -294,10 +294,10 @@
             (list.0, list.1[worker]) = (list.0 + 1, entry.clone());
             list.0
         };
-        self.judge.note(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
+        self.judge.log(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
         self.say(&format!("{}\n", json!({"version": version, "full": false, "servers": [entry]})));
         let told = self.judge.now().max(self.discovery.late_until.load(Ordering::SeqCst));
-        self.judge.told(worker, (state == "DRAINING").then_some(told));
+        self.judge.endpoint_updated(worker, (state == "DRAINING").then_some(told));
     }
 
     /// Says a line on all watches that are not silent.
--- a/crates/command/tests/soak/stories.rs
+++ b/crates/command/tests/soak/stories.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use tideroute_test_support::http_messages::{attempted_request, value_after};
-use tideroute_test_support::judge::Report;
+use tideroute_test_support::worker_event::WorkerEvent;
 
 use crate::fleet::Fleet;
 
@@ -43,8 +43,8 @@
 }
 
 /// A call as a stand-in reported it.
-fn call_of(fleet: &Fleet, report: &Report) -> Option<Call> {
-    let Report::Arrives { on, head } = report else { return None };
+fn call_of(fleet: &Fleet, report: &WorkerEvent) -> Option<Call> {
+    let WorkerEvent::CallReceived { on, head } = report else { return None };
     let worker = fleet.workers[on.worker].address.clone();
     if let Some(request) = attempted_request(head) {
         return Some((format!("t{request}"), worker, "attempt"));
@@ -57,7 +57,7 @@
 /// What came to workers and stands in no log.
 pub fn gaps(fleet: &Fleet) -> Vec<String> {
     let (mut told, mut gaps) = (told(fleet), vec![]);
-    for call in fleet.judge.reports().iter().filter_map(|report| call_of(fleet, report)) {
+    for call in fleet.judge.events().iter().filter_map(|report| call_of(fleet, report)) {
         match told.get_mut(&call) {
             Some(left) if *left > 0 => *left -= 1,
             _ => gaps.push(format!("no log tells of {call:?}, which came to its worker")),
--- a/crates/command/tests/soak/troubles.rs
+++ b/crates/command/tests/soak/troubles.rs
@@ -95,21 +95,21 @@
     /// Plays one trouble to its end.
     pub fn suffers(&self, trouble: Trouble) -> Result<(), Failure> {
         let routers = self.routers();
-        let router = &routers[(self.judge.unit() * routers.len() as f64) as usize];
+        let router = &routers[(self.judge.random_unit() * routers.len() as f64) as usize];
         // One worker of each kind stays well.
         let kinds = self.workers.len().min(3);
         let spared = if self.workers.len() > kinds { kinds } else { 1 };
         let troubled = self.workers.len() - spared;
-        let worker = spared + (self.judge.unit() * troubled as f64) as usize;
-        let lasts = Duration::from_millis(self.judge.between(50.0, 2_000.0));
-        self.judge.note(format!("{trouble:?} for {lasts:?}, at {} or worker {worker}", router.listen));
+        let worker = spared + (self.judge.random_unit() * troubled as f64) as usize;
+        let lasts = Duration::from_millis(self.judge.random_range(50.0, 2_000.0));
+        self.judge.log(format!("{trouble:?} for {lasts:?}, at {} or worker {worker}", router.listen));
         match trouble {
             Trouble::RouterEnds => self.ends(router)?,
             Trouble::RouterIsKilled => self.is_killed(router)?,
             Trouble::RouterIsHeldUp => {
                 let life = router.life();
                 tell(&life, "-STOP");
-                std::thread::sleep(Duration::from_millis(self.judge.between(10.0, HELD_UP_MS)));
+                std::thread::sleep(Duration::from_millis(self.judge.random_range(10.0, HELD_UP_MS)));
                 tell(&life, "-CONT");
             }
             Trouble::DiscoveryMoves => self.discovery_moves(false, |life| tell(life, "-HUP"))?,
@@ -119,7 +119,7 @@
             Trouble::WatchesBreak => self.watches_break(false),
             Trouble::WatchesBreakInHalfALine => self.watches_break(true),
             Trouble::ClockIsStepped => {
-                let ahead = [HOUR_MS, -HOUR_MS, 0][(self.judge.unit() * 3.0) as usize];
+                let ahead = [HOUR_MS, -HOUR_MS, 0][(self.judge.random_unit() * 3.0) as usize];
                 self.clock_ahead_ms.store(ahead, Ordering::SeqCst);
             }
             Trouble::WorkerRestarts => {
@@ -135,11 +135,11 @@
             Trouble::PathIsSilent => self.for_a_while(worker, "silent", lasts),
             Trouble::PathIsReset => self.order(worker, "reset"),
             Trouble::PathIsSlow => {
-                let delay = self.judge.between(2.0, 100.0);
+                let delay = self.judge.random_range(2.0, 100.0);
                 self.for_a_while(worker, &format!("delay {delay}"), lasts);
             }
             Trouble::PathComesInPieces => {
-                let piece = self.judge.between(1.0, 40.0);
+                let piece = self.judge.random_range(1.0, 40.0);
                 self.for_a_while(worker, &format!("piece {piece}"), lasts);
             }
         }
@@ -175,12 +175,12 @@
             let ended = lock(&life.running).0.try_wait()?;
             if let Some(status) = ended {
                 if !status.success() && !life.killed.load(Ordering::SeqCst) {
-                    self.judge.breaks(format!("router {} ended with {status}", router.listen));
+                    self.judge.report_violation(format!("router {} ended with {status}", router.listen));
                 }
                 return Ok(());
             }
             if told.elapsed() > ENDS {
-                self.judge.breaks(format!("router {} does not end", router.listen));
+                self.judge.report_violation(format!("router {} does not end", router.listen));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/gateway/tests/generated_deployments/events.rs
+++ b/crates/gateway/tests/generated_deployments/events.rs
@@ -52,9 +52,9 @@
             return;
         }
         let connection = under_test.harness.connect_client();
-        let number = self.checker.asked(self.now, class, (wait_ms + slow_ms) * MS);
+        let number = self.checker.request_sent(self.now, class, (wait_ms + slow_ms) * MS);
         let text =
-            chat_request_with(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
+            chat_request_with(&format!("t{number}"), &self.deployment.classes[class].name, wait_ms, "{}");
         (self.requests[n].number, self.requests[n].connection) = (Some(number), Some(connection));
         if slow_ms == 0 {
             under_test.harness.deliver(connection, text);
@@ -68,7 +68,7 @@
         let PlannedRequest { router, class, wait_ms, connection, number, .. } = self.requests[n];
         let (Some(connection), Some(number)) = (connection, number) else { return };
         let text =
-            chat_request_with(&format!("t{number}"), &self.customer.classes[class].name, wait_ms, "{}");
+            chat_request_with(&format!("t{number}"), &self.deployment.classes[class].name, wait_ms, "{}");
         self.routers[router].harness.deliver(connection, &text[40..]);
     }
 
@@ -78,14 +78,15 @@
         };
         let harness = &mut self.routers[self.requests[n].router].harness;
         if !harness.ended.contains_key(&connection) {
-            self.checker.client_closed(self.now, number);
+            self.checker.client_disconnected(self.now, number);
             harness.reset(connection);
         }
     }
 
     pub(super) fn connected(&mut self, (router, connection): Connection) {
         if !self.passes((router, connection)) {
-            return self.schedule(self.customer.dial / MS, Event::ConnectFails((router, connection)));
+            return self
+                .schedule(self.deployment.connect_timeout / MS, Event::ConnectFails((router, connection)));
         }
         // Some lead nowhere from here on, which nobody can see.
         if self.random_bool(0.02) {
@@ -110,7 +111,7 @@
         } else {
             under_test.draining_since.entry(worker).or_insert(self.now);
         }
-        let entry = self.customer.entry(worker, state, started_ms);
+        let entry = self.deployment.endpoint_entry(worker, state, started_ms);
         let line = json!({"version": under_test.version, "full": false, "servers": [entry]});
         under_test.harness.deliver(watch, chunk(&format!("{line}\n")));
     }
--- a/crates/gateway/tests/generated_deployments/observation.rs
+++ b/crates/gateway/tests/generated_deployments/observation.rs
@@ -29,7 +29,7 @@
                 self.open_watch(router, *connection);
                 continue;
             }
-            let (worker, dial_ms) = (host - 1, self.customer.dial / MS);
+            let (worker, dial_ms) = (host - 1, self.deployment.connect_timeout / MS);
             if self.servers[worker].vanished || self.random_bool(0.03) {
                 self.schedule(dial_ms, Event::ConnectFails((router, *connection)));
             } else {
@@ -46,11 +46,11 @@
         let known = under_test.harness.watch_connection() == Some(connection);
         if known {
             under_test.version += 1;
-            let servers: Vec<_> = (0..self.customer.workers.len())
+            let servers: Vec<_> = (0..self.deployment.workers.len())
                 .map(|w| {
                     let state =
                         if under_test.draining_since.contains_key(&w) { "DRAINING" } else { "SERVING" };
-                    self.customer.entry(w, state, 0)
+                    self.deployment.endpoint_entry(w, state, 0)
                 })
                 .collect();
             under_test
@@ -75,7 +75,7 @@
             under_test.closed.insert(connection);
             under_test.established.remove(&connection);
             under_test.unwritten_calls.remove(&connection);
-            self.checker.gives_up((router, connection));
+            self.checker.connection_aborted((router, connection));
             // The worker learns of it some time later, before or behind what is sent on other connections.
             let late = self.random_range(0, 6);
             self.schedule(late, Event::DisconnectSeen((router, connection)));
@@ -105,15 +105,15 @@
         });
         if text.starts_with("POST ") {
             let draining_since = self.routers[router].draining_since.get(&worker).copied();
-            self.checker.leaves(self.now, &self.customer, &text[..25], draining_since);
+            self.checker.call_sent(self.now, &self.deployment, &text[..25], draining_since);
         }
         if let Some(request) = attempt_of(&text) {
             let remaining_ms: u64 = after(&text, "x-expires-in-ms: ").parse().expect("milliseconds");
-            self.checker.tells_deadline(self.now, request, remaining_ms * MS);
+            self.checker.remaining_time_sent(self.now, request, remaining_ms * MS);
         }
         self.routers[router].unwritten_calls.insert(connection, text);
         if self.random_bool(0.04) {
-            let waits = between(&mut self.rng, 10.0, 1_500.0) as u64;
+            let waits = log_uniform(&mut self.rng, 10.0, 1_500.0) as u64;
             self.schedule(waits, Event::CallWritten((router, connection)));
         } else {
             self.call_written((router, connection));
@@ -135,11 +135,11 @@
             let harness = &self.routers[request.router].harness;
             let first = harness.statuses(connection).first().copied();
             match first {
-                Some(status) if !self.checker.is_answered(number) => {
-                    self.checker.client_answered(self.now, &self.customer, number, status);
+                Some(status) if !self.checker.has_response(number) => {
+                    self.checker.response_started(self.now, &self.deployment, number, status);
                 }
                 None if harness.ended.contains_key(&connection) => {
-                    self.checker.client_left_alone(self.now, number)
+                    self.checker.connection_ended_without_response(self.now, number)
                 }
                 _ => {}
             }
--- a/crates/gateway/tests/generated_deployments/servers.rs
+++ b/crates/gateway/tests/generated_deployments/servers.rs
@@ -5,10 +5,12 @@
 impl World {
     /// What was out on a connection has ended, but a prefill may have completed in that very moment.
     pub(super) fn connection_ends(&mut self, on: Connection) {
-        for (request, worker, writes) in self.checker.attempts_end(self.now, on) {
-            let reads = !writes || self.checker.wants_state(request) && self.customer.reads_by_itself(worker);
+        for ended in self.checker.attempts_ended(self.now, on) {
+            let reads = !ended.is_decode
+                || self.checker.needs_prefill(ended.request)
+                    && self.deployment.prefills_locally(ended.worker);
             if reads && self.random_bool(0.1) {
-                self.checker.holds_state(self.now, request, worker);
+                self.checker.state_stored(self.now, ended.request, ended.worker);
             }
         }
     }
@@ -16,13 +18,13 @@
     pub(super) fn arrives(&mut self, on: Connection, text: String) {
         let Some(request) = attempt_of(&text) else { return self.schedule(1, Event::HandleCall(on, text)) };
         let Some(worker) = self.worker(on) else { return };
-        let writes = self.customer.workers[worker].role != Role::Reads;
-        self.checker.arrives(self.now, &self.customer, request, (worker, on), writes);
+        let writes = self.deployment.workers[worker].role != Role::Prefill;
+        self.checker.attempt_received(self.now, &self.deployment, request, worker, on, writes);
         if writes {
-            let takes = between(&mut self.rng, 1.0, 1_200.0) as u64;
+            let takes = log_uniform(&mut self.rng, 1.0, 1_200.0) as u64;
             self.schedule(takes, Event::DecodeEnds(on, request));
         } else {
-            let takes = between(&mut self.rng, 2.0, 1_500.0) as u64;
+            let takes = log_uniform(&mut self.rng, 2.0, 1_500.0) as u64;
             self.schedule(takes, Event::PrefillEnds(on, request));
         }
     }
@@ -38,20 +40,20 @@
             self.checker.released(request);
             return self.deliver(on, "HTTP/1.1 204 No Content\r\n\r\n");
         }
-        let knows = self.checker.is_read(request);
+        let knows = self.checker.is_prefill_in_flight(request);
         let takes = if knows { self.random_range(1, 60) } else { 300 };
         self.schedule(takes, Event::ReservationAnswered(on, request, knows));
     }
 
     pub(super) fn prefill_ends(&mut self, on: Connection, request: usize) {
-        let Some(worker) = self.worker(on).filter(|_| self.checker.has(request, on)) else { return };
+        let Some(worker) = self.worker(on).filter(|_| self.checker.is_in_flight(request, on)) else { return };
         if self.routers[on.0].blackholed.contains(&on.1) {
             return;
         }
-        self.checker.attempts_end(self.now, on);
+        self.checker.attempts_ended(self.now, on);
         let roll = self.random_range(0, 100);
         if roll < 92 {
-            self.checker.holds_state(self.now, request, worker);
+            self.checker.state_stored(self.now, request, worker);
         }
         match roll {
             0..86 => self.deliver(on, PREFILL_COMPLETE),
@@ -63,12 +65,12 @@
     }
 
     pub(super) fn decode_ends(&mut self, on: Connection, request: usize) {
-        if !self.passes(on) || !self.checker.has(request, on) {
+        if !self.passes(on) || !self.checker.is_in_flight(request, on) {
             return;
         }
         let worker = self.worker(on).expect("a worker");
         let roll = self.random_range(0, 100);
-        if !self.checker.has_state(request) && !self.customer.reads_by_itself(worker) {
+        if !self.checker.has_state(request) && !self.deployment.prefills_locally(worker) {
             return self.never_ran(on, request, &NEVER_RAN.replace("503", "410"));
         }
         match roll {
@@ -78,15 +80,15 @@
                 self.break_connection(on);
             }
             20..26 => {
-                self.checker.attempts_end(self.now, on);
+                self.checker.attempts_ended(self.now, on);
                 self.deliver(on, &response(500, "", ""));
             }
             26..30 => {
-                self.checker.attempts_end(self.now, on);
+                self.checker.attempts_ended(self.now, on);
                 self.deliver(on, "#!noise that is no answer\r\n\r\n");
             }
             _ => {
-                self.checker.begins(request);
+                self.checker.stream_started(request);
                 self.deliver(on, &format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
                 let takes = self.random_range(1, 300);
                 self.schedule(takes, Event::StreamEnds(on));
@@ -95,16 +97,16 @@
     }
 
     fn never_ran(&mut self, on: Connection, request: usize, answer: &str) {
-        self.checker.attempts_end(self.now, on);
-        self.checker.told_never_ran(request, on);
+        self.checker.attempts_ended(self.now, on);
+        self.checker.attempt_never_ran(request, on);
         self.deliver(on, answer);
     }
 
     pub(super) fn answer_reservation(&mut self, on: Connection, request: usize, knows_prefill: bool) {
         let worker = self.worker(on).unwrap_or(0);
-        let held = self.checker.has_place(request, worker) || self.random_bool(0.6);
+        let held = self.checker.has_reservation(request, worker) || self.random_bool(0.6);
         if held && self.worker(on).is_some() {
-            self.checker.holds_place(self.now, request, worker);
+            self.checker.reserved(self.now, request, worker);
         }
         let text = match (knows_prefill, held) {
             (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
@@ -137,7 +139,7 @@
     }
 
     pub(super) fn stream_ends(&mut self, on: Connection) {
-        self.checker.attempts_end(self.now, on);
+        self.checker.attempts_ended(self.now, on);
         self.deliver(on, &format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     }
 }
--- a/crates/gateway/tests/generated_deployments/world.rs
+++ b/crates/gateway/tests/generated_deployments/world.rs
@@ -9,8 +9,11 @@
 use tideroute_wire::Micros;
 
 use crate::common::*;
-use tideroute_test_support::checker::{Break, Checker, Connection};
-use tideroute_test_support::customer::{between, Customer, Role};
+use tideroute_test_support::checker::{Checker, Connection};
+use tideroute_test_support::deployment::GeneratedDeployment;
+use tideroute_test_support::random::log_uniform;
+use tideroute_test_support::violation::Violation;
+use tideroute_test_support::worker_spec::Role;
 
 #[path = "events.rs"]
 mod events;
@@ -92,7 +95,7 @@
 }
 
 pub struct World {
-    customer: Customer,
+    deployment: GeneratedDeployment,
     checker: Checker,
     rng: Rng,
     now: Micros,
@@ -109,11 +112,12 @@
     pub fn generate(seed: u64) -> World {
         // The generator's lowest bit is always set.
         let mut rng = Rng::new(2 * seed);
-        let customer = Customer::drawn(&mut rng);
-        let routers = (0..1 + (rng.unit() * rng.unit() * 3.0) as usize).map(|_| router(&customer)).collect();
-        let servers = customer.workers.iter().map(|_| Server::default()).collect();
+        let deployment = GeneratedDeployment::generate(&mut rng);
+        let routers =
+            (0..1 + (rng.unit() * rng.unit() * 3.0) as usize).map(|_| router(&deployment)).collect();
+        let servers = deployment.workers.iter().map(|_| Server::default()).collect();
         let mut world = World {
-            customer,
+            deployment,
             checker: Checker::new(EPOCH, 0),
             rng,
             now: EPOCH,
@@ -133,9 +137,9 @@
     fn plan_requests(&mut self) {
         for n in 0..self.random_range(1, 7) as usize {
             let router = self.random_range(0, self.routers.len() as u64) as usize;
-            let class = self.random_range(0, self.customer.classes.len() as u64) as usize;
-            let longest = self.customer.classes[class].deadline_ms.min(MAX_WAIT_MS);
-            let wait_ms = (longest as f64 * between(&mut self.rng, 0.5, 1.0)).max(30.0) as u64;
+            let class = self.random_range(0, self.deployment.classes.len() as u64) as usize;
+            let longest = self.deployment.classes[class].deadline_ms.min(MAX_WAIT_MS);
+            let wait_ms = (longest as f64 * log_uniform(&mut self.rng, 0.5, 1.0)).max(30.0) as u64;
             let slow_ms = if self.random_bool(0.15) { self.random_range(50, 600) } else { 0 };
             self.requests.push(PlannedRequest {
                 router,
@@ -162,7 +166,7 @@
                 self.random_range(2.min(many - 1), many) as usize,
                 self.random_range(0, FAULTS_UNTIL_MS as u64),
             );
-            let lasts = between(&mut self.rng, 50.0, 4_000.0) as u64;
+            let lasts = log_uniform(&mut self.rng, 50.0, 4_000.0) as u64;
             match self.random_range(0, 6) {
                 0 | 1 => {
                     self.schedule(at, Event::Vanish(worker));
@@ -182,10 +186,10 @@
     }
 
     /// Plays, and prints the deployment's settings and all events.
-    pub fn play_verbosely(mut self) -> Option<Break> {
-        let roles = self.customer.workers.iter().enumerate();
+    pub fn play_verbosely(mut self) -> Option<Violation> {
+        let roles = self.deployment.workers.iter().enumerate();
         let roles: Vec<_> = roles.map(|(n, w)| format!("{n}:{:?} {}/{}", w.role, w.zone, w.cell)).collect();
-        println!("{:#}\nworkers {roles:?}", self.customer.file["settings"]);
+        println!("{:#}\nworkers {roles:?}", self.deployment.config["settings"]);
         self.is_verbose = true;
         self.play()
     }
@@ -220,7 +224,7 @@
     }
 
     /// The rule that is broken first, if one is.
-    pub fn play(mut self) -> Option<Break> {
+    pub fn play(mut self) -> Option<Violation> {
         let end = EPOCH + END_MS * MS;
         loop {
             let event = self.queue.peek().map_or(end, |Reverse((at, ..))| *at);
@@ -239,9 +243,9 @@
                 self.step(start, event);
                 self.observe();
             }
-            self.checker.look(self.now, &self.customer);
-            if self.checker.broken.is_some() {
-                return self.checker.broken;
+            self.checker.check(self.now, &self.deployment);
+            if self.checker.violation.is_some() {
+                return self.checker.violation;
             }
         }
     }
@@ -277,12 +281,12 @@
 }
 
 /// A router that has just received the full endpoint list.
-fn router(customer: &Customer) -> RouterUnderTest {
-    let mut harness = Harness::with_config(&customer.file);
+fn router(deployment: &GeneratedDeployment) -> RouterUnderTest {
+    let mut harness = Harness::with_config(&deployment.config);
     harness.is_immediate = false;
     let (watch, _) = harness.watch();
     harness.complete_write(watch);
-    harness.send_update(&customer.file["known"]);
+    harness.send_update(&deployment.config["known"]);
     RouterUnderTest {
         harness,
         version: 4,
--- a/crates/test-support/src/checker.rs
+++ b/crates/test-support/src/checker.rs
@@ -1,356 +1,352 @@
-//! A plain model of the rules: it is told what passed between clients, routers and workers, and knows nothing of how a
-//! router decides.
+//! A plain model of the rules: it is notified of what passes between clients, routers and workers, and knows nothing of
+//! how a router decides.
 
-use std::fmt;
-
-use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-use crate::customer::{Customer, Effect};
+use crate::deployment::GeneratedDeployment;
+use crate::request_class::Idempotency;
+pub use crate::request_record::Connection;
+use crate::request_record::{Attempt, RequestRecord};
+use crate::violation::{Rule, Violation};
 use crate::virtual_time::MS;
 
 /// What the protocol allows on sockets beyond each limit.
 const SLACK: Micros = 50 * MS;
-/// And beyond the limit for what is held.
-const HELD_SLACK: Micros = 300 * MS;
-/// After a client's close no attempt begins any more.
-const AFTER_CLOSE: Micros = 100 * MS;
-/// A deadline told to a worker may be so much longer than what is left to the client.
+/// What it allows beyond the limit on holding state and reservations.
+const HOLD_SLACK: Micros = 300 * MS;
+/// How long after its client's disconnect an attempt may still begin.
+const DISCONNECT_SLACK: Micros = 100 * MS;
+/// How much longer than the client's remaining time the one told to a worker may be.
 const DEADLINE_SLACK: Micros = 150 * MS;
 
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Rule {
-    Lost,
-    Duplicate,
-    Drain,
-    Pinned,
-    Deadline,
-}
-
-/// A rule that was broken, when (milliseconds since the start), and how.
-#[derive(Clone, Debug)]
-pub struct Break {
-    pub rule: Rule,
-    at_ms: u64,
-    what: String,
-}
-
-impl fmt::Display for Break {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {} ms: {}", self.rule, self.at_ms, self.what)
-    }
-}
-
-/// One router's connection to a worker.
-pub type Connection = (usize, ConnectionId);
-
-struct Attempt {
-    worker: usize,
-    on: Connection,
-    /// It answers, and so has the request's effect; else it only reads the prompt.
-    writes: bool,
-    arrived: Micros,
-    /// Its worker still has it.
-    out: bool,
-    /// The router has ended its connection, of which the worker may not know yet.
-    given_up: bool,
-    /// The router was told that it never ran.
-    never_ran: bool,
-}
-
-struct Request {
-    class: usize,
-    until: Micros,
-    closed: Option<Micros>,
-    answered: Option<Micros>,
-    attempts: Vec<Attempt>,
-    /// Where its state waits and a place is held, and since when they may be with no attempt out.
-    state: Option<usize>,
-    place: Option<usize>,
-    since: Micros,
-    begun: bool,
-    excused: bool,
-}
-
-impl Request {
-    fn is_out(&self) -> bool {
-        self.attempts.iter().any(|a| a.out)
-    }
+/// An attempt that has just ended.
+#[derive(Clone, Copy, Debug)]
+pub struct EndedAttempt {
+    /// Its request.
+    pub request: usize,
+    /// Its worker.
+    pub worker: usize,
+    /// It was to respond; else it only prefilled.
+    pub is_decode: bool,
 }
 
+/// The rules' checker. Requests are numbered in the order in which they are sent; workers by the deployment.
 pub struct Checker {
-    began: Micros,
-    /// How much later something may be seen than it was done; none in virtual time.
-    noise: Micros,
-    requests: Vec<Request>,
-    pub broken: Option<Break>,
+    started_at: Micros,
+    /// How much later something may be observed than it happened; 0 in virtual time.
+    observation_delay: Micros,
+    requests: Vec<RequestRecord>,
+    /// The first rule that was broken.
+    pub violation: Option<Violation>,
 }
 
 impl Checker {
-    pub fn new(began: Micros, noise: Micros) -> Checker {
-        Checker { began, noise, requests: vec![], broken: None }
+    /// A checker that observes everything at most `observation_delay` after it happened.
+    pub fn new(started_at: Micros, observation_delay: Micros) -> Checker {
+        Checker { started_at, observation_delay, requests: vec![], violation: None }
     }
 
-    fn breaks(&mut self, now: Micros, rule: Rule, what: String) {
-        self.broken.get_or_insert(Break { rule, at_ms: (now - self.began) / MS, what });
+    fn report(&mut self, now: Micros, rule: Rule, message: String) {
+        let at_ms = (now - self.started_at) / MS;
+        self.violation.get_or_insert(Violation { rule, at_ms, message });
     }
 
-    /// A request's last byte was written to its router; its number is its place among all.
-    pub fn asked(&mut self, now: Micros, class: usize, wait: Micros) -> usize {
-        self.requests.push(Request {
-            class,
-            until: now + wait,
-            closed: None,
-            answered: None,
-            attempts: vec![],
-            state: None,
-            place: None,
-            since: now,
-            begun: false,
-            excused: false,
-        });
+    /// Reports something that is broken and shows without a request of its own.
+    pub fn report_violation(&mut self, now: Micros, message: String) {
+        self.report(now, Rule::LostRequest, message);
+    }
+
+    /// A request's last byte was written to its router, and its client waits so long. Returns the request's number.
+    pub fn request_sent(&mut self, now: Micros, class: usize, wait: Micros) -> usize {
+        self.requests.push(RequestRecord::new(class, now, now + wait));
         self.requests.len() - 1
     }
 
-    /// How many requests were asked.
-    pub fn requests(&self) -> usize {
+    /// How many requests were sent.
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Until when a request's client waits.
-    pub fn until(&self, request: usize) -> Micros {
-        self.requests[request].until
+    pub fn deadline(&self, request: usize) -> Micros {
+        self.requests[request].deadline
     }
 
-    pub fn class(&self, request: usize) -> usize {
+    /// Index of a request's class.
+    pub fn class_of(&self, request: usize) -> usize {
         self.requests[request].class
     }
 
-    /// Something is broken that shows without a request of its own.
-    pub fn breaks_otherwise(&mut self, now: Micros, what: String) {
-        self.breaks(now, Rule::Lost, what);
-    }
-
-    /// Its router was killed: what that held for it is nobody's duty any more.
+    /// Its router was killed: what the router held for it is no longer anybody's obligation.
     pub fn router_killed(&mut self, request: usize) {
-        self.requests[request].excused = true;
+        self.requests[request].router_killed = true;
     }
 
     /// Its client has closed its connection.
-    pub fn client_closed(&mut self, now: Micros, request: usize) {
-        self.requests[request].closed.get_or_insert(now);
+    pub fn client_disconnected(&mut self, now: Micros, request: usize) {
+        self.requests[request].client_disconnected_at.get_or_insert(now);
     }
 
-    /// Its final answer has begun, or a stream has.
-    pub fn client_answered(&mut self, now: Micros, customer: &Customer, request: usize, status: u16) {
-        let r = &mut self.requests[request];
-        r.answered = Some(now);
-        let effect = customer.classes[r.class].effect;
-        let refused = matches!(status, 429 | 503);
-        let may_have_run = r.attempts.iter().any(|a| a.writes && !a.never_ran);
-        let begun = r.begun || r.excused;
-        if refused && may_have_run && !effect.may_be_refused_after_run() {
-            let what = format!("request {request} ({effect:?}) is refused, and may have run");
-            self.breaks(now, Rule::Duplicate, what);
+    /// Its client has got the status of its final response.
+    pub fn response_started(
+        &mut self,
+        now: Micros,
+        deployment: &GeneratedDeployment,
+        request: usize,
+        status: u16,
+    ) {
+        let record = &mut self.requests[request];
+        record.response_started_at = Some(now);
+        let idempotency = deployment.classes[record.class].idempotency;
+        let is_rejection = matches!(status, 429 | 503);
+        let may_have_run = record.first_possible_run().is_some();
+        let was_served = record.stream_started || record.router_killed;
+        if is_rejection && may_have_run && !idempotency.may_be_rejected_after_run() {
+            let message = format!("request {request} ({idempotency:?}) is rejected, and may have run");
+            self.report(now, Rule::DuplicateExecution, message);
         }
-        if status == 200 && !begun {
-            let what = format!("request {request} is served with what no worker made for it");
-            self.breaks(now, Rule::Lost, what);
+        if status == 200 && !was_served {
+            let message = format!("request {request} got a response that no worker made for it");
+            self.report(now, Rule::LostRequest, message);
         }
     }
 
-    /// The router has ended its client's connection with no answer.
-    pub fn client_left_alone(&mut self, now: Micros, request: usize) {
-        let r = &self.requests[request];
-        if r.closed.is_none() && !r.excused {
-            self.breaks(now, Rule::Lost, format!("the connection of request {request} ended with no answer"));
+    /// Its router has ended its client's connection without a response.
+    pub fn connection_ended_without_response(&mut self, now: Micros, request: usize) {
+        let record = &self.requests[request];
+        if record.client_disconnected_at.is_none() && !record.router_killed {
+            let message = format!("the connection of request {request} ended without a response");
+            self.report(now, Rule::LostRequest, message);
         }
     }
 
-    pub fn is_answered(&self, request: usize) -> bool {
-        self.requests[request].answered.is_some()
+    /// Whether its client has got the status of its final response.
+    pub fn has_response(&self, request: usize) -> bool {
+        self.requests[request].response_started_at.is_some()
     }
 
-    /// The first byte of an attempt, or of a call for a place, leaves a router that was told of the worker's drain
-    /// then, if it was.
-    pub fn leaves(&mut self, now: Micros, customer: &Customer, what: &str, told: Option<Micros>) {
-        if told.is_some_and(|at| now > at + customer.grace + SLACK + self.noise) {
-            self.breaks(now, Rule::Drain, format!("{what} to a worker that drains"));
+    /// The first byte of an attempt or reservation leaves a router, which was notified at `draining_since` that the
+    /// worker drains, if it was. `call` names it in a violation.
+    pub fn call_sent(
+        &mut self,
+        now: Micros,
+        deployment: &GeneratedDeployment,
+        call: &str,
+        draining_since: Option<Micros>,
+    ) {
+        let tolerance = deployment.drain_grace + SLACK + self.observation_delay;
+        if draining_since.is_some_and(|since| now > since + tolerance) {
+            self.report(now, Rule::Draining, format!("{call} to a worker that drains"));
         }
     }
 
-    /// An attempt's head leaves, and tells its worker how long there is.
-    pub fn tells_deadline(&mut self, now: Micros, request: usize, told: Micros) {
-        let left = self.requests[request].until.saturating_sub(now);
-        if told > left + DEADLINE_SLACK + self.noise {
-            let what = format!("request {request} is told {} ms, {} ms are left", told / MS, left / MS);
-            self.breaks(now, Rule::Deadline, what);
+    /// An attempt's head leaves, and tells its worker the remaining time.
+    pub fn remaining_time_sent(&mut self, now: Micros, request: usize, sent: Micros) {
+        let remaining = self.requests[request].deadline.saturating_sub(now);
+        if sent > remaining + DEADLINE_SLACK + self.observation_delay {
+            let (sent_ms, remaining_ms) = (sent / MS, remaining / MS);
+            let message =
+                format!("request {request} is sent with {sent_ms} ms remaining, {remaining_ms} ms remain");
+            self.report(now, Rule::Deadline, message);
         }
     }
 
     /// An attempt's last byte has come to a worker.
-    pub fn arrives(
+    pub fn attempt_received(
         &mut self,
         now: Micros,
-        customer: &Customer,
+        deployment: &GeneratedDeployment,
         request: usize,
-        (worker, on): (usize, Connection),
-        writes: bool,
+        worker: usize,
+        on: Connection,
+        is_decode: bool,
     ) {
-        let r = &self.requests[request];
-        let effect = customer.classes[r.class].effect;
-        let late = |at: Option<Micros>| at.is_some_and(|at| now > at + AFTER_CLOSE + self.noise);
-        let mut problem = None;
-        if late(r.closed) {
-            problem = Some((Rule::Lost, "begins after its client has closed".to_string()));
-        } else if r.answered.is_some_and(|at| now > at + self.noise) {
-            problem = Some((Rule::Lost, "is sent on after its final answer".to_string()));
-        } else if self.noise == 0 && r.attempts.iter().any(|a| a.out && !a.given_up && a.writes && writes) {
-            problem = Some((Rule::Duplicate, format!("({effect:?}) is sent again while an attempt is out")));
-        } else if writes {
-            problem = repeats(now.saturating_sub(self.noise), customer, effect, r, worker)
-                .map(|what| (Rule::Duplicate, what));
+        if let Some((rule, problem)) = self.forbidden_attempt(now, deployment, request, worker, is_decode) {
+            self.report(now, rule, format!("request {request} {problem}"));
         }
-        if let Some((rule, what)) = problem {
-            self.breaks(now, rule, format!("request {request} {what}"));
+        let record = &mut self.requests[request];
+        if is_decode {
+            record.reservation_at = None;
         }
-        let r = &mut self.requests[request];
-        r.place = r.place.filter(|_| !writes);
-        r.attempts.push(Attempt {
+        record.attempts.push(Attempt {
             worker,
             on,
-            writes,
-            arrived: now,
-            out: true,
-            given_up: false,
+            is_decode,
+            received_at: now,
+            in_flight: true,
+            cancelled: false,
             never_ran: false,
         });
     }
 
+    /// Why an attempt that has just come to a worker must not be there, if so.
+    fn forbidden_attempt(
+        &self,
+        now: Micros,
+        deployment: &GeneratedDeployment,
+        request: usize,
+        worker: usize,
+        is_decode: bool,
+    ) -> Option<(Rule, String)> {
+        let record = &self.requests[request];
+        let delay = self.observation_delay;
+        if record.client_disconnected_at.is_some_and(|at| now > at + DISCONNECT_SLACK + delay) {
+            return Some((Rule::LostRequest, "is attempted after its client has disconnected".to_string()));
+        }
+        if record.response_started_at.is_some_and(|at| now > at + delay) {
+            return Some((Rule::LostRequest, "is attempted after its final response".to_string()));
+        }
+        if !is_decode {
+            return None;
+        }
+        let idempotency = deployment.classes[record.class].idempotency;
+        if delay == 0 && record.has_live_decode() {
+            let problem = format!("({idempotency:?}) is sent again while an attempt is in flight");
+            return Some((Rule::DuplicateExecution, problem));
+        }
+        let problem = forbidden_retry(now.saturating_sub(delay), deployment, idempotency, record, worker)?;
+        Some((Rule::DuplicateExecution, problem))
+    }
+
     /// The router has been told that the attempt on a connection never ran.
-    pub fn told_never_ran(&mut self, request: usize, on: Connection) {
+    pub fn attempt_never_ran(&mut self, request: usize, on: Connection) {
         let attempts = self.requests[request].attempts.iter_mut();
-        attempts.filter(|a| a.on == on).for_each(|a| a.never_ran = true);
+        attempts.filter(|attempt| attempt.on == on).for_each(|attempt| attempt.never_ran = true);
     }
 
     /// The router has ended a connection.
-    pub fn gives_up(&mut self, on: Connection) {
-        let attempts = self.requests.iter_mut().flat_map(|r| &mut r.attempts);
-        attempts.filter(|a| a.on == on).for_each(|a| a.given_up = true);
+    pub fn connection_aborted(&mut self, on: Connection) {
+        let attempts = self.requests.iter_mut().flat_map(|record| &mut record.attempts);
+        attempts.filter(|attempt| attempt.on == on).for_each(|attempt| attempt.cancelled = true);
     }
 
-    /// The attempts on a connection are over: its worker has answered, or one side has ended it.
-    pub fn attempts_end(&mut self, now: Micros, on: Connection) -> Vec<(usize, usize, bool)> {
+    /// The attempts on a connection have ended: their worker has responded, or one side has ended the connection.
+    pub fn attempts_ended(&mut self, now: Micros, on: Connection) -> Vec<EndedAttempt> {
         let mut ended = vec![];
-        for (number, r) in self.requests.iter_mut().enumerate() {
-            for attempt in r.attempts.iter_mut().filter(|a| a.out && a.on == on) {
-                attempt.out = false;
-                r.since = now;
-                ended.push((number, attempt.worker, attempt.writes));
+        for (request, record) in self.requests.iter_mut().enumerate() {
+            for attempt in record.attempts.iter_mut().filter(|a| a.in_flight && a.on == on) {
+                attempt.in_flight = false;
+                record.held_since = now;
+                ended.push(EndedAttempt { request, worker: attempt.worker, is_decode: attempt.is_decode });
             }
         }
         ended
     }
 
-    /// Whether a worker still has the attempt on that connection.
-    pub fn has(&self, request: usize, on: Connection) -> bool {
-        self.requests[request].attempts.iter().any(|a| a.out && a.on == on)
+    /// Whether a worker still works on an attempt of the request on that connection.
+    pub fn is_in_flight(&self, request: usize, on: Connection) -> bool {
+        self.requests[request].attempts.iter().any(|attempt| attempt.in_flight && attempt.on == on)
     }
 
-    /// Whether a read of the request is out somewhere.
-    pub fn is_read(&self, request: usize) -> bool {
-        self.requests[request].attempts.iter().any(|a| a.out && !a.writes)
+    /// Whether a prefill of the request is in flight.
+    pub fn is_prefill_in_flight(&self, request: usize) -> bool {
+        self.requests[request].has_prefill_in_flight()
     }
 
+    /// Whether a worker holds the request's KV state.
     pub fn has_state(&self, request: usize) -> bool {
-        self.requests[request].state.is_some()
+        self.requests[request].state_at.is_some()
     }
 
-    pub fn has_place(&self, request: usize, worker: usize) -> bool {
-        self.requests[request].place == Some(worker)
+    /// Whether the worker holds a decode reservation for the request.
+    pub fn has_reservation(&self, request: usize, worker: usize) -> bool {
+        self.requests[request].reservation_at == Some(worker)
     }
 
-    /// Whether an attempt that answers it has to read its prompt first.
-    pub fn wants_state(&self, request: usize) -> bool {
-        !self.has_state(request) && !self.requests[request].begun
+    /// Whether a decode attempt would have to prefill first.
+    pub fn needs_prefill(&self, request: usize) -> bool {
+        !self.has_state(request) && !self.requests[request].stream_started
     }
 
-    /// A read has ended well at a worker, where its state waits now.
-    pub fn holds_state(&mut self, now: Micros, request: usize, worker: usize) {
-        let r = &mut self.requests[request];
-        (r.state, r.since) = (Some(worker), now);
+    /// A prefill has completed at a worker, which holds the KV state now.
+    pub fn state_stored(&mut self, now: Micros, request: usize, worker: usize) {
+        let record = &mut self.requests[request];
+        record.state_at = Some(worker);
+        record.held_since = now;
     }
 
-    /// A worker holds a place, unless the answer has come there already or has begun.
-    pub fn holds_place(&mut self, now: Micros, request: usize, worker: usize) {
-        let r = &mut self.requests[request];
-        if !r.begun && !r.attempts.iter().any(|a| a.out && a.writes) {
-            (r.place, r.since) = (Some(worker), now);
+    /// A worker has made a decode reservation, unless the attempt has come already or its stream has begun.
+    pub fn reserved(&mut self, now: Micros, request: usize, worker: usize) {
+        let record = &mut self.requests[request];
+        if !record.stream_started && !record.has_decode_in_flight() {
+            record.reservation_at = Some(worker);
+            record.held_since = now;
         }
     }
 
-    /// A running worker frees all that is held, but what an attempt waits for.
+    /// A running worker has released all that it held for the request, but what an attempt in flight needs.
     pub fn released(&mut self, request: usize) {
-        let r = &mut self.requests[request];
-        let waits = r.attempts.iter().any(|a| a.out && a.writes);
-        r.state = r.state.filter(|_| waits);
-        r.place = None;
+        let record = &mut self.requests[request];
+        if !record.has_decode_in_flight() {
+            record.state_at = None;
+        }
+        record.reservation_at = None;
     }
 
-    /// Its answer has begun: all that was held for it is taken.
-    pub fn begins(&mut self, request: usize) {
-        let r = &mut self.requests[request];
-        (r.state, r.place, r.begun) = (None, None, true);
+    /// A worker has begun to stream the response: all that was held for it is used.
+    pub fn stream_started(&mut self, request: usize) {
+        let record = &mut self.requests[request];
+        record.state_at = None;
+        record.reservation_at = None;
+        record.stream_started = true;
     }
 
     /// What a worker held and worked on is gone with its process.
     pub fn worker_died(&mut self, now: Micros, worker: usize) {
-        for r in &mut self.requests {
-            r.state = r.state.filter(|at| *at != worker);
-            r.place = r.place.filter(|at| *at != worker);
-            for attempt in r.attempts.iter_mut().filter(|a| a.out && a.worker == worker) {
-                attempt.out = false;
-                r.since = now;
+        for record in &mut self.requests {
+            record.state_at = record.state_at.filter(|at| *at != worker);
+            record.reservation_at = record.reservation_at.filter(|at| *at != worker);
+            for attempt in record.attempts.iter_mut().filter(|a| a.in_flight && a.worker == worker) {
+                attempt.in_flight = false;
+                record.held_since = now;
             }
         }
     }
 
-    /// What the rules ask for at any moment.
-    pub fn look(&mut self, now: Micros, customer: &Customer) {
-        let mut found = None;
-        for (number, r) in self.requests.iter().enumerate().filter(|(_, r)| !r.excused) {
-            let held = r.state.map(|at| ("state", at)).or(r.place.map(|at| ("place", at)));
-            if let Some((what, at)) = held.filter(|_| !r.is_out()) {
-                if now > r.since + customer.held_limit + HELD_SLACK + SLACK + self.noise {
-                    let since = (r.since - self.began) / MS;
-                    let what = format!("the {what} of request {number} at {at} is held since {since} ms");
-                    found = Some((Rule::Pinned, what));
+    /// Checks the rules that hold at any instant: what is held is released in time, and each client has a response.
+    pub fn check(&mut self, now: Micros, deployment: &GeneratedDeployment) {
+        let mut last = None;
+        for (request, record) in self.requests.iter().enumerate().filter(|(_, record)| !record.router_killed)
+        {
+            if let Some((held, worker)) = record.held().filter(|_| !record.has_attempt_in_flight()) {
+                let limit = deployment.max_hold + HOLD_SLACK + SLACK + self.observation_delay;
+                if now > record.held_since + limit {
+                    let since_ms = (record.held_since - self.started_at) / MS;
+                    let message =
+                        format!("the {held} of request {request} at {worker} is held since {since_ms} ms");
+                    last = Some((Rule::HeldTooLong, message));
                 }
             }
-            if r.answered.is_none() && r.closed.is_none() && now > r.until + SLACK + self.noise {
-                found = Some((Rule::Lost, format!("request {number} has no answer in its time")));
+            let is_open = record.response_started_at.is_none() && record.client_disconnected_at.is_none();
+            if is_open && now > record.deadline + SLACK + self.observation_delay {
+                last = Some((Rule::LostRequest, format!("request {request} has no response in time")));
             }
         }
-        if let Some((rule, what)) = found {
-            self.breaks(now, rule, what);
+        if let Some((rule, message)) = last {
+            self.report(now, rule, message);
         }
     }
 }
 
-/// Why an attempt that writes must not be there, given those before it that may have run.
-fn repeats(now: Micros, customer: &Customer, effect: Effect, r: &Request, worker: usize) -> Option<String> {
-    let mut before = r.attempts.iter().filter(|a| a.writes && !a.never_ran);
-    let first = before.next()?;
-    match effect {
-        Effect::Safe => None,
-        Effect::Unsafe => Some("(Unsafe) is sent again, and may have run".to_string()),
-        Effect::Keyed { window, .. } if now > first.arrived + window + SLACK => {
-            let late = (now - first.arrived) / MS;
-            Some(format!("(Keyed) is sent again after {late} ms of {}", window / MS))
+/// Why a decode attempt is forbidden after those before it that may have run, if so.
+fn forbidden_retry(
+    now: Micros,
+    deployment: &GeneratedDeployment,
+    idempotency: Idempotency,
+    record: &RequestRecord,
+    worker: usize,
+) -> Option<String> {
+    let first = record.first_possible_run()?;
+    match idempotency {
+        Idempotency::Idempotent => None,
+        Idempotency::NonIdempotent => Some("(NonIdempotent) is sent again, and may have run".to_string()),
+        Idempotency::WithKey { window, .. } if now > first.received_at + window + SLACK => {
+            let (after_ms, window_ms) = ((now - first.received_at) / MS, window / MS);
+            Some(format!("(WithKey) is sent again after {after_ms} ms of {window_ms}"))
         }
-        Effect::Keyed { scope, .. } if !customer.share_repeats(scope, first.worker, worker) => {
-            Some(format!("(Keyed) is sent again outside its {scope:?}"))
+        Idempotency::WithKey { scope, .. } if !deployment.share_dedup_scope(scope, first.worker, worker) => {
+            Some(format!("(WithKey) is sent again outside its {scope:?}"))
         }
-        Effect::Keyed { .. } => None,
+        Idempotency::WithKey { .. } => None,
     }
 }
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -1,140 +1,158 @@
-//! A proxy in front of a worker: it tells when calls arrive and connections end, and delays, cuts up, silences or resets
-//! what passes. Its orders are lines.
+//! A proxy in front of a worker: it reports received calls and ended connections, and delays, cuts up, silences or
+//! resets what passes, as it is commanded.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicU64, AtomicU8, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::emulated_worker::{is_timeout, WorkerEnvironment, POLL_INTERVAL};
 use crate::http_messages::take_request;
-use crate::judge::{On, Report};
-use crate::worker::{waits, Surroundings, LOOKS};
+use crate::worker_event::{WorkerConnection, WorkerEvent};
 
-const OPEN: u8 = 0;
-const SILENT: u8 = 1;
+/// Bytes that are read at once.
+const READ_SIZE: usize = 16 << 10;
+/// Pause between two pieces of what is cut up.
+const PIECE_INTERVAL: Duration = Duration::from_micros(200);
 
-/// What the proxy does with what passes.
+/// What the proxy does with what passes. It starts with passing everything on.
 #[derive(Default)]
-pub struct Orders {
-    mode: AtomicU8,
+pub struct ProxyControl {
+    is_silent: AtomicBool,
     delay_ms: AtomicU64,
-    /// Bytes passed on at once; none for as many as there are.
-    piece: AtomicUsize,
+    /// Bytes passed on at once; 0 for as many as there are.
+    piece_length: AtomicUsize,
     /// How often all connections were reset.
     resets: AtomicU64,
 }
 
-impl Orders {
-    /// Takes an order; false if it is none.
-    pub fn take(&self, order: &str) -> bool {
-        let (what, number) = order.split_once(' ').unwrap_or((order, "0"));
-        let Ok(number) = number.trim().parse::<u64>() else { return false };
-        match what.trim() {
-            "open" => {
-                // What was silent is reset, as a machine does that comes back.
-                if self.mode.swap(OPEN, Ordering::SeqCst) == SILENT {
-                    self.resets.fetch_add(1, Ordering::SeqCst);
-                }
-                self.delay_ms.store(0, Ordering::SeqCst);
-                self.piece.store(0, Ordering::SeqCst);
-            }
-            "silent" => self.mode.store(SILENT, Ordering::SeqCst),
-            "reset" => drop(self.resets.fetch_add(1, Ordering::SeqCst)),
-            "delay" => self.delay_ms.store(number, Ordering::SeqCst),
-            "piece" => self.piece.store(number as usize, Ordering::SeqCst),
+impl ProxyControl {
+    /// Applies a command: `open`, `silent`, `reset`, `delay MILLISECONDS` or `piece BYTES`; false if it is none.
+    pub fn apply(&self, command: &str) -> bool {
+        let (name, argument) = command.split_once(' ').unwrap_or((command, "0"));
+        let Ok(argument) = argument.trim().parse::<u64>() else { return false };
+        match name.trim() {
+            "open" => self.open(),
+            "silent" => self.is_silent.store(true, Ordering::SeqCst),
+            "reset" => self.reset_connections(),
+            "delay" => self.delay_ms.store(argument, Ordering::SeqCst),
+            "piece" => self.piece_length.store(argument as usize, Ordering::SeqCst),
             _ => return false,
         }
         true
     }
 
-    fn is_silent(&self) -> bool {
-        self.mode.load(Ordering::SeqCst) == SILENT
+    /// Passes everything on again. What was silent is reset, as a machine does that comes back.
+    fn open(&self) {
+        if self.is_silent.swap(false, Ordering::SeqCst) {
+            self.reset_connections();
+        }
+        self.delay_ms.store(0, Ordering::SeqCst);
+        self.piece_length.store(0, Ordering::SeqCst);
+    }
+
+    fn reset_connections(&self) {
+        self.resets.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// Serves all who connect, each with a connection to the worker.
-pub fn serve<S: Surroundings>(
+/// Serves all who connect, each with a connection to the worker at `upstream`.
+pub fn serve<E: WorkerEnvironment>(
     listener: TcpListener,
     worker: usize,
-    to: &str,
-    orders: &Arc<Orders>,
-    at: Arc<S>,
+    upstream: &str,
+    control: &Arc<ProxyControl>,
+    environment: Arc<E>,
 ) {
-    for near in listener.incoming().flatten() {
-        let (orders, at, to) = (orders.clone(), at.clone(), to.to_string());
-        std::thread::spawn(move || {
-            let Ok(far) = TcpStream::connect(to) else { return reset(&near) };
-            let number = far.local_addr().map_or(0, |own| u64::from(own.port()));
-            let on = On { worker, number };
-            let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
-            let answers = Arc::new(Way { from: far_too, to: near_too, orders: orders.clone() });
-            std::thread::spawn(move || answers.pass(|_| {}));
-            let mut arrived = vec![];
-            Way { from: near, to: far, orders }.pass(|bytes| {
-                arrived.extend_from_slice(bytes);
-                while let Some(head) = take_request(&mut arrived) {
-                    at.take(Report::Arrives { on, head });
-                }
-            });
-            at.take(Report::Closed { on });
-        });
+    for client in listener.incoming().flatten() {
+        let (control, environment) = (control.clone(), environment.clone());
+        let upstream = upstream.to_string();
+        std::thread::spawn(move || serve_connection(client, worker, &upstream, control, &*environment));
     }
 }
 
+fn serve_connection<E: WorkerEnvironment>(
+    client: TcpStream,
+    worker: usize,
+    upstream: &str,
+    control: Arc<ProxyControl>,
+    environment: &E,
+) {
+    let Ok(upstream) = TcpStream::connect(upstream) else { return reset(&client) };
+    let number = upstream.local_addr().map_or(0, |own| u64::from(own.port()));
+    let on = WorkerConnection { worker, number };
+    let (Ok(client_writer), Ok(upstream_reader)) = (client.try_clone(), upstream.try_clone()) else { return };
+    let responses = Direction { from: upstream_reader, to: client_writer, control: control.clone() };
+    std::thread::spawn(move || responses.forward(|_| {}));
+    let mut arrived = vec![];
+    Direction { from: client, to: upstream, control }.forward(|bytes| {
+        arrived.extend_from_slice(bytes);
+        while let Some(head) = take_request(&mut arrived) {
+            environment.handle(WorkerEvent::CallReceived { on, head });
+        }
+    });
+    environment.handle(WorkerEvent::ConnectionClosed { on });
+}
+
 /// One direction of a connection.
-struct Way {
+struct Direction {
     from: TcpStream,
     to: TcpStream,
-    orders: Arc<Orders>,
+    control: Arc<ProxyControl>,
 }
 
-impl Way {
-    /// Passes on what comes, until one side ends or all are reset; tells what is about to be passed on.
-    fn pass(&self, mut tells: impl FnMut(&[u8])) {
+impl Direction {
+    /// Forwards what comes, until one side ends or all connections are reset; `observe` sees what is about to be
+    /// forwarded.
+    fn forward(&self, mut observe: impl FnMut(&[u8])) {
         for stream in [&self.from, &self.to] {
-            let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(LOOKS)));
+            let _ = stream.set_nodelay(true);
+            let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
         }
-        let resets = self.orders.resets.load(Ordering::SeqCst);
+        let resets = self.control.resets.load(Ordering::SeqCst);
         // A connection that was silent once stays so, to both ends, until it is reset.
-        let (mut dead, mut over, mut piece) = (false, false, [0; 16 << 10]);
+        let mut is_blackholed = false;
+        let mut is_over = false;
+        let mut buffer = [0; READ_SIZE];
         loop {
-            if self.orders.resets.load(Ordering::SeqCst) != resets {
+            if self.control.resets.load(Ordering::SeqCst) != resets {
                 reset(&self.from);
                 return reset(&self.to);
             }
-            dead |= self.orders.is_silent();
-            if over {
-                std::thread::sleep(LOOKS);
+            is_blackholed |= self.control.is_silent.load(Ordering::SeqCst);
+            if is_over {
+                std::thread::sleep(POLL_INTERVAL);
             } else {
-                match (&self.from).read(&mut piece) {
-                    Ok(0) => over = true,
-                    Ok(got) if !dead => {
-                        tells(&piece[..got]);
-                        over = self.write(&piece[..got]).is_none();
+                match (&self.from).read(&mut buffer) {
+                    Ok(0) => is_over = true,
+                    Ok(length) if !is_blackholed => {
+                        observe(&buffer[..length]);
+                        is_over = self.write(&buffer[..length]).is_none();
                     }
                     Ok(_) => {}
-                    Err(e) if waits(&e) => {}
-                    Err(_) => over = true,
+                    Err(error) if is_timeout(&error) => {}
+                    Err(_) => is_over = true,
                 }
             }
-            if over && !dead {
-                let _ = (self.to.shutdown(Shutdown::Write), self.from.shutdown(Shutdown::Read));
+            if is_over && !is_blackholed {
+                let _ = self.to.shutdown(Shutdown::Write);
+                let _ = self.from.shutdown(Shutdown::Read);
                 return;
             }
         }
     }
 
     fn write(&self, bytes: &[u8]) -> Option<()> {
-        let delay = self.orders.delay_ms.load(Ordering::SeqCst);
-        std::thread::sleep(Duration::from_millis(delay));
-        let piece = self.orders.piece.load(Ordering::SeqCst);
-        let pieces = bytes.chunks(if piece == 0 { bytes.len() } else { piece });
-        for bytes in pieces {
-            (&self.to).write_all(bytes).ok()?;
-            if piece > 0 {
-                std::thread::sleep(Duration::from_micros(200));
-            }
+        let delay_ms = self.control.delay_ms.load(Ordering::SeqCst);
+        std::thread::sleep(Duration::from_millis(delay_ms));
+        let piece_length = self.control.piece_length.load(Ordering::SeqCst);
+        if piece_length == 0 {
+            return (&self.to).write_all(bytes).ok();
+        }
+        for piece in bytes.chunks(piece_length) {
+            (&self.to).write_all(piece).ok()?;
+            std::thread::sleep(PIECE_INTERVAL);
         }
         Some(())
     }
--- /dev/null
+++ b/crates/test-support/tests/deployment.rs
@@ -0,0 +1,30 @@
+//! A seed names a deployment: the same one whenever it is generated.
+
+use tideroute::rng::Rng;
+use tideroute_test_support::deployment::GeneratedDeployment;
+
+const SEEDS: u64 = 64;
+/// FNV-1a over the deployments of the first seeds. A change here means that the seeds named in the journal and in
+/// issues generate other deployments than they did.
+const HASH_OF_FIRST_SEEDS: u64 = 0xc394_289e_5cb2_d6c2;
+
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+fn fnv1a(hash: u64, text: &str) -> u64 {
+    text.bytes().fold(hash, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+}
+
+#[test]
+fn seeds_generate_the_deployments_that_they_always_did() {
+    let mut hash = FNV_OFFSET;
+    for seed in 1..=SEEDS {
+        let mut rng = Rng::new(2 * seed);
+        let deployment = GeneratedDeployment::generate(&mut rng);
+        let GeneratedDeployment { max_hold, drain_grace, connect_timeout, .. } = deployment;
+        hash = fnv1a(hash, &deployment.config.to_string());
+        hash = fnv1a(hash, &format!("{max_hold} {drain_grace} {connect_timeout}"));
+        hash = fnv1a(hash, &format!("{} {}", deployment.decode_workers_prefill, rng.unit()));
+    }
+    assert_eq!(hash, HASH_OF_FIRST_SEEDS, "{hash:#x}");
+}
