--- a/crates/config-language/src/kinds.rs
+++ b/crates/config-language/src/kinds.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::problem::Problem;
-use crate::syntax::Span;
+use crate::ast::Span;
+use crate::error::ConfigError;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct File {
@@ -417,7 +417,7 @@
 }
 
 /// What types alone don't say: addresses, names that must be known, values that contradict each other.
-pub(crate) fn faults(file: &File, place: &dyn Fn(&str) -> Span) -> Vec<Problem> {
+pub(crate) fn faults(file: &File, place: &dyn Fn(&str) -> Span) -> Vec<ConfigError> {
     let mut checks = Checks { place, problems: vec![] };
     if let Some(r) = &file.router {
         checks.address("router.listen", &r.listen);
@@ -470,12 +470,12 @@
 
 struct Checks<'a> {
     place: &'a dyn Fn(&str) -> Span,
-    problems: Vec<Problem>,
+    problems: Vec<ConfigError>,
 }
 
 impl Checks<'_> {
     fn fault(&mut self, path: &str, what: impl Into<String>, expected: impl Into<String>) {
-        self.problems.push(Problem::new((self.place)(path), what, expected));
+        self.problems.push(ConfigError::new((self.place)(path), what, expected));
     }
 
     fn address(&mut self, path: &str, text: &str) {
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -1,46 +1,60 @@
-//! Typed records: the files that the program is configured by, a stated subset of CUE (`docs/records.md` has
-//! the grammar). A file is checked whole, against the program's own definitions, before anything starts.
+//! The language of the files that the program is configured by: typed records, a stated subset of CUE
+//! (`docs/records.md` has the grammar). A file is checked as a whole, against the program's own definitions, before
+//! anything starts.
 //!
-//! [`read`] takes a file's text to a [`File`] of typed records or to all of its [`Problems`] at once, each with
-//! its place and what was expected there. The definitions themselves are records too: `schema.cue`.
+//! [`read`] takes the text of a file to a [`File`] of typed records, or to all of its [`ConfigErrors`] at once, each with
+//! its place and what was expected there. The definitions are written in the same language: [`SCHEMA`].
 
-mod eval;
+mod ast;
+mod bounds;
+mod describe;
+mod error;
+mod evaluator;
+mod export;
 pub mod kinds;
-mod lex;
-mod problem;
-mod syntax;
+mod lexer;
+mod parser;
+mod printer;
+mod similar_name;
+mod unify;
 mod value;
+mod value_type;
 
+pub use error::{ConfigError, ConfigErrors};
 pub use kinds::File;
-pub use problem::{Problem, Problems};
 
 /// The program's own definitions, which every file may name.
 pub const SCHEMA: &str = include_str!("schema.cue");
+/// What errors call the definitions.
+const SCHEMA_NAME: &str = "schema.cue";
 
-/// A file of records as text, which [`read`] takes again.
-pub fn print(file: &File) -> Result<String, Problems> {
-    let schema = syntax::parse(SCHEMA).map_err(|p| Problems::new("schema.cue", SCHEMA, p))?;
-    let form = eval::form(&schema).map_err(|p| Problems::new("schema.cue", SCHEMA, p))?;
+/// Prints a file as text, which [`read`] reads again. Fails only if the definitions are wrong.
+pub fn print(file: &File) -> Result<String, ConfigErrors> {
+    let schema_errors = |errors| ConfigErrors::new(SCHEMA_NAME, SCHEMA, errors);
+    let schema = parser::parse(SCHEMA).map_err(schema_errors)?;
+    let form = evaluator::file_form(&schema).map_err(schema_errors)?;
     let json = serde_json::to_value(file).unwrap_or_default();
-    let text = value::print(&json, &form);
+    let text = printer::print(&json, &form);
     // The outermost braces are the file's own.
-    Ok(text.trim_start_matches('{').strip_suffix('}').unwrap_or("").to_string() + "\n")
+    let fields = text.trim_start_matches('{').strip_suffix('}').unwrap_or("");
+    Ok(format!("{fields}\n"))
 }
 
-/// Reads, checks and types a whole file. `name` is what problems call it.
-pub fn read(name: &str, text: &str) -> Result<File, Problems> {
-    let problems = |problems: Vec<Problem>| Problems::new(name, text, problems);
-    let schema = syntax::parse(SCHEMA).map_err(problems)?;
-    let file = syntax::parse(text).map_err(problems)?;
-    let value = eval::evaluate(&schema, &file).map_err(problems)?;
-    let (json, places) = value::export(&value).map_err(problems)?;
-    let file: File = serde_json::from_value(json).map_err(|e| {
-        problems(vec![Problem::new(0..0, format!("the definitions and the program disagree: {e}"), "")])
+/// Reads, checks and types a file. Errors call it `file_name`.
+pub fn read(file_name: &str, text: &str) -> Result<File, ConfigErrors> {
+    let file_errors = |errors: Vec<ConfigError>| ConfigErrors::new(file_name, text, errors);
+    let schema = parser::parse(SCHEMA).map_err(file_errors)?;
+    let fields = parser::parse(text).map_err(file_errors)?;
+    let value = evaluator::evaluate(&schema, &fields).map_err(file_errors)?;
+    let (json, places) = export::export(&value).map_err(file_errors)?;
+    let file: File = serde_json::from_value(json).map_err(|error| {
+        let message = format!("the definitions and the program disagree: {error}");
+        file_errors(vec![ConfigError::new(0..0, message, "")])
     })?;
-    let faults = kinds::faults(&file, &|path| places.get(path).cloned().unwrap_or(0..0));
-    if faults.is_empty() {
+    let errors = kinds::faults(&file, &|path| places.get(path).cloned().unwrap_or(0..0));
+    if errors.is_empty() {
         Ok(file)
     } else {
-        Err(problems(faults))
+        Err(file_errors(errors))
     }
 }
