--- /dev/null
+++ b/crates/config-language/src/kinds/discovery.rs
@@ -0,0 +1,26 @@
+//! Emulated discovery.
+
+use serde::{Deserialize, Serialize};
+
+/// Discovery.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct List {
+    /// Its address.
+    pub listen: String,
+    /// How late its updates are.
+    pub lag: u64,
+    /// Periods in which they are later.
+    pub late: Vec<Late>,
+}
+
+/// A period in which updates of discovery are late.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Late {
+    /// When it begins.
+    pub at: u64,
+    /// How long it lasts.
+    #[serde(rename = "for")]
+    pub lasts: u64,
+    /// How late updates are.
+    pub lag: u64,
+}
--- /dev/null
+++ b/crates/config-language/src/kinds/relay.rs
@@ -0,0 +1,47 @@
+//! Relays between the processes of a scenario.
+
+use serde::{Deserialize, Serialize};
+
+/// A relay between the processes of a scenario.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Relay {
+    /// Listeners for connections.
+    pub doors: Vec<Door>,
+    /// Listeners for datagrams.
+    pub datagrams: Vec<Door>,
+    /// Faults on the way.
+    pub faults: Vec<Fault>,
+    /// Seed of its random number generator.
+    pub seed: u64,
+}
+
+/// A listener of a relay.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Door {
+    /// Its address.
+    pub listen: String,
+    /// The address to which it forwards.
+    pub to: String,
+    /// Indexes of the faults that meet what it forwards.
+    pub faults: Vec<usize>,
+}
+
+/// A fault on the way through a relay.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Fault {
+    /// When it begins.
+    pub at: u64,
+    /// How long it lasts.
+    #[serde(rename = "for")]
+    pub lasts: u64,
+    /// Which direction it meets, seen from who connects: `both`, `there` or `back`.
+    pub way: String,
+    /// What it does: `silent`, `reset` or `late`.
+    pub how: String,
+    /// Added latency.
+    pub delay: u64,
+    /// Random part of the added latency.
+    pub jitter: u64,
+    /// The part of packets that is lost and sent again.
+    pub loss: f64,
+}
--- /dev/null
+++ b/crates/config-language/src/kinds/scenario.rs
@@ -0,0 +1,148 @@
+//! Scenarios.
+
+use super::load::{Traffic, Uneven};
+use super::router::{Kind, Tenant, Terms, Track};
+use super::trouble::{Drawn, Trouble};
+use super::worker::Able;
+use serde::{Deserialize, Serialize};
+
+/// A scenario: scripted load and faults on a whole deployment.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Day {
+    /// What it is for.
+    pub note: String,
+    /// Seed of all its random numbers.
+    pub seed: u64,
+    /// Routers.
+    pub routers: usize,
+    /// Threads of each router.
+    pub cores: u32,
+    /// Whether routers form a cluster.
+    pub membership: bool,
+    /// Cells.
+    pub cells: u16,
+    /// Zones.
+    pub zones: u8,
+    /// Worker kinds.
+    pub kinds: Vec<Kind>,
+    /// Tenants.
+    pub tenants: Vec<Tenant>,
+    /// Whether routers know the tenants; without, the scenario is the baseline.
+    pub shares: bool,
+    /// Groups of workers.
+    pub fleet: Vec<Group>,
+    /// Request classes.
+    pub tracks: Vec<Track>,
+    /// Settings of the routers.
+    pub terms: Terms,
+    /// How late updates of discovery are.
+    pub lag: u64,
+    /// The load.
+    pub load: DayLoad,
+    /// Scripted faults.
+    pub troubles: Vec<Trouble>,
+    /// Random faults.
+    pub faults: Option<Drawn>,
+    /// What it must show.
+    pub expect: Expect,
+}
+
+/// The load of a scenario.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct DayLoad {
+    /// Requests a second.
+    pub rate: f64,
+    /// How long requests come.
+    #[serde(rename = "for")]
+    pub lasts: u64,
+    /// Client connections.
+    pub clients: usize,
+    /// What requests are like.
+    pub traffic: Vec<Traffic>,
+    /// Retries by a client at most.
+    pub retries: u32,
+    /// Pause before a retry.
+    pub retry_wait: u64,
+    /// The part of requests whose client disconnects early.
+    pub leaves: f64,
+    /// Clients that read slowly.
+    pub sluggish: usize,
+    /// Skewed load.
+    pub uneven: Option<Uneven>,
+}
+
+/// A group of like workers, spread over the cells in turn.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Group {
+    /// Its name, which the workers' names begin with.
+    pub name: String,
+    /// Name of its worker kind.
+    pub kind: String,
+    /// Workers.
+    pub count: usize,
+    /// What each can do.
+    pub does: Able,
+}
+
+/// What a scenario must show beside the rules.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+pub struct Expect {
+    /// The part of all priority weight that was served within the latency objective, at least.
+    pub service: f64,
+    /// The part of requests completed in the end, at least.
+    pub honoured: f64,
+    /// Bytes of memory that any process held, at most.
+    pub memory: u64,
+}
+
+impl Day {
+    /// All workers, group by group: name, group, and number within the group.
+    pub fn workers(&self) -> impl Iterator<Item = (String, &Group, usize)> {
+        self.fleet
+            .iter()
+            .flat_map(|group| (0..group.count).map(move |n| (format!("{}{n}", group.name), group, n)))
+    }
+
+    /// The processes that a name stands for: one, all of a group (`router`, or a worker group's name), or some of one
+    /// (`router10-19`). Empty for a name that stands for none.
+    pub fn named(&self, name: &str) -> Vec<String> {
+        let worker_groups = self.fleet.iter().map(|group| (group.name.as_str(), group.count));
+        for (group, count) in worker_groups.chain([("router", self.routers)]) {
+            let Some(numbers) = name.strip_prefix(group) else { continue };
+            if let Some((first, last)) = number_range(numbers, count) {
+                return (first..=last).map(|n| format!("{group}{n}")).collect();
+            }
+        }
+        if ["list", "load"].contains(&name) {
+            vec![name.to_string()]
+        } else {
+            vec![]
+        }
+    }
+
+    /// The same scenario with each process named that a fault from outside meets.
+    pub fn with_names(&self) -> Day {
+        let mut scenario = self.clone();
+        for fault in scenario.troubles.iter_mut().filter(|fault| fault.from_outside()) {
+            fault.who = fault.who.iter().flat_map(|name| self.named(name)).collect();
+        }
+        scenario
+    }
+
+    /// The names of the routers.
+    pub fn router_names(&self) -> impl Iterator<Item = String> {
+        (0..self.routers).map(|n| format!("router{n}"))
+    }
+}
+
+/// First and last number of `N`, `N-M`, or an empty text for all of a group of `count`; none if that is no range of the
+/// group.
+fn number_range(text: &str, count: usize) -> Option<(usize, usize)> {
+    let (first, last) = if text.is_empty() {
+        (0, count.saturating_sub(1))
+    } else {
+        let (first, last) = text.split_once('-').unwrap_or((text, text));
+        (first.parse().ok()?, last.parse().ok()?)
+    };
+    (first <= last && last < count).then_some((first, last))
+}
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -5,6 +5,8 @@
 //! [`read`] takes the text of a file to a [`File`] of typed records, or to all of its [`ConfigErrors`] at once, each with
 //! its place and what was expected there. The definitions are written in the same language: [`SCHEMA`].
 
+#![warn(missing_docs)]
+
 mod ast;
 mod bounds;
 mod describe;
@@ -17,6 +19,7 @@
 mod printer;
 mod similar_name;
 mod unify;
+mod validation;
 mod value;
 mod value_type;
 
@@ -51,7 +54,7 @@
         let message = format!("the definitions and the program disagree: {error}");
         file_errors(vec![ConfigError::new(0..0, message, "")])
     })?;
-    let errors = kinds::faults(&file, &|path| places.get(path).cloned().unwrap_or(0..0));
+    let errors = validation::validate(&file, &|path| places.get(path).cloned().unwrap_or(0..0));
     if errors.is_empty() {
         Ok(file)
     } else {
--- /dev/null
+++ b/crates/config-language/src/validation.rs
@@ -0,0 +1,288 @@
+//! What types alone don't say: addresses, names that must be known, values that contradict each other.
+
+use std::collections::BTreeSet;
+use std::net::SocketAddrV4;
+
+use crate::ast::Span;
+use crate::error::ConfigError;
+use crate::kinds::{Admin, Day, File, Fleet, Load, Router, Tenant, Track, Traffic, Trouble};
+
+/// Request classes at most: a class is numbered by a byte.
+const MAX_CLASSES: usize = 256;
+/// Hexadecimal digits of a BLAKE3 hash and of a cluster's key.
+const HASH_DIGITS: usize = 64;
+
+/// All that is wrong with a file; `place` is where the value of a path stands.
+pub fn validate(file: &File, place: &dyn Fn(&str) -> Span) -> Vec<ConfigError> {
+    let mut validator = Validator { place, errors: vec![] };
+    if let Some(router) = &file.router {
+        validator.router(router);
+    }
+    if let Some(worker) = &file.worker {
+        validator.address("worker.listen", &worker.listen);
+        validator.address("worker.list", &worker.list);
+    }
+    if let Some(discovery) = &file.list {
+        validator.address("list.listen", &discovery.listen);
+    }
+    if let Some(load) = &file.load {
+        validator.load(load);
+    }
+    if let Some(scenario) = &file.day {
+        validator.scenario(scenario);
+    }
+    validator.errors
+}
+
+struct Validator<'a> {
+    place: &'a dyn Fn(&str) -> Span,
+    errors: Vec<ConfigError>,
+}
+
+/// The parts of a file.
+impl Validator<'_> {
+    fn router(&mut self, router: &Router) {
+        self.address("router.listen", &router.listen);
+        self.address("router.list", &router.list);
+        if let Some(metrics) = &router.metrics {
+            self.address("router.metrics", metrics);
+        }
+        self.classes("router.tracks", &router.tracks);
+        self.unique_names("router.kinds", router.kinds.iter().map(|kind| &kind.name));
+        self.unique_names("router.tenants", router.tenants.iter().map(|tenant| &tenant.name));
+        for (n, tenant) in router.tenants.iter().enumerate() {
+            self.hash(&format!("router.tenants[{n}].key"), &tenant.key);
+        }
+        if let Some(admin) = &router.admin {
+            self.admin(admin, &router.tenants);
+        }
+        if let Some(membership) = &router.fleet {
+            self.membership(membership);
+        }
+    }
+
+    fn admin(&mut self, admin: &Admin, tenants: &[Tenant]) {
+        self.address("router.admin.listen", &admin.listen);
+        self.unique_names("router.admin.keys", admin.keys.iter().map(|key| &key.name));
+        for (n, key) in admin.keys.iter().enumerate() {
+            self.hash(&format!("router.admin.keys[{n}].key"), &key.key);
+        }
+        if !tenants.is_empty() {
+            let message = "tenants are named here and kept in a store";
+            self.error("router.tenants", message, "no tenants where there is `admin`");
+        }
+    }
+
+    fn membership(&mut self, membership: &Fleet) {
+        self.address("router.fleet.listen", &membership.listen);
+        self.hash("router.fleet.key", &membership.key);
+        if membership.name.is_empty() {
+            let expected = "one that all of its routers have";
+            self.error("router.fleet.name", "the fleet has no name", expected);
+        }
+        for (n, seed) in membership.seeds.iter().enumerate() {
+            self.address(&format!("router.fleet.seeds[{n}]"), seed);
+        }
+    }
+
+    fn load(&mut self, load: &Load) {
+        for (n, router) in load.routers.iter().enumerate() {
+            self.address(&format!("load.routers[{n}]"), router);
+        }
+        self.classes("load.tracks", &load.tracks);
+        let tenants: Vec<_> = load.keys.iter().map(|key| &key.tenant).collect();
+        self.all_traffic("load.traffic", &load.traffic, &load.tracks, &tenants);
+        self.client_for_each_tenant("load.clients", load.clients, &tenants);
+    }
+
+    fn scenario(&mut self, scenario: &Day) {
+        let tenants: Vec<_> = scenario.tenants.iter().map(|tenant| &tenant.name).collect();
+        self.unique_names("day.tenants", tenants.iter().copied());
+        self.client_for_each_tenant("day.load.clients", scenario.load.clients, &tenants);
+        self.classes("day.tracks", &scenario.tracks);
+        self.all_traffic("day.load.traffic", &scenario.load.traffic, &scenario.tracks, &tenants);
+        self.unique_names("day.kinds", scenario.kinds.iter().map(|kind| &kind.name));
+        self.unique_names("day.fleet", scenario.fleet.iter().map(|group| &group.name));
+        self.worker_groups(scenario);
+        let targets =
+            FaultTargets { scenario, tenants, workers: scenario.workers().map(|(name, ..)| name).collect() };
+        let mut wrong_clocks = BTreeSet::new();
+        for (n, fault) in scenario.troubles.iter().enumerate() {
+            self.fault(&format!("day.troubles[{n}]"), fault, &targets, &mut wrong_clocks);
+        }
+    }
+
+    fn worker_groups(&mut self, scenario: &Day) {
+        for (n, group) in scenario.fleet.iter().enumerate() {
+            let kind = scenario.kinds.iter().find(|kind| kind.name == group.kind);
+            if kind.is_some_and(|kind| kind.role == group.does.role) {
+                continue;
+            }
+            let known = scenario.kinds.iter().map(|kind| format!("{} ({:?})", kind.name, kind.role));
+            let expected = format!("one of {}", known.collect::<Vec<_>>().join(", ")).to_lowercase();
+            let message = format!("{:?} is no kind of that role", group.kind);
+            self.error(&format!("day.fleet[{n}].kind"), message, expected);
+        }
+    }
+}
+
+/// Whom the faults of a scenario may meet.
+struct FaultTargets<'a> {
+    scenario: &'a Day,
+    tenants: Vec<&'a String>,
+    workers: BTreeSet<String>,
+}
+
+impl FaultTargets<'_> {
+    /// Whether a fault can happen to a process or tenant of that name.
+    fn can_meet(&self, fault: &Trouble, name: &String) -> bool {
+        if fault.act == "remove" {
+            return self.tenants.contains(&name);
+        }
+        let is_process = name != "load" && !self.scenario.named(name).is_empty();
+        self.workers.contains(name) || fault.from_outside() && is_process
+    }
+}
+
+/// The faults of a scenario.
+impl Validator<'_> {
+    fn fault(
+        &mut self,
+        path: &str,
+        fault: &Trouble,
+        targets: &FaultTargets,
+        wrong_clocks: &mut BTreeSet<String>,
+    ) {
+        let scenario = targets.scenario;
+        if fault.act == "clock" {
+            for process in fault.who.iter().flat_map(|name| scenario.named(name)) {
+                if !wrong_clocks.insert(process.clone()) {
+                    let message = format!("the clock of {process:?} is wrong twice");
+                    self.error(&format!("{path}.who"), message, "once for each process");
+                }
+            }
+        }
+        self.fault_sides(path, fault, scenario);
+        self.fault_targets(path, fault, targets);
+        if let Some(tenant) = fault.tenant.as_ref().filter(|tenant| !targets.tenants.contains(tenant)) {
+            let message = format!("{tenant:?} is no tenant");
+            self.error(&format!("{path}.tenant"), message, "the name of one of the day's tenants");
+        }
+        if fault.at > scenario.load.lasts {
+            let message = format!("{} comes after the load has ended", fault.act);
+            self.error(&format!("{path}.at"), message, "a time within the load");
+        }
+    }
+
+    fn fault_sides(&mut self, path: &str, fault: &Trouble, scenario: &Day) {
+        for (field, names) in [("between", &fault.between), ("and", &fault.and)] {
+            for (n, name) in names.iter().enumerate().filter(|(_, name)| scenario.named(name).is_empty()) {
+                let message = format!("{name:?} stands for no process");
+                let expected = "a process, a group, some of one as router0-9, list or load";
+                self.error(&format!("{path}.{field}[{n}]"), message, expected);
+            }
+        }
+    }
+
+    fn fault_targets(&mut self, path: &str, fault: &Trouble, targets: &FaultTargets) {
+        let expected = match fault.act.as_str() {
+            "remove" => "a tenant's name",
+            _ if fault.from_outside() => "a worker's or a router's name, or list",
+            _ => "a worker's name",
+        };
+        for (n, name) in fault.who.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
+            let message = format!("{name:?} is nobody to whom this can happen");
+            self.error(&format!("{path}.who[{n}]"), message, expected);
+        }
+    }
+}
+
+/// What several parts have.
+impl Validator<'_> {
+    fn error(&mut self, path: &str, message: impl Into<String>, expected: impl Into<String>) {
+        self.errors.push(ConfigError::new((self.place)(path), message, expected));
+    }
+
+    fn address(&mut self, path: &str, text: &str) {
+        if text.parse::<SocketAddrV4>().is_err() {
+            self.error(path, format!("{text:?} is no address"), "one like 127.0.0.1:7000");
+        }
+    }
+
+    fn hash(&mut self, path: &str, hash: &str) {
+        if hash.len() != HASH_DIGITS || !hash.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+            let message = format!("a hash of {} characters", hash.len());
+            self.error(path, message, format!("{HASH_DIGITS} hexadecimal digits"));
+        }
+    }
+
+    fn unique_names<'a>(&mut self, path: &str, names: impl Iterator<Item = &'a String>) {
+        let mut seen = BTreeSet::new();
+        for (n, name) in names.enumerate() {
+            if !seen.insert(name) {
+                self.error(&format!("{path}[{n}].name"), format!("{name:?} is named twice"), "another name");
+            }
+        }
+    }
+
+    fn classes(&mut self, path: &str, classes: &[Track]) {
+        self.unique_names(path, classes.iter().map(|class| &class.name));
+        if classes.len() > MAX_CLASSES {
+            self.error(path, format!("{} tracks", classes.len()), format!("at most {MAX_CLASSES}"));
+        }
+        for (n, class) in classes.iter().enumerate().filter(|(_, class)| class.cut_off < class.contract) {
+            let message = format!("the track {:?} is given up before its contract time", class.name);
+            self.error(&format!("{path}[{n}].cut_off"), message, "a cut-off after the contract time");
+        }
+    }
+
+    fn all_traffic(&mut self, path: &str, traffic: &[Traffic], classes: &[Track], tenants: &[&String]) {
+        for (n, traffic) in traffic.iter().enumerate() {
+            let path = format!("{path}[{n}]");
+            self.traffic_class(&path, traffic, classes);
+            self.traffic_tenant(&path, traffic, tenants);
+            let ranges =
+                [("adds", traffic.adds), ("answer", traffic.answer), ("text_tokens", traffic.text_tokens)];
+            for (name, range) in ranges.into_iter().filter(|(_, range)| range.least > range.most) {
+                let message = format!("{name} goes from {} to {}", range.least, range.most);
+                self.error(&format!("{path}.{name}"), message, "a least that is not above the most");
+            }
+        }
+    }
+
+    fn traffic_class(&mut self, path: &str, traffic: &Traffic, classes: &[Track]) {
+        if classes.iter().any(|class| class.name == traffic.track) {
+            return;
+        }
+        let known: Vec<_> = classes.iter().map(|class| class.name.as_str()).collect();
+        let expected = format!("one of {}", known.join(", "));
+        self.error(&format!("{path}.track"), format!("{:?} is no track", traffic.track), expected);
+    }
+
+    /// Traffic names a tenant if there are tenants, and none if there are none.
+    fn traffic_tenant(&mut self, path: &str, traffic: &Traffic, tenants: &[&String]) {
+        let is_sound = match &traffic.tenant {
+            Some(tenant) => tenants.contains(&tenant),
+            None => tenants.is_empty(),
+        };
+        if is_sound {
+            return;
+        }
+        let named = traffic.tenant.as_ref().map_or("None".to_string(), |tenant| format!("{tenant:?}"));
+        let expected = if tenants.is_empty() {
+            "none: there are no tenants".to_string()
+        } else {
+            let known: Vec<_> = tenants.iter().map(|tenant| tenant.as_str()).collect();
+            format!("one of {}", known.join(", "))
+        };
+        self.error(&format!("{path}.tenant"), format!("{named} is no tenant"), expected);
+    }
+
+    /// Each tenant needs a client that sends its requests.
+    fn client_for_each_tenant(&mut self, path: &str, clients: usize, tenants: &[&String]) {
+        if clients < tenants.len() {
+            let message = format!("{clients} clients speak for {} tenants", tenants.len());
+            self.error(path, message, "a client for each tenant at least");
+        }
+    }
+}
