--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -9,7 +9,7 @@
 
 use rustix::process::Signal;
 use tideroute_config_language::kinds::{Day, Trouble};
-use tideroute_config_language::ConfigErrors;
+use tideroute_config_language::Problems;
 use tideroute_membership_checker::Report as Views;
 use tideroute_reactor::clock::Clock;
 use tideroute_trace_checker::{CheckError, Report};
@@ -48,7 +48,7 @@
     #[error("{0} does not listen")]
     Deaf(String),
     #[error("{0}")]
-    Printed(#[from] ConfigErrors),
+    Printed(#[from] Problems),
     #[error("the record could not be merged: {0}")]
     Record(#[from] CaptureError),
     #[error(transparent)]
