--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -13,10 +13,10 @@
 mod error;
 mod evaluator;
 mod export;
-pub mod kinds;
 mod lexer;
 mod parser;
 mod printer;
+pub mod records;
 mod similar_name;
 mod unify;
 mod validation;
@@ -24,7 +24,9 @@
 mod value_type;
 
 pub use error::{ConfigError, ConfigErrors};
-pub use kinds::File;
+pub use records::File;
+/// The module's and the errors' former names, for callers that still use them.
+pub use {error::ConfigErrors as Problems, records as kinds};
 
 /// The program's own definitions, which every file may name.
 pub const SCHEMA: &str = include_str!("schema.cue");
--- a/crates/config-language/src/kinds.rs
+++ b/crates/config-language/src/records.rs
@@ -4,20 +4,27 @@
 use serde::{Deserialize, Serialize};
 
 mod discovery;
+mod fault;
 mod load;
 mod relay;
 mod router;
 mod scenario;
-mod trouble;
 mod worker;
 
-pub use discovery::{Late, List};
-pub use load::{Burst, Key, Load, Range, Traffic, Uneven};
-pub use relay::{Door, Fault, Relay};
-pub use router::{Admin, AdminKey, Fleet, Kind, Role, Router, Tenant, Terms, Track};
-pub use scenario::{Day, DayLoad, Expect, Group};
-pub use trouble::{Drawn, Trouble};
-pub use worker::{Able, Step, Worker};
+pub use discovery::{Discovery, DiscoveryDelay};
+pub use fault::{RandomFaults, ScenarioFault};
+pub use load::{Load, LoadBurst, SkewedLoad, TenantKey, TokenRange, Traffic};
+pub use relay::{Relay, RelayFault, RelayListener};
+pub use router::{
+    AdminConfig, AdminKey, MembershipConfig, RequestClass, Role, Router, SchedulerSettings, Tenant,
+    WorkerKind,
+};
+pub use scenario::{Expectations, Scenario, ScenarioLoad, WorkerGroup};
+pub use worker::{Worker, WorkerCapacity, WorkerFault};
+
+/// Names of the records before they had the field's terms, for callers that still use them.
+mod former_names;
+pub use former_names::*;
 
 /// The parts of a file, each of them optional.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
@@ -27,11 +34,11 @@
     /// One emulated worker.
     pub worker: Option<Worker>,
     /// Discovery.
-    pub list: Option<List>,
+    pub list: Option<Discovery>,
     /// A relay between the processes of a scenario.
     pub relay: Option<Relay>,
     /// Clients.
     pub load: Option<Load>,
     /// A scenario.
-    pub day: Option<Day>,
+    pub day: Option<Scenario>,
 }
--- a/crates/config-language/src/kinds/discovery.rs
+++ b/crates/config-language/src/records/discovery.rs
@@ -4,18 +4,18 @@
 
 /// Discovery.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct List {
+pub struct Discovery {
     /// Its address.
     pub listen: String,
     /// How late its updates are.
     pub lag: u64,
     /// Periods in which they are later.
-    pub late: Vec<Late>,
+    pub late: Vec<DiscoveryDelay>,
 }
 
 /// A period in which updates of discovery are late.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Late {
+pub struct DiscoveryDelay {
     /// When it begins.
     pub at: u64,
     /// How long it lasts.
--- a/crates/config-language/src/kinds/trouble.rs
+++ b/crates/config-language/src/records/fault.rs
@@ -4,7 +4,7 @@
 
 /// A scripted fault of a scenario. Which fields it has follows from `act`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Trouble {
+pub struct ScenarioFault {
     /// When it begins.
     pub at: u64,
     /// What it is.
@@ -53,7 +53,7 @@
 
 /// Random faults.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Drawn {
+pub struct RandomFaults {
     /// How many.
     pub draw: usize,
     /// Their seed.
@@ -76,7 +76,7 @@
     *times == once()
 }
 
-impl Trouble {
+impl ScenarioFault {
     /// Whether it is done to processes from outside: routers can be met too, and several of a group at once.
     pub fn from_outside(&self) -> bool {
         ["kill", "halt", "clock"].contains(&self.act.as_str())
--- a/crates/config-language/src/kinds/load.rs
+++ b/crates/config-language/src/records/load.rs
@@ -1,6 +1,6 @@
 //! Client load.
 
-use super::router::Track;
+use super::router::RequestClass;
 use serde::{Deserialize, Serialize};
 
 /// Clients.
@@ -18,7 +18,7 @@
     /// Client connections.
     pub clients: usize,
     /// Request classes.
-    pub tracks: Vec<Track>,
+    pub tracks: Vec<RequestClass>,
     /// What requests are like.
     pub traffic: Vec<Traffic>,
     /// Retries by a client at most.
@@ -30,18 +30,18 @@
     /// Clients that read slowly.
     pub sluggish: usize,
     /// Bursts.
-    pub bursts: Vec<Burst>,
+    pub bursts: Vec<LoadBurst>,
     /// Skewed load.
-    pub uneven: Option<Uneven>,
+    pub uneven: Option<SkewedLoad>,
     /// Keys that the clients use in turn.
-    pub keys: Vec<Key>,
+    pub keys: Vec<TenantKey>,
     /// Bytes of KV state a token, as the workers have it.
     pub state_bytes_a_token: u32,
 }
 
 /// A burst of load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Burst {
+pub struct LoadBurst {
     /// When it begins.
     pub at: u64,
     /// How long it lasts.
@@ -65,22 +65,22 @@
     /// Turns of a session on average.
     pub turns: f64,
     /// Prompt tokens that a turn adds.
-    pub adds: Range,
+    pub adds: TokenRange,
     /// Tokens of a response at most.
-    pub answer: Range,
+    pub answer: TokenRange,
     /// The part of sessions that begin with a shared prefix.
     pub shared: f64,
     /// Shared prefixes.
     pub texts: u32,
     /// Tokens of a shared prefix.
-    pub text_tokens: Range,
+    pub text_tokens: TokenRange,
     /// The part of the deadline for which a client waits, at least.
     pub patience: f64,
 }
 
 /// A range of token counts.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct Range {
+pub struct TokenRange {
     /// The least.
     pub least: u32,
     /// The most.
@@ -89,7 +89,7 @@
 
 /// Skewed load: a part of the routers gets more than the others.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct Uneven {
+pub struct SkewedLoad {
     /// The part of the routers.
     pub part: f64,
     /// How many times as much each of them gets.
@@ -98,7 +98,7 @@
 
 /// A tenant's key, as clients send it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Key {
+pub struct TenantKey {
     /// The tenant.
     pub tenant: String,
     /// The key.
--- a/crates/config-language/src/kinds/relay.rs
+++ b/crates/config-language/src/records/relay.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Relay {
     /// Listeners for connections.
-    pub doors: Vec<Door>,
+    pub doors: Vec<RelayListener>,
     /// Listeners for datagrams.
-    pub datagrams: Vec<Door>,
+    pub datagrams: Vec<RelayListener>,
     /// Faults on the way.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<RelayFault>,
     /// Seed of its random number generator.
     pub seed: u64,
 }
 
 /// A listener of a relay.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Door {
+pub struct RelayListener {
     /// Its address.
     pub listen: String,
     /// The address to which it forwards.
@@ -28,7 +28,7 @@
 
 /// A fault on the way through a relay.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Fault {
+pub struct RelayFault {
     /// When it begins.
     pub at: u64,
     /// How long it lasts.
--- a/crates/config-language/src/kinds/router.rs
+++ b/crates/config-language/src/records/router.rs
@@ -20,22 +20,22 @@
     /// Threads that each run a router behind the same address.
     pub cores: u32,
     /// Request classes.
-    pub tracks: Vec<Track>,
+    pub tracks: Vec<RequestClass>,
     /// Worker kinds.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<WorkerKind>,
     /// Settings of the scheduler and limits of the process.
-    pub terms: Terms,
+    pub terms: SchedulerSettings,
     /// Tenants; with none anybody may send requests.
     pub tenants: Vec<Tenant>,
     /// The administration API.
-    pub admin: Option<Admin>,
+    pub admin: Option<AdminConfig>,
     /// The cluster membership; without it the router runs alone.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<MembershipConfig>,
 }
 
 /// Cluster membership: the routers that exchange gossip.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Fleet {
+pub struct MembershipConfig {
     /// The name of the cluster.
     pub name: String,
     /// The address on which it receives gossip messages.
@@ -48,7 +48,7 @@
 
 /// The administration API.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Admin {
+pub struct AdminConfig {
     /// Its address.
     pub listen: String,
     /// The file of its tenant store.
@@ -93,7 +93,7 @@
 
 /// A request class.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Track {
+pub struct RequestClass {
     /// Its name.
     pub name: String,
     /// Its idempotency: `replayable`, `referenced` or `single-use`.
@@ -128,7 +128,7 @@
 
 /// A worker kind.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Kind {
+pub struct WorkerKind {
     /// Its name.
     pub name: String,
     /// What its workers do.
@@ -137,7 +137,7 @@
 
 /// Settings of the scheduler, and limits of the process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Terms {
+pub struct SchedulerSettings {
     /// Routers that share the load.
     pub routers: u32,
     /// Whether decode reservations are made ahead.
--- a/crates/config-language/src/kinds/scenario.rs
+++ b/crates/config-language/src/records/scenario.rs
@@ -1,14 +1,14 @@
 //! Scenarios.
 
-use super::load::{Traffic, Uneven};
-use super::router::{Kind, Tenant, Terms, Track};
-use super::trouble::{Drawn, Trouble};
-use super::worker::Able;
+use super::fault::{RandomFaults, ScenarioFault};
+use super::load::{SkewedLoad, Traffic};
+use super::router::{RequestClass, SchedulerSettings, Tenant, WorkerKind};
+use super::worker::WorkerCapacity;
 use serde::{Deserialize, Serialize};
 
 /// A scenario: scripted load and faults on a whole deployment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Day {
+pub struct Scenario {
     /// What it is for.
     pub note: String,
     /// Seed of all its random numbers.
@@ -24,32 +24,32 @@
     /// Zones.
     pub zones: u8,
     /// Worker kinds.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<WorkerKind>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
     /// Whether routers know the tenants; without, the scenario is the baseline.
     pub shares: bool,
     /// Groups of workers.
-    pub fleet: Vec<Group>,
+    pub fleet: Vec<WorkerGroup>,
     /// Request classes.
-    pub tracks: Vec<Track>,
+    pub tracks: Vec<RequestClass>,
     /// Settings of the routers.
-    pub terms: Terms,
+    pub terms: SchedulerSettings,
     /// How late updates of discovery are.
     pub lag: u64,
     /// The load.
-    pub load: DayLoad,
+    pub load: ScenarioLoad,
     /// Scripted faults.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScenarioFault>,
     /// Random faults.
-    pub faults: Option<Drawn>,
+    pub faults: Option<RandomFaults>,
     /// What it must show.
-    pub expect: Expect,
+    pub expect: Expectations,
 }
 
 /// The load of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct DayLoad {
+pub struct ScenarioLoad {
     /// Requests a second.
     pub rate: f64,
     /// How long requests come.
@@ -68,12 +68,12 @@
     /// Clients that read slowly.
     pub sluggish: usize,
     /// Skewed load.
-    pub uneven: Option<Uneven>,
+    pub uneven: Option<SkewedLoad>,
 }
 
 /// A group of like workers, spread over the cells in turn.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Group {
+pub struct WorkerGroup {
     /// Its name, which the workers' names begin with.
     pub name: String,
     /// Name of its worker kind.
@@ -81,12 +81,12 @@
     /// Workers.
     pub count: usize,
     /// What each can do.
-    pub does: Able,
+    pub does: WorkerCapacity,
 }
 
 /// What a scenario must show beside the rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Expect {
+pub struct Expectations {
     /// The part of all priority weight that was served within the latency objective, at least.
     pub service: f64,
     /// The part of requests completed in the end, at least.
@@ -95,9 +95,9 @@
     pub memory: u64,
 }
 
-impl Day {
+impl Scenario {
     /// All workers, group by group: name, group, and number within the group.
-    pub fn workers(&self) -> impl Iterator<Item = (String, &Group, usize)> {
+    pub fn workers(&self) -> impl Iterator<Item = (String, &WorkerGroup, usize)> {
         self.fleet
             .iter()
             .flat_map(|group| (0..group.count).map(move |n| (format!("{}{n}", group.name), group, n)))
@@ -121,7 +121,7 @@
     }
 
     /// The same scenario with each process named that a fault from outside meets.
-    pub fn with_names(&self) -> Day {
+    pub fn with_names(&self) -> Scenario {
         let mut scenario = self.clone();
         for fault in scenario.troubles.iter_mut().filter(|fault| fault.from_outside()) {
             fault.who = fault.who.iter().flat_map(|name| self.named(name)).collect();
--- a/crates/config-language/src/kinds/worker.rs
+++ b/crates/config-language/src/records/worker.rs
@@ -1,6 +1,6 @@
 //! Emulated workers.
 
-use super::router::{Role, Terms};
+use super::router::{Role, SchedulerSettings};
 use serde::{Deserialize, Serialize};
 
 /// One emulated worker.
@@ -21,16 +21,16 @@
     /// Whether it starts warmed up.
     pub warm: bool,
     /// What it can do.
-    pub does: Able,
+    pub does: WorkerCapacity,
     /// Settings that it shares with the routers.
-    pub terms: Terms,
+    pub terms: SchedulerSettings,
     /// Faults at set times.
-    pub script: Vec<Step>,
+    pub script: Vec<WorkerFault>,
 }
 
 /// What a worker can do.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Able {
+pub struct WorkerCapacity {
     /// What it does.
     pub role: Role,
     /// Its capacity, relative to others of its kind.
@@ -55,7 +55,7 @@
 
 /// A fault in a worker's script.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Step {
+pub struct WorkerFault {
     /// When it begins.
     pub at: u64,
     /// What it is.
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -5,7 +5,9 @@
 
 use crate::ast::Span;
 use crate::error::ConfigError;
-use crate::kinds::{Admin, Day, File, Fleet, Load, Router, Tenant, Track, Traffic, Trouble};
+use crate::records::{
+    AdminConfig, File, Load, MembershipConfig, RequestClass, Router, Scenario, ScenarioFault, Tenant, Traffic,
+};
 
 /// Request classes at most: a class is numbered by a byte.
 const MAX_CLASSES: usize = 256;
@@ -61,7 +63,7 @@
         }
     }
 
-    fn admin(&mut self, admin: &Admin, tenants: &[Tenant]) {
+    fn admin(&mut self, admin: &AdminConfig, tenants: &[Tenant]) {
         self.address("router.admin.listen", &admin.listen);
         self.unique_names("router.admin.keys", admin.keys.iter().map(|key| &key.name));
         for (n, key) in admin.keys.iter().enumerate() {
@@ -73,7 +75,7 @@
         }
     }
 
-    fn membership(&mut self, membership: &Fleet) {
+    fn membership(&mut self, membership: &MembershipConfig) {
         self.address("router.fleet.listen", &membership.listen);
         self.hash("router.fleet.key", &membership.key);
         if membership.name.is_empty() {
@@ -95,7 +97,7 @@
         self.client_for_each_tenant("load.clients", load.clients, &tenants);
     }
 
-    fn scenario(&mut self, scenario: &Day) {
+    fn scenario(&mut self, scenario: &Scenario) {
         let tenants: Vec<_> = scenario.tenants.iter().map(|tenant| &tenant.name).collect();
         self.unique_names("day.tenants", tenants.iter().copied());
         self.client_for_each_tenant("day.load.clients", scenario.load.clients, &tenants);
@@ -112,7 +114,7 @@
         }
     }
 
-    fn worker_groups(&mut self, scenario: &Day) {
+    fn worker_groups(&mut self, scenario: &Scenario) {
         for (n, group) in scenario.fleet.iter().enumerate() {
             let kind = scenario.kinds.iter().find(|kind| kind.name == group.kind);
             if kind.is_some_and(|kind| kind.role == group.does.role) {
@@ -128,14 +130,14 @@
 
 /// Whom the faults of a scenario may meet.
 struct FaultTargets<'a> {
-    scenario: &'a Day,
+    scenario: &'a Scenario,
     tenants: Vec<&'a String>,
     workers: BTreeSet<String>,
 }
 
 impl FaultTargets<'_> {
     /// Whether a fault can happen to a process or tenant of that name.
-    fn can_meet(&self, fault: &Trouble, name: &String) -> bool {
+    fn can_meet(&self, fault: &ScenarioFault, name: &String) -> bool {
         if fault.act == "remove" {
             return self.tenants.contains(&name);
         }
@@ -149,7 +151,7 @@
     fn fault(
         &mut self,
         path: &str,
-        fault: &Trouble,
+        fault: &ScenarioFault,
         targets: &FaultTargets,
         wrong_clocks: &mut BTreeSet<String>,
     ) {
@@ -174,7 +176,7 @@
         }
     }
 
-    fn fault_sides(&mut self, path: &str, fault: &Trouble, scenario: &Day) {
+    fn fault_sides(&mut self, path: &str, fault: &ScenarioFault, scenario: &Scenario) {
         for (field, names) in [("between", &fault.between), ("and", &fault.and)] {
             for (n, name) in names.iter().enumerate().filter(|(_, name)| scenario.named(name).is_empty()) {
                 let message = format!("{name:?} stands for no process");
@@ -184,7 +186,7 @@
         }
     }
 
-    fn fault_targets(&mut self, path: &str, fault: &Trouble, targets: &FaultTargets) {
+    fn fault_targets(&mut self, path: &str, fault: &ScenarioFault, targets: &FaultTargets) {
         let expected = match fault.act.as_str() {
             "remove" => "a tenant's name",
             _ if fault.from_outside() => "a worker's or a router's name, or list",
@@ -225,7 +227,7 @@
         }
     }
 
-    fn classes(&mut self, path: &str, classes: &[Track]) {
+    fn classes(&mut self, path: &str, classes: &[RequestClass]) {
         self.unique_names(path, classes.iter().map(|class| &class.name));
         if classes.len() > MAX_CLASSES {
             self.error(path, format!("{} tracks", classes.len()), format!("at most {MAX_CLASSES}"));
@@ -236,7 +238,13 @@
         }
     }
 
-    fn all_traffic(&mut self, path: &str, traffic: &[Traffic], classes: &[Track], tenants: &[&String]) {
+    fn all_traffic(
+        &mut self,
+        path: &str,
+        traffic: &[Traffic],
+        classes: &[RequestClass],
+        tenants: &[&String],
+    ) {
         for (n, traffic) in traffic.iter().enumerate() {
             let path = format!("{path}[{n}]");
             self.traffic_class(&path, traffic, classes);
@@ -250,7 +258,7 @@
         }
     }
 
-    fn traffic_class(&mut self, path: &str, traffic: &Traffic, classes: &[Track]) {
+    fn traffic_class(&mut self, path: &str, traffic: &Traffic, classes: &[RequestClass]) {
         if classes.iter().any(|class| class.name == traffic.track) {
             return;
         }
