--- a/crates/config-language/tests/records.rs
+++ b/crates/config-language/tests/reading.rs
@@ -23,7 +23,7 @@
     assert_eq!(format!("{file:?}"), format!("{again:?}"));
 }
 
-/// Each change to the good file, and how its one problem must begin.
+/// Each change to the good file, and how its one error must begin.
 const BAD: [(&str, &str, &str); 22] = [
     ("listen: \"127.0.0.1:7001\"", "listen: 7001", "bad:7:10: 7001 is of type int; expected string"),
     ("listen: \"127.0.0.1:7001\"", "listen: \"here\"", "bad:7:10: \"here\" is no address; expected one like"),
@@ -58,31 +58,31 @@
 ];
 
 #[test]
-fn each_bad_file_has_one_problem_that_names_place_and_expectation() {
-    let mut wrong = vec![];
-    for (from, to, begins) in BAD {
+fn each_bad_file_has_one_error_that_names_place_and_expectation() {
+    let mut mismatches = vec![];
+    for (from, to, beginning) in BAD {
         assert!(GOOD.contains(from), "{from}");
         let text = GOOD.replacen(from, to, 1);
-        let problems = read("bad", &text).expect_err(&format!("{to} was taken"));
-        let lines = problems.lines();
-        if begins == "bad:3:17: " {
+        let errors = read("bad", &text).expect_err(&format!("{to} was taken"));
+        let lines = errors.lines();
+        if beginning == "bad:3:17: " {
             // The cut-off comes from a definition, and contradicts a contract time written elsewhere.
             assert!(lines[0].contains("given up before its contract time"), "{lines:?}");
             continue;
         }
-        if lines.len() != 1 || !lines[0].starts_with(begins) {
-            wrong.push(format!("{to}: {lines:?}, not {begins}"));
+        if lines.len() != 1 || !lines[0].starts_with(beginning) {
+            mismatches.push(format!("{to}: {lines:?}, not {beginning}"));
         }
-        assert!(problems.report().contains(&lines[0][..20]));
+        assert!(errors.report().contains(&lines[0][..20]));
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
 }
 
 #[test]
-fn all_problems_come_at_once() {
+fn all_errors_come_at_once() {
     let text = GOOD.replace("800ms", "800").replace("routers: 3", "routers: 0").replace("name:   ", "nam: ");
-    let problems = read("bad", &text).unwrap_err();
-    assert!(problems.lines().len() >= 3, "{problems}");
+    let errors = read("bad", &text).unwrap_err();
+    assert!(errors.lines().len() >= 3, "{errors}");
 }
 
 #[test]
@@ -91,8 +91,8 @@
     for n in 1..40 {
         text += &format!("_a{n}: {{p: _a{0}, q: _a{0}}}\n", n - 1);
     }
-    let problems = read("bad", &text).unwrap_err();
-    assert!(problems.lines()[0].contains("too many times"), "{problems}");
+    let errors = read("bad", &text).unwrap_err();
+    assert!(errors.lines()[0].contains("too many times"), "{errors}");
     let deep = format!("router: {}", "[".repeat(100_000));
     assert!(read("bad", &deep).unwrap_err().lines()[0].contains("too deep"));
 }
