--- a/crates/config-language/src/ast.rs
+++ b/crates/config-language/src/ast.rs
@@ -1,11 +1,7 @@
 //! The syntax tree: fields and expressions, with their places in the file.
 
-use std::ops::Range;
-
-use crate::lexer::Literal;
-
-/// A range of bytes in a file.
-pub type Span = Range<usize>;
+use crate::literal::Literal;
+use crate::span::Span;
 
 /// An expression and where it stands.
 #[derive(Clone, Debug)]
--- a/crates/config-language/src/bounds.rs
+++ b/crates/config-language/src/bounds.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 
 use crate::ast::Comparison;
-use crate::lexer::Literal;
+use crate::literal::Literal;
 
 /// How two literals compare; none if their types have no common order.
 pub fn compare(a: &Literal, b: &Literal) -> Option<Ordering> {
--- a/crates/config-language/src/describe.rs
+++ b/crates/config-language/src/describe.rs
@@ -1,6 +1,6 @@
 //! Values as they are named in messages.
 
-use crate::lexer::Literal;
+use crate::literal::Literal;
 use crate::value::{Shape, Value};
 
 /// A unit's name and how many microseconds or bytes it has.
--- a/crates/config-language/src/error.rs
+++ b/crates/config-language/src/error.rs
@@ -2,7 +2,7 @@
 
 use miette::{Diagnostic, GraphicalReportHandler, LabeledSpan, NamedSource, SourceSpan};
 
-use crate::ast::Span;
+use crate::span::Span;
 
 /// Columns of a report: wide enough that no line is broken, so that file, line and column stay where tools look for
 /// them.
--- a/crates/config-language/src/evaluator.rs
+++ b/crates/config-language/src/evaluator.rs
@@ -3,9 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::ast::{Comparison, Expr, Field, Node, Span};
+use crate::ast::{Comparison, Expr, Field, Node};
 use crate::error::ConfigError;
-use crate::lexer::Literal;
+use crate::literal::Literal;
+use crate::span::Span;
 use crate::unify::unify;
 use crate::value::{Shape, Slot, Value};
 use crate::value_type::ValueType;
--- a/crates/config-language/src/export.rs
+++ b/crates/config-language/src/export.rs
@@ -4,10 +4,11 @@
 
 use serde_json::{json, Map, Value as Json};
 
-use crate::ast::{Field, Span};
+use crate::ast::Field;
 use crate::describe::describe_expected;
 use crate::error::ConfigError;
-use crate::lexer::Literal;
+use crate::literal::Literal;
+use crate::span::Span;
 use crate::value::{Shape, Slot, Value};
 
 /// Where each value stands in the file, by its path (`router.classes[0].name`).
--- a/crates/config-language/src/lexer.rs
+++ b/crates/config-language/src/lexer.rs
@@ -1,7 +1,5 @@
 //! Splits the text of a file into tokens.
 
-use std::ops::Range;
-
 use winnow::ascii::digit1;
 use winnow::combinator::{alt, fail, opt};
 use winnow::prelude::*;
@@ -9,20 +7,8 @@
 use winnow::token::{any, literal, take_till, take_while};
 
 use crate::error::ConfigError;
-
-/// A value written out.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Literal {
-    Null,
-    Bool(bool),
-    Int(i64),
-    Float(f64),
-    Text(String),
-    /// Microseconds.
-    Duration(i64),
-    /// Bytes.
-    Size(i64),
-}
+use crate::literal::Literal;
+use crate::span::Span;
 
 /// A token.
 #[derive(Clone, Debug, PartialEq)]
@@ -64,7 +50,7 @@
 }
 
 /// All tokens with their places, or an error for all that is none.
-pub fn tokens(text: &str) -> Result<Vec<(Token, Range<usize>)>, Vec<ConfigError>> {
+pub fn tokens(text: &str) -> Result<Vec<(Token, Span)>, Vec<ConfigError>> {
     let mut input = LocatingSlice::new(text);
     let mut tokens = Vec::new();
     let mut errors = Vec::new();
--- a/crates/config-language/src/parser.rs
+++ b/crates/config-language/src/parser.rs
@@ -1,8 +1,10 @@
 //! Parses the text of a file to a syntax tree.
 
-use crate::ast::{Comparison, Expr, Field, Node, Span};
+use crate::ast::{Comparison, Expr, Field, Node};
 use crate::error::ConfigError;
-use crate::lexer::{tokens, Literal, Token};
+use crate::lexer::{tokens, Token};
+use crate::literal::Literal;
+use crate::span::Span;
 
 /// How deep expressions may be nested; more is a mistake or an attack on the stack.
 const MAX_DEPTH: u32 = 64;
--- a/crates/config-language/src/records/former_names.rs
+++ b/crates/config-language/src/records/former_names.rs
@@ -2,30 +2,24 @@
 //! its last caller.
 #![allow(missing_docs, reason = "each is documented under its present name")]
 
-use super::{
-    AdminConfig, Discovery, DiscoveryDelay, Expectations, LoadBurst, MembershipConfig, RandomFaults,
-    RelayFault, RelayListener, RequestClass, Scenario, ScenarioFault, ScenarioLoad, SchedulerSettings,
-    SkewedLoad, TenantKey, TokenRange, WorkerCapacity, WorkerFault, WorkerGroup, WorkerKind,
-};
-
-pub type Able = WorkerCapacity;
-pub type Admin = AdminConfig;
-pub type Burst = LoadBurst;
-pub type Day = Scenario;
-pub type DayLoad = ScenarioLoad;
-pub type Door = RelayListener;
-pub type Drawn = RandomFaults;
-pub type Expect = Expectations;
-pub type Fault = RelayFault;
-pub type Fleet = MembershipConfig;
-pub type Group = WorkerGroup;
-pub type Key = TenantKey;
-pub type Kind = WorkerKind;
-pub type Late = DiscoveryDelay;
-pub type List = Discovery;
-pub type Range = TokenRange;
-pub type Step = WorkerFault;
-pub type Terms = SchedulerSettings;
-pub type Track = RequestClass;
-pub type Trouble = ScenarioFault;
-pub type Uneven = SkewedLoad;
+pub type Able = super::worker::WorkerCapacity;
+pub type Admin = super::router::AdminConfig;
+pub type Burst = super::load::LoadBurst;
+pub type Day = super::scenario::Scenario;
+pub type DayLoad = super::scenario::ScenarioLoad;
+pub type Door = super::relay::RelayListener;
+pub type Drawn = super::fault::RandomFaults;
+pub type Expect = super::scenario::Expectations;
+pub type Fault = super::relay::RelayFault;
+pub type Fleet = super::router::MembershipConfig;
+pub type Group = super::scenario::WorkerGroup;
+pub type Key = super::load::TenantKey;
+pub type Kind = super::router::WorkerKind;
+pub type Late = super::discovery::DiscoveryDelay;
+pub type List = super::discovery::Discovery;
+pub type Range = super::load::TokenRange;
+pub type Step = super::worker::WorkerFault;
+pub type Terms = super::router::SchedulerSettings;
+pub type Track = super::router::RequestClass;
+pub type Trouble = super::fault::ScenarioFault;
+pub type Uneven = super::load::SkewedLoad;
--- /dev/null
+++ b/crates/config-language/src/span.rs
@@ -0,0 +1,6 @@
+//! Places in a file.
+
+use std::ops::Range;
+
+/// A range of bytes in a file.
+pub type Span = Range<usize>;
--- a/crates/config-language/src/unify.rs
+++ b/crates/config-language/src/unify.rs
@@ -1,12 +1,13 @@
 //! Unification: makes one value of two, which keeps all that both ask for. Errors are reported at the place of the
 //! second one, the more particular.
 
-use crate::ast::{Comparison, Field, Span};
+use crate::ast::{Comparison, Field};
 use crate::bounds::{compare, is_within};
 use crate::describe::{describe_expected, describe_literal};
 use crate::error::ConfigError;
-use crate::lexer::Literal;
+use crate::literal::Literal;
 use crate::similar_name::similar_name;
+use crate::span::Span;
 use crate::value::{Shape, Slot, Value};
 use crate::value_type::ValueType;
 
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use crate::ast::Span;
 use crate::error::ConfigError;
 use crate::records::{
     AdminConfig, File, Load, MembershipConfig, RequestClass, Router, Scenario, ScenarioFault, Tenant, Traffic,
 };
+use crate::span::Span;
 
 /// Request classes at most: a class is numbered by a byte.
 const MAX_CLASSES: usize = 256;
--- a/crates/config-language/src/value.rs
+++ b/crates/config-language/src/value.rs
@@ -1,7 +1,8 @@
 //! Values, from "anything" down to written-out ones.
 
-use crate::ast::{Comparison, Span};
-use crate::lexer::Literal;
+use crate::ast::Comparison;
+use crate::literal::Literal;
+use crate::span::Span;
 use crate::value_type::ValueType;
 
 /// A value and where it stands in the file; at `0..0` if it comes from the program's definitions.
--- a/crates/config-language/src/value_type.rs
+++ b/crates/config-language/src/value_type.rs
@@ -1,6 +1,6 @@
 //! The basic types of values.
 
-use crate::lexer::Literal;
+use crate::literal::Literal;
 
 /// A basic type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
