--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -10,23 +10,24 @@
 use bytes::{Bytes, BytesMut};
 use tideroute_wire::{client, frame, say_hello_with, Malformed, Party};
 
-use tideroute_test_support::process::{free, until, PATIENCE};
+use tideroute_test_support::process::{unused_address, wait_for, TEST_TIMEOUT};
 
 const KEY: &str = "a-key-for-tests";
 
-struct Running {
+struct KillOnDrop {
     folder: PathBuf,
     child: Option<Child>,
     listen: String,
     admin: String,
 }
 
-impl Running {
-    fn start(what: &str) -> Running {
+impl KillOnDrop {
+    fn start(what: &str) -> KillOnDrop {
         let folder = std::env::temp_dir().join(format!("tideroute-admin-{what}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut running = Running { folder, child: None, listen: free(), admin: free() };
+        let mut running =
+            KillOnDrop { folder, child: None, listen: unused_address(), admin: unused_address() };
         let hash = blake3::hash(KEY.as_bytes()).to_hex();
         let record = format!(
             r#"router: {{
@@ -37,7 +38,7 @@
 	admin: {{listen: "{}", store: "{}", keys: [{{name: "ann", key: "{hash}", role: "own"}}]}}
 }}"#,
             running.listen,
-            free(),
+            unused_address(),
             running.admin,
             running.folder.join("tenants.redb").display()
         );
@@ -55,7 +56,7 @@
             .spawn()
             .expect("it starts");
         self.child = Some(child);
-        until(|| TcpStream::connect(&self.listen).and(TcpStream::connect(&self.admin)).ok());
+        wait_for(|| TcpStream::connect(&self.listen).and(TcpStream::connect(&self.admin)).ok());
     }
 
     fn kill(&mut self) {
@@ -92,7 +93,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         self.kill();
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -138,9 +139,9 @@
 }
 
 impl Client {
-    fn new(running: &Running, key: &str) -> Client {
+    fn new(running: &KillOnDrop, key: &str) -> Client {
         let stream = TcpStream::connect(&running.listen).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         let mut client = Client { stream, arrived: BytesMut::new(), heard: Responses::default(), number: 0 };
         client.send(&say_hello_with(Party::Client, "test", key.as_bytes()));
         client
@@ -182,7 +183,7 @@
 
 #[test]
 fn tenants_are_added_changed_and_removed_while_the_router_runs() {
-    let mut running = Running::start("life");
+    let mut running = KillOnDrop::start("life");
     // Nobody is there yet: each core denies.
     for _ in 0..8 {
         let mut nobody = Client::new(&running, "harbour's key");
@@ -200,7 +201,7 @@
         if shown.lines().any(|line| line.starts_with("harbour") && line.contains(" 8 ")) {
             break shown;
         }
-        assert!(began.elapsed() < PATIENCE, "the figures never came: {shown}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "the figures never came: {shown}");
         std::thread::sleep(Duration::from_millis(50));
     };
     assert!(shown.starts_with("tenant"), "{shown}");
@@ -233,7 +234,7 @@
 
 #[test]
 fn the_command_line_reports_errors() {
-    let running = Running::start("wrong");
+    let running = KillOnDrop::start("wrong");
     assert!(running.put("market", "k", None).status.success());
     let problems = [
         (running.put("market", "k", None), "412"),
--- a/crates/command/tests/gateway_signals.rs
+++ b/crates/command/tests/gateway_signals.rs
@@ -11,9 +11,9 @@
 
 use serde_json::{json, Value};
 
-use tideroute_test_support::process::{free, signal, until, Running};
-use tideroute_test_support::text::{EVENTS, NEVER_RAN, READ};
-use tideroute_test_support::{fixture, text};
+use tideroute_test_support::http_messages::{NEVER_RAN, PREFILL_COMPLETE, STREAM_EVENTS};
+use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
+use tideroute_test_support::{fixture, http_messages};
 
 /// How long the clients ask, when the new configuration comes, and when the signal to end.
 const LOAD_TIME: Duration = Duration::from_millis(3_000);
@@ -109,10 +109,10 @@
         return say("HTTP/1.1 204 No Content\r\n\r\n");
     }
     if line.starts_with("post /internal/reservations/") {
-        return say(&text::plain(if count.is_multiple_of(41) { 409 } else { 200 }, "", ""));
+        return say(&http_messages::response(if count.is_multiple_of(41) { 409 } else { 200 }, "", ""));
     }
     if line.starts_with("get /alive") {
-        return say(&text::plain(200, "", ""));
+        return say(&http_messages::response(200, "", ""));
     }
     let now = Instant::now();
     with_observations(observations, |s| {
@@ -120,13 +120,13 @@
             s.broken.push(format!("rule 3: {trace} came to worker {number} long after it was told to drain"));
         }
     });
-    if fixture::WORKERS[number].1 == "reading" {
+    if fixture::WORKERS[number].kind == "reading" {
         std::thread::sleep(Duration::from_millis(5));
         if count.is_multiple_of(47) {
             return say(NEVER_RAN);
         }
         with_observations(observations, |s| s.states.insert(trace, Instant::now()));
-        return say(READ);
+        return say(PREFILL_COMPLETE);
     }
     if count.is_multiple_of(43) {
         return say(NEVER_RAN);
@@ -146,12 +146,12 @@
     if count.is_multiple_of(29) {
         return false;
     }
-    if !say(text::HEAD) {
+    if !say(http_messages::STREAM_HEAD) {
         return false;
     }
-    for (n, event) in EVENTS.iter().enumerate() {
+    for (n, event) in STREAM_EVENTS.iter().enumerate() {
         std::thread::sleep(Duration::from_millis(3));
-        if (n == 2 && count.is_multiple_of(31)) || !say(&text::chunk(event)) {
+        if (n == 2 && count.is_multiple_of(31)) || !say(&http_messages::chunk(event)) {
             return false;
         }
     }
@@ -166,7 +166,7 @@
         if message(&mut stream, &mut vec![]).is_none() {
             return;
         }
-        let line = text::chunk(&format!("{list}\n"));
+        let line = http_messages::chunk(&format!("{list}\n"));
         let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
         let _ = stream.write_all(format!("{head}{line}").as_bytes());
         with_observations(&observations, |s| {
@@ -175,7 +175,7 @@
                 s.drained.entry(n).or_insert(Instant::now());
             }
         });
-        while stream.write_all(text::chunk("\n").as_bytes()).is_ok() {
+        while stream.write_all(http_messages::chunk("\n").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
@@ -193,7 +193,7 @@
         if track == "once" {
             with_observations(&observations, |s| s.single_use.insert(trace.clone()));
         }
-        let asked = text::ask_for(&trace, track, 2_000, "{\"model\":\"m\"}");
+        let asked = http_messages::chat_request_with(&trace, track, 2_000, "{\"model\":\"m\"}");
         for _ in 0..2 {
             let Some((mut stream, mut kept)) = connection.take().or_else(|| {
                 let stream = TcpStream::connect(&router).ok()?;
@@ -236,7 +236,7 @@
 #[test]
 fn reload_and_shutdown_under_load_break_no_rule() {
     let observations = Shared::default();
-    let mut list = fixture::list(5);
+    let mut list = fixture::endpoint_list(5);
     for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         server["addr"] = json!(listener.local_addr().expect("an address").to_string());
@@ -246,14 +246,14 @@
     drains["version"] = json!(6);
     drains["servers"][2]["state"] = json!("DRAINING");
     let (old, new) = (discovery(observations.clone(), list.clone()), discovery(observations.clone(), drains));
-    let (router, mut file) = (free(), fixture::file());
+    let (router, mut file) = (unused_address(), fixture::router_config());
     (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old), list);
     let path = std::env::temp_dir().join(format!("tideroute-platform-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
     command.arg("platform").env("EDGE_CONFIG", &path).stdin(Stdio::null());
-    let mut running = Running(command.spawn().expect("it runs"));
-    until(|| is_up(&router));
+    let mut running = KillOnDrop(command.spawn().expect("it runs"));
+    wait_for(|| is_up(&router));
     let (stop, began) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
@@ -261,18 +261,18 @@
             std::thread::spawn(move || client(observations, n, router, stop))
         })
         .collect();
-    until(|| (began.elapsed() >= RELOAD_AT).then_some(()));
+    wait_for(|| (began.elapsed() >= RELOAD_AT).then_some(()));
     file["discovery"] = json!(new);
     std::fs::write(&path, file.to_string()).expect("a file");
-    signal(&running.0, "-HUP");
-    until(|| with_observations(&observations, |s| s.drained.get(&2).copied()));
-    until(|| (began.elapsed() >= SHUTDOWN_AT).then_some(()));
-    signal(&running.0, "-TERM");
-    signal(&running.0, "-TERM");
-    until(|| (began.elapsed() >= LOAD_TIME).then_some(()));
+    send_signal(&running.0, "-HUP");
+    wait_for(|| with_observations(&observations, |s| s.drained.get(&2).copied()));
+    wait_for(|| (began.elapsed() >= SHUTDOWN_AT).then_some(()));
+    send_signal(&running.0, "-TERM");
+    send_signal(&running.0, "-TERM");
+    wait_for(|| (began.elapsed() >= LOAD_TIME).then_some(()));
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().expect("a client"));
-    let ended = until(|| running.0.try_wait().expect("its end"));
+    let ended = wait_for(|| running.0.try_wait().expect("its end"));
     assert_eq!(ended.code(), Some(0));
     let _ = std::fs::remove_file(&path);
     with_observations(&observations, |s| {
@@ -312,12 +312,12 @@
     assert!(code == Some(2) && told.contains("EDGE_CONFIG"), "{told}");
     let (code, told) = start(Some("{"));
     assert!(code == Some(2) && told.contains("no JSON") && told.contains("tideroute-bad"), "{told}");
-    let mut file = fixture::file();
+    let mut file = fixture::router_config();
     file["limits"] = json!({});
     let (code, told) = start(Some(&file.to_string()));
     assert!(code == Some(2) && told.contains("limits.sockets: expected"), "{told}");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut file = fixture::file();
+    let mut file = fixture::router_config();
     file["listen"] = json!(taken.local_addr().expect("an address").to_string());
     let (code, told) = start(Some(&file.to_string()));
     assert!(code == Some(2) && told.contains("cannot listen at"), "{told}");
--- a/crates/command/tests/shutdown_obligations/attempts.rs
+++ b/crates/command/tests/shutdown_obligations/attempts.rs
@@ -4,10 +4,10 @@
 use std::net::Shutdown;
 
 use tideroute_test_support::fixture::WORKERS;
-use tideroute_test_support::text;
-use tideroute_test_support::text::ask;
-use tideroute_test_support::text::NEVER_RAN;
-use tideroute_test_support::text::READ;
+use tideroute_test_support::http_messages;
+use tideroute_test_support::http_messages::chat_request;
+use tideroute_test_support::http_messages::NEVER_RAN;
+use tideroute_test_support::http_messages::PREFILL_COMPLETE;
 
 use crate::harness::{response, without_reservations, Harness, ATTEMPT};
 
@@ -15,9 +15,9 @@
 fn header_fields_of_a_client_reach_both_workers() {
     let mut harness = Harness::new("fields", without_reservations);
     let mut client = harness.connect();
-    let asked = ask("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
+    let asked = chat_request("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
     client.write_all(asked.as_bytes()).expect("written");
-    for answer in [READ.to_string(), text::stream()] {
+    for answer in [PREFILL_COMPLETE.to_string(), http_messages::streamed_response()] {
         let mut call = harness.next_call(ATTEMPT);
         assert!(call.text.contains("\r\nidempotency-key: 29-55\r\n"), "{}", call.text);
         call.send(answer);
@@ -37,11 +37,11 @@
         if answered {
             // The same state at another writer, or a new read.
             let mut next = harness.next_call(ATTEMPT);
-            if WORKERS[next.at].1 == "reading" {
-                next.send(READ);
+            if WORKERS[next.at].kind == "reading" {
+                next.send(PREFILL_COMPLETE);
                 next = harness.next_call(ATTEMPT);
             }
-            next.send(text::stream());
+            next.send(http_messages::streamed_response());
         }
         let status = response(&mut client);
         assert_eq!(status.starts_with("HTTP/1.1 200"), answered, "{class} {breaks}: {status}");
--- a/crates/command/tests/shutdown_obligations/client_disconnects.rs
+++ b/crates/command/tests/shutdown_obligations/client_disconnects.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use tideroute_test_support::text;
-use tideroute_test_support::text::ask;
-use tideroute_test_support::text::ask_for;
+use tideroute_test_support::http_messages;
+use tideroute_test_support::http_messages::chat_request;
+use tideroute_test_support::http_messages::chat_request_with;
 
 use crate::harness::{response, without_reservations, Harness, ATTEMPT, RELEASE, RELEASED};
 
@@ -15,8 +15,9 @@
 fn a_client_that_closes_after_bytes_of_a_further_request_counts_as_disconnected() {
     let mut harness = Harness::new("gone", without_reservations);
     let mut client = harness.connect();
-    let more = ask_for("second", "safe", 4_000, &format!("{{\"pad\":\"{}\"}}", "x".repeat(150_000)));
-    client.write_all(ask("first", "safe").as_bytes()).expect("written");
+    let more =
+        chat_request_with("second", "safe", 4_000, &format!("{{\"pad\":\"{}\"}}", "x".repeat(150_000)));
+    client.write_all(chat_request("first", "safe").as_bytes()).expect("written");
     let first = harness.next_call(ATTEMPT);
     client.write_all(more.as_bytes()).expect("written");
     client.shutdown(Shutdown::Write).expect("ended");
@@ -51,14 +52,14 @@
         // The client goes and the stream comes, both before the router looks, in either order.
         if n % 2 == 0 {
             drop(client);
-            let _ = writer.stream.write_all(text::stream().as_bytes());
+            let _ = writer.stream.write_all(http_messages::streamed_response().as_bytes());
         } else {
-            writer.send(text::stream());
+            writer.send(http_messages::streamed_response());
             drop(client);
         }
     }
     let (mut client, _, mut writer) = harness.prefilled("after", "safe");
-    writer.send(format!("{}HTTP/1.1 200 OK\r\n", text::stream()));
+    writer.send(format!("{}HTTP/1.1 200 OK\r\n", http_messages::streamed_response()));
     let _ = writer.stream.shutdown(Shutdown::Both);
     assert!(response(&mut client).ends_with("0\r\n\r\n"));
 }
--- a/crates/command/tests/shutdown_obligations/configuration_reload.rs
+++ b/crates/command/tests/shutdown_obligations/configuration_reload.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use tideroute_test_support::process::free;
-use tideroute_test_support::text;
-use tideroute_test_support::text::chunk;
-use tideroute_test_support::text::unchunked;
-use tideroute_test_support::text::EVENTS;
-use tideroute_test_support::text::HEAD;
+use tideroute_test_support::http_messages;
+use tideroute_test_support::http_messages::chunk;
+use tideroute_test_support::http_messages::decode_chunked;
+use tideroute_test_support::http_messages::STREAM_EVENTS;
+use tideroute_test_support::http_messages::STREAM_HEAD;
+use tideroute_test_support::process::unused_address;
 
 use crate::harness::{listen, read_until, response, without_reservations, Harness, DISCOVERY};
 
@@ -19,13 +19,13 @@
 fn a_reload_and_a_drain_at_once_both_apply_and_disturb_no_stream() {
     let mut harness = Harness::new("hup", without_reservations);
     let (mut client, _, mut writer) = harness.prefilled("hup", "once");
-    writer.send(format!("{HEAD}{}", chunk(EVENTS[0])));
+    writer.send(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     let moved = TcpListener::bind("127.0.0.1:0").expect("a port");
     harness.file["discovery"] = json!(moved.local_addr().expect("an address").to_string());
     listen(moved, DISCOVERY, harness.sender.clone());
     std::fs::write(&harness.path, harness.file.to_string()).expect("a file");
     let change = harness.change(5, writer.at, "DRAINING");
-    harness.signal("-HUP");
+    harness.send_signal("-HUP");
     harness.notify(&change);
     let mut watch = harness.next_call("GET /discovery/hosts?watch=1&after=");
     let mut whole = harness.file["known"].clone();
@@ -40,9 +40,9 @@
         let (_client, _, elsewhere) = harness.prefilled(&format!("h{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
     }
-    writer.send(format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    writer.send(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     read_until(&mut client, &mut kept, "0\r\n\r\n");
-    assert_eq!(unchunked(&kept), (EVENTS.concat(), true));
+    assert_eq!(decode_chunked(&kept), (STREAM_EVENTS.concat(), true));
 }
 
 /// No second signal comes for it: within four seconds of the one that came it has to be in force.
@@ -55,7 +55,7 @@
     listen(moved, DISCOVERY, harness.sender.clone());
     let text = harness.file.to_string();
     std::fs::write(&harness.path, &text[..text.len() / 2]).expect("a file");
-    harness.signal("-HUP");
+    harness.send_signal("-HUP");
     let told = Instant::now();
     std::thread::sleep(Duration::from_millis(400));
     std::fs::write(&harness.path, text).expect("a file");
@@ -70,9 +70,9 @@
     let mut harness = Harness::new("room", without_reservations);
     let (mut client, _, mut writer) = harness.prefilled("room", "once");
     harness.file["settings"]["classes"][2]["key_ttl_ms"] = json!(0);
-    harness.file["discovery"] = json!(free());
+    harness.file["discovery"] = json!(unused_address());
     std::fs::write(&harness.path, harness.file.to_string()).expect("a file");
-    harness.signal("-HUP");
+    harness.send_signal("-HUP");
     // Its watch stays where it is, and a change on it is heard.
     let change = harness.change(5, writer.at, "DRAINING");
     harness.notify(&change);
@@ -80,7 +80,7 @@
         let (_client, _, elsewhere) = harness.prefilled(&format!("h{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
     }
-    writer.send(text::stream());
+    writer.send(http_messages::streamed_response());
     assert!(response(&mut client).contains("[DONE]"));
     // At the start it ends the program, with key, value and what is needed.
     let output = Command::new(env!("CARGO_BIN_EXE_tideroute"))
--- a/crates/command/tests/shutdown_obligations/endpoint_changes.rs
+++ b/crates/command/tests/shutdown_obligations/endpoint_changes.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use tideroute_test_support::text;
-use tideroute_test_support::text::chunk;
-use tideroute_test_support::text::EVENTS;
-use tideroute_test_support::text::HEAD;
-use tideroute_test_support::text::READ;
+use tideroute_test_support::http_messages;
+use tideroute_test_support::http_messages::chunk;
+use tideroute_test_support::http_messages::PREFILL_COMPLETE;
+use tideroute_test_support::http_messages::STREAM_EVENTS;
+use tideroute_test_support::http_messages::STREAM_HEAD;
 
 use crate::harness::{listen, response, without_reservations, Harness, ATTEMPT};
 
@@ -20,14 +20,14 @@
     let (mut client, _, mut writer) = harness.prefilled("drain", "safe");
     let change = harness.change(5, writer.at, "DRAINING");
     harness.notify(&change);
-    writer.send(format!("{HEAD}{}", chunk(EVENTS[0])));
+    writer.send(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     for n in 0..6 {
         let (other, _, mut elsewhere) = harness.prefilled(&format!("other-{n}"), "safe");
         assert_ne!(elsewhere.at, writer.at);
-        elsewhere.send(text::stream());
+        elsewhere.send(http_messages::streamed_response());
         drop(other);
     }
-    writer.send(format!("{}{}0\r\n\r\n", chunk(EVENTS[1]), chunk(EVENTS[2])));
+    writer.send(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert!(response(&mut client).contains("[DONE]"));
 }
 
@@ -42,8 +42,8 @@
     harness.notify(&change);
     first.wait_for_close();
     let mut second = harness.next_call(ATTEMPT);
-    second.send(READ);
-    harness.next_call(ATTEMPT).send(text::stream());
+    second.send(PREFILL_COMPLETE);
+    harness.next_call(ATTEMPT).send(http_messages::streamed_response());
     drop(client);
 }
 
@@ -70,8 +70,8 @@
     let mut harness = Harness::new("moved", without_reservations);
     let mut first = harness.request("first", "safe");
     let mut reader = harness.next_call(ATTEMPT);
-    reader.send(READ);
-    harness.next_call(ATTEMPT).send(text::stream());
+    reader.send(PREFILL_COMPLETE);
+    harness.next_call(ATTEMPT).send(http_messages::streamed_response());
     response(&mut first);
     let there = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut change = harness.change(5, reader.at, "SERVING");
--- a/crates/command/tests/shutdown_obligations/harness.rs
+++ b/crates/command/tests/shutdown_obligations/harness.rs
@@ -12,14 +12,14 @@
 use serde_json::{json, Value};
 
 use tideroute_test_support::fixture;
-use tideroute_test_support::process::{free, signal, until, Running, PATIENCE};
-use tideroute_test_support::text::{ask, chunk, plain, READ};
+use tideroute_test_support::http_messages::{self, chat_request, chunk, PREFILL_COMPLETE};
+use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop, TEST_TIMEOUT};
 
 pub const RELEASE: &str = "DELETE /internal/reservations/";
 pub const RESERVE: &str = "POST /internal/reservations/";
 pub const ATTEMPT: &str = "POST /v1/chat/completions";
 pub const RELEASED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
-/// Within which the protocol wants reserved state released, by the settings of `fixture::file`.
+/// Within which the protocol wants reserved state released, by the settings of `fixture::router_config`.
 pub const RELEASE_LIMIT: Duration = Duration::from_millis(1_300);
 
 /// A request that arrived at a worker, or a watch that was opened at discovery.
@@ -76,7 +76,7 @@
 }
 
 pub struct Harness {
-    pub running: Running,
+    pub running: KillOnDrop,
     pub path: PathBuf,
     pub file: Value,
     pub calls: Receiver<Call>,
@@ -100,18 +100,18 @@
     /// Starts the process under a limit that its shell sets.
     pub fn with_limit(name: &str, limit: &str, set: impl FnOnce(&mut Value)) -> Harness {
         let (sender, calls) = channel();
-        let mut list = fixture::list(4);
+        let mut list = fixture::endpoint_list(4);
         for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             server["addr"] = json!(listener.local_addr().expect("an address").to_string());
             listen(listener, n, sender.clone());
         }
         let discovery = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let mut file = fixture::file();
+        let mut file = fixture::router_config();
         file["discovery"] = json!(discovery.local_addr().expect("an address").to_string());
         // An address of its own: no listener of another test is given its port meanwhile.
         let number = HARNESSES.fetch_add(1, Ordering::Relaxed);
-        let own = free().replace("127.0.0.1", &format!("127.1.1.{number}"));
+        let own = unused_address().replace("127.0.0.1", &format!("127.1.1.{number}"));
         (file["listen"], file["known"]) = (json!(own), list);
         set(&mut file);
         listen(discovery, DISCOVERY, sender.clone());
@@ -121,13 +121,13 @@
         let script = format!("{limit} exec {} platform", env!("CARGO_BIN_EXE_tideroute"));
         let mut command = Command::new("sh");
         command.args(["-c", &script]).env("EDGE_CONFIG", &path).stdin(Stdio::null());
-        let running = Running(command.spawn().expect("it runs"));
-        let mut watch = calls.recv_timeout(PATIENCE).expect("a watch");
+        let running = KillOnDrop(command.spawn().expect("it runs"));
+        let mut watch = calls.recv_timeout(TEST_TIMEOUT).expect("a watch");
         assert!(watch.at == DISCOVERY && watch.text.starts_with("GET /discovery/hosts?watch=1&after="));
         watch.send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         watch.send(chunk(&format!("{}\n", file["known"])));
         let mut harness = Harness { running, path, file, calls, early: VecDeque::new(), watch, sender };
-        until(|| (harness.health_status() == 200).then_some(()));
+        wait_for(|| (harness.health_status() == 200).then_some(()));
         harness
     }
 
@@ -148,32 +148,33 @@
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.file["listen"].as_str().expect("an address")).expect("a door");
         stream.set_nodelay(true).expect("no delay");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time");
         stream
     }
 
     pub fn request(&self, trace: &str, class: &str) -> TcpStream {
         let mut client = self.connect();
-        client.write_all(ask(trace, class).as_bytes()).expect("the router is there");
+        client.write_all(chat_request(trace, class).as_bytes()).expect("the router is there");
         client
     }
 
     /// The next call that begins so; health checks are answered, and other calls are kept for later.
     pub fn next_call(&mut self, begins: &str) -> Call {
-        self.next_call_within(begins, PATIENCE).unwrap_or_else(|| panic!("no call that begins with {begins}"))
+        self.next_call_within(begins, TEST_TIMEOUT)
+            .unwrap_or_else(|| panic!("no call that begins with {begins}"))
     }
 
     pub fn next_call_within(&mut self, begins: &str, time: Duration) -> Option<Call> {
-        let until = Instant::now() + time;
+        let wait_for = Instant::now() + time;
         if let Some(n) = self.early.iter().position(|call| call.text.starts_with(begins)) {
             return self.early.remove(n);
         }
         loop {
-            let mut call = self.calls.recv_timeout(until.checked_duration_since(Instant::now())?).ok()?;
+            let mut call = self.calls.recv_timeout(wait_for.checked_duration_since(Instant::now())?).ok()?;
             if call.text.starts_with(begins) {
                 return Some(call);
             } else if call.text.starts_with("GET /alive") {
-                call.send(plain(200, "", ""));
+                call.send(http_messages::response(200, "", ""));
             } else {
                 self.early.push_back(call);
             }
@@ -184,7 +185,7 @@
     pub fn prefilled(&mut self, trace: &str, class: &str) -> (TcpStream, Instant, Call) {
         let client = self.request(trace, class);
         let mut reader = self.next_call(ATTEMPT);
-        reader.send(READ);
+        reader.send(PREFILL_COMPLETE);
         (client, Instant::now(), self.next_call(ATTEMPT))
     }
 
@@ -203,12 +204,12 @@
         json!({"version": version, "full": false, "servers": [self.endpoint(worker, state)]})
     }
 
-    pub fn signal(&self, name: &str) {
-        signal(&self.running.0, name);
+    pub fn send_signal(&self, name: &str) {
+        send_signal(&self.running.0, name);
     }
 
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        until(|| self.running.0.try_wait().expect("its end"))
+        wait_for(|| self.running.0.try_wait().expect("its end"))
     }
 }
 
--- a/crates/command/tests/shutdown_obligations/released_state.rs
+++ b/crates/command/tests/shutdown_obligations/released_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tideroute_test_support::text::plain;
+use tideroute_test_support::http_messages::response;
 
 use crate::harness::{without_reservations, Harness, ATTEMPT, RELEASE, RELEASED, RELEASE_LIMIT, RESERVE};
 
@@ -39,7 +39,7 @@
     let mut place = harness.next_call(RESERVE);
     drop(client);
     harness.next_call(RELEASE).send(RELEASED);
-    place.send(plain(200, "", ""));
+    place.send(response(200, "", ""));
     let again = harness.next_call(RELEASE);
     assert!(place.received_at.elapsed() < RELEASE_LIMIT && again.text.contains("/behind "));
     reader.wait_for_close();
--- a/crates/command/tests/soak/discovery.rs
+++ b/crates/command/tests/soak/discovery.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use tideroute_test_support::text::{chunk, MS};
+use tideroute_test_support::http_messages::chunk;
+use tideroute_test_support::virtual_time::MS;
 use tideroute_wire::Micros;
 
 use crate::fleet::{lock, Fleet, Life};
@@ -47,13 +48,13 @@
             (list.0, list.1[worker]) = (list.0 + 1, entry.clone());
             list.0
         };
-        self.judge.note(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
+        self.judge.log(format!("discovery tells {version}: worker {worker} {state}, started {started_ms}"));
         self.send_to_watches(&format!(
             "{}\n",
             json!({"version": version, "full": false, "servers": [entry]})
         ));
         let told = self.judge.now().max(self.discovery.late_until.load(Ordering::SeqCst));
-        self.judge.told(worker, (state == "DRAINING").then_some(told));
+        self.judge.endpoint_updated(worker, (state == "DRAINING").then_some(told));
     }
 
     /// Says a line on all watches that are not silent.
@@ -68,8 +69,8 @@
 
     /// What is told from now on, for so long, may come late.
     fn allow_late(&self, lasts: Duration) {
-        let until = self.judge.now() + lasts.as_micros() as Micros + NOTIFICATION_LIMIT;
-        self.discovery.late_until.fetch_max(until, Ordering::SeqCst);
+        let wait_for = self.judge.now() + lasts.as_micros() as Micros + NOTIFICATION_LIMIT;
+        self.discovery.late_until.fetch_max(wait_for, Ordering::SeqCst);
     }
 
     /// All open watches fall silent, with no error.
@@ -100,7 +101,7 @@
 
     /// New configurations move discovery to its other address; their files are whole only a while after the signal, if
     /// that is asked for.
-    pub fn discovery_moves(&self, half_written: bool, signal: impl Fn(&Life)) -> Result<(), Failure> {
+    pub fn discovery_moves(&self, half_written: bool, send_signal: impl Fn(&Life)) -> Result<(), Failure> {
         self.allow_late(OLD_ADDRESS_GRACE);
         let old = self.discovery.current.fetch_xor(1, Ordering::SeqCst);
         for router in self.routers() {
@@ -109,14 +110,14 @@
             let text = self.configuration(&router.listen).to_string();
             if half_written {
                 std::fs::write(&router.config, &text[..text.len() / 2])?;
-                signal(&router.life());
+                send_signal(&router.life());
                 std::thread::sleep(Duration::from_millis(100));
             }
             let fresh = router.config.with_extension("fresh");
             std::fs::write(&fresh, &text)?;
             std::fs::rename(&fresh, &router.config)?;
             if !half_written {
-                signal(&router.life());
+                send_signal(&router.life());
             }
         }
         std::thread::sleep(OLD_ADDRESS_GRACE);
--- a/crates/command/tests/soak/faults.rs
+++ b/crates/command/tests/soak/faults.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use tideroute_test_support::process::signal;
+use tideroute_test_support::process::send_signal;
 
 use crate::clients;
 use crate::fleet::{lock, Fleet, Life, Router};
@@ -87,7 +87,7 @@
 fn signal_router(life: &Life, name: &str) {
     let mut running = lock(&life.running);
     if running.0.try_wait().is_ok_and(|ended| ended.is_none()) {
-        signal(&running.0, name);
+        send_signal(&running.0, name);
     }
 }
 
@@ -95,21 +95,21 @@
     /// Injects one fault and waits for its end.
     pub fn inject(&self, fault: Fault) -> Result<(), Failure> {
         let routers = self.routers();
-        let router = &routers[(self.judge.unit() * routers.len() as f64) as usize];
+        let router = &routers[(self.judge.random_unit() * routers.len() as f64) as usize];
         // One worker of each kind stays well.
         let kinds = self.workers.len().min(3);
         let spared = if self.workers.len() > kinds { kinds } else { 1 };
         let affected = self.workers.len() - spared;
-        let worker = spared + (self.judge.unit() * affected as f64) as usize;
-        let lasts = Duration::from_millis(self.judge.between(50.0, 2_000.0));
-        self.judge.note(format!("{fault:?} for {lasts:?}, at {} or worker {worker}", router.listen));
+        let worker = spared + (self.judge.random_unit() * affected as f64) as usize;
+        let lasts = Duration::from_millis(self.judge.random_range(50.0, 2_000.0));
+        self.judge.log(format!("{fault:?} for {lasts:?}, at {} or worker {worker}", router.listen));
         match fault {
             Fault::RouterShutdown => self.shut_down_router(router)?,
             Fault::RouterKilled => self.kill_router(router)?,
             Fault::RouterPaused => {
                 let life = router.life();
                 signal_router(&life, "-STOP");
-                std::thread::sleep(Duration::from_millis(self.judge.between(10.0, MAX_PAUSE_MS)));
+                std::thread::sleep(Duration::from_millis(self.judge.random_range(10.0, MAX_PAUSE_MS)));
                 signal_router(&life, "-CONT");
             }
             Fault::DiscoveryMoved => self.discovery_moves(false, |life| signal_router(life, "-HUP"))?,
@@ -121,7 +121,7 @@
             Fault::WatchesClosed => self.watches_break(false),
             Fault::WatchesClosedInHalfALine => self.watches_break(true),
             Fault::ClockStepped => {
-                let ahead = [HOUR_MS, -HOUR_MS, 0][(self.judge.unit() * 3.0) as usize];
+                let ahead = [HOUR_MS, -HOUR_MS, 0][(self.judge.random_unit() * 3.0) as usize];
                 self.clock_ahead_ms.store(ahead, Ordering::SeqCst);
             }
             Fault::WorkerRestarted => {
@@ -129,19 +129,19 @@
                 self.notify(worker, "SERVING", self.started_ms());
             }
             Fault::WorkerPaused => {
-                signal(&lock(&self.workers[worker].running).0, "-STOP");
+                send_signal(&lock(&self.workers[worker].running).0, "-STOP");
                 std::thread::sleep(lasts);
-                signal(&lock(&self.workers[worker].running).0, "-CONT");
+                send_signal(&lock(&self.workers[worker].running).0, "-CONT");
             }
             Fault::WorkerDraining => self.notify(worker, "DRAINING", 0),
             Fault::PathSilent => self.order_for(worker, "silent", lasts),
             Fault::PathReset => self.order(worker, "reset"),
             Fault::PathSlow => {
-                let delay = self.judge.between(2.0, 100.0);
+                let delay = self.judge.random_range(2.0, 100.0);
                 self.order_for(worker, &format!("delay {delay}"), lasts);
             }
             Fault::PathFragmented => {
-                let piece = self.judge.between(1.0, 40.0);
+                let piece = self.judge.random_range(1.0, 40.0);
                 self.order_for(worker, &format!("piece {piece}"), lasts);
             }
         }
@@ -177,12 +177,12 @@
             let ended = lock(&life.running).0.try_wait()?;
             if let Some(status) = ended {
                 if !status.success() && !life.killed.load(Ordering::SeqCst) {
-                    self.judge.breaks(format!("router {} ended with {status}", router.listen));
+                    self.judge.report_violation(format!("router {} ended with {status}", router.listen));
                 }
                 return Ok(());
             }
             if told.elapsed() > SHUTDOWN_LIMIT {
-                self.judge.breaks(format!("router {} does not end", router.listen));
+                self.judge.report_violation(format!("router {} does not end", router.listen));
                 return Ok(());
             }
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
-use tideroute_test_support::judge::Judge;
-use tideroute_test_support::process::{free, Running};
-use tideroute_test_support::text::BEGAN;
+use tideroute_test_support::monitor::Monitor;
+use tideroute_test_support::process::{unused_address, KillOnDrop};
+use tideroute_test_support::virtual_time::EPOCH;
 use tideroute_wire::Micros;
 
 use crate::discovery::Discovery;
@@ -26,7 +26,7 @@
 
 /// One life of a router's process.
 pub struct Life {
-    pub running: Mutex<Running>,
+    pub running: Mutex<KillOnDrop>,
     /// It was killed: what it held is nobody's duty any more.
     pub killed: AtomicBool,
     /// The requests that were asked of it.
@@ -47,15 +47,15 @@
 }
 
 pub struct Worker {
-    pub running: Mutex<Running>,
-    proxy: Mutex<Running>,
+    pub running: Mutex<KillOnDrop>,
+    proxy: Mutex<KillOnDrop>,
     /// Where its proxy is, which routers take for it, and where it is itself.
     pub address: String,
     own: String,
 }
 
 pub struct Fleet {
-    pub judge: Arc<Judge>,
+    pub judge: Arc<Monitor>,
     pub seed: u64,
     pub workers: Vec<Worker>,
     /// Milliseconds by which discovery's clock is ahead.
@@ -73,7 +73,7 @@
 
 impl Fleet {
     /// Starts everything that runs in the run of that seed.
-    pub fn start(judge: Arc<Judge>, seed: u64) -> Result<Arc<Fleet>, Failure> {
+    pub fn start(judge: Arc<Monitor>, seed: u64) -> Result<Arc<Fleet>, Failure> {
         let control = listener()?;
         let doors = [listener()?, listener()?];
         let mut discovery = Discovery::default();
@@ -92,8 +92,8 @@
             control: control.local_addr()?.to_string(),
         };
         let to = fleet.judge.clone();
-        std::thread::spawn(move || tideroute_test_support::control::hear(control, to));
-        for number in 0..fleet.judge.customer.workers.len() {
+        std::thread::spawn(move || tideroute_test_support::monitor_channel::serve(control, to));
+        for number in 0..fleet.judge.deployment.workers.len() {
             let worker = fleet.start_worker(number)?;
             fleet.workers.push(worker);
         }
@@ -108,7 +108,8 @@
         std::thread::spawn(move || at.send_heartbeats());
         let mut routers = vec![];
         for number in 0..2 + seed as usize % 2 {
-            let listen = free().replace("127.0.0.1", &format!("127.4.{}.{}", seed % 250 + 1, number + 1));
+            let listen =
+                unused_address().replace("127.0.0.1", &format!("127.4.{}.{}", seed % 250 + 1, number + 1));
             let config = std::env::temp_dir()
                 .join(format!("tideroute-soak-{seed}-{number}-{}.json", std::process::id()));
             std::fs::write(&config, fleet.configuration(&listen).to_string())?;
@@ -129,7 +130,7 @@
 
     pub fn configuration(&self, listen: &str) -> Value {
         let current = self.discovery.current.load(Ordering::SeqCst);
-        let mut file = self.judge.customer.file.clone();
+        let mut file = self.judge.deployment.config.clone();
         (file["listen"], file["discovery"]) = (json!(listen), json!(self.discovery.addresses[current]));
         file["known"] = self.list();
         file
@@ -137,7 +138,7 @@
 
     /// What goes wrong inside a router's process, by the shim: some have no fault of their own.
     fn fault_plan(&self, life: usize) -> Option<String> {
-        let draw = || self.judge.unit();
+        let draw = || self.judge.random_unit();
         if draw() < 0.3 {
             return None;
         }
@@ -148,7 +149,7 @@
         }
         if draw() < 0.5 {
             let from = 200 + (draw() * 3_000.0) as u64;
-            let lasts = self.judge.between(50.0, 1_000.0);
+            let lasts = self.judge.random_range(50.0, 1_000.0);
             plan += &format!(";fail={:.3};from={from};until={}", draw() * 0.3, from + lasts);
         }
         if draw() < 0.6 {
@@ -169,8 +170,8 @@
             command.env("LD_PRELOAD", crate::shim()?);
             command.env("TIDEROUTE_SHIM", plan).env("TIDEROUTE_SHIM_PROOF", &proof);
         }
-        self.judge.note(format!("router {listen} starts as life {life}, shim {plan:?}"));
-        let running = Running(command.spawn()?);
+        self.judge.log(format!("router {listen} starts as life {life}, shim {plan:?}"));
+        let running = KillOnDrop(command.spawn()?);
         self.wait_for_listener(listen)?;
         // A library that can't be loaded is passed over by the loader: a run without it is none.
         if plan.is_some() {
@@ -213,9 +214,9 @@
         Ok(())
     }
 
-    fn spawn_worker(&self, number: usize, listen: &str) -> Result<Running, Failure> {
-        let seed = self.judge.between(1.0, 1e9);
-        let kind = self.judge.customer.kind(number);
+    fn spawn_worker(&self, number: usize, listen: &str) -> Result<KillOnDrop, Failure> {
+        let seed = self.judge.random_range(1.0, 1e9);
+        let kind = self.judge.deployment.worker_spec(number);
         let kind = serde_json::to_string(&kind)?;
         let running = start_role("worker", &[listen.into(), kind, self.control.clone(), seed.to_string()])?;
         self.wait_for_listener(listen)?;
@@ -225,7 +226,8 @@
     fn start_worker(&self, number: usize) -> Result<Worker, Failure> {
         // Addresses of their own: no connection that is dialled elsewhere is given one of their ports.
         let at = |net: u8| {
-            free().replace("127.0.0.1", &format!("127.{net}.{}.{}", self.seed % 250 + 1, number + 1))
+            unused_address()
+                .replace("127.0.0.1", &format!("127.{net}.{}.{}", self.seed % 250 + 1, number + 1))
         };
         let (own, address) = (at(5), at(6));
         let running = self.spawn_worker(number, &own)?;
@@ -244,7 +246,7 @@
     }
 
     pub fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
-        let mut entry = self.judge.customer.entry(worker, state, started_ms);
+        let mut entry = self.judge.deployment.endpoint_entry(worker, state, started_ms);
         entry["addr"] = json!(self.workers[worker].address);
         entry
     }
@@ -314,13 +316,13 @@
 }
 
 /// A stand-in's process: this program in another role.
-fn start_role(role: &str, arguments: &[String]) -> Result<Running, Failure> {
+fn start_role(role: &str, arguments: &[String]) -> Result<KillOnDrop, Failure> {
     let mut command = Command::new(std::env::current_exe()?);
     command.env(ROLE, role).args(arguments).stdin(Stdio::piped());
-    Ok(Running(command.spawn()?))
+    Ok(KillOnDrop(command.spawn()?))
 }
 
 /// Milliseconds of a run at a moment of it.
 pub fn ms(at: Micros) -> f64 {
-    (at - BEGAN) as f64 / 1e3
+    (at - EPOCH) as f64 / 1e3
 }
--- a/crates/command/tests/soak/request_traces.rs
+++ b/crates/command/tests/soak/request_traces.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_test_support::judge::{attempt_of, word, Report};
+use tideroute_test_support::http_messages::{attempted_request, value_after};
+use tideroute_test_support::worker_event::WorkerEvent;
 
 use crate::fleet::Fleet;
 
@@ -42,13 +43,13 @@
 }
 
 /// A call as the emulated worker reported it.
-fn call_of(fleet: &Fleet, report: &Report) -> Option<Call> {
-    let Report::Arrives { on, head } = report else { return None };
+fn call_of(fleet: &Fleet, report: &WorkerEvent) -> Option<Call> {
+    let WorkerEvent::CallReceived { on, head } = report else { return None };
     let worker = fleet.workers[on.worker].address.clone();
-    if let Some(request) = attempt_of(head) {
+    if let Some(request) = attempted_request(head) {
         return Some((format!("t{request}"), worker, "attempt"));
     }
-    let trace = word(head, "/internal/reservations/").to_string();
+    let trace = value_after(head, "/internal/reservations/").to_string();
     let kind = if head.starts_with("DELETE ") { "release" } else { "place" };
     (!trace.is_empty()).then_some((trace, worker, kind))
 }
@@ -57,7 +58,7 @@
 pub fn missing(fleet: &Fleet) -> Vec<String> {
     let mut logged = logged(fleet);
     let mut missing = vec![];
-    for call in fleet.judge.reports().iter().filter_map(|report| call_of(fleet, report)) {
+    for call in fleet.judge.events().iter().filter_map(|report| call_of(fleet, report)) {
         match logged.get_mut(&call) {
             Some(left) if *left > 0 => *left -= 1,
             _ => missing.push(format!("no log tells of {call:?}, which came to its worker")),
