--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -2,12 +2,12 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use percent_encoding::percent_decode_str;
-use tideroute_http::{Bounds, Fields, Framing, Problem};
+use tideroute_http::{Fields, Framing, HttpError, Limits};
 
 use crate::api_error::{ApiError, ProblemKind};
 
 /// Largest head and body in bytes, and most header fields.
-const BOUNDS: Bounds = Bounds { head: 16 << 10, fields: 64, body: 64 << 10 };
+const BOUNDS: Limits = Limits { head: 16 << 10, fields: 64, body: 64 << 10 };
 
 /// A complete HTTP request.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
     let Some((head, head_length)) = tideroute_http::request(received, &BOUNDS).map_err(parse_error)? else {
         return Ok(None);
     };
-    let Framing::Length(body_length) = head.framing else { return Err(parse_error(Problem::Coding)) };
+    let Framing::Length(body_length) = head.framing else { return Err(parse_error(HttpError::Coding)) };
     if (received.len() as u64) < head_length as u64 + body_length {
         return Ok(None);
     }
@@ -96,15 +96,15 @@
     }
 }
 
-fn parse_error(problem: Problem) -> ApiError {
+fn parse_error(problem: HttpError) -> ApiError {
     let kind = match problem {
-        Problem::HeadTooLarge(_) => ProblemKind::HeadTooLarge,
-        Problem::TooManyFields(_) => ProblemKind::TooManyFields,
-        Problem::Version => ProblemKind::Version,
-        Problem::Coding => ProblemKind::TransferEncoding,
-        Problem::Host(_) => ProblemKind::Host,
-        Problem::Length | Problem::BothLengths => ProblemKind::ContentLength,
-        Problem::BodyTooLarge(_) => ProblemKind::TooLarge,
+        HttpError::HeadTooLarge(_) => ProblemKind::HeadTooLarge,
+        HttpError::TooManyFields(_) => ProblemKind::TooManyFields,
+        HttpError::Version => ProblemKind::Version,
+        HttpError::Coding => ProblemKind::TransferEncoding,
+        HttpError::Host(_) => ProblemKind::Host,
+        HttpError::Length | HttpError::BothLengths => ProblemKind::ContentLength,
+        HttpError::BodyTooLarge(_) => ProblemKind::TooLarge,
         _ => ProblemKind::Malformed,
     };
     ApiError::new(problem.status(), kind, problem.to_string())
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -31,6 +31,6 @@
     /// The response's bytes. `is_last` announces that the connection closes after it.
     pub fn to_bytes(&self, is_last: bool) -> Bytes {
         let headers = self.headers.iter().map(|(name, value)| (*name, value.as_str()));
-        write::answer(self.status, headers, &self.body, is_last)
+        write::response(self.status, headers, &self.body, is_last)
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -20,13 +20,3 @@
 pub use head::{request, response, Request, Response};
 pub use limits::Limits;
 pub use number::number;
-
-// Former names, for callers that do not use the new ones yet.
-#[doc(hidden)]
-pub use error::HttpError as Problem;
-#[doc(hidden)]
-pub use head::response as answer;
-#[doc(hidden)]
-pub use head::Response as Answer;
-#[doc(hidden)]
-pub use limits::Limits as Bounds;
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -4,10 +4,6 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-// The former name, for callers that do not use the new one yet.
-#[doc(hidden)]
-pub use response as answer;
-
 /// Bytes that a chunk adds to its data: up to eight hexadecimal digits and two line breaks.
 const CHUNK_OVERHEAD: usize = 12;
 
