--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -294,7 +294,9 @@
     pub fn violations(&self) -> Vec<String> {
         let logs = self.files().into_iter().filter(|path| path.extension().is_some_and(|e| e == "log"));
         let texts = logs.filter_map(|log| Some((std::fs::read_to_string(&log).ok()?, log)));
-        let bad = |line: &&str| line.contains("an invariant would be broken") || line.contains("panicked at");
+        let bad = |line: &&str| {
+            line.contains("invariant violated; refusing the step") || line.contains("panicked at")
+        };
         texts
             .flat_map(|(text, log)| {
                 let lines: Vec<_> = text.lines().filter(bad).map(str::to_string).collect();
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,10 +1,10 @@
-//! One place that decides whether something may be sent, retried, answered or closed for a request now.
+//! Checks, independently of the scheduler, whether the router may take a step for a request: send or retry an attempt,
+//! respond to the client, or close the request.
 //!
-//! Each request has a [`RequestRecord`], which is notified of what happens and is asked before anything is done. What
-//! may be done is returned as a permit that nobody else can make and that is used up by doing it; what may not is
-//! returned as a [`Violation`], whose rule and reason are closed lists. The record knows nothing of how a router
-//! decides: the request lifecycle asks it as it carries decisions out, and it catches a decision, or a path around
-//! one, that would break a rule.
+//! Each request has a [`RequestRecord`]. The request lifecycle notifies it of events and asks it before each step. For
+//! a permitted step the record returns a permit, which only this package can create and which taking the step consumes.
+//! For a forbidden step it returns a [`Violation`], whose rule and reason are enums. The record does not depend on how
+//! the scheduler decides, so it also catches a wrong decision, and a code path that takes a step without a decision.
 //!
 //! No I/O, no clock, no random numbers. Times are tenths of a millisecond on the caller's clock.
 
--- a/crates/invariants/src/permits.rs
+++ b/crates/invariants/src/permits.rs
@@ -1,18 +1,18 @@
-//! Permits: proofs that the record of a request was asked. Only this package can make one, and doing what it permits
-//! uses it up.
+//! Permits: proof that the record of a request has permitted a step. Only this package can create one, and taking the
+//! step consumes it.
 
-/// An attempt may be sent.
+/// Permits sending an attempt.
 #[derive(PartialEq, Eq, Debug)]
 pub struct AttemptPermit(pub(crate) ());
 
-/// A decode reservation may be requested.
+/// Permits requesting a decode reservation.
 #[derive(PartialEq, Eq, Debug)]
 pub struct ReservationPermit(pub(crate) ());
 
-/// The final response may be given.
+/// Permits sending the final response.
 #[derive(PartialEq, Eq, Debug)]
 pub struct ResponsePermit(pub(crate) ());
 
-/// The request may be forgotten.
+/// Permits closing the request: the lifecycle then forgets it.
 #[derive(PartialEq, Eq, Debug)]
 pub struct ClosePermit(pub(crate) ());
--- a/crates/invariants/src/request_record.rs
+++ b/crates/invariants/src/request_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request, and what may be done for it.
+//! The record of one request: what has happened to it, and which steps are permitted.
 
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, Idempotency, TenthMillis};
 
@@ -8,21 +8,21 @@
 /// A kind of final response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FinalResponse {
-    /// A worker's response, complete.
+    /// The complete response of a worker.
     Completed,
-    /// The request was rejected: a retry is harmless.
+    /// The request was rejected. A retry can't execute it twice.
     Rejected,
-    /// The request failed: nothing is promised.
+    /// The request failed. It may or may not have run.
     Failed,
 }
 
-/// How far a request has come.
+/// The phase of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Phase {
     Open,
-    /// The response has begun to go to the client.
+    /// The response is being streamed to the client.
     Streaming,
-    /// The final response has been given.
+    /// The final response has been sent.
     Responded,
     ClientDisconnected,
 }
@@ -33,29 +33,29 @@
     number: u16,
     sent_at: TenthMillis,
     endpoint: Endpoint,
-    /// It has the request's effect, and does not only prefill.
+    /// The attempt executes the request; `false` for an attempt that only prefills.
     has_effect: bool,
 }
 
-/// What is known of one request, and what may be done for it.
+/// Records what has happened to one request, and decides which steps are permitted.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     idempotency: Idempotency,
     deadline: TenthMillis,
     phase: Phase,
     in_flight: Option<InFlightAttempt>,
-    /// When and where the first attempt was sent that may have run.
+    /// Send time and endpoint of the first attempt that may have executed the request.
     first_execution: Option<(TenthMillis, Endpoint)>,
 }
 
 impl RequestRecord {
-    /// The record of a request that has just been admitted.
+    /// Creates the record of a request that has just been accepted.
     pub fn new(idempotency: Idempotency, deadline: TenthMillis) -> RequestRecord {
         RequestRecord { idempotency, deadline, phase: Phase::Open, in_flight: None, first_execution: None }
     }
 
-    /// Asks whether an attempt may be sent to a worker now, as it is listed; none if it is not. `has_effect` if it does
-    /// more than to prefill. The attempt is in flight from now on.
+    /// Checks whether an attempt may be sent now to the worker of `endpoint`, which is `None` if the worker is not listed.
+    /// `has_effect` is `false` for an attempt that only prefills. A permitted attempt counts as in flight from now on.
     pub fn permit_attempt(
         &mut self,
         now: TenthMillis,
@@ -75,7 +75,7 @@
         Ok(AttemptPermit(()))
     }
 
-    /// Asks whether the attempt that is in flight may be transmitted now: its connection was not established before.
+    /// Checks whether the attempt in flight may be transmitted now that its connection is established.
     pub fn permit_transmission(&self, now: TenthMillis, number: u16) -> Result<AttemptPermit, Violation> {
         self.check_phase(now)?;
         if self.in_flight.is_none_or(|attempt| attempt.number != number) {
@@ -84,7 +84,8 @@
         Ok(AttemptPermit(()))
     }
 
-    /// Asks whether a decode reservation may be requested at a worker, as it is listed; none if it is not.
+    /// Checks whether a decode reservation may be requested at the worker of `endpoint`, which is `None` if the worker is
+    /// not listed.
     pub fn permit_reservation(
         &self,
         now: TenthMillis,
@@ -95,7 +96,7 @@
         Ok(ReservationPermit(()))
     }
 
-    /// Asks whether the request may be given its final response. It has it from now on.
+    /// Checks whether the final response may be sent. If so, the request counts as responded from now on.
     pub fn permit_response(&mut self, response: FinalResponse) -> Result<ResponsePermit, Violation> {
         let reason = match (self.phase, response) {
             (Phase::Responded, _) => Reason::SecondFinalResponse,
@@ -112,7 +113,8 @@
         Err(Violation { reason })
     }
 
-    /// Asks whether the request may be forgotten, with something reserved for it or not.
+    /// Checks whether the request may be closed. `holds_nothing` says that no worker holds a reservation or KV state for
+    /// it.
     pub fn permit_close(&self, holds_nothing: bool) -> Result<ClosePermit, Violation> {
         if self.in_flight.is_some() {
             return Err(Violation { reason: Reason::ClosedWithAttemptInFlight });
@@ -123,7 +125,7 @@
         Ok(ClosePermit(()))
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub fn attempt_finished(&mut self, number: u16, outcome: AttemptOutcome) {
         let Some(attempt) = self.in_flight.take_if(|attempt| attempt.number == number) else { return };
         if attempt.has_effect && !outcome.never_ran() {
@@ -131,21 +133,21 @@
         }
     }
 
-    /// The response has begun to go to the client.
+    /// Records that the router has begun to stream the response to the client.
     pub fn response_started(&mut self) {
         if self.phase == Phase::Open {
             self.phase = Phase::Streaming;
         }
     }
 
-    /// The client has disconnected.
+    /// Records that the client has disconnected.
     pub fn client_disconnected(&mut self) {
         if self.phase != Phase::Responded {
             self.phase = Phase::ClientDisconnected;
         }
     }
 
-    /// Nothing new may be sent once the response has begun or the request is over, or after the deadline.
+    /// Refuses new messages to workers once the response has begun, the request has ended or its deadline has passed.
     fn check_phase(&self, now: TenthMillis) -> Result<(), Violation> {
         let reason = match self.phase {
             Phase::Streaming => Reason::AfterStreamBegan,
@@ -157,7 +159,7 @@
         Err(Violation { reason })
     }
 
-    /// Whether the effect may be had at a worker, given where it may have been had before.
+    /// Checks whether the request may be executed at a worker, given that an earlier attempt may have executed it.
     fn check_retry(&self, now: TenthMillis, endpoint: &Endpoint) -> Result<(), Violation> {
         let Some((first_sent_at, _)) = self.first_execution else { return Ok(()) };
         let reason = match self.idempotency {
@@ -178,7 +180,7 @@
         Err(Violation { reason })
     }
 
-    /// Whether a client may send the request again, to any router: a rejection promises that.
+    /// Returns whether the client may safely retry the request at any router, as a rejection promises.
     fn is_retry_harmless(&self) -> bool {
         let may_run_now = self.in_flight.is_some_and(|attempt| attempt.has_effect);
         let may_have_run = may_run_now || self.first_execution.is_some();
@@ -186,7 +188,7 @@
     }
 }
 
-/// A worker takes nothing new once it drains, or is no longer listed.
+/// Refuses a worker that is draining or no longer listed.
 fn check_worker(endpoint: Option<&Endpoint>) -> Result<&Endpoint, Violation> {
     match endpoint {
         Some(endpoint) if endpoint.status == EndpointStatus::Serving => Ok(endpoint),
--- a/crates/invariants/src/violation.rs
+++ b/crates/invariants/src/violation.rs
@@ -1,20 +1,20 @@
-//! What may not be done, by which rule, and why.
+//! Violations: steps that may not be taken, with the rule and the reason.
 
-/// The rules that a request may break. Their names are those of the operators' rules.
+/// The invariants of a request, under the names that operators know.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Rule {
     /// Each request gets one final response before its deadline, and nothing is sent after it.
     Lost,
-    /// No request has its effect twice.
+    /// No request is executed twice, unless a second execution is harmless.
     Duplicate,
-    /// A worker that drains or is removed gets nothing new.
+    /// A draining or removed worker gets nothing new.
     Drain,
-    /// Nothing stays reserved at a worker.
+    /// No worker keeps a reservation or KV state for a closed request.
     Pinned,
 }
 
 impl Rule {
-    /// Its name in logs and metrics.
+    /// Returns the rule's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Lost => "lost",
@@ -25,41 +25,41 @@
     }
 }
 
-/// Why something may not be done.
+/// Why a step may not be taken.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Reason {
-    /// The request has its final response.
+    /// The request already has its final response.
     AfterFinalResponse,
     /// The client has disconnected.
     AfterClientDisconnected,
     /// The request's deadline has passed.
     AfterDeadline,
-    /// The response has begun to go to the client, so no further attempt may be made.
+    /// The response is being streamed to the client, so no further attempt may be made.
     AfterStreamBegan,
-    /// The request has its final response, and would get a second one.
+    /// The request already has its final response and would get a second one.
     SecondFinalResponse,
     /// Another attempt of the request is in flight.
     AnotherAttemptInFlight,
     /// An earlier attempt may have run, and the request is not idempotent.
     EarlierAttemptMayHaveRun,
-    /// The first attempt was sent so long ago that workers no longer remember its key.
+    /// The deduplication window has passed: workers may no longer know the idempotency key of the first attempt.
     OutsideDeduplicationWindow,
-    /// The worker does not know the keys of the one that the first attempt was sent to.
+    /// The worker does not share idempotency keys with the worker of the first attempt.
     OutsideDeduplicationScope,
-    /// A rejection promises that a retry is harmless, which it is not after an attempt may have run.
+    /// A rejection promises that a retry is harmless. It is not, because an attempt may have run.
     RejectedAfterPossibleExecution,
-    /// The worker drains.
+    /// The worker is draining.
     WorkerDraining,
     /// The worker is not in the endpoint list.
     WorkerNotListed,
-    /// The request would be forgotten with an attempt in flight.
+    /// The request would be closed with an attempt in flight.
     ClosedWithAttemptInFlight,
-    /// The request would be forgotten with state reserved for it.
+    /// The request would be closed while a worker holds a reservation or KV state for it.
     ClosedWithReservedState,
 }
 
 impl Reason {
-    /// The rule that would be broken.
+    /// Returns the rule that the step would break.
     pub fn rule(self) -> Rule {
         match self {
             Reason::AfterFinalResponse
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the reason's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Reason::AfterFinalResponse => "after its final response",
@@ -99,15 +99,15 @@
     }
 }
 
-/// Something that was about to be done and may not be.
+/// A step that was about to be taken and is forbidden.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Violation {
-    /// Why it may not be done.
+    /// Why the step is forbidden.
     pub reason: Reason,
 }
 
 impl Violation {
-    /// The rule that would be broken.
+    /// Returns the rule that the step would break.
     pub fn rule(self) -> Rule {
         self.reason.rule()
     }
--- a/crates/invariants/tests/request_record.rs
+++ b/crates/invariants/tests/request_record.rs
@@ -1,4 +1,4 @@
-//! Each reason for which something may not be done for a request, and what may be done.
+//! Every reason for which the record refuses a step, and the steps that it permits.
 
 use tideroute::types::{AttemptOutcome, DeduplicationScope, Endpoint, EndpointStatus, Idempotency};
 use tideroute_invariants::{FinalResponse, Reason, RequestRecord, Rule, Violation};
@@ -15,16 +15,16 @@
     RequestRecord::new(idempotency, DEADLINE)
 }
 
-/// A request whose decode attempt 0, sent at 1,000 in cell 0, has ended so.
+/// Returns the record of a request whose decode attempt 0, sent at 1,000 in cell 0, ended with `outcome`.
 fn record_after(idempotency: Idempotency, outcome: AttemptOutcome) -> RequestRecord {
     let mut record = record(idempotency);
-    record.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("the first");
+    record.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("first step permitted");
     record.attempt_finished(0, outcome);
     record
 }
 
 fn reason_of<T: std::fmt::Debug>(result: Result<T, Violation>) -> Reason {
-    result.expect_err("a violation").reason
+    result.expect_err("step should be refused").reason
 }
 
 #[test]
@@ -34,7 +34,7 @@
         record(WITH_KEY),
         record_after(Idempotency::Idempotent, AttemptOutcome::ServerError),
     );
-    responded.permit_response(FinalResponse::Failed).expect("the first response");
+    responded.permit_response(FinalResponse::Failed).expect("first response permitted");
     disconnected.client_disconnected();
     streaming.response_started();
     for (mut record, now, expected) in [
@@ -53,7 +53,7 @@
 #[test]
 fn only_one_final_response_is_permitted() {
     let mut record = record(WITH_KEY);
-    record.permit_response(FinalResponse::Completed).expect("the first");
+    record.permit_response(FinalResponse::Completed).expect("first step permitted");
     assert_eq!(reason_of(record.permit_response(FinalResponse::Failed)), Reason::SecondFinalResponse);
     let mut disconnected = record_after(WITH_KEY, AttemptOutcome::ServerError);
     disconnected.client_disconnected();
@@ -75,7 +75,7 @@
         assert_eq!(reason_of(retry(WITH_KEY, 6_000, 0)), Reason::OutsideDeduplicationWindow);
         assert_eq!(reason_of(retry(WITH_KEY, 5_999, 1)), Reason::OutsideDeduplicationScope);
         assert_eq!(reason_of(retry(Idempotency::NonIdempotent, 2_000, 0)), Reason::EarlierAttemptMayHaveRun);
-        // A prefill has no effect.
+        // A prefill does not execute the request.
         assert!(record_after(Idempotency::NonIdempotent, outcome)
             .permit_attempt(2_000, 1, Some(&endpoint_in(0)), false)
             .is_ok());
@@ -86,7 +86,7 @@
             .is_ok());
     }
     let mut in_flight = record(Idempotency::Idempotent);
-    in_flight.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("the first");
+    in_flight.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("first step permitted");
     assert_eq!(
         reason_of(in_flight.permit_attempt(1_000, 1, Some(&endpoint_in(0)), true)),
         Reason::AnotherAttemptInFlight
@@ -118,7 +118,7 @@
             .permit_response(FinalResponse::Failed)
             .is_ok());
         let mut in_flight = record(idempotency);
-        in_flight.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("the first");
+        in_flight.permit_attempt(1_000, 0, Some(&endpoint_in(0)), true).expect("first step permitted");
         assert_eq!(
             in_flight.permit_response(FinalResponse::Rejected).is_ok(),
             harmless,
@@ -148,7 +148,7 @@
     assert!(record.permit_close(true).is_ok());
     assert_eq!(reason_of(record.permit_close(false)), Reason::ClosedWithReservedState);
     assert_eq!(Reason::ClosedWithReservedState.rule(), Rule::Pinned);
-    record.permit_attempt(1_000, 0, Some(&endpoint_in(0)), false).expect("the first");
+    record.permit_attempt(1_000, 0, Some(&endpoint_in(0)), false).expect("first step permitted");
     assert_eq!(reason_of(record.permit_close(true)), Reason::ClosedWithAttemptInFlight);
     record.attempt_finished(0, AttemptOutcome::Cancelled);
     assert!(record.permit_close(true).is_ok());
--- a/crates/lifecycle/benches/endpoint_list_update.rs
+++ b/crates/lifecycle/benches/endpoint_list_update.rs
@@ -1,4 +1,4 @@
-//! How long a full snapshot of 1,200 endpoints, one in ten of them changed, blocks a router's event loop with 6,000
+//! Measures how long a full snapshot of 1,200 endpoints, one in ten of them changed, blocks a router's event loop with 6,000
 //! requests open: decoding, lifecycle, scheduler, the list that is persisted. `cargo bench -p tideroute-lifecycle`.
 
 use std::time::{Duration, Instant};
@@ -86,7 +86,7 @@
         Effect::Connect { connection, to: DISCOVERY, .. } => Some(connection),
         _ => None,
     });
-    let discovery = discovery.expect("a connection to discovery");
+    let discovery = discovery.expect("router should connect to discovery");
     router.on_data(now, discovery, &snapshot(0), &mut effects);
     router.on_accepted(now, client, 0, &mut effects);
     router.on_data(now, client, &say_hello(Party::Client, "c"), &mut effects);
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -1,4 +1,4 @@
-//! When the processes of workers started, on this router's own clock.
+//! The start times of worker processes, on this router's own clock.
 //!
 //! Discovery reports start times in Unix time, as the wall clock of another machine showed it. Wall clocks may be
 //! stepped by an hour and more, so a reported time is believed only where it agrees with what this router saw itself: a
@@ -13,12 +13,12 @@
 
 use crate::worker_address::WorkerAddress;
 
-/// Microseconds by which the endpoint list may lag behind the fleet: after that, discovery has reported every start.
+/// Microseconds by which the endpoint list may lag behind the workers: discovery has reported every start by then.
 const LIST_LAG: Micros = 6_000_000;
-/// Microseconds by which the clocks of two machines differ that are in step.
+/// Largest difference between the clocks of two synchronised machines, in microseconds.
 const CLOCK_SKEW: Micros = 50_000;
 /// Microseconds for which a removed worker's start time is remembered, in case the worker is listed again.
-const REMEMBERED: Micros = 600_000_000;
+const START_TIME_RETENTION: Micros = 600_000_000;
 
 /// A worker's last known start.
 struct Start {
@@ -48,12 +48,12 @@
 }
 
 impl EndpointIncarnations {
-    /// An update from discovery has been applied in full.
+    /// Records that an update from discovery has been applied in full.
     pub fn discovery_synced(&mut self, now: Micros) {
         self.synced_at = Some(now);
     }
 
-    /// A worker is listed with the Unix time of its start, in microseconds; 0 where it is not known.
+    /// Records that a worker is listed with the Unix time of its start, in microseconds; 0 where it is not known.
     pub fn observe(&mut self, now: Micros, worker: WorkerId, reported_at: Micros) -> Incarnation {
         if let Some(known) = self.starts.get_mut(&worker).filter(|known| known.reported_at == reported_at) {
             known.removed_at = None;
@@ -67,11 +67,11 @@
                 worker = %WorkerAddress(worker),
                 reported_at,
                 now,
-                "start time of a worker does not agree with this router's clock; the current time is used instead"
+                "worker start time disagreed with this router's clock; using the current time"
             );
         }
         let previous = self.starts.insert(worker, Start { reported_at, started_at, removed_at: None });
-        // Only connections older than any time at which the process may have started are surely dead.
+        // Only connections that are older than the earliest possible start of the new process are certain to be dead.
         let replaced_before = previous.map(|_| if is_plausible { started_at } else { earliest });
         Incarnation { started_at, replaced_before }
     }
@@ -81,7 +81,7 @@
         self.starts.get(&worker).map_or(0, |known| known.reported_at)
     }
 
-    /// A worker is removed from the list.
+    /// Records that a worker was removed from the list.
     pub fn removed(&mut self, now: Micros, worker: WorkerId) {
         if let Some(known) = self.starts.get_mut(&worker) {
             known.removed_at.get_or_insert(now);
@@ -90,7 +90,8 @@
 
     /// Forgets workers that were removed long ago.
     pub fn forget_removed(&mut self, now: Micros) {
-        self.starts
-            .retain(|_, known| known.removed_at.is_none_or(|removed_at| now < removed_at + REMEMBERED));
+        self.starts.retain(|_, known| {
+            known.removed_at.is_none_or(|removed_at| now < removed_at + START_TIME_RETENTION)
+        });
     }
 }
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -42,22 +42,23 @@
     /// The open requests.
     pub requests: RequestTable<Context>,
     endpoints: EndpointDirectory,
-    /// The scheduler sees these after the last of its actions, not between two of them.
+    /// Attempts that ended during a scheduling pass. The scheduler is notified of them after it has returned its last
+    /// action, not between two actions.
     finished_attempts: Vec<FinishedAttempt>,
-    /// Requests that may be finished and hold nothing any more.
+    /// Requests to check for closing at the end of the pass: they may be finished.
     closing: Vec<RequestId>,
     health_checks: HealthChecks,
-    /// Something happened since the last scheduling pass.
+    /// An event since the last scheduling pass makes another one necessary.
     scheduling_needed: bool,
     loop_lag: LoopLag,
     tenant_admission: Option<TenantAdmission>,
     shutting_down: bool,
-    /// The number of open requests as the metric shows it.
+    /// The number of open requests that the metric was last set to; `None` before the first report.
     reported_open_requests: Option<usize>,
 }
 
 impl<Context> RequestLifecycle<Context> {
-    /// A router without requests and endpoints that starts now.
+    /// Creates the lifecycle of a router that starts now, without requests or endpoints.
     pub fn new(config: LifecycleConfig, now: Micros) -> RequestLifecycle<Context> {
         RequestLifecycle {
             scheduler: Scheduler::new(config.scheduler.clone(), config.seed, to_tenth_millis(now)),
@@ -75,7 +76,7 @@
         }
     }
 
-    /// A timer that was set through the transport has fired.
+    /// Handles a timer that was set through the transport and has fired.
     pub fn timer_fired(
         &mut self,
         now: Micros,
@@ -98,8 +99,8 @@
         self.scheduling_needed = true;
     }
 
-    /// Executes the decisions of tenant admission and of the scheduler until there are none, then forgets requests that
-    /// are finished. Does little if nothing happened since the last pass.
+    /// Executes the decisions of tenant admission and of the scheduler until there are none, then closes finished
+    /// requests. Does little if no event was reported since the last pass.
     pub fn run_scheduling_pass(&mut self, now: Micros, transport: &mut impl Transport<Context = Context>) {
         while std::mem::take(&mut self.scheduling_needed) {
             self.run_admission(now, transport);
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The event loop came to an event `lag` microseconds late.
+    /// Records that the event loop handled an event `lag` microseconds late.
     pub fn record_loop_lag(&mut self, now: Micros, lag: Micros) {
         let worst_before = self.loop_lag.worst();
         self.loop_lag.record(now, lag);
@@ -155,15 +156,15 @@
         }
     }
 
-    /// The remaining time of a client that had `remaining_time` when it sent a request that is read now, given the
-    /// recent lag of the event loop.
+    /// Returns the remaining time of a request that is read now and was sent with `remaining_time`, reduced by the recent
+    /// lag of the event loop.
     pub fn remaining_time(&self, remaining_time: Micros) -> Micros {
         self.loop_lag.remaining_time(remaining_time)
     }
 
     /// Begins a graceful shutdown: new requests are rejected from now on, open ones complete.
     pub fn shut_down(&mut self) {
-        tracing::info!(open_requests = self.requests.len(), "draining: accepts no new requests");
+        tracing::info!(open_requests = self.requests.len(), "shutdown started; finishing open requests");
         self.shutting_down = true;
     }
 
@@ -178,6 +179,6 @@
         let reason = violation.reason.name();
         counter!("tideroute_invariant_violations_total", "rule" => rule).increment(1);
         let record = self.requests.get(id).map(|request| &request.record);
-        tracing::error!(id, rule, reason, ?record, "an invariant would be broken: the step is refused");
+        tracing::error!(id, rule, reason, ?record, "invariant violated; refusing the step");
     }
 }
--- a/crates/lifecycle/src/lifecycle/actions.rs
+++ b/crates/lifecycle/src/lifecycle/actions.rs
@@ -53,7 +53,7 @@
         let permit = match permit {
             Ok(permit) => permit,
             Err(violation) => {
-                // An attempt that is in flight goes on.
+                // If another attempt is in flight, it continues.
                 request.attempt.get_or_insert(attempt);
                 let outcome = AttemptOutcome::NotSent;
                 self.finished_attempts.push(FinishedAttempt { id, number, outcome });
@@ -126,7 +126,7 @@
     }
 }
 
-/// When the scheduler is woken: counted from the start of the current tenth of a millisecond, in which the scheduler
+/// Returns the time at which the scheduler is woken. The delay is counted from the start of the current tenth of a millisecond, in which the scheduler
 /// takes the event to lie, so that it is never woken before its time.
 fn wake_time(now: Micros, delay: TenthMillis) -> Micros {
     now / MICROS_PER_TENTH_MILLI * MICROS_PER_TENTH_MILLI + to_micros(delay)
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -14,15 +14,15 @@
 use crate::transport::{Timer, Transport};
 use crate::units::{to_micros, to_tenth_millis};
 
-/// One part in so many of the open requests may wait for tenant admission.
-const WAITING_PART: usize = 4;
+/// One part in this many of the open requests may wait for tenant admission.
+const MAX_WAITING_DIVISOR: usize = 4;
 
-/// Tenant admission as configured; `None` where no tenants are.
+/// Creates tenant admission from the configuration; `None` where no tenants are configured.
 pub(super) fn tenant_admission(config: &LifecycleConfig, now: Micros) -> Option<TenantAdmission> {
     let tenants = config.tenants.as_ref()?;
     let admission_config = AdmissionConfig {
         max_wait: config.max_admission_wait,
-        max_waiting: (config.max_open_requests / WAITING_PART).max(1),
+        max_waiting: (config.max_open_requests / MAX_WAITING_DIVISOR).max(1),
         max_retry_after: to_micros(config.scheduler.max_retry_after),
     };
     Some(TenantAdmission::new(tenants, config.limits_share, admission_config, now))
@@ -33,12 +33,12 @@
 pub enum RejectionReason {
     /// As many requests are open as the configuration allows.
     AtCapacity,
-    /// The router shuts down.
+    /// The router is shutting down.
     ShuttingDown,
 }
 
 impl RejectionReason {
-    /// The reason as a client is told.
+    /// Returns the reason as it is sent to the client.
     pub fn text(self) -> &'static str {
         match self {
             RejectionReason::AtCapacity => "full",
@@ -57,15 +57,15 @@
 /// A request that is not accepted, and may be sent again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AdmissionRejection {
-    /// Why.
+    /// Why the request is not accepted.
     pub reason: RejectionReason,
-    /// Microseconds after which the client may come back; 0 if it is not told.
+    /// Microseconds after which the client may retry; 0 if the response names no time.
     pub retry_after: Micros,
 }
 
 impl<Context> RequestLifecycle<Context> {
-    /// Why no further request can be accepted; `None` if one can. `full_client` says that the client has reached its own
-    /// limit.
+    /// Returns why no further request can be accepted; `None` if one can. `full_client` says that the client has reached
+    /// its own limit.
     pub fn rejection(&self, full_client: bool) -> Option<AdmissionRejection> {
         let is_full = full_client || self.requests.len() >= self.config.max_open_requests;
         if !is_full && !self.shutting_down {
@@ -121,7 +121,7 @@
         id
     }
 
-    /// The scheduler sees the request from now on.
+    /// Passes the request to the scheduler, unless it is finished.
     fn admit_to_scheduler(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(id).filter(|request| !request.finished) else { return };
         let new_request = NewRequest {
@@ -180,8 +180,8 @@
     }
 
     /// The tenants' statistics that changed since the last call, sorted by name; `None` without tenants.
-    pub(crate) fn take_changed_tenant_figures(&mut self) -> Option<Vec<(&str, TenantStats)>> {
+    pub(crate) fn take_changed_tenant_stats(&mut self) -> Option<Vec<(&str, TenantStats)>> {
         let tenant_admission = self.tenant_admission.as_mut()?;
-        Some(tenant_admission.take_changed_figures())
+        Some(tenant_admission.take_changed_stats())
     }
 }
--- a/crates/lifecycle/src/lifecycle/attempts.rs
+++ b/crates/lifecycle/src/lifecycle/attempts.rs
@@ -12,15 +12,15 @@
 use crate::worker_address::WorkerAddress;
 
 impl<Context> RequestLifecycle<Context> {
-    /// Whether the attempt is the one in flight, at this worker. Messages about any other attempt are out of date: it
-    /// was cancelled.
+    /// Returns whether the attempt is the one in flight, at this worker. Messages about any other attempt are stale,
+    /// because that attempt was cancelled.
     pub fn is_in_flight(&self, id: RequestId, number: u16, worker: WorkerId) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let Some(attempt) = &request.attempt else { return false };
         attempt.number == number && attempt.worker == worker
     }
 
-    /// Asks whether an attempt that waited for its connection may still be sent.
+    /// Checks whether an attempt that waited for its connection may still be sent; `None` if an invariant forbids it.
     pub fn permit_transmission(&mut self, now: Micros, id: RequestId, number: u16) -> Option<AttemptPermit> {
         let request = self.requests.get(id)?;
         match request.record.permit_transmission(to_tenth_millis(now), number) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An attempt has ended. The scheduler is notified, and the client gets its final response if the stream was
+    /// Handles the end of an attempt. The scheduler is notified, and the client gets its final response if the stream was
     /// complete or broke off.
     pub fn finish_attempt(
         &mut self,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The first part of the response has arrived. The stream belongs to the client from now on: the request's
-    /// reservations at other workers are cancelled, and its KV state is no longer needed.
+    /// The first part of the response has arrived. No other attempt can replace this one
+    /// from now on: the request's reservations at other workers are cancelled, and its KV state is no longer needed.
     pub fn response_started(
         &mut self,
         now: Micros,
@@ -94,8 +94,8 @@
         histogram!("tideroute_first_token_seconds").record(to_seconds(time_to_first_token));
     }
 
-    /// A decode worker has granted or denied a reservation. The scheduler is notified only during the prefill; later it
-    /// has decided by what it knew then.
+    /// A decode worker has granted or denied a reservation. The scheduler is notified only during the prefill: later
+    /// answers can't change its decision.
     pub fn reservation_answered(
         &mut self,
         now: Micros,
--- a/crates/lifecycle/src/lifecycle/endpoints.rs
+++ b/crates/lifecycle/src/lifecycle/endpoints.rs
@@ -29,7 +29,7 @@
         self.endpoints.reported_start_time(worker)
     }
 
-    /// An update of the endpoint list begins; its entries follow. A full snapshot replaces the list in force.
+    /// Begins an update of the endpoint list; its entries follow. A full snapshot replaces the list in force.
     pub fn begin_endpoint_update(&mut self, now: Micros, version: u64, full_snapshot: bool) {
         if full_snapshot {
             self.endpoints.begin_snapshot();
@@ -39,7 +39,7 @@
         self.scheduling_needed = true;
     }
 
-    /// The update removes a worker, which it may name by its id alone.
+    /// Handles an entry that removes a worker. Such an entry may hold the worker's id alone.
     pub fn endpoint_removed(&mut self, now: Micros, worker: WorkerId) {
         if let Some(known) = self.endpoints.get(worker) {
             let removed = Endpoint { status: EndpointStatus::Removed, ..known.endpoint };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The update lists a worker, with its start in Unix time. Returns what that says of the worker's process.
+    /// Handles an entry that lists a worker with its start in Unix time. Returns what the entry says of the worker's process.
     pub fn endpoint_updated(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
         let reported_at = to_micros(endpoint.start_time);
         let incarnation = self.endpoints.observe_start(now, endpoint.worker, reported_at);
@@ -63,7 +63,7 @@
             tracing::warn!(
                 worker = %WorkerAddress(endpoint.worker),
                 kind = endpoint.kind,
-                "endpoint ignored: its worker kind is not configured"
+                "endpoint with an unconfigured worker kind listed; ignoring it"
             );
             return;
         };
@@ -74,17 +74,17 @@
         self.scheduler.endpoint_updated(to_tenth_millis(now), endpoint);
     }
 
-    /// The update is complete.
+    /// Completes the update of the endpoint list.
     pub fn finish_endpoint_update(&mut self, now: Micros) {
         self.endpoints.finish_update(now);
     }
 
-    /// Everything that discovery had sent by now has been applied.
+    /// Records that everything that discovery has sent so far has been applied.
     pub fn discovery_synced(&mut self, now: Micros) {
         self.endpoints.discovery_synced(now);
     }
 
-    /// Discovery can't be reached; the list stays in force.
+    /// Records that discovery can't be reached. The list stays in force.
     pub fn discovery_failed(&mut self, now: Micros) {
         self.scheduler.discovery_failed(to_tenth_millis(now));
         self.scheduling_needed = true;
--- a/crates/lifecycle/src/lifecycle/responses.rs
+++ b/crates/lifecycle/src/lifecycle/responses.rs
@@ -14,7 +14,7 @@
 use crate::units::{to_micros, to_seconds, to_tenth_millis};
 
 impl<Context> RequestLifecycle<Context> {
-    /// Gives a request its final response, once.
+    /// Sends the final response of a request, unless it is finished already.
     pub(super) fn respond(
         &mut self,
         now: Micros,
@@ -31,7 +31,7 @@
         self.report_response_to_admission(now, id, response);
     }
 
-    /// The response that the invariants permit; `None` if the request has had one.
+    /// Returns the response that the invariants permit; `None` if the request is finished already.
     fn permit_response(&mut self, id: RequestId, response: Response) -> Option<(Response, ResponsePermit)> {
         let request = self.requests.get_mut(id).filter(|request| !request.finished)?;
         let violation = match request.record.permit_response(response.kind()) {
@@ -39,7 +39,7 @@
             Err(violation) => violation,
         };
         self.report_violation(id, violation);
-        // A request that may have run can't be rejected. The client needs a response all the same.
+        // A request that may have run must not be rejected, but the client still needs a response.
         let request = self.requests.get_mut(id)?;
         let permit = request.record.permit_response(FinalResponse::Failed).ok()?;
         Some((Response::Failed, permit))
@@ -83,7 +83,7 @@
             transport.cancel(id, attempt);
             self.finish_attempt(now, id, number, AttemptOutcome::Cancelled, transport);
         } else if transport.cancel_if_unsent(id, attempt) {
-            // The connection may come up only now, and the attempt would begin for nobody.
+            // Otherwise the attempt would be sent once its connection is established, although no client waits for it.
             self.finish_attempt(now, id, number, AttemptOutcome::NotSent, transport);
         }
     }
--- a/crates/lifecycle/src/loop_lag.rs
+++ b/crates/lifecycle/src/loop_lag.rs
@@ -1,18 +1,20 @@
-//! How late the event loop handles events. Events that arrive while the loop is busy, or not run by the machine, wait
-//! unread for that long, while a client's deadline counts from when it sent its request.
+//! Measures how late the event loop handles events. Events that arrive while the loop is busy, or while the machine does
+//! not run it, wait unread. A client's deadline, however, counts from the time at which it sent its request.
 
 use tideroute_wire::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Microseconds for which a lag is remembered at least; at most twice as long. Stalls come in series.
+/// Length of a measuring window, in microseconds. A lag is remembered for at least one window and at most two, because
+/// stalls come in series.
 const WINDOW: Micros = 1_000_000;
 
-/// At most this part of a remaining time is attributed to lag, since most events have waited less than the worst.
-const MAX_ATTRIBUTED_PART: Micros = 4;
+/// At most one part in this many of a remaining time is attributed to lag, because most events have waited less than
+/// the worst lag.
+const MAX_LAG_DIVISOR: Micros = 4;
 
-/// The worst lag of the recent past.
+/// The worst lag of the last one to two windows.
 #[derive(Default)]
 pub struct LoopLag {
     window_started_at: Micros,
@@ -21,7 +23,7 @@
 }
 
 impl LoopLag {
-    /// The loop came to an event `lag` microseconds late.
+    /// Records that the loop handled an event `lag` microseconds late.
     pub fn record(&mut self, now: Micros, lag: Micros) {
         let elapsed = now.saturating_sub(self.window_started_at);
         if elapsed >= WINDOW {
@@ -33,13 +35,13 @@
         self.worst_in_window = self.worst_in_window.max(lag);
     }
 
-    /// The worst lag of the recent past, in microseconds.
+    /// Returns the worst recent lag, in microseconds.
     pub fn worst(&self) -> Micros {
         self.worst_in_window.max(self.worst_in_previous_window)
     }
 
-    /// The remaining time of a client that had `remaining_time` when it sent a request that is read now.
+    /// Returns the remaining time of a request that is read now and was sent with `remaining_time`.
     pub fn remaining_time(&self, remaining_time: Micros) -> Micros {
-        remaining_time - self.worst().min(remaining_time / MAX_ATTRIBUTED_PART)
+        remaining_time - self.worst().min(remaining_time / MAX_LAG_DIVISOR)
     }
 }
--- a/crates/lifecycle/src/protobuf_router/client_events.rs
+++ b/crates/lifecycle/src/protobuf_router/client_events.rs
@@ -24,7 +24,7 @@
 }
 
 impl ClientEvents<'_> {
-    /// A connection was accepted: its Hello must arrive in time.
+    /// Handles a newly accepted connection, whose Hello must arrive in time.
     pub fn accepted(&mut self) {
         let config = &self.state.config;
         if self.state.clients.len() >= config.max_clients {
@@ -36,15 +36,15 @@
         self.effects.set_timer(hello_deadline, RouterTimer::Hello(self.connection).encode());
     }
 
-    /// The Hello is due.
+    /// Closes the connection if its Hello has not arrived in time.
     pub fn hello_timeout(&mut self) {
         if self.state.clients.awaits_hello(self.connection) {
             self.state.clients.remove(self.connection);
-            self.effects.close(self.connection, "no Hello in time");
+            self.effects.close(self.connection, "client sent no Hello in time");
         }
     }
 
-    /// The client has said Hello; where tenants are configured, it must present the key of one.
+    /// Handles a client's Hello. Where tenants are configured, it must contain the key of one.
     pub fn greeted(&mut self, name: &str, key: &[u8]) {
         let lifecycle = &self.state.lifecycle;
         let key_hash = lifecycle.has_tenants().then(|| *blake3::hash(key).as_bytes());
@@ -57,10 +57,14 @@
 
     fn reject_key(&mut self, name: &str) {
         counter!("tideroute_clients_unauthorized_total").increment(1);
-        tracing::debug!(connection = self.connection.0, name, "client rejected: no tenant has its key");
+        tracing::debug!(
+            connection = self.connection.0,
+            name,
+            "client presented an unknown tenant key; closing the connection"
+        );
         self.state.clients.remove(self.connection);
         self.effects.send(self.connection, client::unauthorized("no tenant has this key"));
-        self.effects.close(self.connection, "no tenant has its key");
+        self.effects.close(self.connection, "client presented an unknown tenant key");
     }
 
     /// Accepts a new request, or rejects it at once where a capacity limit is reached.
@@ -89,12 +93,12 @@
         Ok(())
     }
 
-    /// What waits to be sent to the client rose above the high-water mark, or fell below the low-water mark.
+    /// Handles unsent data of the client that rose above the high-water mark or fell below the low-water mark.
     pub fn backpressure(&mut self, has_backpressure: bool) {
         let Some(client) = self.state.clients.get_mut(self.connection) else { return };
         client.has_backpressure = has_backpressure;
         let open_requests: Vec<RequestId> = client.open_requests.values().copied().collect();
-        // A client that does not read its responses gets no further requests in.
+        // The router reads no further requests from a client that does not read its responses.
         self.effects.pause_reading(self.connection, has_backpressure);
         counter!("tideroute_backpressure_total").increment(u64::from(has_backpressure));
         if has_backpressure {
@@ -138,7 +142,7 @@
         self.accept(request.with_deadline(self.now, remaining_time))
     }
 
-    /// A number that is not open had its final response a moment ago.
+    /// Cancels a request. A number that is not open is ignored: its final response is already on its way.
     fn cancel(&mut self, number: u64) -> Result<(), Malformed> {
         let client = self.state.clients.get_mut(self.connection).ok_or(Malformed::Hello)?;
         if let Some(id) = client.open_requests.remove(&number) {
--- a/crates/lifecycle/src/protobuf_router/clients.rs
+++ b/crates/lifecycle/src/protobuf_router/clients.rs
@@ -5,24 +5,24 @@
 use tideroute::types::RequestId;
 use tideroute_wire::event_loop::ConnectionId;
 
-/// A client that has said Hello.
+/// A client that has sent its Hello.
 #[derive(Default)]
 pub(super) struct Client {
-    /// Its open requests by its own numbers, in order, so that a disconnect has the same effects in the same order in
+    /// The ids of the client's open requests by the client's own numbers, in order, so that a disconnect has the same effects in the same order in
     /// equal runs.
     pub open_requests: BTreeMap<u64, RequestId>,
-    /// The highest number that it has used: each must be higher than the last.
+    /// The highest request number that the client has used: each must be higher than the last.
     pub last_number: Option<u64>,
-    /// It does not read what it is sent. Until it does, workers get no credit for more tokens of its streams.
+    /// The client does not read its responses. Until it does, workers are granted no more tokens for its streams.
     pub has_backpressure: bool,
     /// The hash of the key that it presented, where tenants are configured.
     pub key_hash: Option<[u8; 32]>,
 }
 
-/// All client connections, with those that have not said Hello.
+/// All client connections, with those that have not sent a Hello.
 #[derive(Default)]
 pub(super) struct Clients {
-    /// `None` until the client has said Hello.
+    /// `None` until the client has sent its Hello.
     connections: HashMap<ConnectionId, Option<Client>>,
 }
 
@@ -36,7 +36,7 @@
         self.connections.contains_key(&connection)
     }
 
-    /// The client has said Hello.
+    /// Records that a client has sent its Hello.
     pub fn greeted(&mut self, connection: ConnectionId, key_hash: Option<[u8; 32]>) {
         self.connections.insert(connection, Some(Client { key_hash, ..Client::default() }));
     }
@@ -50,7 +50,7 @@
         self.connections.get_mut(&connection)?.as_mut()
     }
 
-    /// Forgets a connection, and returns its client if one has said Hello on it.
+    /// Forgets a connection, and returns its client if one has sent a Hello on it.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<Client> {
         self.connections.remove(&connection)?
     }
--- a/crates/lifecycle/src/protobuf_router/discovery_events.rs
+++ b/crates/lifecycle/src/protobuf_router/discovery_events.rs
@@ -16,7 +16,7 @@
 impl DiscoveryEvents<'_> {
     /// The connection has ended, or was never established.
     pub fn disconnected(&mut self, reason: DisconnectReason) {
-        tracing::warn!(?reason, "discovery connection lost; the endpoint list stays in force");
+        tracing::warn!(?reason, "discovery connection lost; keeping the endpoint list");
         self.state.discovery = None;
         self.state.lifecycle.discovery_failed(self.now);
     }
--- a/crates/lifecycle/src/protobuf_router/endpoint_list_cache.rs
+++ b/crates/lifecycle/src/protobuf_router/endpoint_list_cache.rs
@@ -13,7 +13,7 @@
 /// Applies a cached list. A router whose cache can't be read starts without endpoints.
 pub(super) fn load(state: &mut RouterState, now: Micros, cached: &Bytes) {
     if let Err(error) = endpoint_list::receive_from_list(cached, &mut DiscoveryEvents { state, now }) {
-        tracing::warn!(%error, "cached endpoint list can't be read; starts without endpoints");
+        tracing::warn!(%error, "cached endpoint list rejected; starting without endpoints");
     }
     // Discovery may have restarted too and counts versions anew, so the first watch asks for a full snapshot.
     state.lifecycle.reset_endpoint_list_version();
--- a/crates/lifecycle/src/protobuf_router/router.rs
+++ b/crates/lifecycle/src/protobuf_router/router.rs
@@ -119,7 +119,7 @@
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         if let Err(error) = self.receive(now, connection, frame, effects) {
-            tracing::warn!(connection = connection.0, %error, "closing a connection that violates the protocol");
+            tracing::warn!(connection = connection.0, %error, "protocol violated; closing the connection");
             counter!("tideroute_protocol_errors_total").increment(1);
             effects.close(connection, error.to_string());
             self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
@@ -180,7 +180,7 @@
             return;
         }
         if let Err(error) = tenant::receive(message, &mut TenantEvents { lifecycle, now }) {
-            tracing::error!(%error, "message about tenants can't be read");
+            tracing::error!(%error, "tenant message rejected; ignoring it");
         }
         self.state.lifecycle.request_scheduling_pass();
     }
--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -53,7 +53,7 @@
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
 pub(super) fn publish_figures(state: &mut RouterState, now: Micros, effects: &mut Effects) {
-    let Some(changed) = state.lifecycle.take_changed_tenant_figures() else { return };
+    let Some(changed) = state.lifecycle.take_changed_tenant_stats() else { return };
     for chunk in changed.chunks(TENANTS_PER_MESSAGE) {
         let figures = chunk.iter().map(|(name, figures)| (*name, wire_figures(figures)));
         effects.publish(tenant::stats(&state.config.lifecycle.name, figures));
--- a/crates/lifecycle/src/protobuf_router/timers.rs
+++ b/crates/lifecycle/src/protobuf_router/timers.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum RouterTimer {
     Lifecycle(Timer),
-    /// A connection must have said Hello by now.
+    /// The Hello of a connection must have arrived by now.
     Hello(ConnectionId),
     /// Tenants' statistics are due to be published.
     TenantFigures,
--- a/crates/lifecycle/src/protobuf_router/worker_connections.rs
+++ b/crates/lifecycle/src/protobuf_router/worker_connections.rs
@@ -36,7 +36,7 @@
         self.by_connection.get(&connection).copied()
     }
 
-    /// Sends a frame to a worker. Without a connection it opens one first, and says Hello on it.
+    /// Sends a frame to a worker. Without a connection it opens one first, and sends a Hello on it.
     pub fn send(
         &mut self,
         worker: WorkerId,
@@ -55,7 +55,7 @@
         effects.send(connection, frame);
     }
 
-    /// Sends a frame only over an existing connection: what a worker held for a closed one, it has released.
+    /// Sends a frame only over an existing connection: once a connection closes, the worker releases what it held for it.
     pub fn send_if_connected(&self, worker: WorkerId, frame: Bytes, effects: &mut Effects) {
         let Some(entry) = self.by_worker.get(&worker) else { return };
         if let Some(connection) = entry.connection {
--- a/crates/lifecycle/src/protobuf_router/worker_events.rs
+++ b/crates/lifecycle/src/protobuf_router/worker_events.rs
@@ -9,8 +9,8 @@
 use crate::request_state::Attempt;
 use crate::worker_address::WorkerAddress;
 
-/// A worker is granted further tokens once its client has taken one part in so many of the stream's window.
-const GRANT_WINDOW_PART: u32 = 2;
+/// A worker is granted further tokens once the client has taken one part in this many of the stream's window.
+const GRANT_WINDOW_DIVISOR: u32 = 2;
 
 /// Handles one event of one worker connection.
 pub(super) struct WorkerEvents<'a> {
@@ -25,7 +25,7 @@
         self.state.workers.worker_of(self.connection).ok_or(Malformed::Hello)
     }
 
-    /// Whether a message is about the attempt in flight; messages about others are out of date.
+    /// Whether a message is about the attempt in flight; messages about others are stale.
     fn is_in_flight(&self, id: RequestId, attempt: u16) -> Result<bool, Malformed> {
         Ok(self.state.lifecycle.is_in_flight(id, attempt, self.worker()?))
     }
@@ -110,7 +110,7 @@
         let (lifecycle, mut transport) = self.state.split(self.effects);
         lifecycle.response_started(self.now, id, &mut transport);
         self.effects.send(client, client::token(number, index, text));
-        let min_tokens = self.state.config.stream_window_tokens / GRANT_WINDOW_PART;
+        let min_tokens = self.state.config.stream_window_tokens / GRANT_WINDOW_DIVISOR;
         self.state.grant_tokens(id, min_tokens, self.effects);
         Ok(())
     }
--- a/crates/lifecycle/src/response.rs
+++ b/crates/lifecycle/src/response.rs
@@ -8,14 +8,15 @@
 pub enum Response {
     /// A worker's complete response, with the number of tokens relayed.
     Completed(u32),
-    /// The request did not run and may be sent again, after so many microseconds; 0 gives no Retry-After.
+    /// The request did not run and may be sent again, after this many microseconds; with 0 the response has no
+    /// Retry-After.
     Rejected(Micros),
-    /// Nothing is promised: the request may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
 impl Response {
-    /// The kind of response that the invariants rule on.
+    /// Returns the kind of response, which the invariants check.
     pub(crate) fn kind(self) -> FinalResponse {
         match self {
             Response::Completed(_) => FinalResponse::Completed,
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -105,13 +105,13 @@
     }
 
     /// The statistics that changed since the last call, sorted by tenant name so that equal runs report equally.
-    pub fn take_changed_figures(&mut self) -> Vec<(&str, TenantStats)> {
+    pub fn take_changed_stats(&mut self) -> Vec<(&str, TenantStats)> {
         let mut changed = vec![];
         for (name, known) in &mut self.by_name {
-            let figures = self.admission_control.tenant_stats(known.tenant).unwrap_or_default();
-            if figures != known.reported {
-                known.reported = figures;
-                changed.push((name.as_str(), figures));
+            let stats = self.admission_control.tenant_stats(known.tenant).unwrap_or_default();
+            if stats != known.reported {
+                known.reported = stats;
+                changed.push((name.as_str(), stats));
             }
         }
         changed.sort_unstable_by_key(|(name, _)| *name);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The tenant of a key, by the key's hash. The time that a lookup by hash takes tells nothing about a key.
+    /// Returns the tenant of a key, by the key's hash. The duration of a lookup by hash reveals nothing about the key.
     pub fn tenant_for_key(&self, key_hash: &[u8; 32]) -> Option<Tenant> {
         self.by_key_hash.get(key_hash).copied()
     }
--- a/crates/lifecycle/tests/cached_endpoint_list.rs
+++ b/crates/lifecycle/tests/cached_endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list that a router persists, and reads at its next start.
+//! Guards the stored format of the endpoint list, which a router persists and reads at its next start: a change of the
+//! format would leave a router without endpoints after an upgrade.
 
 mod support;
 
@@ -58,7 +59,7 @@
 
 fn read(list: &Bytes) -> ListReader {
     let mut reader = ListReader::default();
-    endpoint_list::receive_from_list(list, &mut reader).expect("a readable list");
+    endpoint_list::receive_from_list(list, &mut reader).expect("list should be readable");
     reader
 }
 
@@ -92,14 +93,14 @@
         _ => None,
     });
     let update = endpoint_list::Page::new(43, false).frame();
-    let discovery = discovery.expect("a connection to discovery");
+    let discovery = discovery.expect("router should connect to discovery");
     router.on_data(START, discovery, &update, &mut effects);
     router.on_iteration(START, &mut effects);
     let persisted = effects.take().into_iter().find_map(|effect| match effect {
         Effect::Persist { bytes } => Some(bytes),
         _ => None,
     });
-    persisted.expect("a persisted list")
+    persisted.expect("router should persist the list")
 }
 
 #[test]
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -171,7 +171,7 @@
             .iter()
             .find(|(_, to)| **to == DISCOVERY)
             .map(|(connection, _)| *connection)
-            .expect("a connection to discovery");
+            .expect("router should connect to discovery");
         let mut snapshot = Page::new(1, true);
         for n in 0..6u8 {
             let kind = u16::from(n > 1);
@@ -207,16 +207,17 @@
                 }
                 Effect::Close { connection, .. } => drop(self.connections.remove(&connection)),
                 Effect::Send { connection, frame } if connection == ConnectionId(self.client) => {
-                    client::receive_from_router(&frame, &mut self.responses).expect("a message to a client");
+                    client::receive_from_router(&frame, &mut self.responses)
+                        .expect("message to a client should be valid");
                 }
-                Effect::Send { connection, frame } => self.note_attempt(connection, &frame),
+                Effect::Send { connection, frame } => self.record_attempt(connection, &frame),
                 _ => {}
             }
         }
     }
 
-    /// Notes the attempt of a frame to a worker, if it dispatches one.
-    fn note_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
+    /// Records the attempt that a frame to a worker dispatches, if any.
+    fn record_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
         let mut reader = DispatchReader(None);
         if worker::receive_from_router(frame, &mut reader).is_ok() {
             let attempt = reader.0.map(|(id, number)| DispatchedAttempt { connection, id, number });
@@ -224,7 +225,7 @@
         }
     }
 
-    /// One generated event. `which` picks what it concerns, and `value` its contents.
+    /// Applies one generated event. `which` selects its connection or attempt, and `value` its contents.
     fn step(&mut self, (event, which, value): (u8, u8, u16)) {
         let client = ConnectionId(self.client);
         let attempt = self.pick_attempt(which);
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Any attempt that was dispatched, also one that has ended.
+    /// Selects one of all dispatched attempts, including those that have ended.
     fn pick_attempt(&self, which: u8) -> Option<DispatchedAttempt> {
         let index = usize::from(which) % self.attempts.len().max(1);
         self.attempts.get(index).copied()
