--- a/crates/invariants/src/request_record.rs
+++ b/crates/invariants/src/request_record.rs
@@ -54,8 +54,9 @@
         RequestRecord { idempotency, deadline, phase: Phase::Open, in_flight: None, first_execution: None }
     }
 
-    /// Checks whether an attempt may be sent now to the worker of `endpoint`, which is `None` if the worker is not listed.
-    /// `has_effect` is `false` for an attempt that only prefills. A permitted attempt counts as in flight from now on.
+    /// Checks whether an attempt may be sent now to the worker of `endpoint`, which is `None` if the worker is not
+    /// listed. `has_effect` is `false` for an attempt that only prefills. A permitted attempt counts as in flight from
+    /// now on.
     pub fn permit_attempt(
         &mut self,
         now: TenthMillis,
@@ -84,8 +85,8 @@
         Ok(AttemptPermit(()))
     }
 
-    /// Checks whether a decode reservation may be requested at the worker of `endpoint`, which is `None` if the worker is
-    /// not listed.
+    /// Checks whether a decode reservation may be requested at the worker of `endpoint`, which is `None` if the worker
+    /// is not listed.
     pub fn permit_reservation(
         &self,
         now: TenthMillis,
@@ -113,8 +114,8 @@
         Err(Violation { reason })
     }
 
-    /// Checks whether the request may be closed. `holds_nothing` says that no worker holds a reservation or KV state for
-    /// it.
+    /// Checks whether the request may be closed. `holds_nothing` says that no worker holds a reservation or KV state
+    /// for it.
     pub fn permit_close(&self, holds_nothing: bool) -> Result<ClosePermit, Violation> {
         if self.in_flight.is_some() {
             return Err(Violation { reason: Reason::ClosedWithAttemptInFlight });
--- a/crates/lifecycle/src/endpoint_directory.rs
+++ b/crates/lifecycle/src/endpoint_directory.rs
@@ -29,7 +29,7 @@
 }
 
 impl EndpointDirectory {
-    /// The version of the list in force; 0 asks discovery for a full snapshot.
+    /// Returns the version of the list in force; 0 asks discovery for a full snapshot.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -46,7 +46,7 @@
         self.endpoints.values().map(|listed| &listed.endpoint)
     }
 
-    /// A full snapshot begins: endpoints that it does not name are removed.
+    /// Begins a full snapshot, which removes the endpoints that it does not name.
     pub fn begin_snapshot(&mut self) {
         for listed in self.endpoints.values_mut() {
             listed.endpoint.status = EndpointStatus::Removed;
@@ -57,7 +57,7 @@
         self.endpoints.insert(endpoint.worker, ListedEndpoint { endpoint, role });
     }
 
-    /// Forgets removed endpoints, and in time their start times.
+    /// Forgets removed endpoints, and the start times of workers that were removed long ago.
     pub fn finish_update(&mut self, now: Micros) {
         for (worker, listed) in &self.endpoints {
             if listed.is_removed() {
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -18,7 +18,7 @@
 /// Largest difference between the clocks of two synchronised machines, in microseconds.
 const CLOCK_SKEW: Micros = 50_000;
 /// Microseconds for which a removed worker's start time is remembered, in case the worker is listed again.
-const START_TIME_RETENTION: Micros = 600_000_000;
+const RETENTION: Micros = 600_000_000;
 
 /// A worker's last known start.
 struct Start {
@@ -76,7 +76,7 @@
         Incarnation { started_at, replaced_before }
     }
 
-    /// The Unix time of a worker's start, in microseconds, as discovery reported it; 0 where it is not known.
+    /// Returns the Unix time of a worker's start, in microseconds, as discovery reported it; 0 where it is not known.
     pub fn reported_start_time(&self, worker: WorkerId) -> Micros {
         self.starts.get(&worker).map_or(0, |known| known.reported_at)
     }
@@ -90,8 +90,6 @@
 
     /// Forgets workers that were removed long ago.
     pub fn forget_removed(&mut self, now: Micros) {
-        self.starts.retain(|_, known| {
-            known.removed_at.is_none_or(|removed_at| now < removed_at + START_TIME_RETENTION)
-        });
+        self.starts.retain(|_, known| known.removed_at.is_none_or(|removed_at| now < removed_at + RETENTION));
     }
 }
--- a/crates/lifecycle/src/health_checks.rs
+++ b/crates/lifecycle/src/health_checks.rs
@@ -19,12 +19,12 @@
         self.last_nonce
     }
 
-    /// The worker of a pending health check.
+    /// Returns the worker of a pending health check.
     pub fn worker(&self, nonce: u64) -> Option<WorkerId> {
         self.pending.get(&nonce).copied()
     }
 
-    /// Ends a health check; `None` if it ended before.
+    /// Ends a health check and returns its worker; `None` if the check ended before.
     pub fn finish(&mut self, nonce: u64) -> Option<WorkerId> {
         self.pending.remove(&nonce)
     }
--- a/crates/lifecycle/src/lifecycle.rs
+++ b/crates/lifecycle/src/lifecycle.rs
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Returns the remaining time of a request that is read now and was sent with `remaining_time`, reduced by the recent
-    /// lag of the event loop.
+    /// Returns the remaining time of a request that is read now and was sent with `remaining_time`, reduced by the
+    /// recent lag of the event loop.
     pub fn remaining_time(&self, remaining_time: Micros) -> Micros {
         self.loop_lag.remaining_time(remaining_time)
     }
@@ -168,7 +168,7 @@
         self.shutting_down = true;
     }
 
-    /// Whether a graceful shutdown has begun and every open request is finished.
+    /// Returns whether a graceful shutdown has begun and every open request is finished.
     pub fn is_drained(&self) -> bool {
         self.shutting_down && self.requests.all_finished()
     }
--- a/crates/lifecycle/src/lifecycle/actions.rs
+++ b/crates/lifecycle/src/lifecycle/actions.rs
@@ -126,8 +126,8 @@
     }
 }
 
-/// Returns the time at which the scheduler is woken. The delay is counted from the start of the current tenth of a millisecond, in which the scheduler
-/// takes the event to lie, so that it is never woken before its time.
+/// Returns the time at which the scheduler is woken. The delay is counted from the start of the current tenth of a
+/// millisecond, in which the scheduler takes the event to lie, so that it is never woken before its time.
 fn wake_time(now: Micros, delay: TenthMillis) -> Micros {
     now / MICROS_PER_TENTH_MILLI * MICROS_PER_TENTH_MILLI + to_micros(delay)
 }
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -64,8 +64,8 @@
 }
 
 impl<Context> RequestLifecycle<Context> {
-    /// Returns why no further request can be accepted; `None` if one can. `full_client` says that the client has reached
-    /// its own limit.
+    /// Returns why no further request can be accepted; `None` if one can. `full_client` says that the client has
+    /// reached its own limit.
     pub fn rejection(&self, full_client: bool) -> Option<AdmissionRejection> {
         let is_full = full_client || self.requests.len() >= self.config.max_open_requests;
         if !is_full && !self.shutting_down {
@@ -77,8 +77,8 @@
         Some(AdmissionRejection { reason, retry_after })
     }
 
-    /// The Retry-After, in microseconds, of a client that is rejected for lack of capacity; 0 where the configuration
-    /// allows none.
+    /// Returns the Retry-After, in microseconds, of a client that is rejected for lack of capacity; 0 where the
+    /// configuration allows none.
     pub fn retry_after(&self) -> Micros {
         if self.config.scheduler.retry_after_enabled {
             to_micros(self.config.scheduler.max_retry_after)
@@ -155,12 +155,12 @@
         self.tenant_admission.as_mut()?.admission_control.next_verdict(now)
     }
 
-    /// Whether clients must present a tenant's key.
+    /// Returns whether clients must present a tenant's key.
     pub(crate) fn has_tenants(&self) -> bool {
         self.tenant_admission.is_some()
     }
 
-    /// The tenant of a key, by the key's BLAKE3 hash.
+    /// Returns the tenant of a key, by the key's BLAKE3 hash.
     pub(crate) fn tenant_for_key(&self, key_hash: &[u8; 32]) -> Option<Tenant> {
         self.tenant_admission.as_ref()?.tenant_for_key(key_hash)
     }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The tenants' statistics that changed since the last call, sorted by name; `None` without tenants.
+    /// Returns the tenants' statistics that changed since the last call, sorted by name; `None` without tenants.
     pub(crate) fn take_changed_tenant_stats(&mut self) -> Option<Vec<(&str, TenantStats)>> {
         let tenant_admission = self.tenant_admission.as_mut()?;
         Some(tenant_admission.take_changed_stats())
--- a/crates/lifecycle/src/lifecycle/attempts.rs
+++ b/crates/lifecycle/src/lifecycle/attempts.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Handles the end of an attempt. The scheduler is notified, and the client gets its final response if the stream was
-    /// complete or broke off.
+    /// Handles the end of an attempt. The scheduler is notified, and the client gets its final response if the stream
+    /// was complete or broke off.
     pub fn finish_attempt(
         &mut self,
         now: Micros,
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The first part of the response has arrived. No other attempt can replace this one
-    /// from now on: the request's reservations at other workers are cancelled, and its KV state is no longer needed.
+    /// Handles the first part of the response. No other attempt can replace this one from now on: the request's
+    /// reservations at other workers are cancelled, and its KV state is no longer needed.
     pub fn response_started(
         &mut self,
         now: Micros,
@@ -94,8 +94,8 @@
         histogram!("tideroute_first_token_seconds").record(to_seconds(time_to_first_token));
     }
 
-    /// A decode worker has granted or denied a reservation. The scheduler is notified only during the prefill: later
-    /// answers can't change its decision.
+    /// Handles a decode worker's answer to a reservation request. The scheduler is notified only during the prefill:
+    /// later answers can't change its decision.
     pub fn reservation_answered(
         &mut self,
         now: Micros,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The client's deadline has passed: an attempt that has not begun to stream has timed out, even if its client
+    /// Handles an expired deadline: an attempt that has not begun to stream has timed out, even if its client
     /// disconnected and the configuration allows no cancellation.
     pub(super) fn deadline_expired(
         &mut self,
--- a/crates/lifecycle/src/lifecycle/endpoints.rs
+++ b/crates/lifecycle/src/lifecycle/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::worker_address::WorkerAddress;
 
 impl<Context> RequestLifecycle<Context> {
-    /// The version of the endpoint list in force.
+    /// Returns the version of the endpoint list in force.
     pub fn endpoint_list_version(&self) -> u64 {
         self.endpoints.version()
     }
@@ -19,12 +19,12 @@
         self.endpoints.set_version(0);
     }
 
-    /// The endpoints in force, by worker id.
+    /// Returns the endpoints in force, by worker id.
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.iter()
     }
 
-    /// The Unix time of a worker's start, in microseconds, as discovery reported it; 0 where it is not known.
+    /// Returns the Unix time of a worker's start, in microseconds, as discovery reported it; 0 where it is not known.
     pub fn reported_start_time(&self, worker: WorkerId) -> Micros {
         self.endpoints.reported_start_time(worker)
     }
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Handles an entry that lists a worker with its start in Unix time. Returns what the entry says of the worker's process.
+    /// Handles an entry that lists a worker with its start in Unix time. Returns what the entry says of the worker's
+    /// process.
     pub fn endpoint_updated(&mut self, now: Micros, endpoint: Endpoint) -> Incarnation {
         let reported_at = to_micros(endpoint.start_time);
         let incarnation = self.endpoints.observe_start(now, endpoint.worker, reported_at);
--- a/crates/lifecycle/src/lifecycle/health.rs
+++ b/crates/lifecycle/src/lifecycle/health.rs
@@ -22,15 +22,15 @@
         transport.set_timer(now + self.config.connect_timeout, Timer::HealthCheck(nonce));
     }
 
-    /// The answer to a health check reports the worker's running and waiting work, in the unit that the scheduler is
-    /// configured for.
+    /// Handles the load in the response to a health check: the worker's running and waiting work, in the unit that the
+    /// scheduler is configured for.
     pub fn load_reported(&mut self, now: Micros, nonce: u64, load: f64) {
         if let Some(worker) = self.health_checks.worker(nonce) {
             self.scheduler.load_reported(to_tenth_millis(now), worker, load);
         }
     }
 
-    /// A health check was answered, or it failed or timed out. Later calls for the same nonce do nothing.
+    /// Handles a health check that was answered, failed or timed out. Later calls for the same nonce do nothing.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
--- a/crates/lifecycle/src/lifecycle/responses.rs
+++ b/crates/lifecycle/src/lifecycle/responses.rs
@@ -45,7 +45,8 @@
         Some((Response::Failed, permit))
     }
 
-    /// Tells tenant admission whether the request met its latency objective, from which it infers the capacity.
+    /// Reports to tenant admission whether the request met its latency objective; admission infers the capacity from
+    /// it.
     fn report_response_to_admission(&mut self, now: Micros, id: RequestId, response: Response) {
         let Some(tenant_admission) = &mut self.tenant_admission else { return };
         let Some(request) = self.requests.get(id) else { return };
@@ -60,7 +61,8 @@
         self.scheduling_needed = true;
     }
 
-    /// The client no longer waits for the response. A stream ends at once; the scheduler cancels any other attempt.
+    /// Handles a client that no longer waits for the response. A stream ends at once; the scheduler cancels any other
+    /// attempt.
     pub fn client_disconnected(
         &mut self,
         now: Micros,
--- a/crates/lifecycle/src/loop_lag.rs
+++ b/crates/lifecycle/src/loop_lag.rs
@@ -1,5 +1,5 @@
-//! Measures how late the event loop handles events. Events that arrive while the loop is busy, or while the machine does
-//! not run it, wait unread. A client's deadline, however, counts from the time at which it sent its request.
+//! Measures how late the event loop handles events. Events that arrive while the loop is busy, or while the machine
+//! does not run it, wait unread. A client's deadline, however, counts from the time at which it sent its request.
 
 use tideroute_wire::Micros;
 
--- a/crates/lifecycle/src/protobuf_router/client_events.rs
+++ b/crates/lifecycle/src/protobuf_router/client_events.rs
@@ -121,7 +121,7 @@
         prefix_tokens: u32,
         max_tokens: u32,
         remaining_time: Micros,
-        mark: u64,
+        idempotency_key: u64,
         prompt: Bytes,
     ) -> Result<(), Malformed> {
         if prefix_tokens > prompt_tokens {
@@ -137,7 +137,7 @@
         let remaining_time = self.state.lifecycle.remaining_time(remaining_time.min(MAX_REMAINING_TIME));
         let remaining_time = remaining_time.saturating_sub(config.network_delay);
         let client = self.connection;
-        let context = RequestContext { client, number, prefix_tokens, max_tokens, mark, prompt };
+        let context = RequestContext { client, number, prefix_tokens, max_tokens, idempotency_key, prompt };
         let request = RequestState::new(context, class, (session, prefix), prompt_tokens);
         self.accept(request.with_deadline(self.now, remaining_time))
     }
--- a/crates/lifecycle/src/protobuf_router/clients.rs
+++ b/crates/lifecycle/src/protobuf_router/clients.rs
@@ -8,8 +8,8 @@
 /// A client that has sent its Hello.
 #[derive(Default)]
 pub(super) struct Client {
-    /// The ids of the client's open requests by the client's own numbers, in order, so that a disconnect has the same effects in the same order in
-    /// equal runs.
+    /// The ids of the client's open requests by the client's own numbers, in order, so that a disconnect has the same
+    /// effects in the same order in equal runs.
     pub open_requests: BTreeMap<u64, RequestId>,
     /// The highest request number that the client has used: each must be higher than the last.
     pub last_number: Option<u64>,
@@ -31,7 +31,7 @@
         self.connections.insert(connection, None);
     }
 
-    /// Whether the connection is a client's, or was accepted and may become one's.
+    /// Returns whether the connection is a client's, or was accepted and may still become one.
     pub fn contains(&self, connection: ConnectionId) -> bool {
         self.connections.contains_key(&connection)
     }
@@ -41,7 +41,7 @@
         self.connections.insert(connection, Some(Client { key_hash, ..Client::default() }));
     }
 
-    /// Whether the connection was accepted and no Hello has arrived on it.
+    /// Returns whether the connection was accepted and no Hello has arrived on it yet.
     pub fn awaits_hello(&self, connection: ConnectionId) -> bool {
         matches!(self.connections.get(&connection), Some(None))
     }
--- a/crates/lifecycle/src/protobuf_router/discovery_events.rs
+++ b/crates/lifecycle/src/protobuf_router/discovery_events.rs
@@ -14,7 +14,7 @@
 }
 
 impl DiscoveryEvents<'_> {
-    /// The connection has ended, or was never established.
+    /// Handles a connection that has ended or was never established.
     pub fn disconnected(&mut self, reason: DisconnectReason) {
         tracing::warn!(?reason, "discovery connection lost; keeping the endpoint list");
         self.state.discovery = None;
--- a/crates/lifecycle/src/protobuf_router/endpoint_list_cache.rs
+++ b/crates/lifecycle/src/protobuf_router/endpoint_list_cache.rs
@@ -15,7 +15,8 @@
     if let Err(error) = endpoint_list::receive_from_list(cached, &mut DiscoveryEvents { state, now }) {
         tracing::warn!(%error, "cached endpoint list rejected; starting without endpoints");
     }
-    // Discovery may have restarted too and counts versions anew, so the first watch asks for a full snapshot.
+    // Discovery may have restarted too and begun to count versions from the start, so the first watch asks for a full
+    // snapshot.
     state.lifecycle.reset_endpoint_list_version();
     state.endpoint_list_changed = false;
 }
--- a/crates/lifecycle/src/protobuf_router/request_context.rs
+++ b/crates/lifecycle/src/protobuf_router/request_context.rs
@@ -11,7 +11,7 @@
     pub number: u64,
     pub prefix_tokens: u32,
     pub max_tokens: u32,
-    /// Opaque; handed to the decode worker.
-    pub mark: u64,
+    /// Opaque to the router, which passes it on to the decode worker.
+    pub idempotency_key: u64,
     pub prompt: Bytes,
 }
--- a/crates/lifecycle/src/protobuf_router/router.rs
+++ b/crates/lifecycle/src/protobuf_router/router.rs
@@ -1,4 +1,4 @@
-//! The router as the event loop drives it.
+//! The event handler of the protobuf router.
 
 use bytes::Bytes;
 use metrics::counter;
@@ -17,18 +17,18 @@
 /// The router of this project's own protocol, driven by an event loop through [`EventHandler`].
 pub struct ProtobufRouter {
     state: RouterState,
-    /// The endpoint list that the last run persisted, until the start has applied it.
+    /// The endpoint list that the last run persisted, until the router applies it at its start.
     cached_endpoint_list: Option<Bytes>,
 }
 
 impl ProtobufRouter {
-    /// A router that starts now. `cached_endpoint_list` is what the last run persisted through
+    /// Creates a router that starts now. `cached_endpoint_list` is what the last run persisted through
     /// [`Effects::persist`]; bytes that can't be read are ignored with a warning.
     pub fn new(config: RouterConfig, cached_endpoint_list: Option<Bytes>, now: Micros) -> ProtobufRouter {
         ProtobufRouter { state: RouterState::new(config, now), cached_endpoint_list }
     }
 
-    /// Number of open requests.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.state.lifecycle.requests.len()
     }
@@ -101,7 +101,7 @@
         if let Some(cached) = self.cached_endpoint_list.take() {
             endpoint_list_cache::load(&mut self.state, now, &cached);
         }
-        tenant_events::publish_figures(&mut self.state, now, effects);
+        tenant_events::publish_tenant_stats(&mut self.state, now, effects);
         self.on_iteration(now, effects);
     }
 
@@ -162,7 +162,7 @@
                 lifecycle.timer_fired(now, timer, &mut transport);
             }
             RouterTimer::Hello(connection) => self.client_events(now, connection, effects).hello_timeout(),
-            RouterTimer::TenantFigures => tenant_events::publish_figures(&mut self.state, now, effects),
+            RouterTimer::TenantStats => tenant_events::publish_tenant_stats(&mut self.state, now, effects),
         }
     }
 
--- a/crates/lifecycle/src/protobuf_router/state.rs
+++ b/crates/lifecycle/src/protobuf_router/state.rs
@@ -19,7 +19,7 @@
     pub workers: WorkerConnections,
     /// The connection to discovery.
     pub discovery: Option<ConnectionId>,
-    /// The endpoint list has changed since it was last persisted.
+    /// Whether the endpoint list has changed since it was last persisted.
     pub endpoint_list_changed: bool,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The lifecycle, and the transport that its calls need.
+    /// Returns the lifecycle and the transport that its calls need.
     pub fn split<'a>(
         &'a mut self,
         effects: &'a mut Effects,
@@ -67,8 +67,8 @@
         lifecycle.client_disconnected(now, id, &mut transport);
     }
 
-    /// Grants the worker of a stream as many tokens as its client has taken, once there are `min_tokens` of them and
-    /// unless the client has backpressure.
+    /// Grants the worker of a stream as many tokens as were relayed to its client since the last grant. Grants nothing
+    /// if these are fewer than `min_tokens`, or while the client exerts backpressure.
     pub fn grant_tokens(&mut self, id: RequestId, min_tokens: u32, effects: &mut Effects) {
         let Some(request) = self.lifecycle.requests.get_mut(id) else { return };
         let Some(attempt) = &mut request.attempt else { return };
--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -10,8 +10,8 @@
 use crate::lifecycle::RequestLifecycle;
 use crate::tenant_admission::TenantConfig;
 
-/// Microseconds between two publications of tenants' statistics: often enough for a person who watches them.
-const FIGURES_INTERVAL: Micros = 1_000_000;
+/// Microseconds between two publications of tenants' statistics: short enough for a person who watches them.
+const STATS_INTERVAL: Micros = 1_000_000;
 
 /// Tenants whose statistics one message holds at most.
 const TENANTS_PER_MESSAGE: usize = 500;
@@ -52,24 +52,24 @@
 }
 
 /// Publishes the statistics that changed, and sets the timer of the next publication. Does nothing without tenants.
-pub(super) fn publish_figures(state: &mut RouterState, now: Micros, effects: &mut Effects) {
+pub(super) fn publish_tenant_stats(state: &mut RouterState, now: Micros, effects: &mut Effects) {
     let Some(changed) = state.lifecycle.take_changed_tenant_stats() else { return };
     for chunk in changed.chunks(TENANTS_PER_MESSAGE) {
-        let figures = chunk.iter().map(|(name, figures)| (*name, wire_figures(figures)));
-        effects.publish(tenant::stats(&state.config.lifecycle.name, figures));
+        let stats = chunk.iter().map(|(name, stats)| (*name, wire_stats(stats)));
+        effects.publish(tenant::stats(&state.config.lifecycle.name, stats));
     }
-    effects.set_timer(now + FIGURES_INTERVAL, RouterTimer::TenantFigures.encode());
+    effects.set_timer(now + STATS_INTERVAL, RouterTimer::TenantStats.encode());
 }
 
-fn wire_figures(figures: &TenantStats) -> tenant::TenantStats {
+fn wire_stats(stats: &TenantStats) -> tenant::TenantStats {
     tenant::TenantStats {
-        received: figures.received,
-        admitted: figures.admitted,
-        rejected: figures.rejected,
-        in_time: figures.in_time,
-        late: figures.late,
-        queue_time: figures.queue_time,
-        waiting: figures.waiting,
-        in_flight: figures.in_flight,
+        received: stats.received,
+        admitted: stats.admitted,
+        rejected: stats.rejected,
+        in_time: stats.in_time,
+        late: stats.late,
+        queue_time: stats.queue_time,
+        waiting: stats.waiting,
+        in_flight: stats.in_flight,
     }
 }
--- a/crates/lifecycle/src/protobuf_router/timers.rs
+++ b/crates/lifecycle/src/protobuf_router/timers.rs
@@ -18,7 +18,7 @@
 const HEALTH_CHECK: u64 = 2;
 const HELLO: u64 = 3;
 const ADMISSION: u64 = 4;
-const TENANT_FIGURES: u64 = 5;
+const TENANT_STATS: u64 = 5;
 
 /// What a timer is for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -27,11 +27,11 @@
     /// The Hello of a connection must have arrived by now.
     Hello(ConnectionId),
     /// Tenants' statistics are due to be published.
-    TenantFigures,
+    TenantStats,
 }
 
 impl RouterTimer {
-    /// The timer's key.
+    /// Returns the timer's key.
     pub fn encode(self) -> u64 {
         let (kind, payload) = match self {
             RouterTimer::Lifecycle(Timer::SchedulerWake) => (SCHEDULER_WAKE, 0),
@@ -39,13 +39,13 @@
             RouterTimer::Lifecycle(Timer::HealthCheck(nonce)) => (HEALTH_CHECK, nonce),
             RouterTimer::Lifecycle(Timer::Admission) => (ADMISSION, 0),
             RouterTimer::Hello(connection) => (HELLO, connection.0),
-            RouterTimer::TenantFigures => (TENANT_FIGURES, 0),
+            RouterTimer::TenantStats => (TENANT_STATS, 0),
         };
         kind << KIND_SHIFT | payload
     }
 
-    /// The timer of a key that [`encode`](RouterTimer::encode) gave. A key holds only the counter of a request's id, of
-    /// which `expand_id` gives the id.
+    /// Returns the timer of a key that [`encode`](RouterTimer::encode) returned. A key holds only the counter of a
+    /// request id; `expand_id` restores the id from it.
     pub fn decode(key: u64, expand_id: impl FnOnce(u64) -> RequestId) -> RouterTimer {
         let payload = key & PAYLOAD_MASK;
         match key >> KIND_SHIFT {
@@ -53,7 +53,7 @@
             DEADLINE => RouterTimer::Lifecycle(Timer::Deadline(expand_id(payload))),
             HEALTH_CHECK => RouterTimer::Lifecycle(Timer::HealthCheck(payload)),
             ADMISSION => RouterTimer::Lifecycle(Timer::Admission),
-            TENANT_FIGURES => RouterTimer::TenantFigures,
+            TENANT_STATS => RouterTimer::TenantStats,
             _ => RouterTimer::Hello(ConnectionId(payload)),
         }
     }
--- a/crates/lifecycle/src/protobuf_router/timers/tests.rs
+++ b/crates/lifecycle/src/protobuf_router/timers/tests.rs
@@ -14,7 +14,7 @@
         (RouterTimer::Lifecycle(Timer::HealthCheck(9)), 2 << 56 | 9),
         (RouterTimer::Hello(ConnectionId(3)), 3 << 56 | 3),
         (RouterTimer::Lifecycle(Timer::Admission), 4 << 56),
-        (RouterTimer::TenantFigures, 5 << 56),
+        (RouterTimer::TenantStats, 5 << 56),
     ];
     for (timer, key) in cases {
         assert_eq!(timer.encode(), key, "{timer:?}");
--- a/crates/lifecycle/src/protobuf_router/transport.rs
+++ b/crates/lifecycle/src/protobuf_router/transport.rs
@@ -46,7 +46,7 @@
             request.prompt_tokens,
             context.max_tokens,
             remaining_time,
-            context.mark,
+            context.idempotency_key,
             request.state_holder,
             self.config.stream_window_tokens,
             request.session,
--- a/crates/lifecycle/src/protobuf_router/worker_connections.rs
+++ b/crates/lifecycle/src/protobuf_router/worker_connections.rs
@@ -15,7 +15,7 @@
     pub pending_health_check: Option<u64>,
     /// Requests whose attempt is in flight at the worker.
     pub attempts: BTreeSet<RequestId>,
-    /// Requests that asked for a reservation at the worker.
+    /// Requests for which the router has requested a reservation at the worker.
     pub reservations: BTreeSet<RequestId>,
 }
 
@@ -31,7 +31,7 @@
         self.by_worker.entry(worker).or_default()
     }
 
-    /// The worker at the other end of a connection.
+    /// Returns the worker at the other end of a connection.
     pub fn worker_of(&self, connection: ConnectionId) -> Option<WorkerId> {
         self.by_connection.get(&connection).copied()
     }
@@ -55,7 +55,8 @@
         effects.send(connection, frame);
     }
 
-    /// Sends a frame only over an existing connection: once a connection closes, the worker releases what it held for it.
+    /// Sends a frame only over an existing connection: once a connection closes, the worker releases what it held for
+    /// it.
     pub fn send_if_connected(&self, worker: WorkerId, frame: Bytes, effects: &mut Effects) {
         let Some(entry) = self.by_worker.get(&worker) else { return };
         if let Some(connection) = entry.connection {
--- a/crates/lifecycle/src/protobuf_router/worker_events.rs
+++ b/crates/lifecycle/src/protobuf_router/worker_events.rs
@@ -25,7 +25,7 @@
         self.state.workers.worker_of(self.connection).ok_or(Malformed::Hello)
     }
 
-    /// Whether a message is about the attempt in flight; messages about others are stale.
+    /// Returns whether a message is about the attempt in flight; messages about other attempts are stale.
     fn is_in_flight(&self, id: RequestId, attempt: u16) -> Result<bool, Malformed> {
         Ok(self.state.lifecycle.is_in_flight(id, attempt, self.worker()?))
     }
@@ -38,7 +38,7 @@
         self.state.finish_attempt(self.now, id, number, outcome, self.effects);
     }
 
-    /// The connection has ended, or was never established: all that was in flight on it ends.
+    /// Handles a connection that has ended or was never established: everything in flight on it ends.
     pub fn disconnected(&mut self, reason: DisconnectReason) {
         let Some((worker, in_flight)) = self.state.workers.remove(self.connection) else { return };
         tracing::info!(
--- a/crates/lifecycle/src/request_state.rs
+++ b/crates/lifecycle/src/request_state.rs
@@ -26,18 +26,18 @@
     pub attempt: Option<Attempt>,
     /// The prefill worker that holds the request's KV state.
     pub state_holder: Option<WorkerId>,
-    /// Decode workers asked for a reservation that have not denied it, the most recent last.
+    /// Decode workers at which a reservation was requested and not denied, the most recent last.
     pub reservations: Vec<WorkerId>,
     /// When the first token arrived.
     pub first_token_at: Option<Micros>,
-    /// The final response was sent, or the client disconnected.
+    /// Whether the final response was sent or the client disconnected.
     pub finished: bool,
-    /// The steps that the invariants still permit.
+    /// The record that decides which steps the invariants permit.
     pub record: RequestRecord,
 }
 
 impl<Context> RequestState<Context> {
-    /// A request that has just arrived, still without a deadline.
+    /// Creates a request that has just arrived and has no deadline yet.
     pub fn new(
         context: Context,
         class: u8,
@@ -58,7 +58,7 @@
             reservations: vec![],
             first_token_at: None,
             finished: false,
-            // `RequestLifecycle::accept` replaces it by the record of the request's class and deadline.
+            // `RequestLifecycle::accept` replaces this placeholder with a record for the request's class and deadline.
             record: RequestRecord::new(Idempotency::NonIdempotent, 0),
         }
     }
@@ -68,23 +68,23 @@
         RequestState { arrived_at, deadline: arrived_at + remaining_time, ..self }
     }
 
-    /// Whether the attempt of that number is in flight.
+    /// Returns whether the attempt with this number is in flight.
     pub fn is_current_attempt(&self, number: u16) -> bool {
         self.attempt.as_ref().is_some_and(|attempt| attempt.number == number)
     }
 
-    /// Whether the attempt in flight has begun to stream its response.
+    /// Returns whether the attempt in flight has begun to stream its response.
     pub fn is_streaming(&self) -> bool {
         self.attempt.as_ref().is_some_and(|attempt| attempt.streaming)
     }
 
-    /// The prefill worker of the attempt in flight, if that attempt is a prefill.
+    /// Returns the prefill worker of the attempt in flight, if that attempt is a prefill.
     pub(crate) fn prefill_worker(&self) -> Option<WorkerId> {
         let attempt = self.attempt.as_ref()?;
         attempt.is_prefill.then_some(attempt.worker)
     }
 
-    /// Whether nothing is in flight, reserved or stored at a worker for the request.
+    /// Returns whether nothing is in flight, reserved or stored at a worker for the request.
     pub fn holds_nothing(&self) -> bool {
         self.attempt.is_none() && self.state_holder.is_none() && self.reservations.is_empty()
     }
@@ -96,18 +96,18 @@
     pub number: u16,
     /// The worker that runs it.
     pub worker: WorkerId,
-    /// It only prefills; else it decodes.
+    /// Whether the attempt only prefills; otherwise it decodes.
     pub is_prefill: bool,
-    /// The first part of the response has arrived.
+    /// Whether the first part of the response has arrived.
     pub streaming: bool,
     /// Tokens relayed to the client.
     pub tokens: u32,
-    /// Relayed tokens that have not been granted back to the worker.
+    /// Relayed tokens for which the worker has not been granted new ones.
     pub unacknowledged_tokens: u32,
 }
 
 impl Attempt {
-    /// An attempt that is dispatched now.
+    /// Creates an attempt that is dispatched now.
     pub fn new(number: u16, worker: WorkerId, is_prefill: bool) -> Attempt {
         Attempt { number, worker, is_prefill, streaming: false, tokens: 0, unacknowledged_tokens: 0 }
     }
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -30,7 +30,7 @@
 /// The known tenants and the admission queue.
 pub(crate) struct TenantAdmission {
     pub admission_control: AdmissionControl,
-    /// This instance's fraction of all limits, so that all instances together keep them without coordination.
+    /// This instance's fraction of all limits, so that all instances together stay within them without coordination.
     limits_share: f64,
     by_key_hash: HashMap<[u8; 32], Tenant>,
     by_name: HashMap<String, TenantEntry>,
@@ -77,7 +77,7 @@
         self.by_name.insert(config.name, entry);
     }
 
-    /// This instance's part of a tenant's limits.
+    /// Returns this instance's share of a tenant's limits.
     fn share_of(&self, limits: Limits) -> Limits {
         let share_of_rate = |rate: RateLimit| RateLimit {
             per_second: rate.per_second * self.limits_share,
@@ -104,7 +104,8 @@
         }
     }
 
-    /// The statistics that changed since the last call, sorted by tenant name so that equal runs report equally.
+    /// Returns the statistics that changed since the last call, sorted by tenant name so that equal runs report
+    /// equally.
     pub fn take_changed_stats(&mut self) -> Vec<(&str, TenantStats)> {
         let mut changed = vec![];
         for (name, known) in &mut self.by_name {
--- a/crates/lifecycle/src/transport.rs
+++ b/crates/lifecycle/src/transport.rs
@@ -7,7 +7,7 @@
 use crate::request_state::{Attempt, RequestState};
 use crate::response::Response;
 
-/// What a timer of the lifecycle is for. When it fires, it goes back to
+/// The purpose of a timer of the lifecycle. When the timer fires, the protocol passes it to
 /// [`RequestLifecycle::timer_fired`](crate::RequestLifecycle::timer_fired).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Timer {
@@ -26,7 +26,7 @@
     /// What the protocol stores with each request.
     type Context;
 
-    /// Sends a request's attempt to its worker. The worker may take `remaining_time` microseconds.
+    /// Sends a request's attempt to its worker. The response is due within `remaining_time` microseconds.
     fn dispatch(
         &mut self,
         id: RequestId,
@@ -45,7 +45,7 @@
         permit: ReservationPermit,
     );
     /// Ends a reservation because another reservation or an attempt took its place. With `notify_worker` the worker
-    /// must be told; else it knows already.
+    /// must be notified; otherwise it knows already.
     fn cancel_reservation(&mut self, id: RequestId, decode_worker: WorkerId, notify_worker: bool);
     /// Releases all that is held for a request: its decode reservations and the KV state at its prefill worker.
     fn release(
@@ -57,11 +57,12 @@
     );
     /// Cancels an attempt. Returns whether it was never sent, and so cannot have run.
     fn cancel(&mut self, id: RequestId, attempt: &Attempt) -> bool;
-    /// Cancels an attempt only if it has not been sent yet, and returns whether that was so. A sent attempt goes on.
+    /// Cancels an attempt only if it has not been sent yet, and returns whether that was so. An attempt that was sent
+    /// continues.
     fn cancel_if_unsent(&mut self, _id: RequestId, _attempt: &Attempt) -> bool {
         false
     }
-    /// An attempt has ended, at the worker, at the client or by cancellation.
+    /// Notifies the protocol that an attempt has ended, at the worker, at the client or by cancellation.
     fn attempt_finished(
         &mut self,
         id: RequestId,
@@ -77,11 +78,12 @@
         response: Response,
         permit: ResponsePermit,
     );
-    /// The request is finished, nothing is in flight or reserved for it, and the lifecycle forgets it.
+    /// Notifies the protocol that the lifecycle forgets a request, which is finished and has nothing in flight or
+    /// reserved.
     fn request_closed(&mut self, _id: RequestId, _permit: ClosePermit) {}
     /// Sends a health check to a worker.
     fn check_health(&mut self, nonce: u64, worker: WorkerId);
-    /// The health check of a worker was answered, or it timed out.
+    /// Notifies the protocol that the health check of a worker was answered or timed out.
     fn health_check_finished(&mut self, worker: WorkerId);
     /// Asks discovery for all changes of the endpoint list after a version.
     fn watch_endpoints(&mut self, version: u64);
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -225,25 +225,25 @@
         }
     }
 
-    /// Applies one generated event. `which` selects its connection or attempt, and `value` its contents.
-    fn step(&mut self, (event, which, value): (u8, u8, u16)) {
+    /// Applies one generated event. `selector` selects its connection or attempt, and `value` its contents.
+    fn step(&mut self, (event, selector, value): (u8, u8, u16)) {
         let client = ConnectionId(self.client);
-        let attempt = self.pick_attempt(which);
+        let attempt = self.select_attempt(selector);
         match event % 14 {
-            0..=2 => self.submit(which % 2, value),
-            3 => self.receive(client, &client::cancel(u64::from(which))),
+            0..=2 => self.submit(selector % 2, value),
+            3 => self.receive(client, &client::cancel(u64::from(selector))),
             4..=9 => {
                 let Some(attempt) = attempt else { return };
                 self.receive(attempt.connection, &worker_message(attempt, value));
             }
-            10 => self.disconnect(which, value),
+            10 => self.disconnect(selector, value),
             11 => {
-                let garbage = Bytes::from(value.to_le_bytes().repeat(usize::from(which) % 9));
+                let garbage = Bytes::from(value.to_le_bytes().repeat(usize::from(selector) % 9));
                 let worker = attempt.map_or(client, |attempt| attempt.connection);
-                self.receive(if which % 2 == 0 { worker } else { client }, &garbage);
+                self.receive(if selector % 2 == 0 { worker } else { client }, &garbage);
             }
             12 => {
-                self.router.on_backpressure(self.now, client, which % 2 == 0, &mut self.effects);
+                self.router.on_backpressure(self.now, client, selector % 2 == 0, &mut self.effects);
                 self.run_iteration();
             }
             _ => self.advance(Micros::from(value) * 10),
@@ -251,8 +251,8 @@
     }
 
     /// Selects one of all dispatched attempts, including those that have ended.
-    fn pick_attempt(&self, which: u8) -> Option<DispatchedAttempt> {
-        let index = usize::from(which) % self.attempts.len().max(1);
+    fn select_attempt(&self, selector: u8) -> Option<DispatchedAttempt> {
+        let index = usize::from(selector) % self.attempts.len().max(1);
         self.attempts.get(index).copied()
     }
 
@@ -266,8 +266,8 @@
     }
 
     /// Ends one of the connections that the router opened.
-    fn disconnect(&mut self, which: u8, value: u16) {
-        let index = usize::from(which) % self.connections.len().max(1);
+    fn disconnect(&mut self, selector: u8, value: u16) {
+        let index = usize::from(selector) % self.connections.len().max(1);
         let Some(&connection) = self.connections.keys().nth(index) else { return };
         self.connections.remove(&connection);
         let reasons = [DisconnectReason::Reset, DisconnectReason::ConnectFailed];
@@ -290,7 +290,7 @@
 
 #[test]
 fn no_order_of_events_gives_two_final_responses_or_a_panic() {
-    fn holds(steps: Vec<(u8, u8, u16)>) -> bool {
+    fn property_holds(steps: Vec<(u8, u8, u16)>) -> bool {
         let mut world = World::new();
         steps.into_iter().for_each(|step| world.step(step));
         // The worker of a stream may never end it, but no request outlives its client's disconnect and deadline.
@@ -305,6 +305,6 @@
         world.advance(20_000_000);
         world.responses.violation.is_none() && world.router.is_finished() && world.router.open_requests() == 0
     }
-    let check = holds as fn(Vec<(u8, u8, u16)>) -> bool;
+    let check = property_holds as fn(Vec<(u8, u8, u16)>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(400, 20_261_201)).tests(300).quickcheck(check);
 }
