--- a/crates/lifecycle/benches/endpoint_list_update.rs
+++ b/crates/lifecycle/benches/endpoint_list_update.rs
@@ -1,6 +1,7 @@
 //! Measures how long a full snapshot of 1,200 endpoints, one in ten of them changed, blocks a router's event loop with
-//! 6,000 requests open: decoding, lifecycle, scheduler, the list that is persisted. `cargo bench -p
-//! tideroute-lifecycle`.
+//! 6,000 requests open: decoding, lifecycle, scheduler and encoding of the list for persistence.
+//!
+//! Run with `cargo bench -p tideroute-lifecycle`.
 
 use std::time::{Duration, Instant};
 
--- a/crates/lifecycle/src/lifecycle/actions.rs
+++ b/crates/lifecycle/src/lifecycle/actions.rs
@@ -18,7 +18,7 @@
         action: Action,
         transport: &mut impl Transport<Context = Context>,
     ) {
-        tracing::trace!(?action, "executing action");
+        tracing::trace!(?action, "scheduler action received");
         match action {
             Action::Dispatch { id, worker, .. } => self.dispatch(now, id, worker, transport),
             Action::ReserveDecode { id, worker } => self.reserve_decode(now, id, worker, transport),
@@ -66,7 +66,7 @@
                 transport.cancel_reservation(id, reserved_at, reserved_at != worker);
             }
         }
-        tracing::debug!(id, attempt = number, worker = %WorkerAddress(worker), is_prefill, "dispatching attempt");
+        tracing::debug!(id, attempt = number, worker = %WorkerAddress(worker), is_prefill, "attempt dispatched");
         let stage = if is_prefill { "prefill" } else { "decode" };
         counter!("tideroute_attempts_total", "stage" => stage).increment(1);
         let remaining_time = request.deadline.saturating_sub(now);
--- a/crates/lifecycle/src/response.rs
+++ b/crates/lifecycle/src/response.rs
@@ -8,7 +8,7 @@
 pub enum Response {
     /// A worker's complete response, with the number of tokens relayed.
     Completed(u32),
-    /// The request did not run and may be sent again, after this many microseconds; with 0 the response has no
+    /// The request was rejected. A retry is harmless, after this many microseconds; with 0 the response has no
     /// Retry-After.
     Rejected(Micros),
     /// The request failed and may have run.
--- a/crates/lifecycle/tests/cached_endpoint_list.rs
+++ b/crates/lifecycle/tests/cached_endpoint_list.rs
@@ -14,7 +14,7 @@
 /// endpoint and added another.
 const WRITTEN_BY_OLD_VERSION: &[u8] = include_bytes!("fixtures/endpoint_list_b50f039.bin");
 
-/// Some time after the list was written, in microseconds.
+/// Time of the router's start, some time after the list was written, in microseconds.
 const START: Micros = 1_700_000_060_000_000;
 
 #[derive(PartialEq, Debug)]
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -1,6 +1,6 @@
-//! The router under generated sequences of events: valid, unexpected and malformed messages, disconnects and timers in
-//! any order. Nothing panics, no client gets two final responses or anything after one, and finished requests are
-//! forgotten.
+//! Runs the router on generated sequences of events: valid, unexpected and malformed messages, disconnects and timers
+//! in any order. Guards against panics, against a client that gets two final responses or any message after one, and
+//! against finished requests that the router never forgets.
 
 mod support;
 
@@ -293,7 +293,7 @@
     fn property_holds(steps: Vec<(u8, u8, u16)>) -> bool {
         let mut world = World::new();
         steps.into_iter().for_each(|step| world.step(step));
-        // The worker of a stream may never end it, but no request outlives its client's disconnect and deadline.
+        // A worker may never end its stream, but no request stays open after its client's disconnect and its deadline.
         world.router.on_shutdown(world.now, &mut world.effects);
         world.router.on_disconnect(
             world.now,
