--- a/crates/lifecycle/src/lifecycle/actions.rs
+++ b/crates/lifecycle/src/lifecycle/actions.rs
@@ -18,7 +18,7 @@
         action: Action,
         transport: &mut impl Transport<Context = Context>,
     ) {
-        tracing::trace!(?action, "executing action");
+        tracing::trace!(?action, "scheduler action received");
         match action {
             Action::Dispatch { id, worker, .. } => self.dispatch(now, id, worker, transport),
             Action::ReserveDecode { id, worker } => self.reserve_decode(now, id, worker, transport),
@@ -53,7 +53,7 @@
         let permit = match permit {
             Ok(permit) => permit,
             Err(violation) => {
-                // An attempt that is in flight goes on.
+                // If another attempt is in flight, it continues.
                 request.attempt.get_or_insert(attempt);
                 let outcome = AttemptOutcome::NotSent;
                 self.finished_attempts.push(FinishedAttempt { id, number, outcome });
@@ -66,7 +66,7 @@
                 transport.cancel_reservation(id, reserved_at, reserved_at != worker);
             }
         }
-        tracing::debug!(id, attempt = number, worker = %WorkerAddress(worker), is_prefill, "dispatching attempt");
+        tracing::debug!(id, attempt = number, worker = %WorkerAddress(worker), is_prefill, "attempt dispatched");
         let stage = if is_prefill { "prefill" } else { "decode" };
         counter!("tideroute_attempts_total", "stage" => stage).increment(1);
         let remaining_time = request.deadline.saturating_sub(now);
@@ -126,8 +126,8 @@
     }
 }
 
-/// When the scheduler is woken: counted from the start of the current tenth of a millisecond, in which the scheduler
-/// takes the event to lie, so that it is never woken before its time.
+/// Returns the time at which the scheduler is woken. The delay is counted from the start of the current tenth of a
+/// millisecond, in which the scheduler takes the event to lie, so that it is never woken before its time.
 fn wake_time(now: Micros, delay: TenthMillis) -> Micros {
     now / MICROS_PER_TENTH_MILLI * MICROS_PER_TENTH_MILLI + to_micros(delay)
 }
--- a/crates/lifecycle/src/protobuf_router/router.rs
+++ b/crates/lifecycle/src/protobuf_router/router.rs
@@ -1,4 +1,4 @@
-//! The router as the event loop drives it.
+//! The event handler of the protobuf router.
 
 use bytes::Bytes;
 use metrics::counter;
@@ -17,18 +17,18 @@
 /// The router of this project's own protocol, driven by an event loop through [`EventHandler`].
 pub struct ProtobufRouter {
     state: RouterState,
-    /// The endpoint list that the last run persisted, until the start has applied it.
+    /// The endpoint list that the last run persisted, until the router applies it at its start.
     cached_endpoint_list: Option<Bytes>,
 }
 
 impl ProtobufRouter {
-    /// A router that starts now. `cached_endpoint_list` is what the last run persisted through
+    /// Creates a router that starts now. `cached_endpoint_list` is what the last run persisted through
     /// [`Effects::persist`]; bytes that can't be read are ignored with a warning.
     pub fn new(config: RouterConfig, cached_endpoint_list: Option<Bytes>, now: Micros) -> ProtobufRouter {
         ProtobufRouter { state: RouterState::new(config, now), cached_endpoint_list }
     }
 
-    /// Number of open requests.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.state.lifecycle.requests.len()
     }
@@ -101,7 +101,7 @@
         if let Some(cached) = self.cached_endpoint_list.take() {
             endpoint_list_cache::load(&mut self.state, now, &cached);
         }
-        tenant_events::publish_figures(&mut self.state, now, effects);
+        tenant_events::publish_tenant_stats(&mut self.state, now, effects);
         self.on_iteration(now, effects);
     }
 
@@ -119,7 +119,7 @@
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         if let Err(error) = self.receive(now, connection, frame, effects) {
-            tracing::warn!(connection = connection.0, %error, "closing a connection that violates the protocol");
+            tracing::warn!(connection = connection.0, %error, "protocol violated; closing the connection");
             counter!("tideroute_protocol_errors_total").increment(1);
             effects.close(connection, error.to_string());
             self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
@@ -162,7 +162,7 @@
                 lifecycle.timer_fired(now, timer, &mut transport);
             }
             RouterTimer::Hello(connection) => self.client_events(now, connection, effects).hello_timeout(),
-            RouterTimer::TenantFigures => tenant_events::publish_figures(&mut self.state, now, effects),
+            RouterTimer::TenantStats => tenant_events::publish_tenant_stats(&mut self.state, now, effects),
         }
     }
 
@@ -180,7 +180,7 @@
             return;
         }
         if let Err(error) = tenant::receive(message, &mut TenantEvents { lifecycle, now }) {
-            tracing::error!(%error, "message about tenants can't be read");
+            tracing::error!(%error, "tenant message rejected; ignoring it");
         }
         self.state.lifecycle.request_scheduling_pass();
     }
--- a/crates/lifecycle/src/tenant_admission.rs
+++ b/crates/lifecycle/src/tenant_admission.rs
@@ -30,7 +30,7 @@
 /// The known tenants and the admission queue.
 pub(crate) struct TenantAdmission {
     pub admission_control: AdmissionControl,
-    /// This instance's fraction of all limits, so that all instances together keep them without coordination.
+    /// This instance's fraction of all limits, so that all instances together stay within them without coordination.
     limits_share: f64,
     by_key_hash: HashMap<[u8; 32], Tenant>,
     by_name: HashMap<String, TenantEntry>,
@@ -77,7 +77,7 @@
         self.by_name.insert(config.name, entry);
     }
 
-    /// This instance's part of a tenant's limits.
+    /// Returns this instance's share of a tenant's limits.
     fn share_of(&self, limits: Limits) -> Limits {
         let share_of_rate = |rate: RateLimit| RateLimit {
             per_second: rate.per_second * self.limits_share,
@@ -104,14 +104,15 @@
         }
     }
 
-    /// The statistics that changed since the last call, sorted by tenant name so that equal runs report equally.
-    pub fn take_changed_figures(&mut self) -> Vec<(&str, TenantStats)> {
+    /// Returns the statistics that changed since the last call, sorted by tenant name so that equal runs report
+    /// equally.
+    pub fn take_changed_stats(&mut self) -> Vec<(&str, TenantStats)> {
         let mut changed = vec![];
         for (name, known) in &mut self.by_name {
-            let figures = self.admission_control.tenant_stats(known.tenant).unwrap_or_default();
-            if figures != known.reported {
-                known.reported = figures;
-                changed.push((name.as_str(), figures));
+            let stats = self.admission_control.tenant_stats(known.tenant).unwrap_or_default();
+            if stats != known.reported {
+                known.reported = stats;
+                changed.push((name.as_str(), stats));
             }
         }
         changed.sort_unstable_by_key(|(name, _)| *name);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The tenant of a key, by the key's hash. The time that a lookup by hash takes tells nothing about a key.
+    /// Returns the tenant of a key, by the key's hash. The duration of a lookup by hash reveals nothing about the key.
     pub fn tenant_for_key(&self, key_hash: &[u8; 32]) -> Option<Tenant> {
         self.by_key_hash.get(key_hash).copied()
     }
--- a/crates/lifecycle/tests/event_sequences.rs
+++ b/crates/lifecycle/tests/event_sequences.rs
@@ -1,6 +1,6 @@
-//! The router under generated sequences of events: valid, unexpected and malformed messages, disconnects and timers in
-//! any order. Nothing panics, no client gets two final responses or anything after one, and finished requests are
-//! forgotten.
+//! Runs the router on generated sequences of events: valid, unexpected and malformed messages, disconnects and timers
+//! in any order. Guards against panics, against a client that gets two final responses or any message after one, and
+//! against finished requests that the router never forgets.
 
 mod support;
 
@@ -171,7 +171,7 @@
             .iter()
             .find(|(_, to)| **to == DISCOVERY)
             .map(|(connection, _)| *connection)
-            .expect("a connection to discovery");
+            .expect("router should connect to discovery");
         let mut snapshot = Page::new(1, true);
         for n in 0..6u8 {
             let kind = u16::from(n > 1);
@@ -207,16 +207,17 @@
                 }
                 Effect::Close { connection, .. } => drop(self.connections.remove(&connection)),
                 Effect::Send { connection, frame } if connection == ConnectionId(self.client) => {
-                    client::receive_from_router(&frame, &mut self.responses).expect("a message to a client");
+                    client::receive_from_router(&frame, &mut self.responses)
+                        .expect("message to a client should be valid");
                 }
-                Effect::Send { connection, frame } => self.note_attempt(connection, &frame),
+                Effect::Send { connection, frame } => self.record_attempt(connection, &frame),
                 _ => {}
             }
         }
     }
 
-    /// Notes the attempt of a frame to a worker, if it dispatches one.
-    fn note_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
+    /// Records the attempt that a frame to a worker dispatches, if any.
+    fn record_attempt(&mut self, connection: ConnectionId, frame: &Bytes) {
         let mut reader = DispatchReader(None);
         if worker::receive_from_router(frame, &mut reader).is_ok() {
             let attempt = reader.0.map(|(id, number)| DispatchedAttempt { connection, id, number });
@@ -224,34 +225,34 @@
         }
     }
 
-    /// One generated event. `which` picks what it concerns, and `value` its contents.
-    fn step(&mut self, (event, which, value): (u8, u8, u16)) {
+    /// Applies one generated event. `selector` selects its connection or attempt, and `value` its contents.
+    fn step(&mut self, (event, selector, value): (u8, u8, u16)) {
         let client = ConnectionId(self.client);
-        let attempt = self.pick_attempt(which);
+        let attempt = self.select_attempt(selector);
         match event % 14 {
-            0..=2 => self.submit(which % 2, value),
-            3 => self.receive(client, &client::cancel(u64::from(which))),
+            0..=2 => self.submit(selector % 2, value),
+            3 => self.receive(client, &client::cancel(u64::from(selector))),
             4..=9 => {
                 let Some(attempt) = attempt else { return };
                 self.receive(attempt.connection, &worker_message(attempt, value));
             }
-            10 => self.disconnect(which, value),
+            10 => self.disconnect(selector, value),
             11 => {
-                let garbage = Bytes::from(value.to_le_bytes().repeat(usize::from(which) % 9));
+                let garbage = Bytes::from(value.to_le_bytes().repeat(usize::from(selector) % 9));
                 let worker = attempt.map_or(client, |attempt| attempt.connection);
-                self.receive(if which % 2 == 0 { worker } else { client }, &garbage);
+                self.receive(if selector % 2 == 0 { worker } else { client }, &garbage);
             }
             12 => {
-                self.router.on_backpressure(self.now, client, which % 2 == 0, &mut self.effects);
+                self.router.on_backpressure(self.now, client, selector % 2 == 0, &mut self.effects);
                 self.run_iteration();
             }
             _ => self.advance(Micros::from(value) * 10),
         }
     }
 
-    /// Any attempt that was dispatched, also one that has ended.
-    fn pick_attempt(&self, which: u8) -> Option<DispatchedAttempt> {
-        let index = usize::from(which) % self.attempts.len().max(1);
+    /// Selects one of all dispatched attempts, including those that have ended.
+    fn select_attempt(&self, selector: u8) -> Option<DispatchedAttempt> {
+        let index = usize::from(selector) % self.attempts.len().max(1);
         self.attempts.get(index).copied()
     }
 
@@ -265,8 +266,8 @@
     }
 
     /// Ends one of the connections that the router opened.
-    fn disconnect(&mut self, which: u8, value: u16) {
-        let index = usize::from(which) % self.connections.len().max(1);
+    fn disconnect(&mut self, selector: u8, value: u16) {
+        let index = usize::from(selector) % self.connections.len().max(1);
         let Some(&connection) = self.connections.keys().nth(index) else { return };
         self.connections.remove(&connection);
         let reasons = [DisconnectReason::Reset, DisconnectReason::ConnectFailed];
@@ -289,10 +290,10 @@
 
 #[test]
 fn no_order_of_events_gives_two_final_responses_or_a_panic() {
-    fn holds(steps: Vec<(u8, u8, u16)>) -> bool {
+    fn property_holds(steps: Vec<(u8, u8, u16)>) -> bool {
         let mut world = World::new();
         steps.into_iter().for_each(|step| world.step(step));
-        // The worker of a stream may never end it, but no request outlives its client's disconnect and deadline.
+        // A worker may never end its stream, but no request stays open after its client's disconnect and its deadline.
         world.router.on_shutdown(world.now, &mut world.effects);
         world.router.on_disconnect(
             world.now,
@@ -304,6 +305,6 @@
         world.advance(20_000_000);
         world.responses.violation.is_none() && world.router.is_finished() && world.router.open_requests() == 0
     }
-    let check = holds as fn(Vec<(u8, u8, u16)>) -> bool;
+    let check = property_holds as fn(Vec<(u8, u8, u16)>) -> bool;
     QuickCheck::new().rng(Gen::from_size_and_seed(400, 20_261_201)).tests(300).quickcheck(check);
 }
