--- a/src/scheduler/backoff.rs
+++ b/src/scheduler/backoff.rs
@@ -1,43 +1,46 @@
-//! Exponential backoff of a worker that failed.
+//! Exponential backoff after the failures of a worker.
 
 use crate::types::TenthMillis;
 
-/// The first backoff, half a second: about the time in which a process starts again.
+/// The length of the first backoff, half a second: about the time in which a process restarts.
 pub const FIRST_BACKOFF: TenthMillis = 5_000;
-/// Doublings at most: a dead worker is tried every eight seconds or so.
+/// How often the backoff is doubled at most; 4 doublings mean that a dead worker is tried about every 8 seconds.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Whether a worker is out of service, and how often it was in a row.
+/// Until when a worker is out of service, and how often it failed in a row.
 #[derive(Default)]
 pub struct Backoff {
+    /// Number of backoffs since the worker last answered or restarted.
     consecutive: u32,
-    /// 0 while the worker is in service.
+    /// When the backoff elapses; 0 while the worker is in service.
     until: TenthMillis,
 }
 
 impl Backoff {
-    /// The worker is out of service, be it that its time is over and its return is still to be decided.
+    /// Returns whether the worker is out of service. It stays so after the backoff has elapsed, until
+    /// [`Backoff::end`] or [`Backoff::reset`] is called.
     pub fn is_active(&self) -> bool {
         self.until > 0
     }
 
-    /// The worker is out of service and its time is not over.
+    /// Returns whether the backoff has not elapsed yet.
     pub fn is_running(&self, now: TenthMillis) -> bool {
         self.until > now
     }
 
-    /// The worker is out of service and its time is over.
+    /// Returns whether the worker is out of service and the backoff has elapsed.
     pub fn has_elapsed(&self, now: TenthMillis) -> bool {
         self.is_active() && now >= self.until
     }
 
-    /// It has not failed since it last answered.
+    /// Returns whether the worker has not failed since it last answered or restarted.
     pub fn is_first(&self) -> bool {
         self.consecutive == 0
     }
 
-    /// Takes the worker out of service, for twice as long after each failure in a row; `jitter` multiplies the time
-    /// and keeps routers apart. Changes nothing while a backoff is running.
+    /// Takes the worker out of service, twice as long after each further failure in a row. The time is multiplied
+    /// by `jitter`, so that different routers do not retry the worker at the same moment. Does nothing while a
+    /// backoff is running.
     pub fn start(&mut self, now: TenthMillis, jitter: f64) {
         if now < self.until {
             return;
@@ -47,12 +50,12 @@
         self.consecutive += 1;
     }
 
-    /// The worker is in service again; a further failure still counts as one in the row.
+    /// Puts the worker back in service but keeps the count of failures, so that the next backoff is longer.
     pub fn end(&mut self) {
         self.until = 0;
     }
 
-    /// The worker answered or started anew: it is in service and the row is over.
+    /// Puts the worker back in service and clears the count of failures, after it answered or restarted.
     pub fn reset(&mut self) {
         *self = Backoff::default();
     }
--- a/src/scheduler/decode_placement.rs
+++ b/src/scheduler/decode_placement.rs
@@ -1,5 +1,6 @@
-//! Which decode worker an attempt or a reservation goes to: the prefill's cell first, then the fewest streams of this
-//! router; rejections are cached.
+//! Which decode worker an attempt or a reservation goes to. Workers in the cell of the prefill come first, and
+//! among them the one with the fewest streams of this router for its size. Workers with a cached rejection are
+//! avoided.
 
 use std::cmp::Ordering;
 
@@ -8,56 +9,60 @@
 use super::worker::Worker;
 use crate::types::{TenthMillis, WorkerId};
 
-/// Where decode workers are looked for.
+/// The set of decode workers that a search covers.
 #[derive(Clone, Copy)]
 pub struct DecodeScope {
-    /// In the cell, or everywhere but in it.
+    /// Whether to search in `cell` or in all other cells.
     pub same_cell: bool,
     pub cell: u16,
-    /// Workers of this zone come first.
+    /// The zone whose workers are preferred.
     pub zone: u8,
 }
 
 impl DecodeScope {
-    /// The scope in a cell.
+    /// Returns the scope of the workers in a cell.
     pub fn within(cell: u16, zone: u8) -> DecodeScope {
         DecodeScope { same_cell: true, cell, zone }
     }
 
-    /// The scope beyond the cell.
+    /// Returns the scope of the workers in all other cells.
     pub fn beyond(self) -> DecodeScope {
         DecodeScope { same_cell: false, ..self }
     }
 
-    /// All workers, for an attempt that prefills and decodes at one of them.
+    /// Returns the scope of all workers, for an attempt that prefills and decodes at the same worker.
     pub fn anywhere() -> DecodeScope {
-        // No cell has this number, so that all are beyond it.
+        // No cell has this number, so every worker is in another cell.
         DecodeScope { same_cell: false, cell: u16::MAX, zone: 0 }
     }
 }
 
-/// What a decode worker is preferred by; the least is taken.
+/// The rank of a decode worker, compared field by field; the worker with the lowest rank is chosen.
 #[derive(PartialEq, PartialOrd)]
 struct DecodeRank {
     is_other_zone: bool,
-    /// One that is warming up and that the request drew comes first, or its part would fall to ties.
+    /// A warming worker that slow start admits for this request ranks before warm ones. Otherwise it would get its
+    /// share only when ranks tie.
     is_warm: bool,
-    /// This router's streams there for its size.
+    /// This router's streams at the worker, divided by the worker's size.
     streams: f64,
-    /// Ties go by chance: of many routers most have no stream there, and the first id would get them all.
+    /// A random number that breaks ties. Most of many routers have no stream at a given worker, so without it all
+    /// of them would choose the first id.
     tie_break: f64,
 }
 
 impl Fleet {
-    /// The decode worker for a request whose KV state is at a prefill worker: the one that holds its reservation,
-    /// else the fewest streams in the prefill worker's cell, else beyond it through the gate.
+    /// Returns the decode worker for a request whose KV state is at a prefill worker: the worker that holds its
+    /// reservation, else the one with the fewest streams in the prefill worker's cell, else one in another cell
+    /// if the cross-cell gate admits it, else one whose cached rejection is not recent.
     pub fn decode_worker_for(
         &mut self,
         now: TenthMillis,
         request: &RequestState,
         prefill_worker: WorkerId,
     ) -> Option<WorkerId> {
-        // A short prefill ends before the answer on its reservation, but the state may have gone ahead all the same.
+        // A short prefill may end before the answer to the reservation arrives; the KV state may have been
+        // transferred to that decode worker already.
         if let Some(reservation) = request.reservation {
             let worker = reservation.worker;
             let is_fit = self.can_use_reservation(now, request.requester(), worker, prefill_worker);
@@ -75,15 +80,15 @@
         if found.is_none() && self.gate.admits(now, &mut self.rng) {
             found = self.least_loaded_decode_worker(now, requester, near.beyond(), not_rejected);
         }
-        // Those that rejected this request's reservation, or lately any, come last.
+        // Workers that rejected this request's reservation, or have another cached rejection, are the last choice.
         let not_just_rejected = |worker: &Worker| !worker.has_just_rejected(now);
         found
             .or_else(|| self.least_loaded_decode_worker(now, requester, near, not_just_rejected))
             .or_else(|| self.least_loaded_decode_worker(now, requester, near.beyond(), not_just_rejected))
     }
 
-    /// Whether an attempt may follow a reservation. One asked for before the worker's restart was known is an attempt
-    /// at a warming worker like any other.
+    /// Returns whether an attempt may go to the worker of the request's reservation. The worker may have restarted
+    /// after the reservation was requested; slow start then applies to the attempt as to any other.
     fn can_use_reservation(
         &mut self,
         now: TenthMillis,
@@ -99,7 +104,8 @@
             || self.slow_start_admits(now, id, requester, cell)
     }
 
-    /// Of the decode workers in a scope that fit, the usable one with the fewest streams of this router for its size.
+    /// Returns the usable decode worker of a scope for which `fits` is true and that has the fewest streams of this
+    /// router for its size.
     pub fn least_loaded_decode_worker(
         &mut self,
         now: TenthMillis,
@@ -130,7 +136,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// Whether a decode worker in the cell, or beyond it through the gate, may grant a reservation.
+    /// Returns whether any decode worker in the cell, or in another cell if the cross-cell gate admits it, may
+    /// grant a reservation.
     pub fn any_decode_worker_grants(&mut self, now: TenthMillis, cell: u16, requester: Requester) -> bool {
         (0..self.registry.decode_workers.len()).any(|index| {
             let id = self.registry.decode_workers[index];
@@ -141,8 +148,8 @@
         })
     }
 
-    /// Whether a decode worker grants for sure, wherever the prefill is and whichever class is asked for; no random
-    /// number is drawn.
+    /// Returns whether [`Fleet::any_decode_worker_grants`] is sure to be true for every cell and request class.
+    /// Draws no random number.
     pub fn decode_worker_surely_grants(&mut self, now: TenthMillis) -> bool {
         let warm_up_time = self.config.warm_up_time;
         let is_sure = |id: &WorkerId| {
@@ -153,10 +160,10 @@
         self.is_usable_for_all_classes(now, first) && self.gate.is_open(now)
     }
 
-    /// Whether a worker that is not warming up may be sent to, whichever the request.
+    /// Returns whether requests of every class may be sent to a worker that is not warming up.
     pub fn is_usable_for_all_classes(&mut self, now: TenthMillis, id: WorkerId) -> bool {
         let class_count = self.config.classes.len() as u8;
-        // The id counts for slow start alone, which is not asked.
+        // Only slow start reads the request's id, and it applies only to warming workers.
         (0..class_count).all(|class| self.is_usable(now, id, Requester { id: 0, class }, None))
     }
 }
--- a/src/scheduler/dispatcher.rs
+++ b/src/scheduler/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The next step of one request: it asks the decisions, applies what they say to the request and the fleet, and
-//! queues the actions.
+//! Takes the next step of one request: evaluates the rules, applies their decisions to the request and the fleet,
+//! and queues the resulting actions.
 
 use std::collections::VecDeque;
 
@@ -13,29 +13,29 @@
 use crate::in_flight::Work;
 use crate::types::{Action, Endpoint, Role, TenthMillis, WorkerId};
 
-/// What became of a request whose KV state waits for a decode worker.
+/// The decision about a request whose KV state waits for a decode worker.
 enum DecodeStep {
-    /// It was sent, waits on, or has its final answer.
+    /// The request was sent, keeps waiting, or got its final response.
     Decided,
-    /// Its state is released: only a new prefill helps.
+    /// The KV state is released; the request needs a new prefill.
     StateReleased,
 }
 
-/// The fleet and the actions that are due.
+/// Applies decisions to requests and the fleet, and collects the actions.
 pub struct Dispatcher {
     pub fleet: Fleet,
     pub actions: VecDeque<Action>,
-    /// No prefill worker takes any more: the rest of a flood need not look within this pass.
+    /// No prefill worker takes another prefill in this pass, so the remaining requests need not search for one.
     pub prefill_exhausted: bool,
 }
 
 impl Dispatcher {
-    /// No actions yet.
+    /// Creates a dispatcher without pending actions.
     pub fn new(fleet: Fleet) -> Dispatcher {
         Dispatcher { fleet, actions: VecDeque::new(), prefill_exhausted: false }
     }
 
-    /// Decides about a request that needs it.
+    /// Decides the next step of a request that is in the scheduling queue.
     pub fn advance(&mut self, now: TenthMillis, request: &mut RequestState) {
         if request.attempt.is_none() {
             self.forward(now, request);
@@ -44,9 +44,9 @@
         }
     }
 
-    /// The next step of a request that has no attempt in flight.
+    /// Takes the next step of a request that has no attempt in flight.
     fn forward(&mut self, now: TenthMillis, request: &mut RequestState) {
-        // Without an attempt left not even a state that waits at its prefill worker can be answered.
+        // Without an attempt left, even a KV state that waits at its prefill worker cannot be decoded.
         let config = &self.fleet.config;
         if now + PASS_INTERVAL >= request.deadline
             || !retry::may_run(config, now, request)
@@ -72,7 +72,7 @@
         self.forward_to_prefill(now, request);
     }
 
-    /// Whether admission control lets a new request in.
+    /// Returns whether admission control admits a new request.
     fn admits(&mut self, now: TenthMillis, request: &RequestState) -> bool {
         let fleet = &mut self.fleet;
         let recent_wait = fleet.waits.recent(now, request.class());
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Asks for a reservation, or for load reports, while the prompt is prefilled.
+    /// Requests a decode reservation, or load reports, while the prompt is prefilled.
     fn ask_ahead(&mut self, now: TenthMillis, request: &mut RequestState) {
         match self.fleet.ask_ahead(now, request) {
             AskAhead::Nothing => {}
@@ -136,7 +136,7 @@
             AskAhead::Reservation(worker) => {
                 request.reservations_tried.push(worker);
                 request.reservation = Some(Reservation { worker, confirmed: false });
-                // A reservation is an attempt to come: a warming worker's cap must know of it from the start.
+                // An attempt will follow the reservation, so it counts against a warming worker's cap from now on.
                 self.fleet.in_flight.add_provisional(worker, Work::Stream);
                 self.actions.push_back(Action::ReserveDecode { id: request.id(), worker });
             }
@@ -180,7 +180,7 @@
         self.actions.push_back(Action::Dispatch { id: request.id(), worker, timeout: 0 });
     }
 
-    /// Has the KV state or the reservation released.
+    /// Queues the release of the request's KV state and reservation, and forgets both.
     pub fn release(&mut self, request: &mut RequestState) {
         self.actions.push_back(Action::Release { id: request.id() });
         request.clear_state();
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Gives the final answer: a rejection where its promise, that the client may send the request again, is true;
-    /// else a failure.
+    /// Queues the final response: a rejection, which tells the client that it may send the request again, if that
+    /// is safe; else a failure.
     fn finish(&mut self, request: &mut RequestState) {
         if request.holds_state() {
             self.release(request);
@@ -211,7 +211,8 @@
         });
     }
 
-    /// Has an attempt cancelled that is lost, or that no client waits for.
+    /// Queues the cancellation of the request's attempt if it is lost, its worker is in a backoff, or its client is
+    /// gone.
     pub fn review_attempt(&mut self, now: TenthMillis, request: &mut RequestState) {
         if !self.fleet.review_attempt(now, request) {
             return;
@@ -221,7 +222,7 @@
         }
     }
 
-    /// Has workers checked that are suspected or whose backoff is over.
+    /// Queues health checks of workers that are suspected or whose backoff has elapsed.
     pub fn check_watched_workers(&mut self, now: TenthMillis) {
         let workers = self.fleet.review_watched(now);
         self.query_load(workers);
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,5 +1,6 @@
-//! All workers as this router sees them: what it knows of each by the endpoint list, attempts and health checks, what
-//! is in flight there, and whether it may be sent to. The placement rules are implemented on it in files of their own.
+//! All workers as this router sees them: what it learned of each from the endpoint list, attempts and health
+//! checks, what it has in flight at each, and whether a worker may be sent to. The placement rules are
+//! implemented on [`Fleet`] in other files of this module.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -20,10 +21,10 @@
 use crate::types::{AttemptOutcome, Endpoint, EndpointStatus, Role, SchedulerConfig, TenthMillis, WorkerId};
 use crate::worker_registry::WorkerRegistry;
 
-/// A prefix whose decayed count of requests is no more than this is forgotten.
+/// A prefix is forgotten when its decayed count of requests is this or less.
 const FORGET_PREFIX_AT: f64 = 0.01;
 
-/// The state on which placement rules.
+/// The state that the placement rules read.
 pub struct Fleet {
     pub config: SchedulerConfig,
     pub rng: Rng,
@@ -33,15 +34,15 @@
     pub gate: CrossCellGate,
     pub waits: WaitTimes,
     pub prefixes: PrefixPopularity,
-    /// The part of all attempts lost.
+    /// The part of attempts that are lost at all workers together.
     pub losses: LossRates,
     slow_start: SlowStart,
-    /// Workers that are in a backoff or suspected.
+    /// The workers that are in a backoff or suspected.
     watched: BTreeSet<WorkerId>,
 }
 
 impl Fleet {
-    /// No workers yet.
+    /// Creates a fleet without workers.
     pub fn new(config: SchedulerConfig, seed: u64, now: TenthMillis) -> Fleet {
         Fleet {
             rng: Rng::new(seed),
@@ -58,21 +59,21 @@
         }
     }
 
-    /// A full snapshot of the endpoint list begins: workers that it does not name are removed.
+    /// Begins a full snapshot of the endpoint list: workers that it does not name are removed.
     pub fn begin_endpoint_snapshot(&mut self) {
         for worker in self.workers.values_mut() {
             worker.endpoint.status = EndpointStatus::Removed;
         }
     }
 
-    /// Takes in one endpoint; one whose kind the configuration does not name is ignored.
+    /// Adds or updates one endpoint. Ignores one whose kind is not in the configuration.
     pub fn update_endpoint(&mut self, now: TenthMillis, endpoint: Endpoint) {
         let Some(&role) = self.config.role_by_kind.get(usize::from(endpoint.kind)) else { return };
         let worker = self.workers.entry(endpoint.worker).or_insert_with(|| Worker::new(now, endpoint, role));
         worker.update_endpoint(endpoint, role);
     }
 
-    /// Rebuilds what is derived from the endpoint list.
+    /// Rebuilds the indices that are derived from the endpoint list.
     pub fn rebuild_registry(&mut self) {
         let mut workers: Vec<&Worker> = self.workers.values().collect();
         workers.sort_unstable_by_key(|worker| worker.id());
@@ -81,17 +82,17 @@
         self.registry = WorkerRegistry::new(endpoints, shares);
     }
 
-    /// The cell of a worker, if it was ever listed.
+    /// Returns the cell of a worker; None if the endpoint list never named it.
     pub fn cell_of(&self, worker: WorkerId) -> Option<u16> {
         self.workers.get(&worker).map(|worker| worker.endpoint.cell)
     }
 
-    /// A request arrived whose prompt begins with a prefix, 0 for none.
+    /// Records the arrival of a request whose prompt begins with a prefix, 0 for none.
     pub fn record_prefix(&mut self, now: TenthMillis, prefix: u64) {
         self.prefixes.add(now, RATE_TIME_CONSTANT, prefix, FORGET_PREFIX_AT);
     }
 
-    /// An attempt was sent, which adds to what the worker reported.
+    /// Records that an attempt was sent, and adds its load to the load that the worker reported.
     pub fn record_sent(&mut self, now: TenthMillis, worker: WorkerId, stage: Stage, prompt_tokens: f64) {
         let load = self.config.load_of(prompt_tokens);
         let Some(worker) = self.workers.get_mut(&worker) else { return };
@@ -99,7 +100,7 @@
         self.slow_start.record_sent(now, stage);
     }
 
-    /// A response began, or a prefill completed.
+    /// Records that a response began or a prefill completed.
     pub fn record_answer(&mut self, now: TenthMillis, class: u8, attempt: &Attempt, stage: Stage) {
         let wait = now - attempt.sent_at;
         self.waits.record(now, stage, class, wait as f64);
@@ -110,22 +111,22 @@
         worker.record_answer(now, wait);
     }
 
-    /// An attempt was lost; a health check tells whether the whole worker is dead.
+    /// Records a lost attempt, and suspects its worker.
     pub fn record_loss(&mut self, now: TenthMillis, class: u8, worker: WorkerId) {
         self.losses.record(now, class, true);
-        let Some(lost_there) = self.workers.get_mut(&worker) else { return };
-        lost_there.losses.record(now, class, true);
+        let Some(state) = self.workers.get_mut(&worker) else { return };
+        state.losses.record(now, class, true);
         self.suspect(worker);
     }
 
-    /// Has a health check tell whether the whole worker is dead.
+    /// Marks a worker as suspected: a health check is to find out whether the whole worker is dead.
     pub fn suspect(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.suspected = true;
         self.watched.insert(id);
     }
 
-    /// An attempt finished; `request` has taken note of it already.
+    /// Records how an attempt finished. [`RequestState::finish_attempt`] is called before.
     pub fn record_outcome(
         &mut self,
         now: TenthMillis,
@@ -144,15 +145,15 @@
             AttemptOutcome::Rejected => {
                 worker.record_rejection(now);
                 if attempt.stage == Stage::Prefill {
-                    // A full prefill worker counts as a wait of the whole allowance.
+                    // A rejection by a full prefill worker counts as a wait of the whole latency objective.
                     self.waits.record(now, Stage::Prefill, class, request.ttft_allowance() as f64);
                 }
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
-                // Exception to the backoff: a connection may break by itself, so that the first time a health check
-                // tells at once.
-                let checks_at_once = worker.backoff.is_first() && self.config.health_checks_enabled;
-                let jitter = if checks_at_once { 0.0 } else { 1.0 + self.rng.unit() };
+                // Exception to the backoff: a connection may break while its worker is healthy. After the first
+                // failure in a row the backoff is empty, so a health check follows at once.
+                let check_at_once = worker.backoff.is_first() && self.config.health_checks_enabled;
+                let jitter = if check_at_once { 0.0 } else { 1.0 + self.rng.unit() };
                 worker.backoff.start(now, jitter);
                 self.watched.insert(attempt.worker);
             }
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A worker answered a reservation.
+    /// Records a worker's answer to a reservation request.
     pub fn record_reservation_answer(&mut self, now: TenthMillis, worker: WorkerId, granted: bool) {
         let Some(worker) = self.workers.get_mut(&worker) else { return };
         if granted {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// A health check finished.
+    /// Records the result of a health check.
     pub fn record_health_check(&mut self, now: TenthMillis, id: WorkerId, healthy: bool) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let check = std::mem::take(&mut worker.health_check);
@@ -188,10 +189,10 @@
         }
     }
 
-    /// A worker that was checked reported how much it works on or has waiting.
+    /// Records the load that a worker reported in a health check.
     pub fn record_load_report(&mut self, now: TenthMillis, worker: WorkerId, load: f64) {
-        // Exception to reservations: where none may be asked for, prompts that wait at a decode worker are its
-        // rejection.
+        // Exception to reservations: where they are disabled, too many prompt tokens waiting at a decode worker
+        // count as its rejection.
         let is_full = !self.config.reservations_enabled && self.config.load_in_tokens && load > SPILL_TOKENS;
         let Some(worker) = self.workers.get_mut(&worker) else { return };
         worker.record_load_report(now, load);
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Marks a load query as out; false if a health check is out already or the worker is not available.
+    /// Marks a load query as in progress at a worker. Returns false, and changes nothing, if a health check is in
+    /// progress there already or the worker is not available.
     pub fn begin_load_query(&mut self, worker: WorkerId) -> bool {
         let Some(worker) = self.workers.get_mut(&worker) else { return false };
         if worker.health_check != HealthCheck::None || !worker.is_available() {
@@ -210,13 +212,14 @@
         true
     }
 
-    /// The workers that are in a backoff.
+    /// Returns the workers that are in a backoff.
     pub fn in_backoff(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.watched.iter().copied().filter(|id| self.workers[id].backoff.is_active())
     }
 
-    /// Brings workers back whose backoff is over, or marks a health check as out where such are made, also of those
-    /// that are suspected. The workers to check are returned.
+    /// Returns the workers whose health is to be checked, and marks the check as in progress: those whose backoff
+    /// has elapsed and those that are suspected. Where health checks are disabled, puts workers back in service
+    /// when their backoff has elapsed, and returns none.
     pub fn review_watched(&mut self, now: TenthMillis) -> Vec<WorkerId> {
         let mut to_check = vec![];
         for id in &self.watched {
@@ -224,14 +227,14 @@
             if worker.endpoint.status == EndpointStatus::Removed {
                 continue;
             }
-            let backoff_over = worker.backoff.has_elapsed(now);
+            let backoff_elapsed = worker.backoff.has_elapsed(now);
             if !self.config.health_checks_enabled {
-                if backoff_over {
+                if backoff_elapsed {
                     worker.recover(now);
                 }
                 continue;
             }
-            let is_due = backoff_over || worker.suspected && !worker.backoff.is_active();
+            let is_due = backoff_elapsed || worker.suspected && !worker.backoff.is_active();
             if is_due && worker.health_check == HealthCheck::None {
                 worker.health_check = HealthCheck::Probe;
                 worker.suspected = false;
@@ -242,8 +245,8 @@
         to_check
     }
 
-    /// Whether an attempt or reservation may go to a worker: chosen among all requests, or among those prefilled in
-    /// one cell.
+    /// Returns whether an attempt or reservation may go to a worker. `cell` is set if only requests that were
+    /// prefilled in that cell are considered for the worker.
     pub fn is_usable(
         &mut self,
         now: TenthMillis,
@@ -262,7 +265,7 @@
         !worker.is_warming_up(now, warm_up_time) || self.slow_start_admits(now, id, request, cell)
     }
 
-    /// Whether slow start lets a request go to a worker that is warming up.
+    /// Returns whether slow start admits a request to a worker that is warming up.
     pub fn slow_start_admits(
         &mut self,
         now: TenthMillis,
--- a/src/scheduler/load_shares.rs
+++ b/src/scheduler/load_shares.rs
@@ -1,8 +1,9 @@
 //! Each prefill worker's share of all prefills.
 //!
-//! It follows the decode capacity for each unit of prefill capacity in the worker's cell and zone, within bounds: a
-//! lone prefill worker among many decode workers would drown, and prefill workers without decode workers nearby
-//! choke their link. The algorithm is this project's own: see `docs/design.md`, "Kept, changed, and why", first row.
+//! The share grows with the ratio of decode to prefill capacity in the worker's cell and zone, within bounds.
+//! Without the upper bound, a lone prefill worker among many decode workers would be overloaded; without the
+//! ratio, prefill workers without decode workers nearby would saturate their link. The algorithm is this
+//! project's own: see `docs/design.md`, "Kept, changed, and why", first row.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +11,14 @@
 use crate::rendezvous::WeightedWorker;
 use crate::types::{EndpointStatus, Role, WorkerId};
 
-/// A worker's share differs from an even one by so much at most, which prefill workers as a whole can spare, where
-/// all have decode workers in their cell; by as much less as fewer of them have, for then most pairs go beyond the
-/// cell anyway.
+/// The largest relative difference between a worker's share and an even share, which the spare capacity of all
+/// prefill workers together covers. It applies in full if all prefill workers have decode workers in their cell,
+/// and is reduced in proportion to those that have none there, because then most pairs cross cells anyway.
 const MAX_DEVIATION: f64 = 0.5;
-/// Steps in which the shares are scaled until they fit between the two bounds; more change little.
+/// Number of iterations that scale the shares to the total size within both bounds; more iterations change little.
 const SCALING_ROUNDS: u32 = 8;
 
-/// The sizes of serving workers in a cell or zone.
+/// The total sizes of the serving workers in a cell or zone.
 #[derive(Clone, Copy, Default)]
 struct Capacity {
     prefill: f64,
@@ -39,25 +40,26 @@
     }
 }
 
-/// A prefill worker, and how much decode capacity is near it.
+/// A prefill worker with the ratio of decode to prefill capacity near it.
 struct PrefillWorker {
     id: WorkerId,
     size: f64,
+    /// Geometric mean of the ratios in the worker's cell and zone.
     nearby_decode: f64,
 }
 
-/// The serving prefill and mixed workers with their shares, in the order of `workers`.
+/// Returns the serving prefill and mixed workers with their shares, in the order of `workers`.
 pub fn prefill_shares(workers: &[&Worker]) -> Vec<WeightedWorker> {
     let prefill_workers = prefill_workers(workers);
     let total_size = prefill_workers.iter().map(|worker| worker.size).sum::<f64>();
-    let near_decode = prefill_workers.iter().filter(|worker| worker.nearby_decode > 0.0);
-    let size_near_decode = near_decode.map(|worker| worker.size).sum::<f64>();
-    let deviation = MAX_DEVIATION * size_near_decode / total_size.max(0.01);
+    let with_nearby_decode = prefill_workers.iter().filter(|worker| worker.nearby_decode > 0.0);
+    let size_with_nearby_decode = with_nearby_decode.map(|worker| worker.size).sum::<f64>();
+    let max_deviation = MAX_DEVIATION * size_with_nearby_decode / total_size.max(0.01);
     let mut scale = 1.0;
     let mut shares = vec![];
     for _ in 0..SCALING_ROUNDS {
         let share = |worker: &PrefillWorker| {
-            let factor = (worker.nearby_decode * scale).clamp(1.0 - deviation, 1.0 + deviation);
+            let factor = (worker.nearby_decode * scale).clamp(1.0 - max_deviation, 1.0 + max_deviation);
             (worker.id, worker.size * factor)
         };
         shares = prefill_workers.iter().map(share).collect();
@@ -74,11 +76,12 @@
         by_cell.entry(worker.endpoint.cell).or_default().add(worker);
         by_zone.entry(worker.endpoint.zone).or_default().add(worker);
     }
-    let that_prefill = workers.iter().filter(is_serving).filter(|worker| worker.role != Role::Decode);
+    let serving_prefill_workers =
+        workers.iter().filter(is_serving).filter(|worker| worker.role != Role::Decode);
     let prefill_worker = |worker: &&Worker| {
         let in_cell = by_cell[&worker.endpoint.cell].decode_per_prefill();
         let in_zone = by_zone[&worker.endpoint.zone].decode_per_prefill();
         PrefillWorker { id: worker.id(), size: worker.size(), nearby_decode: (in_cell * in_zone).sqrt() }
     };
-    that_prefill.map(prefill_worker).collect()
+    serving_prefill_workers.map(prefill_worker).collect()
 }
--- a/src/scheduler/lost_attempts.rs
+++ b/src/scheduler/lost_attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts whose answer never comes: when their worker is checked, when they count against it, and when they are
-//! cancelled so that others can follow.
+//! Attempts that may never be answered: when their worker's health is checked, when they count as lost at that
+//! worker, and when they are cancelled so that another attempt can follow.
 
 use super::fleet::Fleet;
 use super::outlier_detection::{loss_timeout, suspicion_age};
@@ -9,12 +9,13 @@
 use crate::types::TenthMillis;
 
 impl Fleet {
-    /// Reviews a request's attempt that may be lost; whether it is to be cancelled is returned.
+    /// Reviews a request's attempt that may be lost; returns whether it is to be cancelled.
     ///
-    /// Guards against answers that never come, of a worker or of one request class there. A health check asks about
-    /// the worker of an attempt that takes long. One that takes some times the usual wait, as slow as that may be
-    /// while little is known, counts against its worker for its class, and is cancelled where the request may run
-    /// again. Its age is a wait, too. Harms slow prefills that are taken for lost.
+    /// Guards against a worker that stops answering, for all requests or for one request class. When an attempt
+    /// takes long, its worker's health is checked. When it takes several times the usual wait, where that is
+    /// assumed to be long while little is known, it counts as lost at its worker for its class and is cancelled
+    /// if the request may run again. The timeout is then recorded as a wait, too. The drawback: slow prefills may
+    /// be taken for lost.
     pub fn review_attempt(&mut self, now: TenthMillis, request: &mut RequestState) -> bool {
         let class = request.class();
         let ttft_objective = request.ttft_allowance() as f64;
@@ -40,9 +41,9 @@
             attempt.suspected = true;
             self.suspect(attempt.worker);
         }
-        let may_follow = attempt.stage == Stage::Prefill || is_retryable;
-        let retries = may_follow && (is_lost || is_in_backoff) && has_attempts_left;
-        attempt.cancelled = self.config.cancellation_enabled && (has_ended || retries);
+        let may_retry = attempt.stage == Stage::Prefill || is_retryable;
+        let is_to_be_retried = may_retry && (is_lost || is_in_backoff) && has_attempts_left;
+        attempt.cancelled = self.config.cancellation_enabled && (has_ended || is_to_be_retried);
         attempt.cancelled
     }
 }
--- a/src/scheduler/prefill_placement.rs
+++ b/src/scheduler/prefill_placement.rs
@@ -1,5 +1,5 @@
-//! Which prefill worker a prompt goes to: prefix-affinity workers first, by rendezvous hashing with bounded load, then
-//! the least loaded by its own report.
+//! Which prefill worker a prompt goes to: rendezvous hashing with bounded load orders the workers, with those
+//! that have affinity to its prefix first; among the first few, load reports decide.
 
 use std::cmp::Reverse;
 
@@ -12,52 +12,56 @@
 use crate::rendezvous::{unit_hash, RendezvousRanking};
 use crate::types::{Role, TenthMillis, WorkerId};
 
-/// Where all workers are past the spill threshold, the least filled one takes up to so many times as many tokens.
+/// When all suitable workers are beyond [`SPILL_TOKENS`], the one with the fewest tokens takes the prompt up to
+/// this multiple of it.
 const OVERFULL_FACTOR: f64 = 2.0;
-/// One prefix may take so many times an even share of the prefills at each of its affinity workers.
+/// At each of its affinity workers, one prefix may take this multiple of an even share of all prefills.
 const PREFIX_SHARE_BOUND: f64 = 1.0;
-/// Workers, in the order of a key, that are asked for a load report before a prefill goes to one of them.
+/// Number of workers, in the order of a key, whose load reports decide which one gets a prefill.
 const LOAD_REPORT_CANDIDATES: usize = 3;
-/// By how many requests like its own another worker has to be emptier: a cached prefix saves a prefill about that
-/// much work.
+/// A worker further down the order is preferred only if its load is lower by at least this many requests of the
+/// same size, because a cached prefix saves about that much work.
 const EMPTIER_BY_REQUESTS: f64 = 1.0;
-/// How many passes the first candidate's load report is waited for, and how many any.
+/// Number of scheduling passes for which a request waits for its first candidate's load report.
 const FIRST_REPORT_PASSES: TenthMillis = 1;
+/// Number of scheduling passes for which a request waits for any candidate's load report.
 const ANY_REPORT_PASSES: TenthMillis = 3;
 
-/// The workers that a prompt may go to.
+/// The prefill workers that a prompt may go to.
 pub struct PrefillCandidates {
-    /// In the order of preference; more than one only where load reports are asked for.
+    /// In the order of preference; more than one only where load reports are enabled.
     pub workers: Vec<WorkerId>,
-    /// No prefill worker takes any more, whatever the request.
+    /// No prefill worker takes another prefill, whatever the request.
     pub exhausted: bool,
 }
 
-/// A choice by load reports.
+/// The choice of a prefill worker by load reports.
 pub struct ReportedChoice {
-    /// Workers whose load report is to be asked for.
+    /// The workers whose load reports are to be requested.
     pub to_query: Vec<WorkerId>,
-    /// The worker to send to; None while reports are awaited.
+    /// The worker to send to; None while load reports are awaited.
     pub worker: Option<WorkerId>,
 }
 
 /// How a prefill worker suits a request.
 enum Suitability {
-    /// It takes no prefill, or no decode worker grants for it.
+    /// The worker takes no prefill, or no decode worker would grant a reservation for its prefills.
     Unavailable,
-    /// It takes prefills, but not this one.
+    /// The worker takes prefills, but not of this request.
     Unsuitable,
-    /// It takes this one; with how many tokens waiting.
+    /// The worker takes this prefill. Holds the prompt tokens in flight there, this prompt included; 0 if it is
+    /// idle.
     Suitable(f64),
 }
 
-/// A request's order of prefill workers.
+/// An iteration over the prefill workers in the order in which a request prefers them.
 struct PrefillOrder {
     key: u64,
+    /// Workers that come before the key's order.
     preferred: Vec<WorkerId>,
-    /// How many of the preferred ones were taken.
+    /// How many of the preferred workers were returned.
     taken: usize,
-    /// The next rank of the key's order.
+    /// The next rank to look at in the key's order.
     next_rank: usize,
 }
 
@@ -78,7 +82,8 @@
 }
 
 impl Fleet {
-    /// The workers that a request's prompt may go to; where load reports are asked for, the first few.
+    /// Returns the workers that a request's prompt may go to: the first that suits it, or the first
+    /// [`LOAD_REPORT_CANDIDATES`] where load reports are enabled.
     pub fn prefill_candidates(&mut self, now: TenthMillis, request: &RequestState) -> PrefillCandidates {
         if self.registry.prefill_ranking.is_empty() && self.config.decode_workers_prefill {
             let worker = self.decode_worker_that_prefills(now, request);
@@ -108,7 +113,7 @@
         candidates
     }
 
-    /// Where there is no prefill worker and decode workers may prefill: the least loaded of them.
+    /// Returns the least loaded decode worker that may prefill, for a fleet without prefill workers.
     fn decode_worker_that_prefills(&mut self, now: TenthMillis, request: &RequestState) -> Option<WorkerId> {
         let idempotency = retry::idempotency(&self.config, request);
         let fits = |worker: &Worker| {
@@ -132,7 +137,8 @@
         }
         let tokens = if is_idle { 0.0 } else { load.prefill_tokens + request.new_request.prompt_tokens };
         let is_busy = !is_idle && is_slow || tokens > limit;
-        // Exception to waiting for a decode worker: a prefill worker further down whose cell grants is taken first.
+        // Exception to waiting for a decode worker: a prefill worker further down the order is chosen if a decode
+        // worker may grant a reservation for its cell.
         let cell = worker.endpoint.cell;
         if worker.role != Role::Mixed && !self.any_decode_worker_grants(now, cell, requester) {
             return Suitability::Unavailable;
@@ -143,45 +149,52 @@
         Suitability::Suitable(tokens)
     }
 
-    /// The order of prefill workers for a request, by rendezvous hashing of its prefix or session.
+    /// Returns the order of prefill workers for a request, by rendezvous hashing of its prefix or session.
     fn prefill_order(&mut self, now: TenthMillis, request: &RequestState) -> PrefillOrder {
         let new_request = &request.new_request;
         let key = new_request.placement_key();
-        // A warming worker that the request drew comes first, or its part would fall to the hash again.
+        // Warming workers that slow start admits for this request come first. Otherwise rendezvous hashing would
+        // reduce their share once more.
         let mut preferred = self.registry.warming_prefill_workers(now, self.config.warm_up_time);
         let requester = request.requester();
         preferred.retain(|id| self.slow_start_admits(now, *id, requester, None));
-        let drawn = preferred.len();
+        let warming_count = preferred.len();
         let worker_count = self.registry.prefill_ranking.len();
-        let affinity =
-            self.affinity_worker_count(now, new_request.prefix, worker_count).min(worker_count - drawn);
+        let affinity = self
+            .affinity_worker_count(now, new_request.prefix, worker_count)
+            .min(worker_count - warming_count);
         let mut next_rank = 0;
-        for id in self.registry.prefill_ranking.first(key, drawn + affinity) {
-            if preferred.len() < drawn + affinity {
+        for id in self.registry.prefill_ranking.first(key, warming_count + affinity) {
+            if preferred.len() < warming_count + affinity {
                 next_rank += 1;
-                if !preferred[..drawn].contains(&id) {
+                if !preferred[..warming_count].contains(&id) {
                     preferred.push(id);
                 }
             }
         }
-        preferred[drawn..].sort_by_cached_key(|id| Reverse(unit_hash(new_request.session, *id).to_bits()));
+        preferred[warming_count..]
+            .sort_by_cached_key(|id| Reverse(unit_hash(new_request.session, *id).to_bits()));
         PrefillOrder { key, preferred, taken: 0, next_rank }
     }
 
-    /// Exception to one affinity worker for each prefix: a prefix has as many as its part of all requests needs, less
-    /// what chance adds to it, shared out by session. Guards against a hot prefix that fills a cell.
+    /// Returns how many affinity workers a prefix has.
+    ///
+    /// Exception to one affinity worker for each prefix: a popular prefix has as many as its part of all requests
+    /// needs, and its sessions are spread over them. One standard deviation is subtracted from its count, so that
+    /// chance alone adds no workers. Guards against a hot prefix that fills a cell.
     fn affinity_worker_count(&mut self, now: TenthMillis, prefix: u64, worker_count: usize) -> usize {
         let popularity = self.prefixes.read(now, RATE_TIME_CONSTANT, prefix);
-        let sure_count = (popularity.of_prefix - popularity.of_prefix.sqrt()).max(0.0);
-        let part = sure_count / popularity.of_all.max(1.0);
-        (part * worker_count as f64 / PREFIX_SHARE_BOUND).ceil().max(1.0) as usize
+        let count_beyond_chance = (popularity.of_prefix - popularity.of_prefix.sqrt()).max(0.0);
+        let request_share = count_beyond_chance / popularity.of_all.max(1.0);
+        (request_share * worker_count as f64 / PREFIX_SHARE_BOUND).ceil().max(1.0) as usize
     }
 
-    /// Exception to the first candidate: the first than which none behind it is clearly emptier by its load report is
-    /// taken, which is asked for where that may be; none while reports are awaited.
+    /// Chooses among the candidates by their load reports, and requests the reports that are missing.
     ///
-    /// Guards against prefills that meet at one worker while others idle, where a router sees little; harms where a
-    /// worker that fails at once looks empty.
+    /// Exception to the first candidate: a later one is chosen if it is clearly emptier by its load report. No
+    /// worker is chosen while reports are awaited. Guards against prefills of several routers that meet at one
+    /// worker while others idle, where each router sees little of the load. The drawback: a worker that fails
+    /// every request at once looks empty.
     pub fn least_loaded_by_report(
         &mut self,
         now: TenthMillis,
@@ -197,13 +210,13 @@
             request.ttft_objective.min(request.idle_since + ANY_REPORT_PASSES * PASS_INTERVAL);
         let margin = EMPTIER_BY_REQUESTS * self.config.load_of(request.new_request.prompt_tokens);
         let mut best: Option<(f64, WorkerId)> = None;
-        let mut is_awaited = false;
+        let mut any_report_awaited = false;
         for id in candidates {
-            let is_enough = match best {
+            let can_stop = match best {
                 Some((least, _)) => least < margin,
-                None => is_awaited && now < first_awaited_until,
+                None => any_report_awaited && now < first_awaited_until,
             };
-            if is_enough {
+            if can_stop {
                 break;
             }
             let Some(worker) = self.workers.get(id) else { continue };
@@ -212,18 +225,20 @@
                     best = Some((load, *id));
                 }
             } else if now + PASS_INTERVAL < all_awaited_until {
-                is_awaited = true;
+                any_report_awaited = true;
                 if self.begin_load_query(*id) {
                     to_query.push(*id);
                 }
             }
         }
         let choice = best.map(|(_, id)| id).or(candidates.first().copied());
-        ReportedChoice { to_query, worker: choice.filter(|_| !is_awaited) }
+        ReportedChoice { to_query, worker: choice.filter(|_| !any_report_awaited) }
     }
 
-    /// The longest prompt that a prefill worker may still take, if a look at requests with longer ones is sure to
-    /// change nothing: no random number is drawn, and some worker, of which nothing is doubted, takes shorter ones.
+    /// Returns the length in tokens of the longest prompt that a prefill worker may still take. None if deciding
+    /// about requests with longer prompts may change something, because it may draw a random number, an idle
+    /// worker takes any prompt, or no worker is sure to be usable.
+    ///
     /// No parked request may wait longer than `longest_usable_wait` for its prefill to begin.
     pub fn longest_prompt_taken(&mut self, now: TenthMillis, longest_usable_wait: f64) -> Option<f64> {
         let mut longest: f64 = 0.0;
@@ -247,8 +262,8 @@
                 sure_worker = Some(id);
             }
         }
-        let prefills_alone = self.workers[&sure_worker?].role != Role::Mixed;
-        if prefills_alone && !self.decode_worker_surely_grants(now) {
+        let is_prefill_only = self.workers[&sure_worker?].role != Role::Mixed;
+        if is_prefill_only && !self.decode_worker_surely_grants(now) {
             return None;
         }
         Some(longest)
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one request.
+//! The state of one request.
 
 use super::outlier_detection::suspicion_age;
 use super::stage::Stage;
@@ -9,7 +9,8 @@
     WorkerId,
 };
 
-/// Part of the latency objective that the way to a first token may take before less is sent that way.
+/// The part of the latency objective that the time to a first token may use before admission control rejects
+/// requests and placement avoids a slow prefill worker.
 pub const USABLE_OBJECTIVE_SHARE: f64 = 0.5;
 
 /// A request's attempt that is in flight.
@@ -24,16 +25,16 @@
     /// The response has begun.
     pub started: bool,
     pub cancelled: bool,
-    /// Its worker was suspected for its sake.
+    /// The attempt's age has made its worker suspected.
     pub suspected: bool,
-    /// It was taken for lost.
+    /// The attempt counts as lost.
     pub lost: bool,
     /// The KV state crosses cells.
     pub cross_cell: bool,
 }
 
-/// A decode reservation: capacity asked for at a decode worker while the prompt is still prefilled (the design's
-/// place ahead).
+/// A decode reservation: capacity requested at a decode worker while the prompt is still being prefilled. The
+/// design calls it a place ahead.
 #[derive(Clone, Copy)]
 pub struct Reservation {
     pub worker: WorkerId,
@@ -45,11 +46,11 @@
 #[derive(Clone, Copy)]
 pub struct FirstRun {
     pub sent_at: TenthMillis,
-    /// The worker as it was listed then.
+    /// The worker as it was listed when the attempt was sent.
     pub endpoint: Endpoint,
 }
 
-/// For whom a worker is looked for.
+/// The request for which a worker is searched.
 #[derive(Clone, Copy)]
 pub struct Requester {
     pub id: RequestId,
@@ -60,33 +61,34 @@
 pub struct RequestState {
     pub new_request: NewRequest,
     pub arrived_at: TenthMillis,
-    /// When its first token is wanted.
+    /// The time by which the first token is wanted.
     pub ttft_objective: TenthMillis,
     pub deadline: TenthMillis,
-    /// Attempts sent.
+    /// Number of attempts sent, of both stages.
     pub attempts: u16,
+    /// The attempt in flight.
     pub attempt: Option<Attempt>,
     pub reservation: Option<Reservation>,
-    /// Decode workers asked for a reservation during this prefill.
+    /// Decode workers at which a reservation was requested during the current prefill.
     pub reservations_tried: Vec<WorkerId>,
-    /// The prefill worker that keeps its KV state.
+    /// The prefill worker that keeps the request's KV state.
     pub kv_state_at: Option<WorkerId>,
-    /// When it arrived, or its last attempt finished.
+    /// When the request arrived or its last attempt finished.
     pub idle_since: TenthMillis,
     pub first_run: Option<FirstRun>,
-    /// A KV state or reservation that is of no use any more is to be released.
+    /// A KV state or reservation that cannot be used any more is to be released.
     pub must_release: bool,
-    /// Admission control has let it in.
+    /// Admission control has decided about the request, so it is not asked again.
     pub admitted: bool,
-    /// It has its final answer, or its client is gone.
+    /// The request has its final response, or its client is gone.
     pub ended: bool,
-    /// What the accounts count it for.
+    /// What in-flight accounting currently counts for the request.
     pub occupancy: Occupancy,
     pub queue_position: QueuePosition,
 }
 
 impl RequestState {
-    /// A request that arrives now.
+    /// Creates the state of a request that arrives now.
     pub fn new(now: TenthMillis, new_request: NewRequest, class: &RequestClass) -> RequestState {
         RequestState {
             new_request,
@@ -120,17 +122,17 @@
         Requester { id: self.id(), class: self.class() }
     }
 
-    /// The time from its arrival to its latency objective.
+    /// Returns the time from the request's arrival to its latency objective.
     pub fn ttft_allowance(&self) -> TenthMillis {
         self.ttft_objective - self.arrived_at
     }
 
-    /// How long a worker may take to begin a prefill.
+    /// Returns how long a worker may take to answer before it counts as slow for this request.
     pub fn usable_wait(&self) -> f64 {
         self.ttft_allowance() as f64 * USABLE_OBJECTIVE_SHARE
     }
 
-    /// It keeps a KV state or a reservation.
+    /// Returns whether the request has a KV state or a reservation.
     pub fn holds_state(&self) -> bool {
         self.kv_state_at.is_some() || self.reservation.is_some()
     }
@@ -143,14 +145,14 @@
         self.reservation.is_some_and(|reservation| reservation.worker == worker)
     }
 
-    /// Forgets the KV state and the reservation, as the response has begun or they are released.
+    /// Forgets the KV state and the reservation, because the response has begun or they are released.
     pub fn clear_state(&mut self) {
         self.kv_state_at = None;
         self.reservation = None;
         self.must_release = false;
     }
 
-    /// Takes note of how an attempt finished and returns it; None if it is not the one in flight.
+    /// Records how an attempt finished and returns the attempt; None if it is not the one in flight.
     pub fn finish_attempt(
         &mut self,
         now: TenthMillis,
@@ -164,14 +166,15 @@
         if attempt.stage == Stage::Decode && !outcome.never_ran() && self.first_run.is_none() {
             self.first_run = Some(FirstRun { sent_at: attempt.sent_at, endpoint: attempt.endpoint });
         }
-        let confirmed_there = self.has_confirmed_reservation() && self.has_reservation_at(attempt.worker);
+        let had_confirmed_reservation =
+            self.has_confirmed_reservation() && self.has_reservation_at(attempt.worker);
         if outcome == AttemptOutcome::PrefillComplete {
             self.kv_state_at = Some(attempt.worker);
         } else if attempt.stage == Stage::Prefill
             || outcome == AttemptOutcome::StateMissing
-            || confirmed_there
+            || had_confirmed_reservation
         {
-            // The state is gone, or went ahead to a worker that failed: only a new prefill helps.
+            // The KV state is lost, or was transferred to a worker that failed: the request needs a new prefill.
             self.must_release |= self.holds_state();
             self.kv_state_at = None;
             self.reservation = None;
@@ -181,24 +184,26 @@
         Some(attempt)
     }
 
-    /// What it occupies at workers.
+    /// Returns what the request occupies at workers now.
     pub fn current_occupancy(&self) -> Occupancy {
         let attempt = self.attempt.as_ref().map(|attempt| {
-            let is_prefilled = attempt.stage == Stage::Prefill && !attempt.started;
+            let is_in_prefill = attempt.stage == Stage::Prefill && !attempt.started;
             let tokens = self.new_request.prompt_tokens;
             AttemptOccupancy {
                 worker: attempt.worker,
-                work: if is_prefilled { Work::Prefill { tokens } } else { Work::Stream },
+                work: if is_in_prefill { Work::Prefill { tokens } } else { Work::Stream },
                 awaited_since: (!attempt.started).then_some(attempt.sent_at),
             }
         });
-        // A reservation and the attempt that uses it are one stream.
+        // A reservation and the attempt that uses it count as one stream.
         let reservation = self.reservation.map(|reservation| reservation.worker);
-        let reservation = reservation.filter(|worker| attempt.is_none_or(|a| a.worker != *worker));
+        let reservation =
+            reservation.filter(|worker| attempt.is_none_or(|occupied| occupied.worker != *worker));
         Occupancy { attempt, reservation }
     }
 
-    /// Where it stands in the scheduling queue; `examined` if a pass has just decided about it.
+    /// Returns the request's position in the scheduling queue; `examined` is true if a pass has just decided
+    /// about it.
     pub fn current_queue_position(&self, config: &SchedulerConfig, examined: bool) -> QueuePosition {
         let mut position = QueuePosition::default();
         if let Some(attempt) = self.attempt.as_ref().filter(|attempt| !attempt.started) {
@@ -226,7 +231,7 @@
         position
     }
 
-    /// Until when nothing but room at a prefill worker can change what is decided about it.
+    /// Returns until when nothing but room at a prefill worker can change the decision about the request.
     fn parked_until(&self, idempotency: Idempotency) -> TenthMillis {
         let latest = self.ttft_objective.min(self.deadline);
         match (idempotency, self.first_run) {
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -1,5 +1,5 @@
-//! Decode reservations (the design's places ahead): capacity at a decode worker that is asked for while the prompt
-//! is still prefilled, and the release of KV states that find no decode worker.
+//! Decode reservations: capacity requested at a decode worker while the prompt is still being prefilled (the design
+//! calls them places ahead), and the release of KV states that find no decode worker.
 
 use super::decode_placement::DecodeScope;
 use super::fleet::Fleet;
@@ -9,35 +9,36 @@
 use super::worker::Worker;
 use crate::types::{SchedulerConfig, TenthMillis, WorkerId};
 
-/// Reservations that one prefill may ask for, over which it looks no further beyond its cell, and decode workers that
-/// are asked for a load report with it: each costs a call.
+/// After this many reservation requests, one prefill tries no further decode workers in other cells. Also the
+/// number of decode workers that are asked for a load report during one prefill. Each request costs a call.
 const MAX_CALLS_AHEAD: usize = 4;
-/// Part of the state release timeout after which a KV state that found no decode worker is released; the rest covers
-/// the time between passes.
+/// The part of the state release timeout after which a KV state without a decode worker is released; the rest of it
+/// covers the time between scheduling passes.
 const RELEASE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// What is asked of decode workers during a prefill.
+/// What to request from decode workers during a prefill.
 pub enum AskAhead {
     Nothing,
-    /// A reservation at this worker.
+    /// Request a reservation at this worker.
     Reservation(WorkerId),
-    /// How much these workers have.
+    /// Request load reports from these workers.
     LoadReports(Vec<WorkerId>),
 }
 
-/// Whether a KV state has waited for a decode worker so long that it is released.
+/// Returns whether a KV state has waited so long for a decode worker that it is to be released.
 pub fn is_state_overdue(config: &SchedulerConfig, now: TenthMillis, request: &RequestState) -> bool {
     let limit = (config.state_release_timeout as f64 * RELEASE_TIMEOUT_SHARE) as TenthMillis;
     request.idle_since + limit <= now
 }
 
 impl Fleet {
-    /// What to ask of decode workers while a request is prefilled: a reservation at the next one of the prefill
-    /// worker's cell; where none may be asked for, load reports of all.
+    /// Returns what to request from decode workers while a prompt is being prefilled: a reservation at the next
+    /// suitable one, preferably in the prefill worker's cell; where reservations are disabled, load reports of
+    /// the first [`MAX_CALLS_AHEAD`] in that cell.
     pub fn ask_ahead(&mut self, now: TenthMillis, request: &RequestState) -> AskAhead {
         let reservations_enabled = self.config.reservations_enabled;
-        let reports_tell_prompts = self.config.load_reports_enabled && self.config.load_in_tokens;
-        if request.reservation.is_some() || !reservations_enabled && !reports_tell_prompts {
+        let reports_count_tokens = self.config.load_reports_enabled && self.config.load_in_tokens;
+        if request.reservation.is_some() || !reservations_enabled && !reports_count_tokens {
             return AskAhead::Nothing;
         }
         let Some(attempt) = &request.attempt else { return AskAhead::Nothing };
--- a/src/scheduler/stage.rs
+++ b/src/scheduler/stage.rs
@@ -1,9 +1,9 @@
-//! The two stages of a request, and values kept for each.
+//! The two stages of a request, and a container with one value for each.
 
 /// A stage of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The answer is decoded; a mixed worker prefills in the same attempt.
+    /// The response is decoded. A mixed worker prefills the prompt in the same attempt.
     Decode,
     /// The prompt is prefilled.
     Prefill,
--- a/src/scheduler/wait_times.rs
+++ b/src/scheduler/wait_times.rs
@@ -1,4 +1,4 @@
-//! How long answers of each stage take, over all workers, by request class.
+//! How long attempts of each stage wait for their answer, over all workers, by request class.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use crate::ewma::EwmaMean;
 use crate::types::TenthMillis;
 
-/// How many samples of no wait at all the recent wait is weighed with: one, so that a second of some traffic
-/// outweighs it and a router that sees little forgets within a few time constants.
+/// The recent wait is averaged with this many samples of no wait. With one, a second of moderate traffic
+/// outweighs it, and a router with little traffic forgets a wait within a few time constants.
 const NO_WAIT_WEIGHT: f64 = 1.0;
-/// How many samples the wait expected beforehand counts for.
+/// The number of samples that the prior wait counts as.
 const PRIOR_WEIGHT: f64 = 1.0;
 
 /// The mean waits of both stages.
@@ -20,28 +20,29 @@
 }
 
 impl WaitTimes {
-    /// An attempt of a stage was answered, or taken for lost, after so long.
+    /// Records how long an attempt of a stage took to be answered or to count as lost.
     pub fn record(&mut self, now: TenthMillis, stage: Stage, class: u8, wait: f64) {
         self.by_stage.get_mut(stage).entry(class).or_default().add(now, WAIT_TIME_CONSTANT, wait);
     }
 
-    /// The mean wait of a stage, shrunk towards what is expected while little is known.
+    /// Returns the mean wait of a stage, shrunk towards `prior`, which prevails while there are few samples.
     pub fn expected(&mut self, now: TenthMillis, stage: Stage, class: u8, prior: f64) -> f64 {
         let mean = self.by_stage.get_mut(stage).entry(class).or_default();
         mean.shrunk(now, WAIT_TIME_CONSTANT, prior, PRIOR_WEIGHT)
     }
 
-    /// The usual way to a first token: the waits of both stages.
+    /// Returns the usual time to a first token: the sum of the mean waits of both stages.
     pub fn usual(&mut self, now: TenthMillis, class: u8) -> f64 {
         let PerStage { decode, prefill } = &mut self.by_stage;
         let means = [decode, prefill].into_iter().filter_map(|means| means.get_mut(&class));
         means.filter_map(|mean| mean.read(now, WAIT_TIME_CONSTANT)).sum()
     }
 
-    /// The same, as far as it was seen of late.
+    /// Returns the recent time to a first token: like [`WaitTimes::usual`], but falling to 0 as the samples decay.
     ///
-    /// Guards against an admission control that stays closed for want of samples, as hardly any request is sent while
-    /// it is; harms where one slow way in a lull tells of a jam that goes on.
+    /// Guards against admission control that keeps rejecting because the few requests it admits bring no new
+    /// samples. The drawback: if traffic is low and one slow request is the only sign of a lasting overload, the
+    /// sign fades.
     pub fn recent(&mut self, now: TenthMillis, class: u8) -> f64 {
         let PerStage { decode, prefill } = &mut self.by_stage;
         let means = [decode, prefill].into_iter().filter_map(|means| means.get_mut(&class));
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one worker.
+//! The state of one worker.
 
 use super::backoff::Backoff;
 use super::outlier_detection::LossRates;
@@ -7,55 +7,56 @@
 use crate::in_flight::Load;
 use crate::types::{Endpoint, EndpointStatus, Role, TenthMillis, WorkerId};
 
-/// Prompt tokens of this router that may wait at a prefill worker before prefills spill to others; so many waiting at
-/// a decode worker that reports them count as a rejection.
+/// Number of this router's prompt tokens in flight at a prefill worker beyond which prefills spill to others. Where
+/// reservations are disabled, a decode worker that reports more waiting tokens than this counts as having rejected.
 pub const SPILL_TOKENS: f64 = 4_000.0;
-/// How long a worker's rejection holds where there is no other to ask; the design's 50 ms.
+/// How long a worker's rejection holds where no other worker can be asked: 50 ms, the design's value.
 const REJECTION_TTL: TenthMillis = 500;
 /// How long a rejection is cached where another worker can be asked: 1 s.
 const CACHED_REJECTION_TTL: TenthMillis = 10_000;
-/// How long a load report is believed, 30 ms, in which few requests arrive; longer than it is waited for, two passes.
+/// How long a load report is valid: 30 ms, in which few requests arrive. It is longer than the two scheduling
+/// passes for which reports are awaited.
 const LOAD_REPORT_TTL: TenthMillis = 300;
 
-/// What a worker last reported that it works on or has waiting.
+/// The load that a worker last reported.
 pub struct LoadReport {
     received_at: TenthMillis,
-    /// In prompt tokens or attempts, as the configuration says, with those sent since.
+    /// In prompt tokens or attempts, as configured, including what this router has sent since.
     load: f64,
 }
 
 impl Default for LoadReport {
-    /// Of a worker that never reported nothing is believed but that it is full.
+    /// Returns the report of a worker that never reported: an expired one, of an infinite load.
     fn default() -> Self {
-        // Long ago, and far enough from the least number that a time to live can be added.
+        // A time long ago, but not the minimum itself, so that arithmetic on it does not overflow.
         LoadReport { received_at: TenthMillis::MIN / 2, load: f64::INFINITY }
     }
 }
 
-/// The health check that is out at a worker.
+/// The health check that is in progress at a worker.
 #[derive(Clone, Copy, PartialEq, Eq, Default)]
 pub enum HealthCheck {
     #[default]
     None,
-    /// It decides whether the worker is in service.
+    /// A check that decides whether the worker is in service.
     Probe,
-    /// It only asks for a load report; if it fails, a probe follows.
+    /// A check that only requests a load report. If it fails, a probe follows.
     LoadQuery,
 }
 
-/// One worker's state.
+/// The state of one worker.
 pub struct Worker {
     pub endpoint: Endpoint,
     pub role: Role,
-    /// Attempts answered since it started or came back, by which its trickle widens.
+    /// Number of attempts answered since the worker started or recovered; each lets its trickle carry one more.
     pub answers: u32,
-    /// When it started or came back from a backoff; 0 for long ago.
+    /// When the worker started or recovered from a backoff; 0 for long ago.
     pub in_service_since: TenthMillis,
     pub backoff: Backoff,
-    /// A probe is to tell whether the whole worker is dead.
+    /// A probe is to find out whether the whole worker is dead.
     pub suspected: bool,
     pub health_check: HealthCheck,
-    /// The part of attempts lost there.
+    /// The part of attempts that are lost at the worker.
     pub losses: LossRates,
     response_wait: EwmaMean,
     rejected_at: TenthMillis,
@@ -63,7 +64,7 @@
 }
 
 impl Worker {
-    /// A worker that the endpoint list names for the first time.
+    /// Creates the state of a worker that the endpoint list names for the first time.
     pub fn new(now: TenthMillis, endpoint: Endpoint, role: Role) -> Worker {
         Worker {
             endpoint,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes over what the endpoint list says now; another start time is another incarnation.
+    /// Updates the worker's entry in the endpoint list. A different start time means that the worker restarted.
     pub fn update_endpoint(&mut self, endpoint: Endpoint, role: Role) {
         if self.endpoint.start_time != endpoint.start_time {
             self.answers = 0;
@@ -91,83 +92,85 @@
         self.role = role;
     }
 
-    /// It is serving and not in a backoff.
+    /// Returns whether the worker is serving and not in a backoff.
     pub fn is_available(&self) -> bool {
         self.endpoint.status == EndpointStatus::Serving && !self.backoff.is_active()
     }
 
-    /// Its process started less than `warm_up_time` ago.
+    /// Returns whether the worker's process started less than `warm_up_time` ago.
     pub fn is_warming_up(&self, now: TenthMillis, warm_up_time: TenthMillis) -> bool {
         self.endpoint.start_time > 0 && now - self.endpoint.start_time < warm_up_time
     }
 
-    /// Its size, such that it can be divided by.
+    /// Returns the worker's size, at least 0.01 so that it can be a divisor.
     pub fn size(&self) -> f64 {
         self.endpoint.size.max(0.01)
     }
 
-    /// Returns from a backoff through a trickle: the cap on what is in flight starts anew.
+    /// Ends the worker's backoff and restarts its trickle, the cap on what is in flight there.
     pub fn recover(&mut self, now: TenthMillis) {
         self.backoff.end();
         self.answers = 0;
         self.in_service_since = now;
     }
 
-    /// An attempt of a stage was answered after so long.
+    /// Records that an attempt was answered after `wait`.
     pub fn record_answer(&mut self, now: TenthMillis, wait: TenthMillis) {
         self.response_wait.add(now, WAIT_TIME_CONSTANT, wait as f64);
         self.backoff.reset();
     }
 
-    /// How long answers take there, of late or by the oldest that is awaited.
+    /// Returns how long answers take at the worker: the recent mean, or the age of the oldest unanswered attempt
+    /// if that is longer.
     pub fn response_wait(&mut self, now: TenthMillis, load: &Load) -> f64 {
         let mean = self.response_wait.read(now, WAIT_TIME_CONSTANT).unwrap_or(0.0);
         mean.max((now - load.oldest_awaited(now)) as f64)
     }
 
-    /// It rejected an attempt or a reservation.
+    /// Records that the worker rejected an attempt or a reservation.
     pub fn record_rejection(&mut self, now: TenthMillis) {
         self.rejected_at = now;
     }
 
-    /// It granted a reservation: an earlier rejection holds no more.
+    /// Forgets an earlier rejection, because the worker granted a reservation.
     pub fn clear_rejection(&mut self, now: TenthMillis) {
         self.rejected_at = now - CACHED_REJECTION_TTL;
     }
 
-    /// Its last answer on a reservation, or to an attempt, was a rejection a moment ago.
+    /// Returns whether the worker rejected an attempt or a reservation less than [`REJECTION_TTL`] ago.
     pub fn has_just_rejected(&self, now: TenthMillis) -> bool {
         now < self.rejected_at + REJECTION_TTL
     }
 
-    /// The same, as long as it is cached where another worker can be asked.
+    /// Returns whether the worker rejected an attempt or a reservation less than [`CACHED_REJECTION_TTL`] ago; for
+    /// decisions where another worker can be asked.
     pub fn has_cached_rejection(&self, now: TenthMillis) -> bool {
         now < self.rejected_at + CACHED_REJECTION_TTL
     }
 
-    /// It reported its load.
+    /// Records a load report.
     pub fn record_load_report(&mut self, now: TenthMillis, load: f64) {
         self.load_report = LoadReport { received_at: now, load };
     }
 
-    /// It answered a health check: what was believed of its load stands, also where it reported nothing that can be
-    /// read, or it would be asked again and again.
+    /// Extends the validity of the known load, because the worker answered a health check. This holds also if the
+    /// answer had no readable load report; otherwise the worker would be asked again and again.
     pub fn renew_load_report(&mut self, now: TenthMillis) {
         self.load_report.received_at = now;
     }
 
-    /// An attempt went there that adds to its load.
+    /// Adds the load of an attempt that was sent to the worker.
     pub fn add_to_reported_load(&mut self, load: f64) {
         self.load_report.load += load;
     }
 
-    /// Its load for its size, while the report is believed.
+    /// Returns the worker's load divided by its size; None if the report has expired.
     pub fn reported_load(&self, now: TenthMillis) -> Option<f64> {
-        let is_believed = now < self.load_report.received_at + LOAD_REPORT_TTL;
-        is_believed.then(|| self.load_report.load / self.size())
+        let is_valid = now < self.load_report.received_at + LOAD_REPORT_TTL;
+        is_valid.then(|| self.load_report.load / self.size())
     }
 
-    /// Its id.
+    /// Returns the worker's id.
     pub fn id(&self) -> WorkerId {
         self.endpoint.worker
     }
