--- a/src/ewma.rs
+++ b/src/ewma.rs
@@ -1,11 +1,11 @@
-//! Exponentially decayed sums and means, brought up to date when they are read.
+//! Exponentially decayed sums and means. The decay is applied when a value is read or added to.
 //!
-//! A reading also moves the value's own clock, and decay in two steps rounds differently from decay in one: to
-//! give the same bits, the same values must be read at the same moments.
+//! A read also stores the decayed value, and decay in two steps rounds differently from decay in one. Runs
+//! therefore give the same bits only if they read the same values at the same times.
 
 use crate::types::TenthMillis;
 
-/// A sum in which older amounts count less.
+/// An exponentially decayed sum: older amounts count less.
 #[derive(Clone, Copy, Default)]
 pub struct Ewma {
     sum: f64,
@@ -13,7 +13,7 @@
 }
 
 impl Ewma {
-    /// The sum as of `now`; what was added one `time_constant` ago counts 1/e of what it did.
+    /// Returns the sum as of `now`; an amount that was added one `time_constant` ago counts 1/e of its value.
     pub fn read(&mut self, now: TenthMillis, time_constant: TenthMillis) -> f64 {
         if now > self.updated_at {
             self.sum *= (-((now - self.updated_at) as f64) / time_constant.max(1) as f64).exp();
@@ -29,7 +29,7 @@
     }
 }
 
-/// A mean in which older samples weigh less.
+/// An exponentially decayed mean: older samples weigh less.
 #[derive(Clone, Copy, Default)]
 pub struct EwmaMean {
     total: Ewma,
@@ -37,7 +37,7 @@
 }
 
 impl EwmaMean {
-    /// Samples that have decayed to less than this count as none.
+    /// If the decayed count of samples is this or less, the mean counts as having no samples.
     const MIN_COUNT: f64 = 1e-6;
 
     /// Adds a sample as of `now`.
@@ -46,20 +46,20 @@
         self.count.add(now, time_constant, 1.0);
     }
 
-    /// The decayed sum of the samples and how many there are, as of `now`.
+    /// Returns the decayed sum of the samples and their decayed count, as of `now`.
     pub fn sums(&mut self, now: TenthMillis, time_constant: TenthMillis) -> (f64, f64) {
         let total = self.total.read(now, time_constant);
         let count = self.count.read(now, time_constant);
         (total, count)
     }
 
-    /// The mean, shrunk towards `prior` as if that had been sampled `weight` times just now.
+    /// Returns the mean, shrunk towards `prior` as if `prior` had been sampled `weight` times just now.
     pub fn shrunk(&mut self, now: TenthMillis, time_constant: TenthMillis, prior: f64, weight: f64) -> f64 {
         let (total, count) = self.sums(now, time_constant);
         (total + weight * prior) / (count + weight)
     }
 
-    /// The mean; None until there is a sample, and again once all have decayed to nothing.
+    /// Returns the mean; None while there is no sample, and again once all samples have decayed away.
     pub fn read(&mut self, now: TenthMillis, time_constant: TenthMillis) -> Option<f64> {
         let count = self.count.read(now, time_constant);
         if count <= Self::MIN_COUNT {
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! What this router has in flight at each worker, accounted as it changes. It decides nothing.
+//! In-flight accounting: what this router has in flight at each worker, updated as it changes. This module makes no
+//! decisions.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -6,33 +7,33 @@
 
 use crate::types::{RequestId, TenthMillis, WorkerId};
 
-/// What one attempt or reservation keeps busy at a worker.
+/// The work that one attempt or reservation causes at a worker.
 #[derive(Clone, Copy)]
 pub enum Work {
-    /// A prompt of so many tokens is prefilled.
+    /// The prefill of a prompt.
     Prefill {
-        /// The prompt's tokens.
+        /// The length of the prompt in tokens.
         tokens: f64,
     },
-    /// A response is awaited or streams, or a decode reservation is held or asked for.
+    /// A response that is awaited or streaming, or a decode reservation that is held or requested.
     Stream,
 }
 
 /// This router's load at one worker.
 #[derive(Default)]
 pub struct Load {
-    /// Prompts being prefilled.
+    /// Number of prompts being prefilled.
     pub prefills: u32,
-    /// Their tokens.
+    /// Number of tokens of these prompts.
     pub prefill_tokens: f64,
-    /// Responses awaited or streaming, and decode reservations.
+    /// Number of responses that are awaited or streaming, and of decode reservations.
     pub streams: u32,
-    /// Attempts that have not begun to answer, by when they were sent.
+    /// Attempts that have not been answered yet, ordered by the time at which they were sent.
     pub awaited: BTreeSet<(TenthMillis, RequestId)>,
 }
 
 impl Load {
-    /// Since when an answer has been awaited longest; `now` if none is.
+    /// Returns when the oldest unanswered attempt was sent; `now` if there is none.
     pub fn oldest_awaited(&self, now: TenthMillis) -> TenthMillis {
         self.awaited.first().map_or(now, |(sent_at, _)| now.min(*sent_at))
     }
@@ -51,7 +52,7 @@
         match work {
             Work::Prefill { tokens } => {
                 self.prefills -= 1;
-                // Guards against what rounding leaves.
+                // Sets the sum to 0 when nothing is left, so that rounding errors do not accumulate.
                 self.prefill_tokens = if self.prefills == 0 { 0.0 } else { self.prefill_tokens - tokens };
             }
             Work::Stream => self.streams -= 1,
@@ -59,28 +60,29 @@
     }
 }
 
-/// What a request's attempt occupies.
+/// The work of a request's attempt at its worker.
 #[derive(Clone, Copy)]
 pub struct AttemptOccupancy {
-    /// The worker that it was sent to.
+    /// The worker that the attempt was sent to.
     pub worker: WorkerId,
-    /// What it does there.
+    /// The work that the attempt causes there.
     pub work: Work,
-    /// When it was sent, while its answer is awaited.
+    /// When the attempt was sent; None once it has been answered.
     pub awaited_since: Option<TenthMillis>,
 }
 
-/// What a request occupies at workers.
+/// All that a request occupies at workers.
 #[derive(Clone, Copy, Default)]
 pub struct Occupancy {
     /// The attempt in flight.
     pub attempt: Option<AttemptOccupancy>,
-    /// The decode worker at which it has a reservation, or has asked for one.
+    /// The decode worker at which the request holds a reservation, or has requested one.
     pub reservation: Option<WorkerId>,
 }
 
-/// The accounts of all workers. They are exact after [`InFlight::settle`] and what is added after it; within a
-/// scheduling pass, new work counts provisionally and finished requests still count.
+/// The accounts of all workers. They are exact at the start of a scheduling pass, after [`InFlight::settle`] and
+/// the updates that follow it. Within a pass, new work is counted provisionally and finished requests still
+/// count.
 #[derive(Default)]
 pub struct InFlight {
     loads: HashMap<WorkerId, Load, FixedState>,
@@ -89,28 +91,28 @@
 }
 
 impl InFlight {
-    /// The load at a worker.
+    /// Returns this router's load at a worker.
     pub fn at(&mut self, worker: WorkerId) -> &mut Load {
         self.loads.entry(worker).or_default()
     }
 
-    /// Counts an attempt or reservation within a pass, until [`InFlight::settle`].
+    /// Counts a new attempt or reservation provisionally, until [`InFlight::settle`].
     pub fn add_provisional(&mut self, worker: WorkerId, work: Work) {
         self.at(worker).add(work);
         self.provisional.push((worker, work));
     }
 
-    /// How many attempts and reservations count provisionally.
+    /// Returns how many attempts and reservations are counted provisionally.
     pub fn provisional_count(&self) -> usize {
         self.provisional.len()
     }
 
-    /// A request is over; what it occupied still counts until [`InFlight::settle`].
+    /// Records that a request has ended; what it occupied still counts until [`InFlight::settle`].
     pub fn finish(&mut self, id: RequestId, occupancy: Occupancy) {
         self.finished.push((id, occupancy));
     }
 
-    /// Takes off what counted provisionally and what finished requests occupied.
+    /// Subtracts what was counted provisionally and what finished requests occupied.
     pub fn settle(&mut self) {
         for (worker, work) in std::mem::take(&mut self.provisional) {
             self.at(worker).remove(work);
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Counts what a request occupies.
+    /// Adds what a request occupies.
     pub fn add(&mut self, id: RequestId, occupancy: Occupancy) {
         if let Some(attempt) = occupancy.attempt {
             let load = self.at(attempt.worker);
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Takes off what a request occupied.
+    /// Subtracts what a request occupied.
     pub fn remove(&mut self, id: RequestId, occupancy: Occupancy) {
         if let Some(attempt) = occupancy.attempt {
             let load = self.at(attempt.worker);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Tideroute: routing decisions for language-model servers that prefill and decode in two stages.
+//! Tideroute: routing decisions for language-model servers that prefill prompts and decode responses in two stages.
 //!
-//! [`scheduler::Scheduler`] takes events, with the time at which each happened, and hands out actions. It does no
-//! I/O and reads no clock, so that the same events and seed always give the same actions. [`types`] holds what goes
-//! in and out; the reasons for each rule are in `docs/design.md`.
+//! [`scheduler::Scheduler`] receives events, each with the time at which it happened, and returns actions. It
+//! does no I/O and reads no clock, so the same events and seed always give the same actions. [`types`] defines
+//! its input and output; the reasons for each rule are in `docs/design.md`.
 #![warn(missing_docs)]
 
 pub mod ewma;
--- a/src/prefix_popularity.rs
+++ b/src/prefix_popularity.rs
@@ -1,5 +1,5 @@
-//! How often each prompt prefix came lately, among all requests. It decides nothing: the time constant, and what is
-//! too rare to be kept, come with each call.
+//! Counts how often each prompt prefix occurred recently among all requests. This module makes no decisions:
+//! callers pass the time constant and the count at which a prefix is forgotten.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +8,24 @@
 
 /// Decayed counts of requests.
 pub struct Popularity {
-    /// Those with the prefix.
-    pub of_prefix: f64,
-    /// All.
-    pub of_all: f64,
+    /// The requests with the prefix.
+    pub prefix_count: f64,
+    /// All requests.
+    pub total_count: f64,
 }
 
-/// Counts requests by prefix.
+/// Decayed counts of requests by prompt prefix.
 #[derive(Default)]
 pub struct PrefixPopularity {
     by_prefix: BTreeMap<u64, Ewma>,
     all: Ewma,
-    /// More prefixes than this are searched for those that came too rarely.
+    /// When there are more prefixes than this, the rare ones are removed.
     sweep_above: usize,
 }
 
 impl PrefixPopularity {
-    /// Counts a request; prefix 0 stands for none and counts among all alone. Prefixes whose count has decayed to
-    /// `forget_at` or less start anew.
+    /// Counts a request. Prefix 0 means none; such a request counts only among all requests. A prefix whose count
+    /// has decayed to `forget_at` or less starts again from zero.
     pub fn add(&mut self, now: TenthMillis, time_constant: TenthMillis, prefix: u64, forget_at: f64) {
         self.all.add(now, time_constant, 1.0);
         if prefix == 0 {
@@ -42,10 +42,11 @@
         }
     }
 
-    /// The counts as of `now`.
+    /// Returns the counts for a prefix as of `now`.
     pub fn read(&mut self, now: TenthMillis, time_constant: TenthMillis, prefix: u64) -> Popularity {
-        let of_prefix = self.by_prefix.get_mut(&prefix).map_or(0.0, |count| count.read(now, time_constant));
-        let of_all = self.all.read(now, time_constant);
-        Popularity { of_prefix, of_all }
+        let prefix_count =
+            self.by_prefix.get_mut(&prefix).map_or(0.0, |count| count.read(now, time_constant));
+        let total_count = self.all.read(now, time_constant);
+        Popularity { prefix_count, total_count }
     }
 }
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,23 +1,25 @@
-//! Weighted rendezvous hashing: prefill workers in the order in which a key prefers them. Most requests look at the
-//! first few only, so these are sorted alone and cached until the workers or their shares change.
+//! Weighted rendezvous hashing: orders the prefill workers for each key. Most requests look only at the first few
+//! workers of an order, so only these are sorted. They are cached until the workers or their shares change.
 
 use std::collections::HashMap;
 
 use crate::types::WorkerId;
 
-/// How many of an order are sorted before more are asked for: a prefix's affinity workers and a few to spill to.
+/// Number of workers of an order that are sorted at first: the affinity workers of a prefix and a few to spill
+/// to. If a caller needs more, the whole order is sorted.
 const SORTED_FIRST: usize = 16;
-/// Keys whose order is cached; past it all are forgotten. Whole orders of 1,200 workers take 5 MB.
+/// Maximum number of keys whose order is cached; when it is reached, the cache is cleared. If all of them are whole
+/// orders of 1,200 workers, the cache takes 5 MB.
 const MAX_CACHED_KEYS: usize = 2_048;
 
-/// A worker and the weight with which keys prefer it.
+/// A worker and its weight in the ranking; the probability that a key ranks it first is proportional to the weight.
 pub type WeightedWorker = (WorkerId, f64);
 
 /// The order of workers for each key.
 #[derive(Default)]
 pub struct RendezvousRanking {
     workers: Vec<WeightedWorker>,
-    /// For each key the indices of the first workers, or of all.
+    /// For each key, the indices of the first [`SORTED_FIRST`] workers or of all workers, in the key's order.
     cached_orders: HashMap<u64, Vec<u32>>,
 }
 
@@ -28,27 +30,27 @@
         self.cached_orders.clear();
     }
 
-    /// How many workers there are.
+    /// Returns the number of workers.
     pub fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether there is no worker.
+    /// Returns whether there are no workers.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
 
-    /// All workers, by id.
+    /// Returns all workers, in the order in which they were given to [`RendezvousRanking::replace`].
     pub fn all(&self) -> Vec<WorkerId> {
         self.workers.iter().map(|(id, _)| *id).collect()
     }
 
-    /// The worker at a rank, from 0, in the key's order.
+    /// Returns the worker at a rank, counted from 0, in the key's order; None beyond the last worker.
     pub fn nth(&mut self, key: u64, rank: usize) -> Option<WorkerId> {
         self.first(key, rank + 1).nth(rank)
     }
 
-    /// The first so many workers in the key's order.
+    /// Returns the first `count` workers in the key's order.
     pub fn first(&mut self, key: u64, count: usize) -> impl Iterator<Item = WorkerId> + '_ {
         let count = count.min(self.workers.len());
         if self.cached_orders.len() >= MAX_CACHED_KEYS && !self.cached_orders.contains_key(&key) {
@@ -63,7 +65,8 @@
     }
 }
 
-/// The indices of the first `count` workers in the key's order; equal scores go in the order of the list.
+/// Returns the indices of the first `count` workers in the key's order; workers with equal scores stay in the
+/// order of `workers`.
 fn sorted_indices(workers: &[WeightedWorker], key: u64, count: usize) -> Vec<u32> {
     let scores =
         workers.iter().zip(0..).map(|(&(id, weight), index)| (weight / -unit_hash(key, id).ln(), index));
@@ -77,7 +80,7 @@
     scores.into_iter().map(|(_, index)| index).collect()
 }
 
-/// A number between 0 and 1, both excluded, that depends only on the key and the worker.
+/// Returns a number between 0 and 1, both excluded, that depends only on the key and the worker.
 pub fn unit_hash(key: u64, worker: WorkerId) -> f64 {
     /// The prime of the 64-bit FNV hash.
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/src/rng.rs
+++ b/src/rng.rs
@@ -9,12 +9,12 @@
 impl Rng {
     /// Marsaglia's multiplier for a 32-bit lag-1 multiply-with-carry.
     const MULTIPLIER: u64 = 4_294_957_665;
-    /// Numbers passed over at the start, so that similar seeds give unlike sequences.
+    /// Number of values skipped at the start, so that similar seeds give unlike sequences.
     const WARM_UP_STEPS: usize = 8;
 
-    /// A generator started from a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
-        // Neither half may be zero, or the sequence would stand still.
+        // Neither half may be zero, or the generator would return the same number forever.
         let mut rng = Rng { state: (seed ^ (seed >> 29)) | 0x1_0000_0001 };
         for _ in 0..Self::WARM_UP_STEPS {
             rng.next();
@@ -29,7 +29,7 @@
         self.state as u32
     }
 
-    /// A number from 0 up to, but not including, 1.
+    /// Returns the next random number, at least 0 and less than 1.
     pub fn unit(&mut self) -> f64 {
         f64::from(self.next()) / 4_294_967_296.0
     }
--- a/src/scheduler/decode_placement.rs
+++ b/src/scheduler/decode_placement.rs
@@ -81,10 +81,10 @@
             found = self.least_loaded_decode_worker(now, requester, near.beyond(), not_rejected);
         }
         // Workers that rejected this request's reservation, or have another cached rejection, are the last choice.
-        let not_just_rejected = |worker: &Worker| !worker.has_just_rejected(now);
+        let not_recently_rejected = |worker: &Worker| !worker.has_recent_rejection(now);
         found
-            .or_else(|| self.least_loaded_decode_worker(now, requester, near, not_just_rejected))
-            .or_else(|| self.least_loaded_decode_worker(now, requester, near.beyond(), not_just_rejected))
+            .or_else(|| self.least_loaded_decode_worker(now, requester, near, not_recently_rejected))
+            .or_else(|| self.least_loaded_decode_worker(now, requester, near.beyond(), not_recently_rejected))
     }
 
     /// Returns whether an attempt may go to the worker of the request's reservation. The worker may have restarted
@@ -138,7 +138,7 @@
 
     /// Returns whether any decode worker in the cell, or in another cell if the cross-cell gate admits it, may
     /// grant a reservation.
-    pub fn any_decode_worker_grants(&mut self, now: TenthMillis, cell: u16, requester: Requester) -> bool {
+    pub fn any_decode_worker_may_grant(&mut self, now: TenthMillis, cell: u16, requester: Requester) -> bool {
         (0..self.registry.decode_workers.len()).any(|index| {
             let id = self.registry.decode_workers[index];
             let same_cell = self.workers[&id].endpoint.cell == cell;
@@ -148,15 +148,15 @@
         })
     }
 
-    /// Returns whether [`Fleet::any_decode_worker_grants`] is sure to be true for every cell and request class.
+    /// Returns whether [`Fleet::any_decode_worker_may_grant`] is sure to be true for every cell and request class.
     /// Draws no random number.
-    pub fn decode_worker_surely_grants(&mut self, now: TenthMillis) -> bool {
+    pub fn is_decode_grant_certain(&mut self, now: TenthMillis) -> bool {
         let warm_up_time = self.config.warm_up_time;
-        let is_sure = |id: &WorkerId| {
+        let is_certain = |id: &WorkerId| {
             let worker = &self.workers[id];
             !worker.has_cached_rejection(now) && !worker.is_warming_up(now, warm_up_time)
         };
-        let Some(first) = self.registry.decode_workers.iter().copied().find(is_sure) else { return false };
+        let Some(first) = self.registry.decode_workers.iter().copied().find(is_certain) else { return false };
         self.is_usable_for_all_classes(now, first) && self.gate.is_open(now)
     }
 
--- a/src/scheduler/dispatcher.rs
+++ b/src/scheduler/dispatcher.rs
@@ -6,7 +6,7 @@
 use super::admission;
 use super::fleet::Fleet;
 use super::request::{Attempt, RequestState, Reservation};
-use super::reservations::{is_state_overdue, AskAhead};
+use super::reservations::{is_state_overdue, DecodePreparation};
 use super::retry;
 use super::stage::Stage;
 use super::timing::PASS_INTERVAL;
@@ -40,7 +40,7 @@
         if request.attempt.is_none() {
             self.forward(now, request);
         } else {
-            self.ask_ahead(now, request);
+            self.prepare_decode(now, request);
         }
     }
 
@@ -121,7 +121,7 @@
             let stage = if role == Some(Role::Prefill) { Stage::Prefill } else { Stage::Decode };
             request.reservations_tried.clear();
             self.dispatch(now, request, worker, stage, false);
-            return self.ask_ahead(now, request);
+            return self.prepare_decode(now, request);
         }
         if candidates.workers.is_empty() {
             self.finish_if_hopeless(now, request);
@@ -129,11 +129,11 @@
     }
 
     /// Requests a decode reservation, or load reports, while the prompt is prefilled.
-    fn ask_ahead(&mut self, now: TenthMillis, request: &mut RequestState) {
-        match self.fleet.ask_ahead(now, request) {
-            AskAhead::Nothing => {}
-            AskAhead::LoadReports(workers) => self.query_load(workers),
-            AskAhead::Reservation(worker) => {
+    fn prepare_decode(&mut self, now: TenthMillis, request: &mut RequestState) {
+        match self.fleet.decode_preparation(now, request) {
+            DecodePreparation::Nothing => {}
+            DecodePreparation::LoadReports(workers) => self.query_load(workers),
+            DecodePreparation::Reservation(worker) => {
                 request.reservations_tried.push(worker);
                 request.reservation = Some(Reservation { worker, confirmed: false });
                 // An attempt will follow the reservation, so it counts against a warming worker's cap from now on.
--- a/src/scheduler/prefill_placement.rs
+++ b/src/scheduler/prefill_placement.rs
@@ -24,7 +24,8 @@
 const EMPTIER_BY_REQUESTS: f64 = 1.0;
 /// Number of scheduling passes for which a request waits for its first candidate's load report.
 const FIRST_REPORT_PASSES: TenthMillis = 1;
-/// Number of scheduling passes for which a request waits for any candidate's load report.
+/// A request stops waiting for load reports when the next scheduling pass would come this many pass intervals
+/// after it began to wait.
 const ANY_REPORT_PASSES: TenthMillis = 3;
 
 /// The prefill workers that a prompt may go to.
@@ -117,7 +118,7 @@
     fn decode_worker_that_prefills(&mut self, now: TenthMillis, request: &RequestState) -> Option<WorkerId> {
         let idempotency = retry::idempotency(&self.config, request);
         let fits = |worker: &Worker| {
-            !worker.has_just_rejected(now) && retry::deduplicates_at(idempotency, request, worker)
+            !worker.has_recent_rejection(now) && retry::deduplicates_at(idempotency, request, worker)
         };
         self.least_loaded_decode_worker(now, request.requester(), DecodeScope::anywhere(), fits)
     }
@@ -132,7 +133,7 @@
         let is_slow = worker.response_wait(now, load) > request.usable_wait();
         let is_idle = load.prefills == 0;
         let limit = SPILL_TOKENS * OVERFULL_FACTOR;
-        if worker.has_just_rejected(now) || !is_idle && load.prefill_tokens > limit {
+        if worker.has_recent_rejection(now) || !is_idle && load.prefill_tokens > limit {
             return Suitability::Unavailable;
         }
         let tokens = if is_idle { 0.0 } else { load.prefill_tokens + request.new_request.prompt_tokens };
@@ -140,7 +141,7 @@
         // Exception to waiting for a decode worker: a prefill worker further down the order is chosen if a decode
         // worker may grant a reservation for its cell.
         let cell = worker.endpoint.cell;
-        if worker.role != Role::Mixed && !self.any_decode_worker_grants(now, cell, requester) {
+        if worker.role != Role::Mixed && !self.any_decode_worker_may_grant(now, cell, requester) {
             return Suitability::Unavailable;
         }
         if is_busy || !retry::may_run_at(&self.config, now, request, self.workers.get(&id)) {
@@ -184,8 +185,8 @@
     /// chance alone adds no workers. Guards against a hot prefix that fills a cell.
     fn affinity_worker_count(&mut self, now: TenthMillis, prefix: u64, worker_count: usize) -> usize {
         let popularity = self.prefixes.read(now, RATE_TIME_CONSTANT, prefix);
-        let count_beyond_chance = (popularity.of_prefix - popularity.of_prefix.sqrt()).max(0.0);
-        let request_share = count_beyond_chance / popularity.of_all.max(1.0);
+        let count_beyond_chance = (popularity.prefix_count - popularity.prefix_count.sqrt()).max(0.0);
+        let request_share = count_beyond_chance / popularity.total_count.max(1.0);
         (request_share * worker_count as f64 / PREFIX_SHARE_BOUND).ceil().max(1.0) as usize
     }
 
@@ -239,13 +240,13 @@
     /// about requests with longer prompts may change something, because it may draw a random number, an idle
     /// worker takes any prompt, or no worker is sure to be usable.
     ///
-    /// No parked request may wait longer than `longest_usable_wait` for its prefill to begin.
-    pub fn longest_prompt_taken(&mut self, now: TenthMillis, longest_usable_wait: f64) -> Option<f64> {
+    /// `longest_usable_wait` is an upper bound of the usable waits of all parked requests.
+    pub fn longest_acceptable_prompt(&mut self, now: TenthMillis, longest_usable_wait: f64) -> Option<f64> {
         let mut longest: f64 = 0.0;
-        let mut sure_worker: Option<WorkerId> = None;
+        let mut certain_worker: Option<WorkerId> = None;
         for id in self.registry.prefill_ranking.all() {
             let Some(worker) = self.workers.get_mut(&id) else { continue };
-            if !worker.is_available() || worker.has_just_rejected(now) {
+            if !worker.is_available() || worker.has_recent_rejection(now) {
                 continue;
             }
             let load = self.in_flight.at(id);
@@ -256,14 +257,15 @@
             if worker.response_wait(now, load) <= longest_usable_wait {
                 longest = longest.max(room);
             }
-            let may_be_sure =
-                sure_worker.is_none() && room >= 0.0 && !worker.is_warming_up(now, self.config.warm_up_time);
-            if may_be_sure && self.is_usable_for_all_classes(now, id) {
-                sure_worker = Some(id);
+            let may_be_certain = certain_worker.is_none()
+                && room >= 0.0
+                && !worker.is_warming_up(now, self.config.warm_up_time);
+            if may_be_certain && self.is_usable_for_all_classes(now, id) {
+                certain_worker = Some(id);
             }
         }
-        let is_prefill_only = self.workers[&sure_worker?].role != Role::Mixed;
-        if is_prefill_only && !self.decode_worker_surely_grants(now) {
+        let is_prefill_only = self.workers[&certain_worker?].role != Role::Mixed;
+        if is_prefill_only && !self.is_decode_grant_certain(now) {
             return None;
         }
         Some(longest)
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -7,8 +7,9 @@
 use crate::in_flight::Load;
 use crate::types::{Endpoint, EndpointStatus, Role, TenthMillis, WorkerId};
 
-/// Number of this router's prompt tokens in flight at a prefill worker beyond which prefills spill to others. Where
-/// reservations are disabled, a decode worker that reports more waiting tokens than this counts as having rejected.
+/// Number of this router's prompt tokens in flight at a prefill worker beyond which prefills spill to others.
+/// Where reservations are disabled, a decode worker that reports a load of more tokens than this counts as having
+/// rejected.
 pub const SPILL_TOKENS: f64 = 4_000.0;
 /// How long a worker's rejection holds where no other worker can be asked: 50 ms, the design's value.
 const REJECTION_TTL: TenthMillis = 500;
@@ -26,7 +27,8 @@
 }
 
 impl Default for LoadReport {
-    /// Returns the report of a worker that never reported: an expired one, of an infinite load.
+    /// Returns the report of a worker that never reported: expired and with an infinite load, so that the worker
+    /// counts as full if a health check without a load report renews it.
     fn default() -> Self {
         // A time long ago, but not the minimum itself, so that arithmetic on it does not overflow.
         LoadReport { received_at: TenthMillis::MIN / 2, load: f64::INFINITY }
@@ -138,7 +140,7 @@
     }
 
     /// Returns whether the worker rejected an attempt or a reservation less than [`REJECTION_TTL`] ago.
-    pub fn has_just_rejected(&self, now: TenthMillis) -> bool {
+    pub fn has_recent_rejection(&self, now: TenthMillis) -> bool {
         now < self.rejected_at + REJECTION_TTL
     }
 
--- a/src/scheduling_queue.rs
+++ b/src/scheduling_queue.rs
@@ -1,5 +1,6 @@
-//! Which requests need a decision, kept as they change, so that a scheduling pass costs what happens and not what is
-//! open. It decides nothing: the scheduler says where a request stands and until when to leave it alone.
+//! The queue of requests that need a decision. It is updated as requests change, so that the cost of a scheduling
+//! pass depends on the number of changes, not on the number of open requests. This module makes no decisions: the
+//! scheduler sets each request's position and how long the request stays parked.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,22 +8,22 @@
 
 use crate::types::{RequestId, TenthMillis};
 
-/// The order in which requests are decided about: those that are prefilled first, then by latency objective.
+/// The sort key of requests that need a decision: prefilled requests come first, then earlier latency objectives.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueKey {
-    /// Nothing of it is prefilled yet.
+    /// The request has no KV state yet, so it needs a prefill.
     pub needs_prefill: bool,
-    /// When its first token is wanted.
+    /// The time by which the request's first token is wanted.
     pub ttft_objective: TenthMillis,
     /// The request.
     pub id: RequestId,
 }
 
-/// The last key of all.
+/// The greatest possible key.
 const LAST_KEY: QueueKey =
     QueueKey { needs_prefill: true, ttft_objective: TenthMillis::MAX, id: RequestId::MAX };
 
-/// Tokens of a prompt, in a total order.
+/// The length of a prompt in tokens, with a total order.
 #[derive(Clone, Copy, Default)]
 pub struct PromptTokens(pub f64);
 
@@ -46,23 +47,24 @@
 
 impl Eq for PromptTokens {}
 
-/// A request that, while no prefill worker takes any more, no pass can change before a certain time.
+/// A waiting request about which no pass can decide anything new before a certain time, as long as no prefill
+/// worker takes its prompt.
 #[derive(Clone, Copy)]
 pub struct Parked {
-    /// Until when at the latest it stays parked.
+    /// The latest time until which the request stays parked.
     pub until: TenthMillis,
-    /// Its prompt.
+    /// The length of the request's prompt.
     pub prompt: PromptTokens,
 }
 
-/// Where a request stands in the queue.
+/// The position of a request in the queue.
 #[derive(Clone, Copy, Default)]
 pub struct QueuePosition {
-    /// Set if it needs a decision.
+    /// Set if the request needs a decision.
     pub key: Option<QueueKey>,
-    /// Set if it may be left alone; only together with `key`.
+    /// Set if the request is parked; only set together with `key`.
     pub parked: Option<Parked>,
-    /// Its attempt has not begun to answer, and may count as lost from then on.
+    /// The time from which the request's attempt may count as lost; set while the attempt is unanswered.
     pub suspicious_from: Option<TenthMillis>,
 }
 
@@ -73,12 +75,14 @@
     unparked: BTreeSet<QueueKey>,
     parked_by_class: BTreeMap<u8, BTreeSet<(TenthMillis, RequestId)>>,
     parked_by_prompt: BTreeSet<(PromptTokens, QueueKey)>,
+    /// An upper bound of the usable waits of all parked requests; reset when none is parked.
     longest_usable_wait: f64,
+    /// Requests with an unanswered attempt, by the time from which it may count as lost.
     awaited: BTreeSet<(TenthMillis, RequestId)>,
 }
 
 impl SchedulingQueue {
-    /// Moves a request of a class from `position`, where it stands so far, to `new`.
+    /// Moves a request of a class from its present `position` to `new`, and stores `new` in `position`.
     pub fn reposition(&mut self, id: RequestId, class: u8, position: &mut QueuePosition, new: QueuePosition) {
         let old = std::mem::replace(position, new);
         self.remove(id, class, old);
@@ -115,60 +119,61 @@
         self.awaited.extend(new.suspicious_from.map(|at| (at, id)));
     }
 
-    /// The next after `last` of all that need a decision.
+    /// Returns the first request after `last` that needs a decision.
     pub fn next(&self, last: Option<QueueKey>) -> Option<QueueKey> {
-        self.all.range(after(last)).next().copied()
+        self.all.range(keys_after(last)).next().copied()
     }
 
-    /// The next after `last` of those that are not parked, or are in `due`.
+    /// Returns the first request after `last` that is not parked or is in `due`.
     pub fn next_unparked(&self, last: Option<QueueKey>, due: &BTreeSet<QueueKey>) -> Option<QueueKey> {
-        let unparked = self.unparked.range(after(last)).next();
-        let due = due.range(after(last)).next();
+        let unparked = self.unparked.range(keys_after(last)).next();
+        let due = due.range(keys_after(last)).next();
         unparked.into_iter().chain(due).min().copied()
     }
 
-    /// The classes of which any request was ever parked.
+    /// Returns the classes of which any request was ever parked.
     pub fn parked_classes(&self) -> Vec<u8> {
         self.parked_by_class.keys().copied().collect()
     }
 
-    /// Those of a class that are parked no longer than `until`.
+    /// Returns the requests of a class that are parked until `until` or earlier.
     pub fn parked_until(&self, class: u8, until: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
         let of_class = self.parked_by_class.get(&class).into_iter();
         of_class.flat_map(move |parked| parked.range(..=(until, RequestId::MAX)).map(|(_, id)| *id))
     }
 
-    /// Whether any request is parked.
+    /// Returns whether any request is parked.
     pub fn any_parked(&self) -> bool {
         !self.parked_by_prompt.is_empty()
     }
 
-    /// Those parked whose prompt has no more than so many tokens.
-    pub fn parked_up_to(&self, tokens: f64) -> impl Iterator<Item = QueueKey> + '_ {
+    /// Returns the parked requests whose prompt has at most `tokens` tokens.
+    pub fn parked_with_prompt_up_to(&self, tokens: f64) -> impl Iterator<Item = QueueKey> + '_ {
         self.parked_by_prompt.range(..=(PromptTokens(tokens), LAST_KEY)).map(|(_, key)| *key)
     }
 
-    /// Notes how long a parked request may wait for a prefill to begin.
-    pub fn note_usable_wait(&mut self, wait: f64) {
+    /// Records the usable wait of a parked request: how long a prefill worker may take to answer.
+    pub fn record_usable_wait(&mut self, wait: f64) {
         self.longest_usable_wait = self.longest_usable_wait.max(wait);
     }
 
-    /// No parked request may wait longer than this for a prefill to begin.
+    /// Returns an upper bound of the usable waits of all parked requests.
     pub fn longest_usable_wait(&self) -> f64 {
         self.longest_usable_wait
     }
 
-    /// Those whose attempt may count as lost by now.
+    /// Returns the requests whose attempt may count as lost by now.
     pub fn suspicious(&self, now: TenthMillis) -> impl Iterator<Item = RequestId> + '_ {
         self.awaited.range(..=(now, RequestId::MAX)).map(|(_, id)| *id)
     }
 
-    /// Whether any attempt has not begun to answer.
+    /// Returns whether any attempt is unanswered.
     pub fn any_awaited(&self) -> bool {
         !self.awaited.is_empty()
     }
 }
 
-fn after(last: Option<QueueKey>) -> (Bound<QueueKey>, Bound<QueueKey>) {
+/// Returns the range of the keys after `last`, or of all keys if it is None.
+fn keys_after(last: Option<QueueKey>) -> (Bound<QueueKey>, Bound<QueueKey>) {
     (last.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded)
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,35 +1,35 @@
-//! What goes into the scheduler and comes out of it.
+//! The types of the scheduler's input and output.
 
-/// Tenths of a millisecond: a moment on the router's clock, or a length of time.
+/// A point in time on the router's clock, or a duration, in tenths of a millisecond.
 pub type TenthMillis = i64;
 
-/// A worker's IPv4 address and port, as the wire gives them: the bytes of each in network order.
+/// A worker's IPv4 address and port, each in network byte order.
 pub type WorkerId = [u8; 6];
 
-/// A request's number, given by the scheduler's owner; unique among the open requests.
+/// The identifier of a request, assigned by the scheduler's owner; unique among the open requests.
 pub type RequestId = u64;
 
-/// What workers of one kind do.
+/// The stages that workers of one kind run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Role {
-    /// They prefill prompts and keep the KV state for a decode worker.
+    /// Prefills prompts and keeps their KV state until a decode worker fetches it.
     #[default]
     Prefill,
-    /// They fetch KV states and decode answers.
+    /// Fetches KV states and decodes responses.
     Decode,
-    /// They do both for a request in one attempt.
+    /// Prefills and decodes a request in one attempt.
     Mixed,
 }
 
 /// A worker's status in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum EndpointStatus {
-    /// It takes attempts.
+    /// The worker takes attempts.
     #[default]
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The worker finishes its attempts and takes no new ones.
     Draining,
-    /// It is no longer in the endpoint list.
+    /// The worker is no longer in the endpoint list.
     Removed,
 }
 
@@ -44,24 +44,24 @@
     Cell,
 }
 
-/// Whether a request that may have run may run again.
+/// Where and for how long a request may run again after an attempt that may have run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Idempotency {
-    /// Anywhere, at any time.
+    /// The request may run again at any worker and at any time.
     Idempotent,
-    /// Where and while its key is recognized.
+    /// The request may run again at workers that recognize its idempotency key, within a time window.
     IdempotentWithKey {
-        /// The workers that recognize it.
+        /// The workers that recognize the key.
         scope: DeduplicationScope,
-        /// For how long after the first attempt that may have run.
+        /// How long after the first attempt that may have run the key is recognized.
         window: TenthMillis,
     },
-    /// Never.
+    /// The request never runs again.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a retry may follow so long after the first attempt that may have run.
+    /// Returns whether a retry may be sent `after` this time since the first attempt that may have run.
     pub fn allows_retry_after(self, after: TenthMillis) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -70,18 +70,23 @@
         }
     }
 
-    /// Whether the worker `here` recognizes a retry of `first`: when the first attempt that may have run was sent, and
-    /// its worker as it was listed then.
-    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
-        let Some((_, there)) = first else { return true };
+    /// Returns whether the worker `endpoint` recognizes a retry. `first` describes the first attempt that may have
+    /// run: when it was sent, and its worker as it was listed then.
+    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, endpoint: &Endpoint) -> bool {
+        let Some((_, first_endpoint)) = first else { return true };
         match self {
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => there.zone == here.zone,
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => there.cell == here.cell,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => {
+                first_endpoint.zone == endpoint.zone
+            }
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => {
+                first_endpoint.cell == endpoint.cell
+            }
             _ => true,
         }
     }
 
-    /// Whether a retry is harmless wherever it runs, so that the client may be told to send the request again.
+    /// Returns whether a retry is harmless at every worker, so that the client may be told to send the request
+    /// again.
     pub fn is_safe_anywhere(self) -> bool {
         matches!(
             self,
@@ -93,30 +98,30 @@
 /// How an attempt finished.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptOutcome {
-    /// The answer was delivered.
+    /// The response was delivered.
     Completed,
-    /// The worker answered with an error.
+    /// The worker returned an error.
     ServerError,
-    /// The worker is full and has not run it.
+    /// The worker was full and did not run the attempt.
     Rejected,
-    /// There was no KV state to fetch.
+    /// The prefill worker had no KV state to fetch.
     StateMissing,
     /// The client's deadline passed.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the worker could be made.
     Unreachable,
-    /// The connection broke.
+    /// The connection to the worker broke.
     ConnectionReset,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It never left the router.
+    /// The attempt never left the router.
     NotSent,
-    /// The prompt is prefilled; its KV state waits at the prefill worker.
+    /// The prefill succeeded; the KV state waits at the prefill worker.
     PrefillComplete,
 }
 
 impl AttemptOutcome {
-    /// Its name in logs and metrics.
+    /// Returns the outcome's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Completed => "completed",
@@ -132,28 +137,28 @@
         }
     }
 
-    /// Whether it proves that no answer has begun, nor ever will.
+    /// Returns whether the outcome proves that the attempt has not begun to respond and never will.
     pub fn never_ran(self) -> bool {
         use AttemptOutcome::*;
         matches!(self, PrefillComplete | Rejected | StateMissing | Unreachable | NotSent)
     }
 }
 
-/// What holds for one class of requests.
+/// The settings of one request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Whether they may run again.
+    /// Whether requests of the class may run again.
     pub idempotency: Idempotency,
-    /// The latency objective: how long after its arrival a request's first token is wanted.
+    /// The latency objective: the wanted time from a request's arrival to its first token.
     pub ttft_objective: TenthMillis,
     /// Added to the objective for every 1,000 prompt tokens.
     pub ttft_objective_per_1000_tokens: TenthMillis,
-    /// What an answer within the objective is worth beside those of other classes.
+    /// The value of a response within the objective, relative to that of other classes.
     pub priority_weight: f64,
 }
 
 impl RequestClass {
-    /// How long after its arrival the first token of a request with so many prompt tokens is wanted.
+    /// Returns the latency objective of a request with `prompt_tokens` prompt tokens.
     pub fn ttft_objective_for(&self, prompt_tokens: f64) -> TenthMillis {
         let added = self.ttft_objective_per_1000_tokens as f64 * prompt_tokens.max(0.0) / 1000.0;
         self.ttft_objective + added as TenthMillis
@@ -163,46 +168,47 @@
 /// The configuration of a [`Scheduler`](crate::scheduler::Scheduler), fixed for its life.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulerConfig {
-    /// How many routers share the fleet.
+    /// The number of routers that share the workers.
     pub router_count: u32,
-    /// The request classes, by their number.
+    /// The request classes, indexed by their number.
     pub classes: Vec<RequestClass>,
-    /// The role of each worker kind, by its number.
+    /// The role of each worker kind, indexed by its number.
     pub role_by_kind: Vec<Role>,
-    /// Decode workers may be asked for a reservation during the prefill.
+    /// Whether reservations may be requested at decode workers during the prefill.
     pub reservations_enabled: bool,
-    /// Decode and mixed workers take whole requests where there is no prefill worker.
+    /// Whether decode workers take whole requests while no prefill or mixed worker is serving.
     pub decode_workers_prefill: bool,
-    /// Within which a KV state that nobody fetches has to be released.
+    /// The time within which a KV state that no decode worker fetches has to be released.
     pub state_release_timeout: TenthMillis,
-    /// The part of its capacity that a worker has at its start.
+    /// The part of its full capacity that a worker has when it starts.
     pub cold_capacity_share: f64,
-    /// How long after its start a worker has all its capacity.
+    /// How long after its start a worker reaches its full capacity.
     pub warm_up_time: TenthMillis,
-    /// More than so many times what it can do in the overload window pushes a warming worker over.
+    /// A warming worker is overloaded by more than this multiple of what it can do in the overload window.
     pub overload_multiple: f64,
-    /// The span in which that is counted.
+    /// The time window in which the load of a warming worker is counted.
     pub overload_window: TenthMillis,
-    /// Attempts at most for each request, of both stages.
+    /// The largest number of attempts for each request, counted over both stages.
     pub max_attempts: u16,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// Workers may be checked.
+    /// Whether the health of workers may be checked.
     pub health_checks_enabled: bool,
-    /// A worker that is checked reports its load, and prefill workers are asked before a prefill goes out.
+    /// Whether workers report their load in health checks, and prefill workers are asked for it before a prefill
+    /// is sent.
     pub load_reports_enabled: bool,
-    /// Loads are reported in prompt tokens, else in attempts.
+    /// Whether loads are reported in prompt tokens; otherwise in attempts.
     pub load_in_tokens: bool,
-    /// Changes of the endpoint list come only once they are asked for.
+    /// Whether the scheduler has to open a watch to receive changes of the endpoint list.
     pub endpoint_watch_enabled: bool,
-    /// Rejections carry a Retry-After.
+    /// Whether rejections carry a Retry-After.
     pub retry_after_enabled: bool,
     /// The longest Retry-After.
     pub max_retry_after: TenthMillis,
 }
 
 impl SchedulerConfig {
-    /// What one attempt adds to a worker's load, in the unit in which that is reported.
+    /// Returns what one attempt adds to a worker's load, in the unit of load reports.
     pub fn load_of(&self, prompt_tokens: f64) -> f64 {
         if self.load_in_tokens {
             prompt_tokens
@@ -212,44 +218,45 @@
     }
 }
 
-/// One worker as the endpoint list names it.
+/// The entry of one worker in the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// Its address.
+    /// The worker's address.
     pub worker: WorkerId,
-    /// Its kind, which gives its role.
+    /// The worker's kind, which determines its role.
     pub kind: u16,
-    /// Its capacity beside that of other workers.
+    /// The worker's capacity, relative to that of other workers.
     pub size: f64,
-    /// Whether it takes attempts.
+    /// Whether the worker takes attempts.
     pub status: EndpointStatus,
-    /// Its cell: the group of workers with fast links among them.
+    /// The worker's cell, a group of workers with fast links between them.
     pub cell: u16,
-    /// Its zone, a group of cells.
+    /// The worker's zone, a group of cells.
     pub zone: u8,
-    /// When its process last started; 0 for long ago.
+    /// When the worker's process last started; 0 for long ago.
     pub start_time: TenthMillis,
 }
 
-/// One request as it arrives.
+/// A request as it arrives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NewRequest {
-    /// Its number.
+    /// The request's identifier.
     pub id: RequestId,
-    /// The number of its class.
+    /// The number of the request's class.
     pub class: u8,
-    /// The session that it belongs to.
+    /// The session that the request belongs to.
     pub session: u64,
-    /// The prompt prefix that it shares with other requests; 0 for none.
+    /// The prompt prefix that the request shares with others; 0 for none.
     pub prefix: u64,
-    /// The length of its prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: f64,
-    /// The time from now to its deadline.
+    /// The time from the request's arrival to its deadline.
     pub remaining_time: TenthMillis,
 }
 
 impl NewRequest {
-    /// What its prefills are placed by: the prefix that it shares, or its session.
+    /// Returns the key by which prefills of the request are placed: its shared prefix, or its session if it has
+    /// none.
     pub fn placement_key(&self) -> u64 {
         if self.prefix != 0 {
             self.prefix
@@ -259,19 +266,19 @@
     }
 }
 
-/// What the scheduler wants done.
+/// An action for the scheduler's owner to carry out.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Action {
     /// Send the request's next attempt.
     Dispatch {
         /// The request.
         id: RequestId,
-        /// The worker that it goes to.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// The attempt's own timeout; 0 for none but the request's deadline.
+        /// The attempt's own timeout; 0 if only the request's deadline limits it.
         timeout: TenthMillis,
     },
-    /// Ask a decode worker for a reservation while the prompt is prefilled.
+    /// Request a reservation at a decode worker while the prompt is being prefilled.
     ReserveDecode {
         /// The request.
         id: RequestId,
@@ -283,35 +290,35 @@
         /// The request.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt of the request.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u16,
     },
-    /// Answer that the request was shed and may be sent again.
+    /// Respond to the client that the request was rejected and may be sent again.
     Reject {
         /// The request.
         id: RequestId,
-        /// After how long it may be sent again; 0 for no Retry-After.
+        /// The time after which the client may send it again; 0 for no Retry-After.
         retry_after: TenthMillis,
     },
-    /// Answer that the request failed: it may have run and cannot run again.
+    /// Respond to the client that the request failed: it may have run and must not run again.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Check a worker's health, and have it report its load where workers do.
+    /// Check a worker's health; where load reports are enabled, the worker also reports its load.
     CheckHealth {
         /// The worker.
         worker: WorkerId,
     },
-    /// Ask for the changes of the endpoint list from now on.
+    /// Open a watch on the endpoint list.
     WatchEndpoints,
     /// Call [`timer_fired`](crate::scheduler::Scheduler::timer_fired) after a delay.
     SetTimer {
-        /// From now.
+        /// The delay from now.
         delay: TenthMillis,
     },
 }
--- a/src/worker_registry.rs
+++ b/src/worker_registry.rs
@@ -1,49 +1,51 @@
-//! The endpoint list as decisions look into it, rebuilt when it changes. It decides nothing.
+//! Indices over the endpoint list for the placement rules, rebuilt when the list changes. This module makes no
+//! decisions.
 
 use std::collections::BTreeMap;
 
 use crate::rendezvous::{RendezvousRanking, WeightedWorker};
 use crate::types::{Endpoint, EndpointStatus, Role, TenthMillis, WorkerId};
 
-/// The serving workers that share one flow of work.
+/// The serving workers among which one flow of attempts is divided.
 #[derive(Default)]
 struct PeerGroup {
     serving: usize,
     total_size: f64,
-    /// The known start times of them, in order.
+    /// The known start times of these workers, sorted.
     start_times: Vec<TenthMillis>,
 }
 
-/// A worker beside those that share its flow of work.
+/// A worker's peers, which are the serving workers that share its flow of attempts, and its size among them.
 pub struct Peers {
-    /// How many are serving.
+    /// The number of serving peers.
     pub serving: f64,
-    /// How many of these are not warming up.
+    /// The number of serving peers that are not warming up.
     pub warm: f64,
-    /// The worker's size as a part of their mean, 1 at most: sizes that follow the load make idle workers look larger
-    /// than they are.
+    /// The worker's size divided by the mean size of its peers, at most 1, because sizes that follow the load
+    /// make idle workers look larger than they are.
     pub relative_size: f64,
 }
 
 /// Indices over the endpoint list.
 #[derive(Default)]
 pub struct WorkerRegistry {
-    /// Serving prefill and mixed workers, weighted by their shares of all prefills.
+    /// The serving prefill and mixed workers, weighted by their shares of all prefills.
     pub prefill_ranking: RendezvousRanking,
-    /// Of them those whose start time is known.
+    /// The workers of `prefill_ranking` whose start time is known.
     prefill_start_times: Vec<(TenthMillis, WorkerId)>,
-    /// The share of all prefills that a cell's prefill workers take.
+    /// The share of all prefills that the prefill workers of each cell take.
     prefill_share_by_cell: BTreeMap<u16, f64>,
-    /// Decode and mixed workers, by id.
+    /// The decode and mixed workers, sorted by id.
     pub decode_workers: Vec<WorkerId>,
     decode_workers_by_cell: BTreeMap<u16, Vec<WorkerId>>,
+    /// The serving prefill workers.
     prefill_peers: PeerGroup,
-    /// Decode and mixed workers.
-    other_peers: PeerGroup,
+    /// The serving decode and mixed workers.
+    decode_peers: PeerGroup,
 }
 
 impl WorkerRegistry {
-    /// Builds the indices from all workers and the prefill shares, both in order of their ids.
+    /// Builds the indices from all workers and the prefill shares, both sorted by worker id.
     pub fn new<'a>(
         workers: impl Iterator<Item = (&'a Endpoint, Role)>,
         prefill_shares: Vec<WeightedWorker>,
@@ -61,7 +63,7 @@
             *share /= total_share;
         }
         registry.prefill_peers.start_times.sort_unstable();
-        registry.other_peers.start_times.sort_unstable();
+        registry.decode_peers.start_times.sort_unstable();
         registry.prefill_ranking.replace(prefill_shares);
         registry
     }
@@ -81,7 +83,7 @@
         if endpoint.status != EndpointStatus::Serving {
             return;
         }
-        let group = if role == Role::Prefill { &mut self.prefill_peers } else { &mut self.other_peers };
+        let group = if role == Role::Prefill { &mut self.prefill_peers } else { &mut self.decode_peers };
         group.serving += 1;
         group.total_size += endpoint.size;
         if endpoint.start_time > 0 {
@@ -89,24 +91,25 @@
         }
     }
 
-    /// The share of all prefills that a cell's prefill workers take.
+    /// Returns the share of all prefills that a cell's prefill workers take.
     pub fn prefill_share(&self, cell: u16) -> f64 {
         self.prefill_share_by_cell.get(&cell).copied().unwrap_or(0.0)
     }
 
-    /// The decode and mixed workers of a cell, by id.
+    /// Returns the decode and mixed workers of a cell, sorted by id.
     pub fn decode_workers_in(&self, cell: u16) -> &[WorkerId] {
         self.decode_workers_by_cell.get(&cell).map_or(&[], Vec::as_slice)
     }
 
-    /// Prefill and mixed workers that started less than `warm_up_time` ago, by id.
+    /// Returns the serving prefill and mixed workers that started less than `warm_up_time` ago, sorted by id.
     pub fn warming_prefill_workers(&self, now: TenthMillis, warm_up_time: TenthMillis) -> Vec<WorkerId> {
         let warming =
             self.prefill_start_times.iter().filter(|(start_time, _)| now - start_time < warm_up_time);
         warming.map(|(_, id)| *id).collect()
     }
 
-    /// The serving workers that share a worker's flow: prefills alone for prefill workers, all else for the others.
+    /// Returns the peers of a worker: the serving prefill workers if it is one, else the serving decode and mixed
+    /// workers.
     pub fn peers(
         &self,
         endpoint: &Endpoint,
@@ -114,7 +117,7 @@
         now: TenthMillis,
         warm_up_time: TenthMillis,
     ) -> Peers {
-        let group = if role == Role::Prefill { &self.prefill_peers } else { &self.other_peers };
+        let group = if role == Role::Prefill { &self.prefill_peers } else { &self.decode_peers };
         let warm = group.start_times.partition_point(|start_time| now - start_time >= warm_up_time);
         let warming = group.start_times.len() - warm;
         let relative_size = endpoint.size * group.serving as f64 / group.total_size.max(0.01);
