--- a/src/types.rs
+++ b/src/types.rs
@@ -70,17 +70,13 @@
         }
     }
 
-    /// Returns whether the worker `endpoint` recognizes a retry. `first` describes the first attempt that may have
+    /// Returns whether the worker `here` recognizes a retry. `first` describes the first attempt that may have
     /// run: when it was sent, and its worker as it was listed then.
-    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, endpoint: &Endpoint) -> bool {
-        let Some((_, first_endpoint)) = first else { return true };
+    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
+        let Some((_, first)) = first else { return true };
         match self {
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => {
-                first_endpoint.zone == endpoint.zone
-            }
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => {
-                first_endpoint.cell == endpoint.cell
-            }
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => first.zone == here.zone,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => first.cell == here.cell,
             _ => true,
         }
     }
