--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A slow, plain model of what the rules allow, kept beside a scheduler that it drives and checks.
+//! A simple model of what the rules allow. It drives a scheduler and checks each of its actions.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 use tideroute::scheduler::Scheduler;
 use tideroute::types::*;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: TenthMillis = 10;
 
-/// A class of requests with this idempotency.
+/// Returns a request class with the given idempotency.
 pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         idempotency,
@@ -19,7 +19,8 @@
     }
 }
 
-/// Classes by their number: idempotent, non-idempotent, idempotent with a key within a cell, and everywhere.
+/// Returns a configuration with four request classes, by number: idempotent, non-idempotent, idempotent with a key
+/// that is recognized within a cell, and idempotent with a key that is recognized everywhere.
 pub fn config() -> SchedulerConfig {
     let nearby = Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, window: 300 * MS };
     let anywhere = Idempotency::IdempotentWithKey { scope: DeduplicationScope::All, window: 300 * MS };
@@ -55,7 +56,7 @@
     pub started: bool,
 }
 
-/// What the model knows of a request.
+/// The model's state of one request.
 #[derive(Debug)]
 pub struct OpenRequest {
     pub class: u8,
@@ -63,15 +64,15 @@
     pub deadline: TenthMillis,
     pub attempts: u16,
     pub attempt: Option<Attempt>,
-    /// When and where the first attempt was sent that may have run.
+    /// When and to which worker the first attempt was sent that may have run.
     pub first_run: Option<(TenthMillis, WorkerId)>,
-    /// The decode worker that was asked for a reservation.
+    /// The decode worker at which a reservation was requested.
     pub reserved_at: Option<WorkerId>,
-    /// The answer on the reservation is awaited.
+    /// The answer to the reservation request is awaited.
     pub reservation_pending: bool,
-    /// A KV state or a reservation is held for it.
+    /// A KV state or a reservation is held for the request.
     pub holds_state: bool,
-    /// When it arrived, or its last attempt finished.
+    /// When the request arrived or its last attempt finished.
     pub idle_since: TenthMillis,
     pub ended: bool,
 }
@@ -86,28 +87,29 @@
     }
 }
 
-/// The scheduler under test, its workers and requests.
+/// The scheduler under test with its workers and requests.
 pub struct World {
     pub scheduler: Scheduler,
     pub config: SchedulerConfig,
     pub now: TenthMillis,
     pub endpoints: BTreeMap<WorkerId, Endpoint>,
     pub requests: BTreeMap<RequestId, OpenRequest>,
-    /// Workers that are to be checked, until a test answers for them.
+    /// Workers whose health is to be checked; a test answers in their place.
     pub health_checks: Vec<WorkerId>,
     pub timers: Vec<TenthMillis>,
     pub actions: Vec<(TenthMillis, Action)>,
-    /// Attempts that each worker has answered since its start.
+    /// Number of attempts that each worker has answered since it started.
     pub answers: BTreeMap<WorkerId, u32>,
     next_id: RequestId,
 }
 
-/// Worker `n`: two cells of one prefill worker and two decode workers each.
+/// Returns the id of worker `n`.
 pub fn worker(n: u8) -> WorkerId {
     [10, 0, 0, n, 1, 0]
 }
 
-/// How the endpoint list names worker `n`.
+/// Returns the entry of worker `n` in the endpoint list. Each cell has three workers: a prefill worker (`n`
+/// divisible by 3) and two decode workers.
 pub fn endpoint(n: u8) -> Endpoint {
     Endpoint {
         worker: worker(n),
@@ -145,12 +147,12 @@
         world
     }
 
-    /// Whether the scheduler has given an action.
+    /// Returns whether the scheduler has returned an action.
     pub fn has_acted(&self, action: &Action) -> bool {
         self.actions.iter().any(|(_, given)| given == action)
     }
 
-    /// The endpoint list changes; the scheduler decides at the next call that drains its actions.
+    /// Passes a changed endpoint to the scheduler, which decides at the next call that drains its actions.
     pub fn update_endpoint(&mut self, endpoint: Endpoint) {
         let old = self.endpoints.insert(endpoint.worker, endpoint);
         if old.is_none_or(|old| old.start_time != endpoint.start_time) {
@@ -240,7 +242,7 @@
         self.drain_actions();
     }
 
-    /// Lets time pass; timers fire when due, and attempts end at their client's deadline.
+    /// Advances the time; timers fire when due, and unanswered attempts time out at their request's deadline.
     pub fn advance(&mut self, time: TenthMillis) {
         let until = self.now + time;
         loop {
@@ -277,7 +279,7 @@
         }
     }
 
-    /// Takes and checks all actions of the scheduler, then what must hold between its calls.
+    /// Takes all actions of the scheduler and checks them, then checks what must hold between its calls.
     pub fn drain_actions(&mut self) {
         while let Some(action) = self.scheduler.next_action(self.now) {
             self.check_action(action);
@@ -286,26 +288,27 @@
         for (id, request) in &self.requests {
             assert!(
                 request.ended || request.has_started() || self.now <= request.deadline,
-                "{id} lost: {request:?}"
+                "{id} is unanswered after its deadline: {request:?}"
             );
             let pinned = request.holds_state
                 && request.attempt.is_none()
                 && self.now > request.idle_since + self.config.state_release_timeout;
-            assert!(!pinned, "{id} pinned at {}: {request:?}", self.now);
-            assert!(!self.is_held_back(request), "{id} held back at {}: {request:?}", self.now);
+            assert!(!pinned, "{id} holds its state too long at {}: {request:?}", self.now);
+            assert!(!self.is_overdue_for_response(request), "{id} has no final response at {}: {request:?}", self.now);
         }
     }
 
-    /// Nothing more can come of it and it has no final answer: no attempt is left, it may not run again, or its
-    /// objective has passed while no attempt is in flight.
-    fn is_held_back(&self, request: &OpenRequest) -> bool {
+    /// Returns whether a request has no final response although it can no longer succeed: no attempt is in
+    /// flight, and no further one is allowed, or the request may not run again, or its objective or deadline has
+    /// passed.
+    fn is_overdue_for_response(&self, request: &OpenRequest) -> bool {
         let needed = if request.holds_state { 1 } else { 2 };
         let spent = request.attempts + needed > self.config.max_attempts;
         let must_not_run = request.first_run.is_some_and(|(sent_at, _)| {
             match self.config.classes[usize::from(request.class)].idempotency {
                 Idempotency::Idempotent => false,
                 Idempotency::NonIdempotent => true,
-                // The window closes between two passes.
+                // The window may close between two passes, so 10 ms are added.
                 Idempotency::IdempotentWithKey { window, .. } => self.now > sent_at + window + 10 * MS,
             }
         });
@@ -319,7 +322,7 @@
             Action::ReserveDecode { id, worker } => {
                 self.check_trickle(worker, None);
                 let status = self.endpoints[&worker].status;
-                assert_eq!(status, EndpointStatus::Serving, "reservation past a drain");
+                assert_eq!(status, EndpointStatus::Serving, "reservation at a worker that is not serving");
                 let request = self.requests.get_mut(&id).expect("known");
                 assert!(request.attempt.as_ref().is_some_and(|attempt| attempt.is_prefill));
                 request.reserved_at = Some(worker);
@@ -352,7 +355,7 @@
             !request.ended && request.attempt.is_none() && now < request.deadline,
             "{id} sent: {request:?}"
         );
-        assert_eq!(endpoint.status, EndpointStatus::Serving, "sent past a drain");
+        assert_eq!(endpoint.status, EndpointStatus::Serving, "sent to a worker that is not serving");
         assert!(request.attempts < self.config.max_attempts);
         let is_prefill = self.config.role_by_kind[usize::from(endpoint.kind)] == Role::Prefill;
         if let (Some((first_sent_at, first_worker)), false) = (request.first_run, is_prefill) {
@@ -389,7 +392,8 @@
         request.ended = true;
     }
 
-    /// Rule 4 as one router can keep it: what a warming worker has in flight stays by what it has answered.
+    /// Checks rule 4 as far as one router can keep it: a warming worker has at most two attempts in flight, and
+    /// one more for each that it has answered.
     fn check_trickle(&self, worker: WorkerId, for_request: Option<RequestId>) {
         let start_time = self.endpoints[&worker].start_time;
         if start_time == 0 || self.now - start_time >= self.config.warm_up_time {
@@ -398,11 +402,11 @@
         if for_request.is_some_and(|id| self.requests[&id].reserved_at == Some(worker)) {
             return;
         }
-        let is_there = |request: &&OpenRequest| {
+        let occupies_worker = |request: &&OpenRequest| {
             request.attempt.as_ref().is_some_and(|attempt| attempt.worker == worker)
                 || request.reserved_at == Some(worker)
         };
-        let in_flight = self.requests.values().filter(is_there).count() as u32;
+        let in_flight = self.requests.values().filter(occupies_worker).count() as u32;
         assert!(in_flight < 2 + self.answers[&worker], "{in_flight} in flight at a warming worker");
     }
 }
--- a/tests/matches_reference.rs
+++ b/tests/matches_reference.rs
@@ -1,5 +1,5 @@
-//! The scheduler against the plain reference implementation in `tests/reference`: the same events must give the same
-//! actions, each at the same call.
+//! The scheduler against the plain reference implementation in `tests/reference`: the same events must give the
+//! same actions, each at the same call.
 
 mod reference;
 
@@ -15,17 +15,18 @@
 
 const MS: TenthMillis = 10;
 
-/// Event a world is like: its sizes, and how often things go is_faulty, in percent.
+/// The parameters of a generated world: its sizes and rates, and the percentage of faults.
 #[derive(Clone, Copy, Debug)]
 struct WorldKind {
     workers: u16,
-    /// Requests a second, and times as many for a second in every four.
+    /// Requests per second.
     rate: u64,
+    /// Factor on `rate` for one second in every four.
     burst: u64,
     fault_percent: u64,
-    /// Changes of the endpoint list in ten seconds.
+    /// Number of endpoint list changes in ten seconds.
     changes: u64,
-    /// Many workers started a moment ago.
+    /// Whether many workers have just started.
     warming: bool,
     mixed: bool,
     reservations: bool,
@@ -39,7 +40,7 @@
     Arrival,
     ReservationAnswer(RequestId, bool),
     ResponseStart(RequestId, u16),
-    /// How the attempt finishes is drawn when it does.
+    /// An attempt finishes; its outcome is drawn at that time.
     AttemptEnd(RequestId, u16),
     Disconnect(RequestId),
     HealthCheckEnd(WorkerId, bool),
@@ -54,13 +55,13 @@
     started: bool,
 }
 
-/// A request without its final answer.
+/// A request that has no final response yet.
 struct OpenRequest {
     deadline: TenthMillis,
     attempt: Option<Attempt>,
 }
 
-/// Both implementations, and the world that both live in.
+/// Both implementations and the generated world that both receive events from.
 struct Pair {
     kind: WorldKind,
     rng: Rng,
@@ -71,9 +72,9 @@
     order: u64,
     endpoints: BTreeMap<WorkerId, Endpoint>,
     open: BTreeMap<RequestId, OpenRequest>,
-    /// Attempts sent for each request.
+    /// Number of attempts sent for each request.
     attempts: BTreeMap<RequestId, u16>,
-    /// How often each action was met.
+    /// How often each action occurred.
     action_counts: BTreeMap<&'static str, u64>,
 }
 
@@ -247,7 +248,7 @@
         }
     }
 
-    /// An attempt finishes, well or otherwise.
+    /// Finishes an attempt, with success or with a random fault.
     fn finish_attempt(&mut self, id: RequestId, attempt: u16) {
         let is_faulty = self.sample(100) < self.kind.fault_percent;
         let chosen = self.sample(7) as usize;
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Sends an attempt and draws what becomes of it.
+    /// Sends an attempt and draws when it starts its response or finishes.
     fn send(&mut self, id: RequestId, worker: WorkerId, is_faulty: bool) {
         let attempts = self.attempts.entry(id).or_default();
         let number = *attempts;
@@ -316,7 +317,7 @@
         let remaining = request.deadline - self.now;
         let is_prefill = self.endpoints[&worker].kind == 0;
         let wait = (5 + self.sample(if is_faulty { 2_500 } else { 120 }) as TenthMillis) * MS;
-        // One that is silent ends at the deadline.
+        // An attempt that is never answered ends at the deadline.
         let is_silent = is_faulty && self.sample(3) == 0;
         let (wait, starts) = if is_silent { (remaining, false) } else { (wait.min(remaining), !is_prefill) };
         let event = if starts { Event::ResponseStart(id, number) } else { Event::AttemptEnd(id, number) };
@@ -422,7 +423,7 @@
     }
     let names = ["send", "reserve", "cancel", "reject", "fail", "check health", "timer", "release", "watch"];
     for name in names {
-        assert!(counts.get(name).is_some_and(|times| *times > 5), "{name} is hardly met: {counts:?}");
+        assert!(counts.get(name).is_some_and(|times| *times > 5), "{name} hardly occurred: {counts:?}");
     }
 }
 
@@ -446,7 +447,8 @@
         Pair::new(kind, seed).run();
         TestResult::passed()
     }
-    // One seed: a world in which the last bits of a mean tip a decision is looked at here, not met by chance.
+    // The seed is fixed, because in rare worlds the last bits of a mean change a decision. Such a world must be
+    // examined when it is added, not found by chance.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 7))
         .tests(100)
--- a/tests/rule_safety.rs
+++ b/tests/rule_safety.rs
@@ -1,4 +1,5 @@
-//! The scheduler against the plain model of the rules, in generated worlds with a fixed seed.
+//! Runs the scheduler through generated event sequences with a fixed seed and checks it against the model of the
+//! rules in `tests/common`.
 
 mod common;
 
@@ -6,10 +7,12 @@
 use quickcheck::{Gen, QuickCheck};
 use tideroute::types::*;
 
-/// A generated step: its kind, which of the possible requests it is about, and a number that tells the rest.
+/// A generated step: its kind, the index of the request or worker that it concerns, and a number that sets the
+/// details.
 type Step = (u8, u8, u16);
 
-/// Plays a step: deaths, drains, restarts, silence, rejections, lost states, late outcomes, disconnects.
+/// Applies a step: arrivals, answers, failures, rejections, lost KV states, drains, restarts, disconnects or
+/// passing time.
 fn play(world: &mut World, (kind, which, number): Step) {
     let in_flight = world.requests.iter().filter(|(_, request)| request.attempt.is_some());
     let in_flight: Vec<RequestId> = in_flight.map(|(&id, _)| id).collect();
@@ -50,7 +53,7 @@
     }
 }
 
-/// An attempt begins to answer or finishes.
+/// Lets an attempt begin its response or finish.
 fn continue_attempt(world: &mut World, id: RequestId, number: u16) {
     let attempt = world.requests[&id].attempt.as_ref().unwrap();
     let (is_prefill, started) = (attempt.is_prefill, attempt.started);
@@ -79,7 +82,7 @@
     }
 }
 
-/// A worker's status changes, or it restarts.
+/// Changes a worker's status, or restarts it.
 fn change_endpoint(world: &mut World, which: u8, number: u16) {
     let statuses = [EndpointStatus::Serving, EndpointStatus::Draining, EndpointStatus::Removed];
     let mut changed = endpoint(which % 6);
--- a/tests/scheduling_behaviour/admission.rs
+++ b/tests/scheduling_behaviour/admission.rs
@@ -1,11 +1,11 @@
-//! Load shedding and requests that are given up.
+//! Load shedding, and waiting requests that are given up.
 
 use tideroute::types::*;
 
 use crate::common::{config, endpoint, World, MS};
 use crate::REMAINING_TIME;
 
-/// How many of a hundred requests are admitted at this moment; the clients of those that are disconnect.
+/// Returns how many of 100 requests are admitted now; the clients of the admitted requests disconnect.
 fn count_admitted(world: &mut World) -> usize {
     let mut sent = 0;
     for _ in 0..100 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_make_its_objective_is_rejected_at_once_with_retry_after() {
+fn a_request_that_cannot_meet_its_objective_is_rejected_at_once_with_retry_after() {
     let mut world = World::new(config(), 3);
     let mut removed = endpoint(0);
     removed.status = EndpointStatus::Removed;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn shedding_after_a_few_slow_answers_ends_though_nothing_new_is_measured() {
+fn shedding_after_a_few_slow_answers_ends_without_new_samples() {
     let mut world = World::new(
         SchedulerConfig { reservations_enabled: false, health_checks_enabled: false, ..config() },
         2,
@@ -70,8 +70,11 @@
     world.advance(200 * MS);
     ids.iter().for_each(|id| world.start_response(*id));
     ids.iter().for_each(|id| world.finish_attempt(*id, AttemptOutcome::Completed));
-    let soon = count_admitted(&mut world);
+    let admitted_soon = count_admitted(&mut world);
     world.advance(15_000 * MS);
     let later = count_admitted(&mut world);
-    assert!(soon < 60 && later > 95, "{soon} of 100 soon, {later} after three time constants");
+    assert!(
+        admitted_soon < 60 && later > 95,
+        "{admitted_soon} of 100 admitted soon, {later} after three time constants"
+    );
 }
--- a/tests/scheduling_behaviour/endpoint_watch.rs
+++ b/tests/scheduling_behaviour/endpoint_watch.rs
@@ -5,13 +5,13 @@
 use crate::common::{config, World, MS};
 
 #[test]
-fn a_watch_that_fails_is_opened_again() {
+fn a_failed_watch_is_reopened_after_a_delay() {
     let mut world = World::new(SchedulerConfig { endpoint_watch_enabled: true, ..config() }, 3);
-    let asked = |world: &World| world.actions.iter().filter(|d| d.1 == Action::WatchEndpoints).count();
-    assert_eq!(asked(&world), 1);
+    let count_opened = |world: &World| world.actions.iter().filter(|d| d.1 == Action::WatchEndpoints).count();
+    assert_eq!(count_opened(&world), 1);
     world.scheduler.discovery_failed(world.now);
     world.drain_actions();
-    assert_eq!(asked(&world), 1);
+    assert_eq!(count_opened(&world), 1);
     world.advance(1500 * MS);
-    assert_eq!(asked(&world), 2);
+    assert_eq!(count_opened(&world), 2);
 }
--- a/tests/scheduling_behaviour/load_reports.rs
+++ b/tests/scheduling_behaviour/load_reports.rs
@@ -1,12 +1,12 @@
-//! Placement by the load that workers report.
+//! Placement by load reports.
 
 use tideroute::types::*;
 
 use crate::common::{config, World, MS};
 use crate::{cell_of, sent_to, worker_of, REMAINING_TIME};
 
-/// Twelve workers, four of them prefill workers, whose load is asked for, and the first in the key's order, which is
-/// asked alone.
+/// Returns a world with twelve workers, four of them prefill workers, in which one request waits for load
+/// reports. Also returns the first prefill worker in the key's order, the only one that was queried.
 fn queried() -> (World, WorkerId) {
     queried_for(10.0, false)
 }
@@ -15,7 +15,7 @@
     let mut world =
         World::new(SchedulerConfig { load_reports_enabled: true, load_in_tokens: in_tokens, ..config() }, 12);
     let id = world.arrive(0, 1, prompt, REMAINING_TIME);
-    assert!(world.requests[&id].attempt.is_none(), "it waits for their reports");
+    assert!(world.requests[&id].attempt.is_none(), "the request waits for load reports");
     assert_eq!(world.health_checks.len(), 1);
     let first = world.health_checks[0];
     (world, first)
@@ -28,7 +28,7 @@
     world.drain_actions();
 }
 
-/// The queried workers report these loads, one after another; who they were is returned.
+/// Lets the queried workers report these loads one after another, and returns the workers in that order.
 fn report_all(world: &mut World, loads: &[f64]) -> Vec<WorkerId> {
     let mut order = vec![];
     for load in loads {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn without_reservations_a_state_goes_past_decode_workers_of_its_cell_that_report_waiting_prompts() {
+fn without_reservations_decode_workers_that_report_waiting_prompts_count_as_full() {
     for (reservations, waiting, near) in
         [(false, 5_000.0, false), (false, 3_000.0, true), (true, 5_000.0, true)]
     {
@@ -81,8 +81,9 @@
 }
 
 #[test]
-fn the_first_queried_prefill_worker_is_taken_unless_another_is_clearly_emptier() {
-    // Sizes are four: four attempts are one for the size. The others are asked only where that can matter.
+fn the_first_prefill_worker_is_chosen_unless_another_reports_clearly_less_load() {
+    // Each worker has size 4, so a load of 4 attempts counts as 1. The other workers are queried only if their
+    // reports can change the choice.
     let cases = [
         ([3.0, 0.0, 0.0], 0, 1),
         ([4.0, 0.0, 0.0], 1, 3),
@@ -99,8 +100,9 @@
 }
 
 #[test]
-fn loads_reported_in_tokens_are_weighed_by_the_prompt() {
-    // Sizes are four: a prompt of 600 is 150 tokens for the size, what a cached prefix is taken to save.
+fn loads_reported_in_tokens_are_compared_with_a_margin_of_the_prompt_length() {
+    // Each worker has size 4, so a load of 600 tokens counts as 150, which is the length of the prompt and so the
+    // margin.
     for (loads, taken) in [([599.0, 0.0, 0.0], 0), ([601.0, 0.0, 0.0], 1), ([2_000.0, 1_300.0, 0.0], 2)] {
         let (mut world, _) = queried_for(600.0 / 4.0, true);
         let order = report_all(&mut world, &loads);
@@ -110,27 +112,31 @@
 }
 
 #[test]
-fn a_prefill_worker_that_fails_a_load_query_is_checked_again_before_it_backs_off() {
+fn a_prefill_worker_that_fails_a_load_query_is_probed_before_its_backoff_starts() {
     let (mut world, first) = queried();
     world.health_checks.clear();
     world.scheduler.health_check_finished(world.now, first, false);
     world.drain_actions();
-    assert_eq!(world.health_checks, [first], "one that failed a load query is checked");
+    assert_eq!(world.health_checks, [first], "a worker that failed a load query is probed");
     world.advance(30 * MS);
-    assert_eq!(world.actions.iter().find_map(|(_, d)| sent_to(d)), Some(first), "and not out of service");
+    assert_eq!(
+        world.actions.iter().find_map(|(_, d)| sent_to(d)),
+        Some(first),
+        "the worker is still in service"
+    );
     world.scheduler.health_check_finished(world.now, first, false);
     world.drain_actions();
     assert!(world.actions.iter().any(|(_, d)| matches!(d, Action::CancelAttempt { .. })));
 }
 
 #[test]
-fn a_load_report_is_not_waited_for_longer_than_some_milliseconds() {
+fn a_request_waits_for_load_reports_at_most_some_milliseconds() {
     let (mut world, _) = queried();
     let order = report_all(&mut world, &[40.0, 8.0]);
-    assert_eq!(world.health_checks.len(), 1, "a third is silent");
+    assert_eq!(world.health_checks.len(), 1, "the third worker has not reported");
     world.advance(20 * MS);
     assert_eq!(world.actions.iter().find_map(|(_, d)| sent_to(d)), Some(order[1]));
-    // The first is silent: the others are asked too, and one of them is taken.
+    // The first worker does not report: the others are queried too, and one of them is chosen.
     let (mut world, first) = queried();
     world.advance(10 * MS);
     let next = world.health_checks[1];
@@ -138,14 +144,14 @@
     report(&mut world, next, 0.0);
     world.advance(20 * MS);
     assert_eq!(world.actions.iter().find_map(|(_, d)| sent_to(d)), Some(next));
-    // None reports: the first of the order is taken, as if none had been asked.
+    // No worker reports: the first of the order is chosen, as if none had been queried.
     let (mut world, first) = queried();
     world.advance(30 * MS);
     assert_eq!(world.actions.iter().find_map(|(_, d)| sent_to(d)), Some(first));
 }
 
 #[test]
-fn many_requests_at_once_do_not_all_go_to_the_worker_that_was_empty() {
+fn a_burst_does_not_all_go_to_the_worker_that_reported_no_load() {
     let (mut world, _) = queried();
     let order = report_all(&mut world, &[8.0, 40.0, 0.0]);
     for _ in 0..12 {
--- a/tests/scheduling_behaviour/main.rs
+++ b/tests/scheduling_behaviour/main.rs
@@ -1,5 +1,5 @@
-//! What the scheduler does in one small case after another, by decision: failures met on the bench or foreseen in a
-//! request's life. The model in `tests/common` checks the rules beside it.
+//! Small cases of single scheduling decisions, grouped by rule. They cover failures that were seen in benchmarks
+//! or can occur in a request's life. The model in `tests/common` checks the general rules at each step.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Carries so many requests through, one a second.
+/// Completes `count` requests, one per second.
 fn complete(world: &mut World, count: u32) {
     for _ in 0..count {
         let id = prefill(world, true);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Has a request prefilled and its reservation answered; its next attempt is then at a decode worker.
+/// Prefills a request and answers its reservation; its next attempt is then at a decode worker.
 fn prefill(world: &mut World, granted: bool) -> RequestId {
     let id = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.answer_reservation(id, granted);
--- a/tests/scheduling_behaviour/outlier_detection.rs
+++ b/tests/scheduling_behaviour/outlier_detection.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_lost_prefill_is_cancelled_and_its_worker_ejected_for_that_class_only() {
-    // Prefills are known to be quick, from another worker.
+    // Many quick prefills at another worker establish a short usual wait.
     let mut world = World::new(config(), 6);
     let (known, prefill_worker) = (worker(0), worker(3));
     let set_status =
@@ -32,7 +32,7 @@
     );
     world.finish_attempt(id, AttemptOutcome::Cancelled);
     assert_ne!(worker_of(&world, id), prefill_worker);
-    // A good health check clears the worker, but not for the class whose attempt it lost.
+    // After a successful health check the worker gets other classes, but not the class whose attempt it lost.
     world.scheduler.health_check_finished(world.now, prefill_worker, true);
     let mut to = |class| {
         let id = world.arrive(class, 1, 10.0, REMAINING_TIME);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_worker_whose_connection_broke_is_checked_at_once_and_is_back_with_the_answer() {
+fn a_worker_whose_connection_broke_is_checked_at_once_and_returns_when_healthy() {
     for outcome in [AttemptOutcome::ConnectionReset, AttemptOutcome::Unreachable] {
         for healthy in [true, false] {
             let mut world = World::new(config(), 6);
@@ -51,7 +51,7 @@
             world.finish_attempt(id, outcome);
             assert!(
                 world.health_checks == [prefill_worker] && worker_of(&world, id) != prefill_worker,
-                "out of service until it answers"
+                "the worker is out of service until it answers the health check"
             );
             world.scheduler.health_check_finished(world.now, prefill_worker, healthy);
             let next = world.arrive(0, 1, 10.0, REMAINING_TIME);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_silent_attempt_of_a_non_idempotent_request_is_not_cancelled() {
+fn an_unanswered_decode_attempt_of_a_non_idempotent_request_is_not_cancelled() {
     let mut world = World::new(config(), 6);
     let id = world.arrive(1, 1, 1000.0, 20_000 * MS);
     world.finish_attempt(id, AttemptOutcome::PrefillComplete);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_paused_worker_keeps_its_attempts() {
+fn a_worker_that_pauses_briefly_keeps_its_attempts_and_gets_new_ones() {
     let mut world = World::new(config(), 3);
     let id = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.advance(350 * MS);
@@ -84,19 +84,19 @@
 }
 
 #[test]
-fn a_long_prefill_is_not_taken_for_lost_while_little_is_known_and_its_worker_is_healthy() {
+fn a_long_prefill_does_not_count_as_lost_with_few_samples_and_a_healthy_worker() {
     let mut world = World::new(config(), 6);
     let id = world.arrive(0, 1, 10.0, REMAINING_TIME);
     let prefill_worker = worker_of(&world, id);
     world.advance(500 * MS);
-    assert_eq!(std::mem::take(&mut world.health_checks), [prefill_worker], "it is checked once");
+    assert_eq!(std::mem::take(&mut world.health_checks), [prefill_worker], "the worker is checked once");
     world.scheduler.health_check_finished(world.now, prefill_worker, true);
     world.advance(1_500 * MS);
     assert!(
         world.requests[&id].attempt.is_some()
             && !world.actions.iter().any(|(_, d)| matches!(d, Action::CancelAttempt { .. }))
     );
-    // One whose worker fails its health check is cancelled at once.
+    // An attempt whose worker fails its health check is cancelled at once.
     let id = world.arrive(0, 2, 10.0, REMAINING_TIME);
     let prefill_worker = worker_of(&world, id);
     world.advance(500 * MS);
--- a/tests/scheduling_behaviour/prefill_placement.rs
+++ b/tests/scheduling_behaviour/prefill_placement.rs
@@ -6,7 +6,7 @@
 use crate::{cell_of, complete, sent_to, worker_of, REMAINING_TIME};
 
 #[test]
-fn a_prefill_worker_that_takes_too_long_gets_no_second_prefill() {
+fn a_prefill_worker_with_an_old_unanswered_prefill_gets_no_second_one() {
     let mut world = World::new(config(), 6);
     let first = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.advance(1000 * MS);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn decode_workers_that_prefill_take_all_that_waits_where_there_is_no_prefill_worker() {
+fn without_prefill_workers_decode_workers_take_all_waiting_requests() {
     let mut world = World::new(SchedulerConfig { decode_workers_prefill: true, ..config() }, 0);
     world.update_endpoint(endpoint(1));
     let arrive = |world: &mut World, id: RequestId| {
@@ -43,8 +43,9 @@
 
 #[test]
 fn where_few_cells_have_decode_workers_their_prefill_workers_get_hardly_more_than_others() {
-    // Twelve workers in four cells, decode workers in the first so many of them; prefills for each prefill worker of
-    // these cells beside those of the others.
+    // Twelve workers in four cells, of which the first `cells_with_decode` have decode workers. Returns the
+    // prefills for each prefill worker of these cells, divided by those for each prefill worker of the other
+    // cells.
     let ratio = |cells_with_decode: u16| {
         let mut world = World::new(SchedulerConfig { reservations_enabled: false, ..config() }, 12);
         for n in (0..12).filter(|n| endpoint(*n).cell >= cells_with_decode) {
--- a/tests/scheduling_behaviour/reservations.rs
+++ b/tests/scheduling_behaviour/reservations.rs
@@ -1,4 +1,4 @@
-//! Decode reservations, and the release of what they hold.
+//! Decode reservations, and the release of reservations and KV states.
 
 use tideroute::types::*;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_short_prefill_that_ends_before_the_answer_still_goes_to_the_asked_decode_worker() {
+fn a_prefill_that_ends_before_the_reservation_answer_goes_to_the_same_decode_worker() {
     let mut world = World::new(config(), 6);
     let id = world.arrive(0, 1, 10.0, REMAINING_TIME);
     let reserved = world.requests[&id].reserved_at.expect("asked");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_rejected_reservation_counts_against_the_decode_worker_and_the_next_one_is_asked() {
+fn after_a_rejected_reservation_another_decode_worker_is_asked() {
     let mut world = World::new(config(), 6);
     let id = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     let first = world.requests[&id].reserved_at.expect("asked");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn prefills_wait_while_no_decode_worker_grants_and_go_out_by_timer() {
+fn prefills_wait_while_all_decode_workers_reject_and_are_sent_by_a_timer_later() {
     let mut world = World::new(config(), 3);
     let first = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.answer_reservation(first, false);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_reserved_decode_worker_that_drains_is_released_and_the_prompt_prefilled_again() {
+fn when_the_reserved_decode_worker_drains_the_state_is_released_and_prefilled_again() {
     let mut world = World::new(config(), 6);
     let id = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.answer_reservation(id, true);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_state_that_lands_after_the_client_disconnected_is_released() {
+fn a_kv_state_that_is_ready_after_the_client_disconnected_is_released() {
     let mut world = World::new(SchedulerConfig { cancellation_enabled: false, ..config() }, 6);
     let id = world.arrive(0, 1, 1000.0, REMAINING_TIME);
     world.disconnect_client(id);
--- a/tests/scheduling_behaviour/retry.rs
+++ b/tests/scheduling_behaviour/retry.rs
@@ -1,4 +1,4 @@
-//! What may run again, and where.
+//! Retries: which requests may run again, and where.
 
 use tideroute::types::*;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn without_an_attempt_left_a_request_is_answered_at_once_though_its_state_waits() {
+fn a_request_without_attempts_left_is_rejected_at_once_although_its_kv_state_waits() {
     let mut world = World::new(SchedulerConfig { max_attempts: 2, ..config() }, 6);
     let id = prefill(&mut world, false);
     world.finish_attempt(id, AttemptOutcome::Rejected);
--- a/tests/scheduling_behaviour/slow_start.rs
+++ b/tests/scheduling_behaviour/slow_start.rs
@@ -1,4 +1,4 @@
-//! How little a warming worker is sent; drawn fleets are in `tests/slow_start.rs`.
+//! Slow start in small cases; generated fleets are in `tests/slow_start.rs`.
 
 use tideroute::types::*;
 
@@ -12,15 +12,16 @@
     let restarted = Endpoint { start_time: world.now - 100 * MS, ..endpoint(1) };
     world.update_endpoint(restarted);
     world.drain_actions();
-    // The model refuses more than two in flight at a decode worker that has answered nothing.
+    // The model fails if more than two attempts are in flight at a decode worker that has answered none.
     let ids: Vec<_> = (0..40).map(|_| world.arrive(0, 1, 10.0, REMAINING_TIME)).collect();
-    let there = ids.iter().filter(|id| world.requests[id].reserved_at == Some(worker(1))).count();
-    assert!((1..=2).contains(&there), "{there}");
+    let reserved_at_warming =
+        ids.iter().filter(|id| world.requests[id].reserved_at == Some(worker(1))).count();
+    assert!((1..=2).contains(&reserved_at_warming), "{reserved_at_warming}");
 }
 
-/// Hundreds of routers, each of which sees one request a second, share one warming decode worker among three.
+/// 200 routers, each with one request per second, share three decode workers, of which one is warming up.
 #[test]
-fn many_routers_together_do_not_push_over_a_warming_worker() {
+fn many_routers_together_do_not_overload_a_warming_worker() {
     let mut sends = vec![];
     for seed in 0..200 {
         let mut world = World::seeded(
@@ -39,7 +40,8 @@
         sends.extend(world.actions.iter().filter(to_warming).map(|d| d.0));
     }
     sends.sort_unstable();
-    // 200 a second over three decode workers: a warm one takes 133 in the window, the warming one 2.5 * 0.3 of that.
+    // 200 requests per second over three decode workers: a warm one takes 133 in the overload window, and the
+    // warming one may take 2.5 * 0.3 of that.
     let span = config().overload_window;
     let most = sends.iter().map(|&at| sends.iter().filter(|&&s| at <= s && s < at + span).count()).max();
     assert!(most.is_some_and(|n| (5..=100).contains(&n)), "{most:?}");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Generated fleets, in virtual time, beside a plain model of what a warming worker may be sent that knows nothing of
-//! the decisions: its budget in the overload window and what chance may add to that, over all routers together.
+//! Generated fleets in virtual time, checked against a simple model of what all routers together may send to a
+//! warming worker: its budget in the overload window plus an allowance for chance. The model is independent of
+//! the scheduler.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,9 +12,9 @@
 
 const MS: TenthMillis = 10;
 const SECOND: f64 = 10_000.0;
-/// Fleets that are generated.
+/// Number of fleets that are generated.
 const FLEETS: u64 = 1_000;
-/// Threads that the fleets are shared out to.
+/// Number of threads that run the fleets.
 const THREADS: u64 = 8;
 
 const PREFILL_KIND: u16 = 0;
@@ -63,10 +64,10 @@
 struct Verdict {
     /// Windows that begin with an attempt sent to a warming worker.
     windows: usize,
-    /// Those of them that hold more than budget and chance allow.
+    /// The windows with more attempts than the budget and the allowance for chance.
     over: usize,
     attempts: f64,
-    /// What the budgets of the warming workers sum up to.
+    /// The sum of the budgets of the warming workers.
     budgets: f64,
 }
 
@@ -109,12 +110,12 @@
     [10, 0, high, low, 1, 0]
 }
 
-/// A number between two bounds, evenly on a logarithmic scale.
+/// Returns a random number between two bounds, uniform on a logarithmic scale.
 fn sample(rng: &mut Rng, least: f64, most: f64) -> f64 {
     least * (most / least).powf(rng.unit())
 }
 
-/// The configuration of so many routers, the rest of it drawn.
+/// Returns a random configuration for a number of routers.
 fn generate_config(rng: &mut Rng, routers: usize, cold_capacity_share: f64) -> SchedulerConfig {
     let overload_window = sample(rng, 500.0, 2_000.0);
     let warm_up_time = sample(rng, 8_000.0, 14_000.0);
@@ -204,7 +205,7 @@
         fleet
     }
 
-    /// All routers are told of these workers.
+    /// Notifies all routers of these workers.
     fn list(&mut self, now: TenthMillis, which: Range<u16>, start_time: TenthMillis) {
         for n in which {
             let FleetWorker { kind, size } = self.workers[usize::from(n)];
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Tells a router of an event; which one is returned.
+    /// Notifies a router of an event and returns its index.
     fn handle(&mut self, now: TenthMillis, sequence: u64, event: Event) -> usize {
         let (attempt, outcome) = match event {
             Event::Arrival => {
@@ -321,7 +322,7 @@
         router
     }
 
-    /// Judges what was sent to the warming workers since they started.
+    /// Evaluates what was sent to the warming workers since they started.
     fn judge(&self) -> Verdict {
         let config = &self.config;
         let mut verdict = Verdict::default();
@@ -350,7 +351,7 @@
     }
 }
 
-/// Plays a fleet until the workers that start in it are warm.
+/// Runs a fleet until the workers that start in it are warm.
 fn play_fleet(seed: u64, kind: FleetKind) -> Verdict {
     let mut fleet = Fleet::generate(seed, kind);
     fleet.schedule_arrival(0);
@@ -363,7 +364,7 @@
     fleet.judge()
 }
 
-/// Plays so many fleets and sums up how they turned out.
+/// Runs a number of fleets and sums up their results.
 fn play_fleets(fleets: u64, kind: FleetKind) -> Verdict {
     let play_part = move |part: u64| {
         let seeds = (0..fleets).filter(|seed| seed % THREADS == part);
@@ -378,7 +379,7 @@
 }
 
 #[test]
-fn many_routers_with_uneven_traffic_do_not_push_over_workers_that_start_together() {
+fn many_routers_with_uneven_traffic_do_not_overload_prefill_workers_that_start_together() {
     let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS, PREFILL_WORKERS_START);
     // Chance alone, at a mean that fills the budget, goes over in some of a hundred windows.
     assert!(windows > 40_000 && over * 20_000 <= windows, "{over} of {windows}");
@@ -386,7 +387,7 @@
 }
 
 #[test]
-fn nor_those_that_decode_where_two_roles_and_many_sizes_share_the_work() {
+fn routers_do_not_overload_starting_decode_and_mixed_workers_of_many_sizes() {
     let kind = FleetKind { decode_workers_start: true, ..PREFILL_WORKERS_START };
     let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS / 4, kind);
     assert!(windows > 5_000 && over * 20_000 <= windows, "{over} of {windows}");
@@ -394,7 +395,7 @@
 }
 
 #[test]
-fn nor_do_few_routers_where_warming_workers_reject_much_of_what_they_are_sent() {
+fn few_routers_do_not_overload_warming_workers_that_reject_many_attempts() {
     let kind = FleetKind { routers: (1.0, 8.0), rejections: 0.5, ..PREFILL_WORKERS_START };
     let Verdict { windows, over, attempts, budgets } = play_fleets(FLEETS, kind);
     assert!(windows > 20_000 && over * 20_000 <= windows, "{over} of {windows}");
