--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,8 +1,9 @@
-//! What a decision costs: the scheduler alone, driven in a loop by a plain owner, with so many workers and so many
-//! requests open, beside the reference implementation that counts everything anew in each pass; and the cached order
-//! of prefill workers beside one that is sorted each time. `cargo bench --bench decisions`.
+//! Measures the cost of scheduling decisions for different numbers of workers and open requests. A simple owner
+//! drives the scheduler in a loop; the same is measured for the reference implementation, which recomputes
+//! everything in each pass. Also compares the cached order of prefill workers with one that is sorted each time.
+//! `cargo bench --bench decisions`.
 
-// Less of it is called here than in its test.
+// The benchmark calls fewer of its functions than its test does.
 #[allow(dead_code)]
 #[path = "../tests/reference/mod.rs"]
 mod reference;
@@ -15,17 +16,17 @@
 use tideroute::rendezvous::{unit_hash, RendezvousRanking};
 use tideroute::scheduler::Scheduler;
 use tideroute::types::*;
-// The reference names these by the root of its crate.
+// The reference implementation refers to these modules through its crate root.
 use tideroute::{ewma, rng, types};
 
 const MS: TenthMillis = 10;
 const SECOND: u64 = 10_000;
 const START: TenthMillis = 1_000_000;
-/// How long a prefill takes.
+/// The duration of a prefill.
 const PREFILL_TIME: TenthMillis = 60 * MS;
-/// Runs of which the best counts: other work on the machine only adds.
+/// Number of runs, of which the fastest counts, because other work on the machine can only slow a run down.
 const RUNS: usize = 3;
-/// Requests that the reference is measured over at most: it is slow.
+/// The largest number of requests for which the reference implementation is measured, because it is slow.
 const MAX_MEASURED_BY_REFERENCE: u64 = 300;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -38,19 +39,19 @@
     Timer,
 }
 
-/// How much is measured.
+/// The size of one measurement.
 #[derive(Clone, Copy)]
 struct Size {
     workers: u16,
-    /// Requests a second; with the length of a response they make how many are open.
+    /// Requests per second; multiplied by the length of a response, this gives the number of open requests.
     rate: u64,
     response_time: TenthMillis,
     measured: u64,
-    /// No two requests share a prefix or a session.
+    /// Whether no two requests share a prefix or a session.
     unique_keys: bool,
 }
 
-/// The calls that both implementations have.
+/// The calls that both implementations support.
 trait Implementation {
     fn begin(seed: u64) -> Self;
     fn begin_endpoint_snapshot(&mut self, now: TenthMillis);
@@ -70,7 +71,7 @@
     fn next_action(&mut self, now: TenthMillis) -> Option<Action>;
 }
 
-/// Implements [`Implementation`] for a router by its own names for the trait's calls, in the trait's order.
+/// Implements [`Implementation`] for a router, given the router's method names in the order of the trait's methods.
 macro_rules! implementation {
     ($router:ty: $snapshot:ident, $updated:ident, $arrived:ident, $reserved:ident, $started:ident, $finished:ident,
      $fired:ident, $next:ident) => {
@@ -157,14 +158,14 @@
     }
 }
 
-/// What a run measured.
+/// The result of one run.
 #[derive(Clone, Copy)]
 struct Cost {
     microseconds_per_request: f64,
     open_requests: usize,
 }
 
-/// An implementation and the plain owner that drives it in virtual time.
+/// An implementation and the simple owner that drives it in virtual time.
 struct Run<I> {
     implementation: I,
     size: Size,
@@ -173,9 +174,9 @@
     sequence: u64,
     arrived: u64,
     open: usize,
-    /// Attempts sent for each request.
+    /// Number of attempts sent for each request.
     attempts: HashMap<RequestId, u16>,
-    /// Time spent within the implementation.
+    /// The time spent inside the implementation.
     spent: Duration,
 }
 
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Runs until as many requests are open as the size says, and measures so many more.
+    /// Runs until the intended number of requests is open, then measures the following requests.
     fn measure(mut self) -> Cost {
         let gap = SECOND / self.size.rate.max(1);
         let warm_up = self.size.rate * (self.size.response_time as u64 / SECOND + 1);
@@ -305,7 +306,7 @@
     println!("{workers:>7}{rate:>9}{open_requests:>9}{keys:>9}{cost:>9.1}{reference_cost:>10.1}{ratio:>8.1}");
 }
 
-/// Nanoseconds to the prefill worker tried first, with the order cached and sorted anew.
+/// Prints the nanoseconds to find the first prefill worker, with a cached order and with one that is sorted anew.
 fn print_orders() {
     println!("\nworkers   cached, ns   a new key, ns   sorted each time, ns");
     for workers in [13u16, 37, 133, 400] {
@@ -329,8 +330,8 @@
     }
 }
 
-/// The longest that the scheduler takes for a snapshot of 1,200 workers, with 6,000 requests open and one worker in
-/// ten changed.
+/// Prints the longest time that the scheduler takes for a snapshot of 1,200 workers in which one worker in ten has
+/// changed, with 6,000 requests open.
 fn print_snapshots() {
     let (mut scheduler, mut now) = (Scheduler::new(config(), 7, START), START);
     let (mut longest, mut total) = (Duration::ZERO, Duration::ZERO);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -294,7 +294,11 @@
                 && request.attempt.is_none()
                 && self.now > request.idle_since + self.config.state_release_timeout;
             assert!(!pinned, "{id} holds its state too long at {}: {request:?}", self.now);
-            assert!(!self.is_overdue_for_response(request), "{id} has no final response at {}: {request:?}", self.now);
+            assert!(
+                !self.is_overdue_for_response(request),
+                "{id} has no final response at {}: {request:?}",
+                self.now
+            );
         }
     }
 
