--- a/crates/reactor/src/address.rs
+++ b/crates/reactor/src/address.rs
@@ -1,10 +1,10 @@
-//! Addresses of the protocol as socket addresses.
+//! Converts between socket addresses and the addresses of the wire protocol.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 use tideroute_wire::Address;
 
-/// A socket address as it goes over the wire; the IP of an IPv6 address is written as zero.
+/// Returns the wire form of a socket address; the IP of an IPv6 address is encoded as zero.
 pub(crate) fn encode(address: SocketAddr) -> Address {
     let port = address.port().to_be_bytes();
     match address {
@@ -16,7 +16,7 @@
     }
 }
 
-/// The socket address of an address from the wire.
+/// Returns the socket address of an address in wire form.
 pub(crate) fn decode(address: Address) -> SocketAddr {
     let [a, b, c, d, port_high, port_low] = address;
     let port = u16::from_be_bytes([port_high, port_low]);
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -1,5 +1,5 @@
-//! The time that programs see: microseconds since 1970, read once at the start and advanced by the monotonic clock,
-//! so that it never goes back when the machine's clock is set.
+//! The clock of the event loops, in microseconds since 1970. The system time is read once at the start and advanced by
+//! the monotonic clock, so that the clock never goes back when the system time is set.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,51 +9,52 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// The machine's time at the start.
+    /// System time at the start.
     epoch: Micros,
     skew: Option<ClockSkew>,
 }
 
-/// A faulty clock, for tests: within a window of true time it runs `rate` times as fast, and a process that starts
-/// within the window finds it set ahead, or back, by `offset`.
+/// A clock fault for tests. Within a window of true time the clock runs `rate` times as fast; for a process that starts
+/// within the window it is also set ahead, or back, by `offset`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockSkew {
     /// Start of the window, in true time.
     pub from: Micros,
     /// End of the window, in true time.
     pub until: Micros,
-    /// Microseconds that the clock advances in a microsecond of true time.
+    /// Microseconds that the clock advances per microsecond of true time within the window.
     pub rate: f64,
-    /// Microseconds; negative if the clock is set back.
+    /// Offset in microseconds; negative if the clock is set back.
     pub offset: i64,
 }
 
 impl Clock {
-    /// A clock that starts at the machine's time.
+    /// Starts a clock at the system time.
     pub fn start() -> Clock {
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
+        let epoch =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as Micros);
         Clock { started_at: Instant::now(), epoch, skew: None }
     }
 
-    /// The same clock, faulty from now on.
+    /// Returns the same clock with a skew.
     pub fn with_skew(self, skew: ClockSkew) -> Clock {
         Clock { skew: Some(skew), ..self }
     }
 
-    /// The time that programs see.
+    /// Returns the time, with the skew if there is one.
     pub fn now(&self) -> Micros {
         let now = self.true_now();
         self.skew.map_or(now, |skew| skew.apply(self.epoch, now))
     }
 
-    /// The time without the skew.
+    /// Returns the time without the skew.
     pub fn true_now(&self) -> Micros {
         self.epoch + self.started_at.elapsed().as_micros() as Micros
     }
 }
 
 impl ClockSkew {
-    /// What a clock that was started at `started_at` shows at a moment of true time.
+    /// Returns what a clock that was started at the true time `started_at` shows at the true time `now`.
     pub fn apply(&self, started_at: Micros, now: Micros) -> Micros {
         let started_in_window = (self.from..self.until).contains(&started_at);
         let offset = if started_in_window { self.offset } else { 0 };
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its socket, the bytes that have arrived on it and the bytes that wait to be sent.
+//! A connection with its socket, its input buffer and its output buffer.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -10,44 +10,44 @@
 
 use crate::address;
 
-/// Bytes read from one connection before others have their turn.
+/// Maximum number of bytes read from a connection at a time, before other connections are handled.
 pub const READ_CHUNK: usize = 64 << 10;
-/// Bytes of waiting output over which the handler is notified of backpressure; about what the kernel buffer of a slow
-/// peer holds too.
+/// Bytes of waiting output above which the handler is notified of backpressure; roughly as much as the kernel buffer of
+/// a slow peer holds.
 pub const HIGH_WATERMARK: usize = 256 << 10;
-/// Bytes of waiting output under which backpressure ends.
+/// Bytes of waiting output at or below which backpressure ends.
 pub const LOW_WATERMARK: usize = 64 << 10;
-/// [`HIGH_WATERMARK`] of raw connections: there are many of them, in little memory.
+/// [`HIGH_WATERMARK`] of raw connections; lower, because there are many of them and memory is limited.
 pub const RAW_HIGH_WATERMARK: usize = 32 << 10;
 /// [`LOW_WATERMARK`] of raw connections.
 pub const RAW_LOW_WATERMARK: usize = 8 << 10;
-/// Bytes of waiting output over which a connection is closed: four of the largest frames.
+/// Bytes of waiting output above which a connection is closed: four of the largest frames.
 pub const MAX_BUFFERED: usize = 4 << 20;
 
-/// How far a connection has come.
+/// Stage in the life of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ConnectionState {
     /// An outbound connection that is not established yet; it fails at the deadline.
     Connecting { deadline: Micros },
-    /// Established; frames pass both ways.
+    /// Established; frames are exchanged in both directions.
     Open,
-    /// Ends once all output has been sent, or at the deadline.
+    /// Being closed; ends once all output has been sent, or at the deadline.
     Closing { deadline: Micros },
-    /// Output has ended; what still arrives is discarded, up to so many bytes and until the deadline, so that no reset
-    /// overtakes the last output.
+    /// Output has ended; input is still read and discarded, up to `discardable` bytes and until the deadline, so that
+    /// no reset overtakes the last output.
     Lingering { deadline: Micros, discardable: usize },
-    /// Over; its slot is freed at the end of the loop's iteration.
+    /// Ended; its slot is freed at the end of the loop's iteration.
     Closed,
 }
 
-/// What the poller watches a connection for.
+/// Events for which the poller watches a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub(crate) struct Interest {
     pub readable: bool,
     pub writable: bool,
 }
 
-/// Bytes of waiting output at which backpressure begins and ends.
+/// Bytes of waiting output above which backpressure begins (`high`), and down to which it ends (`low`).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct Watermarks {
     pub high: usize,
@@ -59,13 +59,13 @@
     pub id: ConnectionId,
     pub stream: TcpStream,
     pub state: ConnectionState,
-    /// The handler has asked that nothing be read for now.
+    /// The handler has paused reading.
     pub reading_paused: bool,
-    /// The handler was notified of backpressure.
+    /// The handler was last notified that backpressure began, not that it ended.
     pub backpressure: bool,
-    /// Bytes pass as they come, not in frames.
+    /// Bytes are passed as they arrive instead of in frames.
     pub raw: bool,
-    /// What the poller was last asked to watch for.
+    /// Events for which the poller currently watches the connection.
     pub watched: Interest,
     pub frames_sent: u64,
     pub frames_received: u64,
@@ -84,12 +84,12 @@
     Io(io::Error),
 }
 
-/// The frames that one read brought, and whether it was the last.
+/// The frames that a read completed, and the end of the input if it was reached.
 #[derive(Default)]
 pub(crate) struct ReadOutcome {
     /// Complete frames, up to the first that is malformed.
     pub frames: Vec<Bytes>,
-    /// None while more may come.
+    /// `None` while more input may arrive.
     pub end: Option<ReadEnd>,
 }
 
@@ -110,24 +110,24 @@
         }
     }
 
-    /// Begins to connect; whether that succeeds is known once the socket is writable
-    /// ([`is_established`](Connection::is_established)).
+    /// Starts connecting. Once the socket is writable, [`is_established`](Connection::is_established) tells whether it
+    /// succeeded.
     pub fn connect(id: ConnectionId, to: Address, deadline: Micros) -> io::Result<Connection> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         if let Err(error) = socket.set_tcp_nodelay(true) {
-            tracing::debug!(%error, "TCP_NODELAY not set, small writes may be delayed");
+            tracing::debug!(%error, "setting TCP_NODELAY failed; continuing with small writes possibly delayed");
         }
         match socket.connect(&address::decode(to).into()) {
             Ok(()) => {}
-            // An interrupted call continues in the background, as one in progress does.
+            // Connecting continues in the background, even if the call was interrupted.
             Err(e) if matches!(e.raw_os_error(), Some(libc::EINPROGRESS | libc::EINTR)) => {}
             Err(e) => return Err(e),
         }
         Ok(Connection::new(id, socket.into(), ConnectionState::Connecting { deadline }))
     }
 
-    /// After the socket became writable: whether the connection is established.
+    /// Returns whether the connection is established; valid once the socket has become writable.
     pub fn is_established(&self) -> bool {
         self.stream.take_error().is_ok_and(|error| error.is_none()) && self.stream.peer_addr().is_ok()
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Bytes of output that wait to be sent.
+    /// Returns the number of output bytes that wait to be sent.
     pub fn buffered(&self) -> usize {
         self.output.len()
     }
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Sends what the socket takes now.
+    /// Sends as much output as the socket accepts now.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
@@ -165,14 +165,14 @@
                 Err(e) => return Err(e),
             }
         }
-        // A buffer that once held much would keep its memory for as long as the connection is there.
+        // A buffer that once held a lot of output would keep its memory until the connection ends.
         if self.raw {
             self.output = BytesMut::new();
         }
         Ok(())
     }
 
-    /// Discards what has arrived, a chunk at most. Returns the number of bytes, or None at the end of the input.
+    /// Discards at most a chunk of input. Returns the number of bytes, or `None` at the end of the input.
     pub fn discard_input(&mut self, chunk: &mut [u8]) -> Option<usize> {
         match self.stream.read(chunk) {
             Ok(0) => None,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Reads a chunk at most and splits it into frames.
+    /// Reads at most a chunk and splits the input into frames.
     pub fn read(&mut self, chunk: &mut [u8]) -> ReadOutcome {
         let length = match self.stream.read(chunk) {
             Ok(length) => length,
@@ -198,7 +198,7 @@
         self.split_frames(length == 0)
     }
 
-    /// What a raw connection has read: the bytes as they came.
+    /// Returns the outcome of a read on a raw connection, which passes the bytes as they arrived.
     fn raw_read(bytes: &[u8]) -> ReadOutcome {
         if bytes.is_empty() {
             return ReadOutcome { frames: vec![], end: Some(ReadEnd::PeerClosed) };
@@ -206,7 +206,7 @@
         ReadOutcome { frames: vec![Bytes::copy_from_slice(bytes)], end: None }
     }
 
-    /// Takes the complete frames out of the input.
+    /// Removes all complete frames from the input.
     fn split_frames(&mut self, peer_closed: bool) -> ReadOutcome {
         let mut frames = Vec::new();
         let end = loop {
--- a/crates/reactor/src/datagram_socket.rs
+++ b/crates/reactor/src/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! A socket for datagrams that is never connected to any peer.
+//! An unconnected UDP socket.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -9,8 +9,8 @@
 
 use crate::address;
 
-/// Bytes that may wait in the kernel, if the machine allows as many: some hundreds of datagrams, as come to a process
-/// that was halted for a second.
+/// Requested size of the kernel's receive buffer in bytes. It holds some hundreds of datagrams, as many as arrive while
+/// a process is halted for a second.
 const RECEIVE_BUFFER: usize = 1 << 20;
 
 /// A bound, non-blocking UDP socket.
@@ -28,12 +28,12 @@
     pub fn bind(address: SocketAddr) -> io::Result<DatagramSocket> {
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        // A size over the machine's limit is cut to that limit.
+        // The kernel reduces a size above its limit to that limit.
         let _ = SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
         Ok(DatagramSocket { socket })
     }
 
-    /// The next datagram that waits, read through `chunk`; None if there is none.
+    /// Returns the next waiting datagram, read through the buffer `chunk`; `None` if no datagram waits.
     pub fn receive(&self, chunk: &mut [u8]) -> io::Result<Option<Datagram>> {
         loop {
             match self.socket.recv_from(chunk) {
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Whether the machine accepted the datagram; one for which it has no room is lost, as it may be on the network.
+    /// Sends a datagram and returns whether the socket accepted it. A datagram for which the socket has no room is
+    /// lost, as it may also be lost on the network.
     pub fn send(&self, to: Address, bytes: &[u8]) -> bool {
         self.socket.send_to(bytes, address::decode(to)).is_ok()
     }
--- a/crates/reactor/src/error.rs
+++ b/crates/reactor/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in setting up or driving the loop.
+//! Errors of setting up or running the loop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,6 +10,6 @@
     #[error("cannot listen at {0}: {1}")]
     Listen(SocketAddr, io::Error),
     /// The poller or a signal handler failed.
-    #[error("the loop failed: {0}")]
+    #[error("the event loop failed: {0}")]
     Loop(#[from] io::Error),
 }
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -4,12 +4,12 @@
 //! A [`Reactor`] is created with the addresses at which it listens. [`Reactor::run`] then reads frames from its
 //! connections, calls the handler, and executes the handler's
 //! [`Effects`](tideroute_wire::event_loop::Effects) in order until the handler has finished. All writes to one
-//! connection in one iteration of the loop leave together. Nothing here knows what a frame means.
+//! connection in one iteration of the loop are sent together. The loop does not interpret the content of frames.
 //!
 //! The loop may also receive datagrams ([`Reactor::add_datagram_sockets`]); a datagram for which a socket has no room
-//! is lost, as it may be on the network.
+//! is lost, as it may also be lost on the network.
 //!
-//! Buffers are bounded. What has arrived on a connection never holds more than one frame and one chunk
+//! Buffers are bounded. The input buffer of a connection never holds more than one frame and one chunk
 //! ([`connection::READ_CHUNK`]). Output over [`connection::HIGH_WATERMARK`] bytes raises backpressure, and a
 //! connection whose output grows past [`connection::MAX_BUFFERED`] bytes is closed.
 
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that can be made unresponsive or refusing, as a fault in the network would make it.
+//! A listening socket that can be made unresponsive or refusing, to simulate network faults.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -7,19 +7,20 @@
 use socket2::{Domain, Protocol, SockFilter, SockRef, Socket, Type};
 use tideroute_wire::event_loop::ListenerState;
 
-/// Connections that may wait to be accepted; the standard library's own number.
+/// Connections that may wait to be accepted; the same number as in the standard library.
 pub(crate) const BACKLOG: i32 = 4096;
 
-/// A packet filter of one step: `return 0`, no byte of any packet is admitted.
+/// A packet filter of the one instruction `return 0`, which drops every packet.
 const ADMIT_NOTHING: SockFilter = SockFilter::new((libc::BPF_RET | libc::BPF_K) as u16, 0, 0, 0);
 
-/// A listener with the address and state that outlive its socket.
+/// A listener, whose address and state are kept while its socket is closed.
 pub(crate) struct Listener {
-    /// None while the listener refuses connections.
+    /// `None` while the listener refuses connections.
     pub socket: Option<TcpListener>,
     address: SocketAddr,
     state: ListenerState,
-    /// Occupies the one place of a backlog of zero, so that the kernel leaves further connects unanswered.
+    /// Takes up the one connection that a backlog of zero admits, so that the kernel does not answer further connection
+    /// attempts. `None` unless the listener is unresponsive.
     backlog_filler: Option<Socket>,
 }
 
@@ -37,22 +38,22 @@
         self.state == ListenerState::Open
     }
 
-    /// The socket, if the listener is open; the poller watches it just then.
+    /// Returns the socket if the listener is open; only then is it registered with the poller.
     pub fn open_socket(&self) -> Option<&TcpListener> {
         self.socket.as_ref().filter(|_| self.is_open())
     }
 
-    /// Has the kernel drop further packets, so that no more connections are made. Where the kernel can't, one may
-    /// still be made in the moment before the socket is closed.
+    /// Has the kernel drop further packets, so that no more connections are established. If the kernel does not support
+    /// this, a connection may still be established in the moment before the socket is closed.
     pub fn block_new_connections(&self) {
         let Some(socket) = &self.socket else { return };
         if let Err(error) = SockRef::from(&socket.as_fd()).attach_filter(&[ADMIT_NOTHING]) {
-            tracing::debug!(%error, "new connections to a listener could not be blocked");
+            tracing::debug!(%error, "blocking new connections to a listener failed");
         }
     }
 
-    /// Changes the state. The caller stops watching the socket before it leaves the open state, and watches it again
-    /// once it is open.
+    /// Changes the state. The caller must delete the socket from the poller before the listener leaves the open state,
+    /// and add it again once the listener is open.
     pub fn set_state(&mut self, state: ListenerState) -> io::Result<()> {
         if std::mem::replace(&mut self.state, state) == state {
             return Ok(());
@@ -67,7 +68,7 @@
             ListenerState::Open => {
                 SockRef::from(&socket.as_fd()).listen(BACKLOG)?;
                 if self.backlog_filler.take().is_some() {
-                    // It connected first, so it is the first to be accepted.
+                    // The filler connected first, so it is the first connection to be accepted.
                     let _ = socket.accept();
                 }
             }
@@ -76,7 +77,7 @@
                 SockRef::from(&socket.as_fd()).listen(0)?;
                 let filler = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
                 filler.set_nonblocking(true)?;
-                // The connect is in progress at once; its result does not matter.
+                // The call returns while connecting is in progress; its result does not matter.
                 let _ = filler.connect(&self.address.into());
                 self.backlog_filler = Some(filler);
             }
--- a/crates/reactor/src/mailbox.rs
+++ b/crates/reactor/src/mailbox.rs
@@ -1,5 +1,5 @@
-//! Messages to a loop from other threads. The loop shares nothing: it takes messages as it takes the events of its
-//! sockets, and counts those that its handler has processed.
+//! Messages to a loop from other threads. The handler shares no state with them: the loop delivers messages as it
+//! delivers the events of its sockets, and counts the messages that its handler has processed.
 
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::sync::{Arc, Condvar, Mutex};
@@ -8,13 +8,13 @@
 use bytes::Bytes;
 use polling::Poller;
 
-/// Messages that may wait for one loop.
+/// Maximum number of messages that wait for one loop.
 const CAPACITY: usize = 1_024;
 
-/// How many messages the handler has processed, and those who wait for that number.
+/// Number of messages that the handler has processed, and the condition variable that signals its changes.
 type Processed = Arc<(Mutex<u64>, Condvar)>;
 
-/// The senders' side: hands messages to the handler of one loop, from any thread.
+/// The sending side, which passes messages from any thread to the handler of one loop.
 #[derive(Clone)]
 pub struct Mailbox {
     messages: SyncSender<Bytes>,
@@ -23,13 +23,13 @@
     processed: Processed,
 }
 
-/// The loop's side.
+/// The receiving side, which belongs to the loop.
 pub(crate) struct MessageReceiver {
     messages: Receiver<Bytes>,
     processed: Processed,
 }
 
-/// Both sides of a new mailbox; sending wakes the loop that polls `poller`.
+/// Creates both sides of a mailbox; sending wakes the loop that polls `poller`.
 pub(crate) fn mailbox(poller: Arc<Poller>) -> (Mailbox, MessageReceiver) {
     let (sender, receiver) = sync_channel(CAPACITY);
     let processed = Processed::default();
@@ -38,10 +38,10 @@
 }
 
 impl Mailbox {
-    /// Sends a message, and waits while the mailbox is full. Returns the message's number, or None if the loop has
+    /// Sends a message; blocks while the mailbox is full. Returns the message's number, or `None` if the loop has
     /// ended.
     pub fn send(&self, message: Bytes) -> Option<u64> {
-        // Numbers follow the order in the mailbox, also where several threads send at once.
+        // The lock keeps the numbers in the order of the mailbox when several threads send at once.
         let mut sent = self.sent.lock().unwrap_or_else(|e| e.into_inner());
         self.messages.send(message).ok()?;
         *sent += 1;
@@ -49,17 +49,20 @@
         Some(*sent)
     }
 
-    /// Sends a message without waiting for capacity; false if the mailbox is full or the loop has ended. It is for
-    /// messages that a later one repeats. On a mailbox to which others [`send`](Self::send), it would wait with them.
+    /// Sends a message without waiting for capacity; returns false if the mailbox is full or the loop has ended. Suits
+    /// messages whose content a later message repeats. It still blocks while another thread is blocked in
+    /// [`send`](Self::send).
     pub fn try_send(&self, message: Bytes) -> bool {
-        // Guards against a message lost because another core sends at the same moment, as their timers make likely.
+        // Waits for the lock, since a message must not be lost because another core sends at the same moment, which the
+        // cores' timers make likely.
         let mut sent = self.sent.lock().unwrap_or_else(|e| e.into_inner());
         let accepted = self.messages.try_send(message).is_ok();
         *sent += u64::from(accepted);
         accepted && self.poller.notify().is_ok()
     }
 
-    /// Waits until the handler has processed the message with this number; false if it has not within `timeout`.
+    /// Waits until the handler has processed the message with this number; returns false if it has not within
+    /// `timeout`.
     pub fn wait_until_processed(&self, number: u64, timeout: Duration) -> bool {
         let (processed, changed) = &*self.processed;
         let processed = processed.lock().unwrap_or_else(|e| e.into_inner());
@@ -69,7 +72,7 @@
 }
 
 impl MessageReceiver {
-    /// The next message that waits.
+    /// Returns the next waiting message; `None` if no message waits.
     pub fn next(&self) -> Option<Bytes> {
         self.messages.try_recv().ok()
     }
--- a/crates/reactor/src/poll_key.rs
+++ b/crates/reactor/src/poll_key.rs
@@ -1,13 +1,14 @@
-//! The keys under which the poller knows the loop's sources.
+//! Keys that identify the loop's sources in the poller.
 
-/// First key of the datagram sockets; listeners come before it.
+/// First key of the datagram sockets; the keys below it belong to listeners.
 const FIRST_DATAGRAM_SOCKET: usize = 1 << 15;
 const SHUTDOWN_SIGNALS: usize = 1 << 16;
 const RELOAD_SIGNALS: usize = SHUTDOWN_SIGNALS + 1;
-/// First key of the connections, whose number has no bound.
+/// First key of the connections, which come last because their number is unbounded.
 const FIRST_CONNECTION: usize = RELOAD_SIGNALS + 1;
 
-/// A source of the poller; [`encode`](PollKey::encode) and [`decode`](PollKey::decode) are the one mapping to its key.
+/// A source that the poller watches; [`encode`](PollKey::encode) and [`decode`](PollKey::decode) map it to its key and
+/// back.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum PollKey {
     /// The listener with this index.
@@ -23,7 +24,7 @@
 }
 
 impl PollKey {
-    /// The number that the poller is given.
+    /// Returns the poller's key of this source.
     pub fn encode(self) -> usize {
         match self {
             PollKey::Listener(index) => index,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The source of a number that [`encode`](PollKey::encode) gave.
+    /// Returns the source of a key that [`encode`](PollKey::encode) returned.
     pub fn decode(key: usize) -> PollKey {
         match key {
             SHUTDOWN_SIGNALS => PollKey::ShutdownSignals,
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -1,4 +1,4 @@
-//! The event loop's state. Its concerns stand in files of their own, each with the methods that rule it.
+//! The event loop's state. Its methods are in the submodules, one for each concern.
 
 use std::collections::{HashMap, VecDeque};
 use std::path::PathBuf;
@@ -41,13 +41,13 @@
 pub enum RunOutcome {
     /// The handler has finished, and its output has been sent.
     Finished,
-    /// The handler asked for a crash.
+    /// The handler requested a crash.
     Crashed,
-    /// A second signal came before the handler had finished.
+    /// A second signal was received before the handler had finished.
     Forced,
 }
 
-/// What the handler is yet to be notified of.
+/// A notification that is yet to be delivered to the handler.
 enum Notification {
     Connected(ConnectionId),
     Disconnected(ConnectionId, DisconnectReason),
@@ -61,12 +61,12 @@
     clock: Clock,
     listeners: Vec<Listener>,
     datagram_sockets: Vec<DatagramSocket>,
-    /// Where to connect or send in place of the address that the handler gave.
+    /// Replacements for addresses to which the handler connects or sends.
     address_overrides: HashMap<Address, Address>,
     connections: Slab<Connection>,
     /// The slot of each connection in `connections`.
     slots: HashMap<ConnectionId, usize>,
-    /// Slots with output that is sent at the end of the iteration.
+    /// Slots of connections whose output is sent at the end of the iteration.
     to_flush: Vec<usize>,
     /// Slots of closed connections, freed at the end of the iteration.
     closed: Vec<usize>,
@@ -81,25 +81,26 @@
     persist_path: Option<PathBuf>,
     messages: Option<MessageReceiver>,
     publish_to: Option<Mailbox>,
-    /// Bytes pass as they come, not in frames.
+    /// Bytes are passed as they arrive instead of in frames.
     raw: bool,
-    /// Raw connections that linger, and how many may.
+    /// Number of raw connections that are lingering.
     lingering: usize,
+    /// Maximum number of raw connections that may linger at a time.
     max_lingering: usize,
-    /// Listeners stay open after a shutdown signal, and another one changes nothing.
+    /// Listeners stay open after a shutdown signal, and further signals are ignored.
     drain_on_shutdown: bool,
     read_buffer: Box<[u8]>,
-    /// Connections accepted so far; the number of the next one.
+    /// Number of connections accepted so far, which is also the number of the next one.
     accepted: u64,
     shutting_down: bool,
     crashed: bool,
 }
 
-/// The configuration file that SIGHUP has read again.
+/// The configuration file that is reloaded on SIGHUP.
 struct ConfigReload {
     signals: SignalPipe,
     path: PathBuf,
-    /// How many more times a file that could not be used is read.
+    /// Remaining attempts to read a file that could not be used.
     retries_left: u32,
 }
 
--- a/crates/reactor/src/reactor/accepting.rs
+++ b/crates/reactor/src/reactor/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and what is done where that fails.
+//! Accepts connections, and pauses a listener at which accepting fails.
 
 use std::io;
 use std::net::TcpStream;
@@ -12,44 +12,47 @@
 use crate::connection::{Connection, ConnectionState};
 use crate::timer_key::TimerKey;
 
-/// Connections accepted at a listener in one iteration, so that a flood of them leaves time for those that are there.
+/// Maximum number of connections accepted at a listener in one iteration, so that a flood of new connections does not
+/// starve the established ones.
 const MAX_ACCEPTS: usize = 64;
-/// Attempts to accept the last connections where that fails, before the process ends all the same: a second in all.
+/// Maximum number of failed attempts to accept the last connections before the process ends without them; with
+/// [`ACCEPT_RETRY_DELAY`] between attempts they take a second in all.
 const MAX_LAST_ATTEMPTS: u32 = 20;
-/// Microseconds until a listener is polled again at which a connection could not be accepted.
+/// Microseconds for which a listener is not polled after accepting a connection failed.
 const ACCEPT_RETRY_DELAY: Micros = 50_000;
 
-/// How the connections that wait at a listener were accepted.
+/// Result of accepting the connections that wait at a listener.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AcceptOutcome {
-    /// None waits now.
+    /// No further connection waits.
     NoneWaiting,
-    /// More may wait, for a later iteration.
+    /// More connections may wait; they are accepted in a later iteration.
     MoreWaiting,
-    /// This machine can't accept any now; the listener is polled again after a pause.
+    /// Accepting failed on this machine; the listener is polled again after a pause.
     Paused,
 }
 
-/// The connections that waited at the listeners of a handler that has finished.
+/// Whether connections still waited at the listeners once the handler had finished.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum LastConnections {
     None,
     Accepted,
-    /// None can be accepted now; a timer is set for the next attempt.
+    /// Accepting failed, so connections may still wait; a timer is set for the next attempt.
     Unknown,
 }
 
 /// Why no connection was accepted.
 enum AcceptFailure {
     NoneWaiting,
-    /// The connection that waited first has ended, or the call was interrupted: the next one may be sound.
+    /// The first waiting connection has ended, or the call was interrupted; the next call may succeed.
     ConnectionEnded,
-    /// This machine lacks a resource, or the cause is not known.
+    /// This machine lacks a resource, such as file descriptors, or the cause is unknown.
     LocalFailure,
 }
 
 impl AcceptFailure {
-    /// By accept(2): errors of the connection itself, and of its network, are reported by the call that accepts it.
+    /// Classifies an error of accept(2), which also returns the network errors of the connection that it would have
+    /// accepted.
     fn classify(error: &io::Error) -> AcceptFailure {
         if error.kind() == io::ErrorKind::WouldBlock {
             return AcceptFailure::NoneWaiting;
@@ -93,17 +96,17 @@
                 Err(error) => match AcceptFailure::classify(&error) {
                     AcceptFailure::NoneWaiting => return AcceptOutcome::NoneWaiting,
                     AcceptFailure::ConnectionEnded => {
-                        tracing::debug!(%error, "a connection ended before it was accepted");
+                        tracing::debug!(%error, "connection ended before it was accepted");
                         ended += 1;
                     }
                     AcceptFailure::LocalFailure => {
-                        tracing::warn!(%error, "a connection could not be accepted");
+                        tracing::warn!(%error, "accepting a connection failed; pausing the listener");
                         return self.pause_accepting(index);
                     }
                 },
             }
         }
-        // Guards against calls that fail over and over with nothing accepted.
+        // Without a pause, calls that keep failing without accepting a connection would take up every iteration.
         if ended == MAX_ACCEPTS {
             return self.pause_accepting(index);
         }
@@ -118,11 +121,11 @@
         effects: &mut Effects,
     ) {
         if let Err(error) = stream.set_nonblocking(true) {
-            tracing::warn!(%error, "an accepted connection could not be made non-blocking");
+            tracing::warn!(%error, "setting an accepted connection to non-blocking mode failed; closing it");
             return;
         }
         if let Err(error) = stream.set_nodelay(true) {
-            tracing::debug!(%error, "TCP_NODELAY not set, small writes may be delayed");
+            tracing::debug!(%error, "setting TCP_NODELAY failed; continuing with small writes possibly delayed");
         }
         let id = ConnectionId(self.accepted);
         self.accepted += 1;
@@ -138,15 +141,16 @@
         self.execute(effects);
     }
 
-    /// Guards against a listener that is ready over and over while no connection can be accepted there.
+    /// Stops polling a listener for [`ACCEPT_RETRY_DELAY`]. The poller would otherwise report it as ready in each
+    /// iteration although no connection can be accepted.
     fn pause_accepting(&mut self, index: usize) -> AcceptOutcome {
         self.watch_listener(index, false);
         self.set_retry_timer(ACCEPT_RETRY_DELAY, TimerKey::ResumeAccepting(index));
         AcceptOutcome::Paused
     }
 
-    /// Accepts the connections that still wait once the handler has finished: the kernel would reset them as the
-    /// process ends.
+    /// Accepts the connections that still wait once the handler has finished, because the kernel would reset them when
+    /// the process ends.
     pub(super) fn accept_last_connections(
         &mut self,
         handler: &mut impl EventHandler,
@@ -159,7 +163,7 @@
         for index in 0..self.listeners.len() {
             let mut outcome = self.accept(index, handler, effects);
             if outcome == AcceptOutcome::NoneWaiting {
-                // No connection is made between the last attempt and the end.
+                // Ensures that no connection is established between the last attempt and the end of the process.
                 self.listeners[index].block_new_connections();
                 outcome = self.accept(index, handler, effects);
             }
--- a/crates/reactor/src/reactor/capturing.rs
+++ b/crates/reactor/src/reactor/capturing.rs
@@ -1,4 +1,4 @@
-//! What the loop records in the traffic capture, if there is one.
+//! Records events of the loop in the traffic capture, if one is set.
 
 use bytes::Bytes;
 use tideroute_wire::capture::{counts, CaptureEvent};
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Records that a connection is over, with the number of frames that passed each way.
+    /// Records that a connection has ended, with the number of frames sent and received on it.
     pub(super) fn record_closed(&mut self, slot: usize) {
         let connection = &self.connections[slot];
         let id = connection.id;
@@ -24,7 +24,7 @@
         self.record(id, CaptureEvent::Closed, &frame_counts);
     }
 
-    /// Records the start or end of the process itself.
+    /// Records the start or end of the process; an exit first records the end of each open connection.
     pub(super) fn capture_process_event(&mut self, event: CaptureEvent) {
         if event == CaptureEvent::ProcessExited {
             let open: Vec<usize> = self
@@ -41,7 +41,7 @@
         self.flush_capture();
     }
 
-    /// Records that the handler, a relay, has joined two connections.
+    /// Records that the handler, which is a relay, forwards between these two connections.
     pub(super) fn record_joined(&mut self, connections: [ConnectionId; 2]) {
         let streams = connections.map(|connection| {
             let slot = *self.slots.get(&connection)?;
--- a/crates/reactor/src/reactor/closing.rs
+++ b/crates/reactor/src/reactor/closing.rs
@@ -1,4 +1,4 @@
-//! How connections end, by either side or by a timeout.
+//! Ends connections at the handler's request, because of the peer or an error, or at a deadline.
 
 use std::net::Shutdown;
 use std::time::Duration;
@@ -13,19 +13,20 @@
 use super::{Notification, Reactor};
 use crate::connection::ConnectionState;
 
-/// Microseconds in which a closing connection has to make progress with its output.
+/// Microseconds within which a closing connection must make progress in sending its output.
 const CLOSE_TIMEOUT: Micros = 500_000;
-/// The same for a raw connection, whose peer may be slow.
+/// [`CLOSE_TIMEOUT`] of raw connections, whose peers may be slow.
 const RAW_CLOSE_TIMEOUT: Micros = 2_000_000;
-/// Bytes that may still arrive on a lingering connection: what the largest senders have under way.
+/// Maximum number of bytes discarded on a lingering connection: as many as the largest senders have in flight.
 const MAX_DISCARDED: usize = 96 << 20;
-/// Chunks discarded in one iteration, so that a sender at full speed leaves time for others.
+/// Maximum number of chunks discarded on a connection in one iteration, so that a sender at full speed does not starve
+/// other connections.
 const DISCARDED_CHUNKS: usize = 8;
-/// Microseconds that the peer of a lingering connection may take to stop sending.
+/// Microseconds within which the peer of a lingering connection must stop sending.
 const LINGER_TIMEOUT: Micros = 2_000_000;
 
 impl Reactor {
-    /// Ends a connection for the handler, once its output has been sent.
+    /// Closes a connection at the handler's request once its output has been sent.
     pub(super) fn close(&mut self, id: ConnectionId, reason: &str) {
         let Some(&slot) = self.slots.get(&id) else { return };
         tracing::debug!(connection = id.0, reason, "connection closed by the handler");
@@ -49,14 +50,14 @@
         }
     }
 
-    /// Ends a connection for the handler at once; output that waits is never sent.
+    /// Closes a connection at the handler's request at once; queued output is not sent.
     pub(super) fn abort(&mut self, id: ConnectionId) {
         if let Some(&slot) = self.slots.get(&id) {
             self.shut_down(slot);
         }
     }
 
-    /// Ends a connection for the handler at once, with a reset.
+    /// Resets a connection at the handler's request.
     pub(super) fn reset(&mut self, id: ConnectionId) {
         if let Some(&slot) = self.slots.get(&id) {
             let _ = SockRef::from(&self.connections[slot].stream).set_linger(Some(Duration::ZERO));
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Enters the closing state, or extends its deadline after progress.
+    /// Puts a connection into the closing state, or extends the deadline of that state after progress.
     pub(super) fn start_closing(&mut self, slot: usize) {
         let now = self.now();
         let connection = &mut self.connections[slot];
@@ -75,8 +76,8 @@
         self.set_connection_deadline(deadline, id);
     }
 
-    /// The output of a closing connection has been sent. If the peer still sends, closing the socket would reset the
-    /// connection, and the reset might overtake the output: an accepted raw connection lingers instead.
+    /// Ends a connection whose output has been sent. If the peer is still sending, closing the socket would reset the
+    /// connection, and the reset might overtake the output; an accepted raw connection therefore lingers first.
     pub(super) fn finish_output(&mut self, slot: usize) {
         let connection = &mut self.connections[slot];
         let lingers = connection.raw && !connection.id.is_outbound() && self.lingering < self.max_lingering;
@@ -91,7 +92,8 @@
         self.update_interest(slot);
     }
 
-    /// Discards what arrives on a lingering connection, until its peer has closed it too.
+    /// Discards input of a lingering connection, and shuts the connection down once its peer has closed it too or the
+    /// peer has sent too much.
     pub(super) fn discard_input(&mut self, slot: usize) {
         for _ in 0..DISCARDED_CHUNKS {
             let connection = &mut self.connections[slot];
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Ends a connection that the handler did not end, and notifies the handler.
+    /// Ends a connection for a reason other than the handler's request, and notifies the handler.
     pub(super) fn disconnect(&mut self, slot: usize, reason: DisconnectReason, detail: &str) {
         let connection = &self.connections[slot];
         let id = connection.id;
@@ -125,7 +127,7 @@
         self.shut_down(slot);
     }
 
-    /// Ends a connection at once, in both directions.
+    /// Shuts a connection down at once in both directions.
     fn shut_down(&mut self, slot: usize) {
         if self.connections[slot].state != ConnectionState::Closed {
             self.release(slot);
@@ -147,12 +149,13 @@
         self.closed.push(slot);
     }
 
-    /// Ends a connection whose state has reached its deadline; a deadline that was extended is ignored.
+    /// Ends a connection whose state has reached its deadline. Does nothing if the deadline was extended since the
+    /// timer was set.
     pub(super) fn check_connection_deadline(&mut self, id: ConnectionId) {
         let Some(&slot) = self.slots.get(&id) else { return };
         match self.connections[slot].state {
             ConnectionState::Connecting { deadline } if deadline <= self.now() => {
-                self.disconnect(slot, DisconnectReason::ConnectFailed, "connect timed out");
+                self.disconnect(slot, DisconnectReason::ConnectFailed, "connecting timed out");
             }
             ConnectionState::Closing { deadline } | ConnectionState::Lingering { deadline, .. }
                 if deadline <= self.now() =>
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Ends all connections with a reset, as a crash of the machine would.
+    /// Resets all connections, to simulate a crash.
     pub(super) fn reset_all(&mut self) {
         for connection in self.connections.drain() {
             let _ = self.poller.delete(&connection.stream);
--- a/crates/reactor/src/reactor/connecting.rs
+++ b/crates/reactor/src/reactor/connecting.rs
@@ -1,4 +1,4 @@
-//! Outbound connections, from the attempt to the open connection.
+//! Opens outbound connections.
 
 use std::io;
 
@@ -14,7 +14,7 @@
 use crate::poll_key::PollKey;
 
 impl Reactor {
-    /// Begins to connect; the handler is notified of the result.
+    /// Starts connecting; the handler is notified of the result.
     pub(super) fn connect(&mut self, id: ConnectionId, to: Address, timeout: Micros) {
         let deadline = self.now() + timeout;
         self.record(id, CaptureEvent::Connecting, &Bytes::copy_from_slice(&to));
@@ -27,14 +27,15 @@
             }
             Err(error) => {
                 let reason = connect_failure_reason(&error);
-                tracing::debug!(connection = id.0, %error, ?reason, "connect failed at once");
+                tracing::debug!(connection = id.0, %error, ?reason, "connecting failed at once");
                 self.record(id, CaptureEvent::ConnectFailed, &Bytes::new());
                 self.notifications.push_back(Notification::Disconnected(id, reason));
             }
         }
     }
 
-    /// Adds a connection and has the poller watch it; the key of `interest` is that of its slot.
+    /// Adds a connection and registers it with the poller for `interest`, whose key is replaced by that of the
+    /// connection's slot.
     pub(super) fn insert(&mut self, connection: Connection, mut interest: Event) {
         let id = connection.id;
         let slot = self.connections.insert(connection);
@@ -43,7 +44,7 @@
         watched.readable = interest.readable;
         watched.writable = interest.writable;
         if let Err(error) = add(&self.poller, &self.connections[slot].stream, interest) {
-            tracing::error!(%error, "a connection could not be polled");
+            tracing::error!(%error, "registering a connection with the poller failed; dropping the connection");
             self.connections.remove(slot);
             let reason = DisconnectReason::ConnectFailed;
             self.notifications.push_back(Notification::Disconnected(id, reason));
@@ -52,10 +53,10 @@
         self.slots.insert(id, slot);
     }
 
-    /// The socket of a connection attempt is writable: the attempt has succeeded or failed.
+    /// Completes a connection attempt, successful or failed, once its socket is writable.
     pub(super) fn finish_connecting(&mut self, slot: usize) {
         if !self.connections[slot].is_established() {
-            return self.disconnect(slot, DisconnectReason::ConnectFailed, "connect failed");
+            return self.disconnect(slot, DisconnectReason::ConnectFailed, "connecting failed");
         }
         let now = self.clock.now();
         let connection = &mut self.connections[slot];
@@ -71,7 +72,8 @@
     }
 }
 
-/// Whether an attempt that failed at once failed at the peer, or for want of a resource of this machine.
+/// Returns the reason for a connection attempt that failed at once: a cause on this machine, such as a lack of file
+/// descriptors or ports, or else a failure at the peer.
 fn connect_failure_reason(error: &io::Error) -> DisconnectReason {
     match error.raw_os_error() {
         Some(
--- a/crates/reactor/src/reactor/datagrams.rs
+++ b/crates/reactor/src/reactor/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams, received and sent.
+//! Receives and sends datagrams.
 
 use bytes::Bytes;
 use metrics::counter;
@@ -7,7 +7,8 @@
 
 use super::Reactor;
 
-/// Datagrams received in one iteration, so that a flood of them leaves time for other sources.
+/// Maximum number of datagrams received at a socket in one iteration, so that a flood of them does not starve other
+/// sources.
 const MAX_DATAGRAMS: usize = 256;
 
 impl Reactor {
@@ -26,7 +27,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    tracing::warn!(%error, "a datagram could not be received");
+                    tracing::warn!(%error, "receiving a datagram failed");
                     return;
                 }
             }
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Sends a datagram; it is lost if the machine has no room for it.
+    /// Sends a datagram, which is lost if the socket does not accept it.
     pub(super) fn send_datagram(&mut self, index: usize, to: Address, bytes: &Bytes) {
         let to = self.address_overrides.get(&to).copied().unwrap_or(to);
         let datagram_socket = self.datagram_sockets.get(index);
--- a/crates/reactor/src/reactor/effects.rs
+++ b/crates/reactor/src/reactor/effects.rs
@@ -1,4 +1,4 @@
-//! The handler's effects, executed on sockets, timers and files.
+//! Executes the handler's effects on sockets, timers and files.
 
 use std::fs;
 
@@ -10,7 +10,7 @@
 use super::Reactor;
 
 impl Reactor {
-    /// Executes all effects, in the order in which the handler asked for them.
+    /// Executes all effects in the order in which the handler requested them.
     pub(super) fn execute(&mut self, effects: &mut Effects) {
         for effect in effects.take() {
             self.execute_one(effect);
@@ -42,17 +42,17 @@
         self.update_interest(slot);
     }
 
-    /// Replaces the persisted file atomically: a crash leaves the old file or the new one.
+    /// Replaces the persisted file by a rename, so that a crash leaves either the old file or the new one.
     fn persist(&self, bytes: &[u8]) {
         let Some(path) = &self.persist_path else { return };
         let new_file = path.with_extension("new");
         if let Err(error) = fs::write(&new_file, bytes).and_then(|()| fs::rename(&new_file, path)) {
-            tracing::error!(%error, path = %path.display(), "state could not be persisted");
+            tracing::error!(%error, path = %path.display(), "persisting state failed");
         }
     }
 
     fn publish(&self, bytes: Bytes) {
-        let taken = self.publish_to.as_ref().is_some_and(|mailbox| mailbox.try_send(bytes));
-        counter!("tideroute_messages_published_total", "accepted" => taken.to_string()).increment(1);
+        let accepted = self.publish_to.as_ref().is_some_and(|mailbox| mailbox.try_send(bytes));
+        counter!("tideroute_messages_published_total", "accepted" => accepted.to_string()).increment(1);
     }
 }
--- a/crates/reactor/src/reactor/event_loop.rs
+++ b/crates/reactor/src/reactor/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop itself: one iteration polls, delivers events, messages and timers, and settles what came of them.
+//! The event loop. Each iteration executes the handler's decisions and sends its output, then polls and delivers
+//! events, messages and timers.
 
 use std::io;
 
@@ -13,9 +14,9 @@
 use crate::poll_key::PollKey;
 
 impl Reactor {
-    /// Drives the handler until it has finished, has asked for a crash, or is forced to end by a second signal.
+    /// Drives the handler until it has finished, has requested a crash, or is forced to end by a second signal.
     ///
-    /// Fails if the poller does; what goes wrong on one connection ends that connection only.
+    /// Returns an error if the poller fails; an error on one connection ends that connection only.
     pub fn run(&mut self, handler: &mut impl EventHandler) -> Result<RunOutcome, ReactorError> {
         let mut effects = Effects::default();
         let mut events = Events::new();
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Whether the handler has finished and all its output has been sent.
+    /// Returns whether the handler has finished and all its output has been sent; a loop that drains on shutdown also
+    /// waits for lingering connections.
     fn is_finished(&self, handler: &impl EventHandler) -> bool {
         let waits_for_lingering = self.drain_on_shutdown && self.lingering > 0;
         handler.is_finished()
@@ -61,7 +63,7 @@
             && self.connections.iter().all(|(_, connection)| connection.buffered() == 0)
     }
 
-    /// Waits for events or for the next timer.
+    /// Waits for events or for the next timer, whichever comes first.
     fn poll(&mut self, events: &mut Events) -> io::Result<()> {
         let timeout = self.poll_timeout();
         events.clear();
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Handles the events in the poller's order; returns an outcome if the run ends with one of them.
+    /// Handles the events in the poller's order; returns an outcome if one of them ends the run.
     fn handle_events(
         &mut self,
         events: &Events,
@@ -97,14 +99,15 @@
         Ok(None)
     }
 
-    /// Lets the handler decide, sends its output and notifies it of what came of that, until nothing is left to
-    /// notify.
+    /// Lets the handler decide, sends its output and notifies it of the results, until no notification is left. Then
+    /// frees the slots of closed connections.
     fn settle(&mut self, handler: &mut impl EventHandler, effects: &mut Effects) {
         loop {
             self.deliver_notifications(handler, effects);
             handler.on_iteration(self.clock.now(), effects);
             self.execute(effects);
-            // Captured before it leaves: a process killed in between has not sent what its capture lacks.
+            // The capture is flushed before the output is sent, so that the capture of a killed process holds
+            // everything that the process sent.
             self.flush_capture();
             for slot in std::mem::take(&mut self.to_flush) {
                 self.flush(slot);
@@ -121,7 +124,7 @@
         self.flush_capture();
     }
 
-    /// Notifies the handler of what came of its effects.
+    /// Notifies the handler of the results of its effects and of lost connections.
     pub(super) fn deliver_notifications(&mut self, handler: &mut impl EventHandler, effects: &mut Effects) {
         while let Some(notification) = self.notifications.pop_front() {
             let now = self.clock.now();
--- a/crates/reactor/src/reactor/listener_state.rs
+++ b/crates/reactor/src/reactor/listener_state.rs
@@ -1,4 +1,4 @@
-//! Listeners that the handler closes and opens again.
+//! Changes the state of listeners at the handler's request.
 
 use tideroute_wire::event_loop::ListenerState;
 
@@ -17,14 +17,14 @@
             }
         }
         if let Err(error) = listener.set_state(state) {
-            tracing::error!(%error, address = %listener.address(), ?state, "a listener's state could not be set");
+            tracing::error!(%error, address = %listener.address(), ?state, "setting the state of a listener failed");
         }
         if was_open {
             return;
         }
         if let Some(socket) = listener.open_socket() {
             if let Err(error) = add(&self.poller, socket, readable(PollKey::Listener(index))) {
-                tracing::error!(%error, "a listener could not be polled");
+                tracing::error!(%error, "registering a listener with the poller failed");
             }
         }
     }
--- a/crates/reactor/src/reactor/messages.rs
+++ b/crates/reactor/src/reactor/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that other threads sent to the handler.
+//! Delivers messages from other threads to the handler.
 
 use tideroute_wire::event_loop::{Effects, EventHandler};
 
@@ -6,7 +6,7 @@
 use crate::mailbox::MessageReceiver;
 
 impl Reactor {
-    /// Hands all waiting messages to the handler, and counts each as processed once its effects are executed.
+    /// Passes all waiting messages to the handler, and counts each as processed once its effects have been executed.
     pub(super) fn deliver_messages(&mut self, handler: &mut impl EventHandler, effects: &mut Effects) {
         while let Some(message) = self.messages.as_ref().and_then(MessageReceiver::next) {
             handler.on_message(self.clock.now(), &message, effects);
--- a/crates/reactor/src/reactor/reading.rs
+++ b/crates/reactor/src/reactor/reading.rs
@@ -1,4 +1,4 @@
-//! Events of connections, and the frames that arrive on them.
+//! Handles events of connections, and reads the frames that arrive on them.
 
 use bytes::Bytes;
 use polling::Event;
@@ -9,7 +9,7 @@
 use crate::connection::{ConnectionState, ReadOutcome};
 
 impl Reactor {
-    /// Handles an event by the state of its connection.
+    /// Handles an event according to the state of its connection.
     pub(super) fn handle_connection_event(
         &mut self,
         slot: usize,
@@ -25,15 +25,19 @@
         }
         if event.writable && connection.buffered() > 0 {
             self.flush(slot);
-            // Guards against what follows in this iteration, an endpoint list or a timer, taking a request for
-            // unwritten whose last byte has just left.
+            // Notifies the handler before the later events of this iteration, such as an endpoint list update or a
+            // timer; otherwise the handler would take a request for unsent although its last byte has just been sent.
             self.deliver_notifications(handler, effects);
         }
-        // The poller reports a broken connection over and over, also while reading is paused.
+        // The poller would report a broken connection in each iteration, even while reading is paused.
         let paused = self.connections[slot].reading_paused;
         let broken = event.is_interrupt() || event.is_err().unwrap_or(false);
         if self.is_open(slot) && paused && broken {
-            return self.disconnect(slot, DisconnectReason::Reset, "it broke while reading was paused");
+            return self.disconnect(
+                slot,
+                DisconnectReason::Reset,
+                "the connection broke while reading was paused",
+            );
         }
         if event.readable && self.is_open(slot) && !paused {
             self.read(slot, handler, effects);
@@ -44,7 +48,7 @@
         self.connections.get(slot).is_some_and(|connection| connection.state == ConnectionState::Open)
     }
 
-    /// Reads a chunk and hands its frames to the handler, for as long as the connection stays open.
+    /// Reads a chunk and passes its frames to the handler as long as the connection stays open.
     fn read(&mut self, slot: usize, handler: &mut impl EventHandler, effects: &mut Effects) {
         let ReadOutcome { frames, end } = self.connections[slot].read(&mut self.read_buffer);
         for frame in &frames {
--- a/crates/reactor/src/reactor/setup.rs
+++ b/crates/reactor/src/reactor/setup.rs
@@ -1,4 +1,4 @@
-//! How a loop is created and configured before its run.
+//! Creates and configures a loop before its run.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -26,13 +26,13 @@
 use crate::traffic_capture::TrafficCapture;
 
 impl Reactor {
-    /// Listens at each address; port 0 lets the machine choose.
+    /// Creates a loop that listens at each address; for port 0 the operating system chooses the port.
     pub fn new(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
         Self::with_listeners(addresses, TcpListener::bind)
     }
 
-    /// Like [`new`](Reactor::new), beside other loops of this user at the same addresses (SO_REUSEPORT): the kernel
-    /// gives each connection to one of them.
+    /// Creates a loop as [`new`](Reactor::new) does, but with SO_REUSEPORT: several loops of this user may listen at
+    /// the same addresses, and the kernel gives each connection to one of them.
     pub fn with_reuse_port(addresses: &[SocketAddr]) -> Result<Reactor, ReactorError> {
         Self::with_listeners(addresses, |address| {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Receives datagrams at these addresses as well, to the end of the run.
+    /// Binds a datagram socket at each address, from which datagrams are received until the end of the run.
     pub fn add_datagram_sockets(&mut self, addresses: &[SocketAddr]) -> Result<(), ReactorError> {
         for &address in addresses {
             let datagram_socket =
@@ -104,8 +104,9 @@
         Ok(())
     }
 
-    /// Passes bytes as they come, not in frames. An accepted connection that the handler closes is then shut down in
-    /// two steps, so that no reset overtakes its output; at most `max_lingering` connections are between the two.
+    /// Passes bytes to the handler as they arrive instead of in frames. An accepted connection that the handler closes
+    /// then lingers: its output is shut down first and its input later, so that no reset overtakes the output. At most
+    /// `max_lingering` connections linger at a time.
     pub fn set_raw(&mut self, max_lingering: usize) {
         self.raw = true;
         self.max_lingering = max_lingering;
@@ -116,7 +117,7 @@
         self.drain_on_shutdown = true;
     }
 
-    /// On SIGHUP, reads the file and hands it to the handler.
+    /// Registers for SIGHUP; each one has the loop read the file and pass it to the handler.
     pub fn reload_config_on_sighup(&mut self, path: PathBuf) -> Result<(), ReactorError> {
         let signals = SignalPipe::for_reload()?;
         add(&self.poller, &signals.stream, readable(PollKey::ReloadSignals))?;
@@ -124,39 +125,39 @@
         Ok(())
     }
 
-    /// Sends what the handler publishes to this mailbox.
+    /// Sets the mailbox to which the handler's published messages are sent.
     pub fn publish_to(&mut self, mailbox: Mailbox) {
         self.publish_to = Some(mailbox);
     }
 
-    /// A mailbox through which other threads send messages to this loop's handler.
+    /// Returns a mailbox through which other threads send messages to this loop's handler.
     pub fn mailbox(&mut self) -> Mailbox {
         let (mailbox, messages) = mailbox(self.poller.clone());
         self.messages = Some(messages);
         mailbox
     }
 
-    /// The addresses of the listeners, in order.
+    /// Returns the addresses of the listeners, in order.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.listeners.iter().map(Listener::address).collect()
     }
 
-    /// The clock that the handler sees.
+    /// Returns the clock whose time the handler sees.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Captures all traffic from now on.
+    /// Records all further traffic in this capture.
     pub fn capture_traffic(&mut self, capture: TrafficCapture) {
         self.capture = Some(capture);
     }
 
-    /// Connects to and sends to other addresses in place of some that the handler gives, such as that of a relay.
+    /// Replaces addresses to which the handler connects or sends, for example by that of a relay: from key to value.
     pub fn override_addresses(&mut self, overrides: HashMap<Address, Address>) {
         self.address_overrides = overrides;
     }
 
-    /// Has the handler see a faulty clock; a capture that has begun keeps the true one.
+    /// Gives the handler a faulty clock; a capture that is already set keeps the true time.
     pub fn skew_clock(&mut self, skew: ClockSkew) {
         self.clock = self.clock.with_skew(skew);
         self.timers = timers::new_wheel(&self.clock);
@@ -165,17 +166,18 @@
         }
     }
 
-    /// Panics after this delay, to test what the end of one loop means for others in the process.
+    /// Makes the loop panic after this delay, to test how the end of one loop affects others in the process.
     pub fn panic_after(&mut self, delay: Micros) {
         self.timers.set((self.now() + delay) / TICK, TimerKey::Panic);
     }
 
-    /// Persists the handler's state to this file.
+    /// Sets the file to which the handler's state is persisted.
     pub fn persist_to(&mut self, path: PathBuf) {
         self.persist_path = Some(path);
     }
 
-    /// SIGTERM and SIGINT shut the handler down; a second one ends the run at once.
+    /// Registers for SIGTERM and SIGINT: the first signal shuts the handler down, and a second one ends the run at
+    /// once, unless the loop [drains on shutdown](Reactor::drain_on_shutdown).
     pub fn catch_signals(&mut self) -> Result<(), ReactorError> {
         let signals = SignalPipe::for_shutdown()?;
         add(&self.poller, &signals.stream, readable(PollKey::ShutdownSignals))?;
--- a/crates/reactor/src/reactor/shutdown.rs
+++ b/crates/reactor/src/reactor/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown by signal.
+//! Shuts the handler down on SIGTERM and SIGINT.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -9,7 +9,7 @@
 use crate::signal_pipe::SignalPipe;
 
 impl Reactor {
-    /// Shuts the handler down at the first signal; breaks if a further one ends the run.
+    /// Shuts the handler down at the first signal; returns `Break` if a further signal ends the run.
     pub(super) fn handle_shutdown_signals(
         &mut self,
         handler: &mut impl EventHandler,
@@ -26,7 +26,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Asks the handler to finish. The listeners are closed, unless the loop drains them.
+    /// Asks the handler to finish, and closes the listeners unless the loop drains on shutdown.
     fn shut_down_handler(
         &mut self,
         handler: &mut impl EventHandler,
--- a/crates/reactor/src/reactor/timers.rs
+++ b/crates/reactor/src/reactor/timers.rs
@@ -1,4 +1,4 @@
-//! The loop's timers: setting them in microseconds, and what is done when they fire.
+//! Sets and fires the loop's timers, whose times are in microseconds.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::timer_key::TimerKey;
 use crate::timer_wheel::TimerWheel;
 
-/// Microseconds a tick of the wheel: as fine as the decisions' own clock.
+/// Microseconds per tick of the wheel, the resolution of the scheduler's clock.
 pub(super) const TICK: Micros = 100;
 
-/// An empty wheel at the clock's time.
+/// Returns an empty wheel at the clock's time.
 pub(super) fn new_wheel(clock: &Clock) -> TimerWheel<TimerKey> {
     TimerWheel::new(clock.now() / TICK)
 }
@@ -23,7 +23,7 @@
         self.clock.now()
     }
 
-    /// Sets the handler's own timer, which never fires early.
+    /// Sets a timer of the handler, which never fires early.
     pub(super) fn set_handler_timer(&mut self, at: Micros, key: u64) {
         self.timers.set(at.div_ceil(TICK), TimerKey::Handler(key));
     }
@@ -33,22 +33,22 @@
         self.timers.set(deadline / TICK + 1, TimerKey::ConnectionDeadline(connection));
     }
 
-    /// Sets a timer for something that is tried again after a delay.
+    /// Sets a timer for an action that is retried after a delay.
     pub(super) fn set_retry_timer(&mut self, delay: Micros, key: TimerKey) {
         self.timers.set((self.now() + delay) / TICK, key);
     }
 
-    /// When the first timer may fire.
+    /// Returns the time at which the first timer may fire; `None` if no timer is set.
     pub(super) fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next().map(|tick| tick * TICK)
     }
 
-    /// How long the loop may wait for events.
+    /// Returns how long the loop may wait for events; `None` if no timer is set.
     pub(super) fn poll_timeout(&self) -> Option<Duration> {
         self.next_timer_at().map(|at| Duration::from_micros(at.saturating_sub(self.now())))
     }
 
-    /// Fires the timers that are due; `due` is a buffer, empty before and after.
+    /// Fires the timers that are due; `due` is a reusable buffer that is empty before and after.
     pub(super) fn fire_timers(
         &mut self,
         due: &mut Vec<TimerKey>,
--- a/crates/reactor/src/reactor/writing.rs
+++ b/crates/reactor/src/reactor/writing.rs
@@ -1,4 +1,4 @@
-//! Output: queued by effects, sent at the end of an iteration and whenever a socket is writable again.
+//! Queues output, which is sent at the end of an iteration and whenever a socket becomes writable again.
 
 use bytes::Bytes;
 use metrics::counter;
@@ -9,27 +9,29 @@
 use crate::connection::{ConnectionState, MAX_BUFFERED};
 
 impl Reactor {
-    /// Queues a frame; a connection whose peer does not read is disconnected.
+    /// Queues a frame; disconnects the connection if more than [`MAX_BUFFERED`] bytes wait because its peer does not
+    /// read.
     pub(super) fn send(&mut self, connection: ConnectionId, frame: &Bytes) {
         let Some(&slot) = self.slots.get(&connection) else { return };
         let now = self.clock.now();
-        let sender = &mut self.connections[slot];
-        if !matches!(sender.state, ConnectionState::Connecting { .. } | ConnectionState::Open) {
+        let target = &mut self.connections[slot];
+        if !matches!(target.state, ConnectionState::Connecting { .. } | ConnectionState::Open) {
             return;
         }
-        sender.queue(frame);
+        target.queue(frame);
         if let Some(capture) = &mut self.capture {
-            capture.record(now, connection, CaptureEvent::Sent, sender.frames_sent, frame);
+            capture.record(now, connection, CaptureEvent::Sent, target.frames_sent, frame);
         }
-        sender.frames_sent += 1;
-        if sender.buffered() > MAX_BUFFERED {
+        target.frames_sent += 1;
+        if target.buffered() > MAX_BUFFERED {
             self.disconnect(slot, DisconnectReason::Reset, "the peer does not read");
-        } else if sender.state == ConnectionState::Open {
+        } else if target.state == ConnectionState::Open {
             self.to_flush.push(slot);
         }
     }
 
-    /// Sends what the socket takes, and notifies the handler of what that changes.
+    /// Sends as much output as the socket accepts, and notifies the handler of changed backpressure and completed
+    /// writes.
     pub(super) fn flush(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if !matches!(connection.state, ConnectionState::Open | ConnectionState::Closing { .. }) {
@@ -58,7 +60,7 @@
         self.update_interest(slot);
     }
 
-    /// Notifies the handler if the output has crossed a watermark.
+    /// Notifies the handler if the amount of waiting output has crossed a watermark.
     fn update_backpressure(&mut self, slot: usize) {
         let connection = &mut self.connections[slot];
         let watermarks = connection.watermarks();
--- a/crates/reactor/src/signal_pipe.rs
+++ b/crates/reactor/src/signal_pipe.rs
@@ -1,4 +1,4 @@
-//! Signals as bytes on socket pairs, which the loop polls like any other source.
+//! Receives signals as bytes on socket pairs, which the loop polls like any other source.
 
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -11,12 +11,12 @@
 }
 
 impl SignalPipe {
-    /// SIGTERM and SIGINT, which ask the process to shut down.
+    /// Registers for SIGTERM and SIGINT, which ask the process to shut down.
     pub fn for_shutdown() -> io::Result<SignalPipe> {
         Self::register(&[SIGTERM, SIGINT])
     }
 
-    /// SIGHUP, which asks to read the configuration again.
+    /// Registers for SIGHUP, which asks the process to reload its configuration.
     pub fn for_reload() -> io::Result<SignalPipe> {
         Self::register(&[SIGHUP])
     }
@@ -30,7 +30,7 @@
         Ok(SignalPipe { stream })
     }
 
-    /// How many signals came since the last call.
+    /// Returns the number of signals received since the last call.
     pub fn take_count(&mut self) -> usize {
         let mut bytes = [0; 64];
         let mut count = 0;
--- a/crates/reactor/src/timer_key.rs
+++ b/crates/reactor/src/timer_key.rs
@@ -1,18 +1,18 @@
-//! What a timer of the loop was set for.
+//! Purposes of the loop's timers.
 
 use tideroute_wire::event_loop::ConnectionId;
 
-/// What is done when a timer fires.
+/// The action to take when a timer fires.
 #[derive(Clone, Copy)]
 pub(crate) enum TimerKey {
-    /// The handler's own timer, with the key that the handler chose.
+    /// Notifies the handler of its timer with this key.
     Handler(u64),
-    /// A connection may have reached the deadline of its current state.
+    /// Checks whether a connection has reached the deadline of its current state.
     ConnectionDeadline(ConnectionId),
-    /// The listener with this index is polled again after a pause.
+    /// Polls the listener with this index again after a pause.
     ResumeAccepting(usize),
-    /// The configuration file that could not be used is read again.
+    /// Reads a configuration file again that could not be used.
     RetryConfigReload,
-    /// The loop panics, which a test has asked for.
+    /// Makes the loop panic, at a test's request.
     Panic,
 }
--- a/crates/reactor/src/timer_wheel.rs
+++ b/crates/reactor/src/timer_wheel.rs
@@ -1,14 +1,15 @@
 //! Timers in a hierarchical wheel (Varghese and Lauck, "Hashed and hierarchical timing wheels", 1987, scheme 7).
 //!
-//! Each level has 64 slots, and each slot of a level is as long as all of the level below. A timer stands at the level
-//! of the highest six bits in which its tick differs from now, and moves down as time passes; setting one costs the
-//! same however many there are. `benches/timer_wheel.rs` measures it against a `BTreeMap`.
+//! Each level has 64 slots, and each slot of a level spans as many ticks as the whole level below. A timer is kept at
+//! the level of the highest six bits in which its tick differs from the current tick, and moves down as time passes.
+//! The cost of setting a timer does not depend on their number. `benches/timer_wheel.rs` measures it against a
+//! `BTreeMap`.
 
-/// Slots a level: one bit each in a word.
+/// Slots per level, each of which has one bit in a 64-bit word.
 const SLOTS: usize = 64;
-/// Bits of a tick that one level takes.
+/// Bits of a tick that one level covers.
 const BITS: u32 = 6;
-/// Levels that together take all bits of a tick.
+/// Levels that together cover all bits of a tick.
 const LEVELS: usize = 11;
 
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +34,7 @@
     begins_at: u64,
 }
 
-/// Timers by tick; how long a tick lasts is the caller's choice.
+/// A set of timers ordered by tick; the caller chooses how long a tick lasts.
 #[derive(Debug)]
 pub struct TimerWheel<K> {
     now: u64,
@@ -43,23 +44,23 @@
 }
 
 impl<K: Copy> TimerWheel<K> {
-    /// An empty wheel at tick `now`.
+    /// Returns an empty wheel at tick `now`.
     pub fn new(now: u64) -> Self {
         let level = || Level { occupied: 0, slots: (0..SLOTS).map(|_| Vec::new()).collect() };
         TimerWheel { now, order: 0, count: 0, levels: (0..LEVELS).map(|_| level()).collect() }
     }
 
-    /// The number of timers that are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether no timer is set.
+    /// Returns whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Sets a timer; one for a tick that has passed is due at once.
+    /// Sets a timer; a timer for a tick that has passed is due at once.
     pub fn set(&mut self, at: u64, key: K) {
         self.order += 1;
         self.count += 1;
@@ -79,12 +80,13 @@
         let level = self.levels.iter().position(|level| level.occupied != 0)?;
         let slot = self.levels[level].occupied.trailing_zeros() as usize;
         let shift = BITS * level as u32;
-        // Above the level's own bits the tick is that of now.
+        // The bits above those of this level are the same as in the current tick.
         let above = if shift + BITS >= 64 { 0 } else { self.now >> (shift + BITS) << (shift + BITS) };
         Some(FirstSlot { level, slot, begins_at: above | (slot as u64) << shift })
     }
 
-    /// A tick at which there may be something to do; never later than the first timer.
+    /// Returns a tick that is not later than the first timer, at which the wheel should be advanced; `None` if no timer
+    /// is set.
     pub fn next(&self) -> Option<u64> {
         self.first_slot().map(|first| first.begins_at)
     }
--- a/crates/reactor/src/traffic_capture.rs
+++ b/crates/reactor/src/traffic_capture.rs
@@ -1,5 +1,5 @@
-//! A capture of what passes on this process's sockets. It is complete at the end of each iteration of the loop: a
-//! process that is killed leaves all that it sent before.
+//! A capture of the traffic on this process's sockets. It is flushed in each iteration before output is sent, so that
+//! the capture of a killed process holds everything that the process sent.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -14,9 +14,9 @@
 use crate::address;
 use crate::clock::Clock;
 
-/// Bytes that are gathered before they are written to the file.
+/// Bytes that are buffered before they are written to the file.
 const FILE_BUFFER: usize = 1 << 18;
-/// The role of a process whose frames are captured by those who exchange them.
+/// Role of a relay, whose frames are captured by the processes that exchange them through it.
 const RELAY_ROLE: &str = "relay";
 
 /// The capture file of one process.
@@ -24,19 +24,19 @@
     file: BufWriter<File>,
     process: u32,
     role: String,
-    /// The process's clock, if the handler sees a skewed one.
+    /// The process's clock, for its true time, if the handler sees a skewed one.
     pub(crate) clock: Option<Clock>,
 }
 
 impl TrafficCapture {
-    /// Begins the capture of one process; an existing file is overwritten.
+    /// Starts the capture of one process; overwrites an existing file.
     pub fn create(path: &Path, process: &CapturedProcess) -> io::Result<TrafficCapture> {
         let mut file = BufWriter::with_capacity(FILE_BUFFER, File::create(path)?);
         capture::write_head(&mut file, std::slice::from_ref(process), "")?;
         Ok(TrafficCapture { file, process: process.number, role: process.role.clone(), clock: None })
     }
 
-    /// Captures an event, for frames with the frame's position on its connection.
+    /// Captures an event; for a frame, `position` is the frame's index among those of its direction on the connection.
     pub(crate) fn record(
         &mut self,
         at: Micros,
@@ -57,16 +57,16 @@
             frame: capture::kept(frame, &self.role),
         };
         if let Err(error) = capture::write(&mut self.file, &captured) {
-            tracing::error!(%error, "the traffic capture is incomplete");
+            tracing::error!(%error, "writing the traffic capture failed; continuing with an incomplete capture");
         }
     }
 
-    /// A relay has joined two connections: both ends of each, the accepted or dialled one first.
+    /// Captures that a relay forwards between two connections, with the addresses of both ends of each.
     pub(crate) fn record_joined(&mut self, at: Micros, ends: [Option<SocketAddr>; 4]) {
         self.record_with_addresses(at, ConnectionId(0), CaptureEvent::Joined, ends);
     }
 
-    /// Captures an event with addresses, by which the two ends of one connection are later matched.
+    /// Captures an event with addresses, which are later used to match the two ends of a connection.
     pub(crate) fn record_with_addresses<const N: usize>(
         &mut self,
         at: Micros,
@@ -80,12 +80,13 @@
 
     pub(crate) fn flush(&mut self) {
         if let Err(error) = self.file.flush() {
-            tracing::error!(%error, "the traffic capture is incomplete");
+            tracing::error!(%error, "writing the traffic capture failed; continuing with an incomplete capture");
         }
     }
 }
 
-/// What a relay captures itself; what it forwards is captured by those who exchange it.
+/// Returns whether a relay captures this event itself. The frames that it forwards are captured by the processes that
+/// exchange them.
 fn is_captured_by_relays(event: CaptureEvent) -> bool {
     matches!(
         event,
--- a/crates/reactor/tests/clock_skew.rs
+++ b/crates/reactor/tests/clock_skew.rs
@@ -1,4 +1,4 @@
-//! A faulty clock, at moments of true time.
+//! Checks what a skewed clock shows at given true times.
 
 use tideroute_reactor::ClockSkew;
 
--- a/crates/reactor/tests/timer_wheel.rs
+++ b/crates/reactor/tests/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The timer wheel against a `BTreeMap`, over random steps.
+//! Compares the timer wheel with a `BTreeMap` over random steps of setting timers and advancing.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use tideroute_reactor::timer_wheel::TimerWheel;
 
 quickcheck! {
-    fn timers_fire_as_a_sorted_map_has_them(steps: Vec<(u8, u32)>) -> bool {
+    fn timers_fire_in_the_order_of_a_sorted_map(steps: Vec<(u8, u32)>) -> bool {
         let (mut wheel, mut map) = (TimerWheel::new(1_000_003), BTreeMap::new());
         let (mut now, mut order) = (1_000_003u64, 0u64);
         for (step, ticks) in steps {
