--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,56 +1,57 @@
-//! Bodies, taken piece by piece out of what arrives.
+//! Reads bodies piece by piece from a receive buffer.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::{Framing, HttpError};
 
-/// Bytes of one chunk's size line with its extensions.
+/// Maximum number of bytes of a chunk's size line, with its extensions.
 const MAX_SIZE_LINE: usize = 256;
-/// Bytes of the fields after the last chunk.
+/// Maximum number of bytes of the fields after the last chunk.
 const MAX_TRAILER: usize = 4 << 10;
-/// Bytes of one chunk: a response's chunks hold a few events. A larger size is a mistake or an attack.
+/// Maximum number of data bytes of a chunk. The chunks of a response hold a few events; a larger size is a mistake or
+/// an attack.
 const MAX_CHUNK: u64 = 1 << 20;
-/// Digits of a chunk's size, which then fits into 32 bits.
+/// Maximum number of digits of a chunk's size, so that the size fits into 32 bits.
 const MAX_SIZE_DIGITS: usize = 8;
 
-/// What comes next of a body.
+/// The part of a body that comes next.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum BodyState {
-    /// So many bytes, and then the end.
+    /// The remaining bytes of a body with a known length.
     Plain(u64),
-    /// Bytes up to the end of the connection.
+    /// All bytes up to the end of the connection.
     ToEnd,
     /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The remaining data bytes of a chunk.
     ChunkData(u64),
     /// The line break after a chunk.
     ChunkEnd,
-    /// The fields after the last chunk, of which so many bytes have been read.
+    /// The fields after the last chunk, with the number of their bytes that have been read.
     Trailer(usize),
-    /// Nothing.
+    /// Nothing: the body has been read in full.
     Complete,
 }
 
-/// A body of which some may still be to come.
+/// A body that is being read.
 #[derive(Clone, Debug)]
 pub struct Body {
     state: BodyState,
-    /// Bytes that it may still have.
+    /// Bytes that may still follow without exceeding `max_length`.
     allowance: u64,
     max_length: u64,
 }
 
-/// What a piece of a stretch leaves.
+/// A piece of a body or chunk, and what remains after it.
 struct Piece {
-    /// None if nothing has arrived.
+    /// `None` if no bytes have arrived.
     bytes: Option<Bytes>,
-    /// Bytes of the stretch that are still to come.
+    /// Bytes of the body or chunk that are still to be read.
     remaining: u64,
 }
 
 impl Body {
-    /// A body of which nothing has been read, with at most so many bytes.
+    /// Returns a body of which nothing has been read, and which may have at most `max_length` bytes.
     pub fn new(framing: Framing, max_length: u64) -> Body {
         let state = match framing {
             Framing::Length(0) => BodyState::Complete,
@@ -61,18 +62,18 @@
         Body { state, allowance: max_length, max_length }
     }
 
-    /// Whether all of it has been read.
+    /// Returns whether the body has been read in full.
     pub fn done(&self) -> bool {
         self.state == BodyState::Complete
     }
 
-    /// Whether the body is complete if the connection ends now.
+    /// Returns whether the body is complete if the connection ends now.
     pub fn may_end(&self) -> bool {
         matches!(self.state, BodyState::Complete | BodyState::ToEnd)
     }
 
-    /// Takes the next piece of the body off what has arrived; None if there is none yet, or none any more. What
-    /// follows the body is left there.
+    /// Removes the next piece of the body from the buffer; `None` if no further piece has arrived, or the body is
+    /// complete. Bytes that follow the body stay in the buffer.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.state {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The state after the line that comes next; None while the line is incomplete.
+    /// Removes the next line and returns the state after it; `None` while the line is incomplete.
     fn next_line(&self, buffer: &mut BytesMut) -> Result<Option<BodyState>, HttpError> {
         match self.state {
             BodyState::ChunkEnd => Ok(take_chunk_end(buffer)?.then_some(BodyState::ChunkSize)),
@@ -123,16 +124,17 @@
         }
     }
 
-    /// As much of what has arrived as is part of a stretch of `length` bytes.
+    /// Removes as many bytes from the buffer as belong to a body or chunk of which `length` bytes remain.
     fn piece(&mut self, buffer: &mut BytesMut, length: u64) -> Result<Piece, HttpError> {
-        let taken = length.min(buffer.len() as u64);
-        self.allowance = self.allowance.checked_sub(taken).ok_or(HttpError::BodyTooLarge(self.max_length))?;
-        let bytes = (taken > 0).then(|| buffer.split_to(taken as usize).freeze());
-        Ok(Piece { bytes, remaining: length - taken })
+        let removed = length.min(buffer.len() as u64);
+        self.allowance =
+            self.allowance.checked_sub(removed).ok_or(HttpError::BodyTooLarge(self.max_length))?;
+        let bytes = (removed > 0).then(|| buffer.split_to(removed as usize).freeze());
+        Ok(Piece { bytes, remaining: length - removed })
     }
 }
 
-/// Takes the line break after a chunk; false while it is incomplete.
+/// Removes the line break after a chunk; returns false while it is incomplete.
 fn take_chunk_end(buffer: &mut BytesMut) -> Result<bool, HttpError> {
     match buffer.get(..2) {
         Some(b"\r\n") => {
@@ -144,9 +146,10 @@
     }
 }
 
-/// Takes a chunk's size line: hexadecimal digits, then at most extensions, which are ignored (RFC 9112, 7.1.1).
+/// Removes a chunk's size line and returns the size; `None` while the line is incomplete. The line holds hexadecimal
+/// digits, optionally followed by extensions, which are ignored (RFC 9112, 7.1.1).
 fn take_chunk_size(buffer: &mut BytesMut) -> Result<Option<u64>, HttpError> {
-    // A line can begin with a digit only: noise is refused at its first byte.
+    // A size line begins with a digit; other input is rejected at its first byte.
     let digits = buffer.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
     let ends_badly = buffer.get(digits).is_some_and(|byte| !matches!(byte, b'\r' | b';' | b' ' | b'\t'));
     if digits > MAX_SIZE_DIGITS || ends_badly || (digits == 0 && !buffer.is_empty()) {
@@ -161,8 +164,8 @@
     Ok(Some(size))
 }
 
-/// Takes a line up to CR LF, which is taken off too; None while it is incomplete, the error if it is longer than
-/// `max_length` or ends otherwise.
+/// Removes a line with its CR LF and returns it without them; `None` while it is incomplete. Returns `error` if the
+/// line is longer than `max_length` or ends in LF alone.
 fn take_line(buffer: &mut BytesMut, max_length: usize, error: HttpError) -> Result<Option<Bytes>, HttpError> {
     match buffer.iter().take(max_length).position(|&byte| byte == b'\n') {
         Some(end) if end > 0 && buffer[end - 1] == b'\r' => {
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,36 +1,36 @@
-//! Why a message is refused.
+//! Errors of parsing a message.
 
-/// Why a message is refused.
+/// Reason for which a message is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The head is longer than so many bytes.
+    /// The head is longer than this number of bytes.
     #[error("the head is longer than {0} bytes")]
     HeadTooLarge(usize),
-    /// The head has more than so many fields.
+    /// The head has more than this number of fields.
     #[error("the head has more than {0} fields")]
     TooManyFields(usize),
-    /// The head is not HTTP.
+    /// The head is not valid HTTP.
     #[error("the head cannot be read: {0}")]
     Malformed(httparse::Error),
     /// The value of a field is not UTF-8.
     #[error("a field is no text")]
     NoText,
-    /// The message is of another version of HTTP.
+    /// The message has a version of HTTP other than 1.1.
     #[error("HTTP/1.1 is spoken here")]
     Version,
-    /// A request has so many Host fields in place of one.
+    /// A request has this number of Host fields instead of one.
     #[error("{0} host fields; one is needed")]
     Host(usize),
-    /// The content length is not one number.
+    /// The content length is not a single decimal number.
     #[error("the length of the body is not one number")]
     Length,
     /// The message has both a content length and a transfer coding.
     #[error("the body has both a length and a transfer coding")]
     BothLengths,
-    /// The transfer coding is not `chunked` alone.
+    /// The transfer coding is other than `chunked` alone.
     #[error("the only transfer coding here is chunked")]
     Coding,
-    /// The body is over so many bytes.
+    /// The body is longer than this number of bytes.
     #[error("the body is over {0} bytes")]
     BodyTooLarge(u64),
     /// The size line of a chunk is malformed or over its limit.
@@ -42,7 +42,7 @@
 }
 
 impl HttpError {
-    /// The status of a server's response to it.
+    /// Returns the status code of a server's response to such a message.
     pub fn status(self) -> u16 {
         match self {
             HttpError::HeadTooLarge(_) | HttpError::TooManyFields(_) => 431,
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -1,8 +1,8 @@
-//! The fields of a head, and how they frame the body.
+//! The header fields of a message, and the framing of the body that they determine.
 
 use crate::{number, HttpError};
 
-/// Fields that are for one hop alone.
+/// Fields that apply to a single hop.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
@@ -16,18 +16,18 @@
     "upgrade",
 ];
 
-/// The fields of one head, in order; names are in lower case.
+/// The fields of a head, in order; names are in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
 
-/// How the end of a body is known.
+/// The way in which the end of a body is determined.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has this number of bytes.
     Length(u64),
-    /// By the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// By the end of the connection.
+    /// The body ends with the connection.
     ToEnd,
 }
 
@@ -41,7 +41,7 @@
         Ok(Fields(fields))
     }
 
-    /// The value of the only field of that name; None if there is none, or more than one.
+    /// Returns the value of the only field with this name; `None` if there is no such field, or more than one.
     pub fn one(&self, name: &str) -> Option<&str> {
         let mut values = self.0.iter().filter(|(field, _)| field == name).map(|(_, value)| value.as_str());
         let first = values.next()?;
@@ -51,18 +51,18 @@
         Some(first)
     }
 
-    /// The values of all fields of that name, in order.
+    /// Returns the values of all fields with this name, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(field, _)| field == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether there is a field of that name.
+    /// Returns whether there is a field with this name.
     pub fn has(&self, name: &str) -> bool {
         self.all(name).next().is_some()
     }
 
-    /// The fields that are forwarded to the next hop: not those meant for this connection (RFC 9110, 7.6.1), nor those
-    /// that frame the body, which is framed anew.
+    /// Returns the fields that are forwarded to the next hop. Leaves out fields that apply to this connection only (RFC
+    /// 9110, 7.6.1) and fields that frame the body, whose framing the next hop's message sets itself.
     pub fn end_to_end(&self) -> impl Iterator<Item = (&str, &str)> {
         let is_forwarded = |name: &str| !HOP_BY_HOP.contains(&name) && !self.lists("connection", name);
         self.0
@@ -71,14 +71,14 @@
             .map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// Whether a comma-separated list, which may be spread over several fields, contains this token.
+    /// Returns whether the comma-separated list in the fields with this name contains this token, ignoring case.
     pub(crate) fn lists(&self, name: &str, token: &str) -> bool {
         self.all(name)
             .flat_map(|value| value.split(','))
             .any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// The framing of the body, if the fields tell any.
+    /// Returns the framing of the body; `None` if no field determines it.
     pub(crate) fn framing(&self, max_body: u64) -> Result<Option<Framing>, HttpError> {
         if !self.has("transfer-encoding") {
             return Ok(self.content_length(max_body)?.map(Framing::Length));
@@ -95,8 +95,8 @@
     fn content_length(&self, max_body: u64) -> Result<Option<u64>, HttpError> {
         let mut lengths = self.all("content-length");
         let Some(first) = lengths.next() else { return Ok(None) };
-        // Two lengths, or one with a sign, would let two parsers see two messages. One that does not fit into a number
-        // is still a length.
+        // Two lengths, or a length with a sign, could be read differently by different parsers. A length that does not
+        // fit into a u64 is valid, but too large.
         let is_decimal = !first.is_empty() && first.bytes().all(|byte| byte.is_ascii_digit());
         if lengths.next().is_some() || !is_decimal {
             return Err(HttpError::Length);
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and of responses.
+//! Parses the heads of requests and responses.
 
 use httparse::Status;
 
@@ -13,9 +13,9 @@
     pub target: String,
     /// The fields.
     pub fields: Fields,
-    /// How the end of the body is known.
+    /// The way in which the end of the body is determined.
     pub framing: Framing,
-    /// The client wants the connection closed after the response.
+    /// Whether the client asks for the connection to be closed after the response.
     pub last: bool,
 }
 
@@ -26,13 +26,13 @@
     pub status: u16,
     /// The fields.
     pub fields: Fields,
-    /// How the end of the body is known.
+    /// The way in which the end of the body is determined.
     pub framing: Framing,
-    /// The server will close the connection after the body.
+    /// Whether the server closes the connection after the body.
     pub last: bool,
 }
 
-/// Parses the head of a request that begins at the first byte, and returns how many bytes it takes; None while it is
+/// Parses the head of a request that begins at the first byte. Returns it with its length in bytes; `None` while it is
 /// incomplete.
 pub fn request(buffer: &[u8], limits: &Limits) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.fields];
@@ -57,7 +57,8 @@
     Ok(Some((request, length)))
 }
 
-/// Parses the head of a response in the same way. Heads of status 1xx are responses too, without a body.
+/// Parses the head of a response as [`request`] does that of a request. An informational head (status 1xx) is returned
+/// as a response without a body.
 pub fn response(buffer: &[u8], limits: &Limits) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = vec![httparse::EMPTY_HEADER; limits.fields];
     let mut head = httparse::Response::new(&mut headers);
@@ -69,7 +70,7 @@
     let status = head.code.unwrap_or_default();
     let fields = Fields::new(head.headers)?;
     let framing = match status {
-        // RFC 9112, 6.3: these have no body, whatever their fields say.
+        // RFC 9112, 6.3: responses with these statuses have no body, whatever their fields say.
         100..=199 | 204 | 304 => Framing::Length(0),
         _ => fields.framing(limits.body)?.unwrap_or(Framing::ToEnd),
     };
@@ -77,7 +78,7 @@
     Ok(Some((Response { status, framing, last, fields }, length)))
 }
 
-/// The length of a complete head within the limits; None while it is incomplete.
+/// Returns the length in bytes of a complete head within the limits; `None` while the head is incomplete.
 fn head_length(
     parsed: Result<Status<usize>, httparse::Error>,
     buffer: &[u8],
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 as bytes, without I/O (RFC 9110 and 9112).
+//! Parses and encodes HTTP/1.1 messages (RFC 9110 and 9112) without I/O.
 //!
-//! [`request`] and [`response`] parse one head within [`Limits`], a [`Body`] takes the body, whose end its [`Framing`]
-//! tells, out of what has arrived, and the functions of [`mod@write`] encode messages. A message that two
-//! parsers could read in two ways is an [`HttpError`], never a guess.
+//! [`request`] and [`response`] parse a head within [`Limits`]. A [`Body`] reads the body, whose end is determined by
+//! its [`Framing`], from a receive buffer. The functions of [`mod@write`] encode messages. A message that two parsers
+//! could read in different ways is rejected with an [`HttpError`].
 
 #![warn(missing_docs)]
 
--- a/crates/http/src/limits.rs
+++ b/crates/http/src/limits.rs
@@ -1,12 +1,12 @@
-//! Limits of what a peer may send.
+//! Limits on the size of messages from a peer.
 
-/// What a head may have at most, and the body that it announces.
+/// Maximum sizes of a head and of the body that it announces.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the head.
+    /// Maximum number of bytes of the head.
     pub head: usize,
-    /// Number of fields.
+    /// Maximum number of fields.
     pub fields: usize,
-    /// Bytes of the body that the fields announce.
+    /// Maximum number of bytes of a body whose length the fields announce.
     pub body: u64,
 }
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,16 +1,16 @@
-//! Messages encoded as bytes.
+//! Encodes messages as bytes.
 
 use std::fmt::Write;
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// Bytes that a chunk adds to its data: up to eight hexadecimal digits and two line breaks.
+/// Maximum number of bytes that a chunk adds to its data: up to eight hexadecimal digits and two line breaks.
 const CHUNK_OVERHEAD: usize = 12;
 
 /// The last chunk, without a trailer.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A request; `body` is None for a method that has none.
+/// Encodes a request; `body` is `None` for a request without a body.
 pub fn request<'a>(
     method: &str,
     target: &str,
@@ -22,7 +22,7 @@
     with_body(head, body)
 }
 
-/// A response with a complete body. With `last`, it says that the connection closes after it.
+/// Encodes a response with a complete body. With `last`, the response announces that the connection closes after it.
 pub fn response<'a>(
     status: u16,
     fields: impl IntoIterator<Item = (&'a str, &'a str)>,
@@ -30,7 +30,7 @@
     last: bool,
 ) -> Bytes {
     let mut head = response_head(status, fields, last);
-    // RFC 9110, 8.6: no length with 1xx and 204.
+    // RFC 9110, 8.6: a response with status 1xx or 204 has no Content-Length.
     if status == 204 || status < 200 {
         head.push_str("\r\n");
         return head.into();
@@ -38,7 +38,8 @@
     with_body(head, Some(body))
 }
 
-/// The head of a response whose body follows in chunks. With `last`, it says that the connection closes after it.
+/// Encodes the head of a response whose body follows in chunks. With `last`, the response announces that the connection
+/// closes after it.
 pub fn chunked_head<'a>(
     status: u16,
     fields: impl IntoIterator<Item = (&'a str, &'a str)>,
@@ -49,7 +50,7 @@
     head.into()
 }
 
-/// One chunk, which must not be empty: that would be the last one.
+/// Encodes a chunk. `data` must not be empty, because an empty chunk ends the body.
 pub fn chunk(data: &[u8]) -> Bytes {
     let mut chunk = BytesMut::with_capacity(data.len() + CHUNK_OVERHEAD);
     chunk.put_slice(format!("{:x}\r\n", data.len()).as_bytes());
@@ -71,15 +72,14 @@
     head
 }
 
-/// Appends the fields.
 fn write_fields<'a>(head: &mut String, fields: impl IntoIterator<Item = (&'a str, &'a str)>) {
     for (name, value) in fields {
-        // A String takes all that is written to it.
+        // Writing to a String never fails.
         let _ = write!(head, "{name}: {value}\r\n");
     }
 }
 
-/// The message of a head and a body, with the length of the body.
+/// Returns the message of a head and a body, with a Content-Length field if there is a body.
 fn with_body(mut head: String, body: Option<&[u8]>) -> Bytes {
     let Some(body) = body else {
         head.push_str("\r\n");
@@ -89,7 +89,7 @@
     [head.as_bytes(), body].concat().into()
 }
 
-/// The reason phrase of a status (RFC 9110, 15).
+/// Returns the reason phrase of a status code (RFC 9110, 15).
 pub fn reason(status: u16) -> &'static str {
     match status {
         100 => "Continue",
--- a/crates/http/tests/parsing.rs
+++ b/crates/http/tests/parsing.rs
@@ -1,57 +1,59 @@
-//! Heads, bodies and chunks as bytes: cut anywhere they read the same, and no bytes whatever make them panic.
+//! Checks the parsers of heads, bodies and chunks: the result does not depend on where the input is split, and no input
+//! makes a parser panic.
 
 use bytes::{Bytes, BytesMut};
 use quickcheck::{Gen, QuickCheck};
 use tideroute_http::{number, request, response, write, Body, Framing, HttpError, Limits};
 
 const LIMITS: Limits = Limits { head: 4 << 10, fields: 16, body: 256 << 10 };
-/// Inputs generated for each property.
+/// Number of inputs generated for each property.
 const CASES: u64 = 20_000;
 
-/// A body read from pieces, with what follows it.
-fn read(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, Vec<u8>), HttpError> {
+/// Reads a body from pieces. Returns its content, whether it is complete, and the bytes that follow it.
+fn read_body(framing: Framing, pieces: &[&[u8]]) -> Result<(Vec<u8>, bool, Vec<u8>), HttpError> {
     let (mut body, mut buffer, mut content) = (Body::new(framing, LIMITS.body), BytesMut::new(), vec![]);
     for piece in pieces {
         buffer.extend_from_slice(piece);
-        while let Some(part) = body.next(&mut buffer)? {
-            content.extend_from_slice(&part);
+        while let Some(body_piece) = body.next(&mut buffer)? {
+            content.extend_from_slice(&body_piece);
         }
     }
     Ok((content, body.done(), buffer.to_vec()))
 }
 
 #[test]
-fn a_request_parses_the_same_wherever_it_is_cut() {
+fn a_request_parses_the_same_wherever_it_is_split() {
     let text = write::request("POST", "/a?b=c", [("host", "here"), ("x-a", "1")], Some(b"body"));
     let (head, length) = request(&text, &LIMITS).expect("valid").expect("complete");
     assert_eq!((head.method.as_str(), head.target.as_str()), ("POST", "/a?b=c"));
     assert_eq!((head.framing, head.last, head.fields.one("x-a")), (Framing::Length(4), false, Some("1")));
-    for cut in 0..text.len() {
-        let read = request(&text[..cut], &LIMITS).expect("valid so far");
-        assert_eq!(read.is_some(), cut >= length, "cut at {cut}");
+    for split in 0..text.len() {
+        let parsed = request(&text[..split], &LIMITS).expect("valid so far");
+        assert_eq!(parsed.is_some(), split >= length, "split at {split}");
     }
 }
 
 #[test]
-fn chunks_parse_the_same_wherever_they_are_cut_and_leave_what_follows() {
+fn chunks_parse_the_same_wherever_they_are_split_and_leave_the_bytes_that_follow() {
     let text =
         [&write::chunk(b"data: a\n\n")[..], b"5;x=y\r\nhello\r\n", write::LAST_CHUNK, b"HTTP/1.1 "].concat();
-    for cut in 0..=text.len() {
-        let (content, done, left) = read(Framing::Chunked, &[&text[..cut], &text[cut..]]).expect("valid");
+    for split in 0..=text.len() {
+        let (content, done, rest) =
+            read_body(Framing::Chunked, &[&text[..split], &text[split..]]).expect("valid");
         assert_eq!(
-            (content.as_slice(), done, left.as_slice()),
+            (content.as_slice(), done, rest.as_slice()),
             (&b"data: a\n\nhello"[..], true, &b"HTTP/1.1 "[..])
         );
     }
     let bytes: Vec<&[u8]> = text.chunks(1).collect();
-    assert_eq!(read(Framing::Chunked, &bytes).expect("valid").0, b"data: a\n\nhello");
-    // Fields behind the last chunk are ignored.
-    let with_trailer = read(Framing::Chunked, &[b"1\r\na\r\n0\r\nx: y\r\n\r\nrest"]).expect("valid");
+    assert_eq!(read_body(Framing::Chunked, &bytes).expect("valid").0, b"data: a\n\nhello");
+    // Fields after the last chunk are ignored.
+    let with_trailer = read_body(Framing::Chunked, &[b"1\r\na\r\n0\r\nx: y\r\n\r\nrest"]).expect("valid");
     assert_eq!(with_trailer, (b"a".to_vec(), true, b"rest".to_vec()));
 }
 
 #[test]
-fn malformed_chunks_are_refused_at_once() {
+fn malformed_chunks_are_rejected_at_once() {
     for (bytes, error) in [
         (&b"zz\r\n"[..], HttpError::ChunkSize),
         (b"\r\n", HttpError::ChunkSize),
@@ -64,22 +66,23 @@
         (b"3\r\nhello\r\n", HttpError::ChunkEnd),
         (b"5\r\nhello5\r\n", HttpError::ChunkEnd),
     ] {
-        assert_eq!(read(Framing::Chunked, &[bytes]), Err(error), "{}", String::from_utf8_lossy(bytes));
+        assert_eq!(read_body(Framing::Chunked, &[bytes]), Err(error), "{}", String::from_utf8_lossy(bytes));
     }
-    let endless = [b"1;".as_slice(), &[b'x'; 1_000]].concat();
-    assert_eq!(read(Framing::Chunked, &[&endless]), Err(HttpError::ChunkSize));
-    let big = [&write::chunk(&[b'a'; 200 << 10])[..], &write::chunk(&[b'b'; 200 << 10])[..]].concat();
-    assert_eq!(read(Framing::Chunked, &[&big]), Err(HttpError::BodyTooLarge(LIMITS.body)));
+    let endless_size_line = [b"1;".as_slice(), &[b'x'; 1_000]].concat();
+    assert_eq!(read_body(Framing::Chunked, &[&endless_size_line]), Err(HttpError::ChunkSize));
+    let oversized_body =
+        [&write::chunk(&[b'a'; 200 << 10])[..], &write::chunk(&[b'b'; 200 << 10])[..]].concat();
+    assert_eq!(read_body(Framing::Chunked, &[&oversized_body]), Err(HttpError::BodyTooLarge(LIMITS.body)));
 }
 
 #[test]
-fn ambiguous_messages_are_refused() {
-    let with = |fields: &str| {
+fn ambiguous_messages_are_rejected() {
+    let parse_with = |fields: &str| {
         let text = format!("POST / HTTP/1.1\r\nhost: a\r\n{fields}\r\n\r\n");
         request(text.as_bytes(), &LIMITS).map(|head| head.map(|(head, _)| head.framing))
     };
-    assert_eq!(with("content-length: 5"), Ok(Some(Framing::Length(5))));
-    assert_eq!(with("transfer-encoding: chunked"), Ok(Some(Framing::Chunked)));
+    assert_eq!(parse_with("content-length: 5"), Ok(Some(Framing::Length(5))));
+    assert_eq!(parse_with("transfer-encoding: chunked"), Ok(Some(Framing::Chunked)));
     for (fields, status) in [
         ("content-length: 5\r\ncontent-length: 5", 400),
         ("content-length: 5\r\ntransfer-encoding: chunked", 400),
@@ -99,29 +102,29 @@
         (" folded: x", 400),
         ("x: \u{1}", 400),
     ] {
-        assert_eq!(with(fields).map_err(HttpError::status), Err(status), "{fields:?}");
+        assert_eq!(parse_with(fields).map_err(HttpError::status), Err(status), "{fields:?}");
     }
-    let long = format!("x: {}", "a".repeat(5_000));
-    assert_eq!(with(&long), Err(HttpError::HeadTooLarge(LIMITS.head)));
-    let many = "x: y\r\n".repeat(17);
-    assert_eq!(with(many.trim_end()), Err(HttpError::TooManyFields(LIMITS.fields)));
+    let long_field = format!("x: {}", "a".repeat(5_000));
+    assert_eq!(parse_with(&long_field), Err(HttpError::HeadTooLarge(LIMITS.head)));
+    let many_fields = "x: y\r\n".repeat(17);
+    assert_eq!(parse_with(many_fields.trim_end()), Err(HttpError::TooManyFields(LIMITS.fields)));
     assert_eq!(request(&[b'a'; 5_000], &LIMITS).map(|_| ()), Err(HttpError::HeadTooLarge(LIMITS.head)));
     assert_eq!(request(b"GET / HTTP/1.0\r\nhost: a\r\n\r\n", &LIMITS).map(|_| ()), Err(HttpError::Version));
 }
 
 #[test]
-fn responses_without_a_body_have_none() {
+fn responses_are_framed_by_status_and_by_fields() {
     let framing =
         |text: &str| response(text.as_bytes(), &LIMITS).expect("valid").expect("complete").0.framing;
     assert_eq!(framing("HTTP/1.1 204 No Content\r\ncontent-length: 7\r\n\r\n"), Framing::Length(0));
     assert_eq!(framing("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n"), Framing::Length(0));
     assert_eq!(framing("HTTP/1.1 200 OK\r\n\r\n"), Framing::ToEnd);
-    assert_eq!(read(Framing::Length(3), &[b"abcdef"]), Ok((b"abc".to_vec(), true, b"def".to_vec())));
-    assert_eq!(read(Framing::ToEnd, &[b"abc", b"def"]), Ok((b"abcdef".to_vec(), false, vec![])));
+    assert_eq!(read_body(Framing::Length(3), &[b"abcdef"]), Ok((b"abc".to_vec(), true, b"def".to_vec())));
+    assert_eq!(read_body(Framing::ToEnd, &[b"abc", b"def"]), Ok((b"abcdef".to_vec(), false, vec![])));
 }
 
 #[test]
-fn numbers_are_digits_that_fit() {
+fn only_digits_that_fit_into_a_u64_are_numbers() {
     assert_eq!(number("0042"), Some(42));
     assert_eq!(number("18446744073709551615"), Some(u64::MAX));
     for text in ["", "+1", "-1", " 1", "1 ", "1.0", "1e3", "0x1", "٣", "18446744073709551616"] {
@@ -129,7 +132,8 @@
     }
 }
 
-/// Valid bytes with some of them changed, removed or inserted, which get further than noise does.
+/// Returns valid input with some bytes changed, removed or inserted; parsers get further with it than with random
+/// bytes.
 fn mutated(valid: &[u8], seeds: &[(u16, u8, u8)]) -> Vec<u8> {
     let mut bytes = valid.to_vec();
     for (position, change, byte) in seeds.iter().take(4).filter(|_| !valid.is_empty()) {
@@ -144,46 +148,47 @@
 }
 
 #[test]
-fn no_bytes_make_a_parser_panic_and_cutting_changes_nothing() {
-    fn same(seeds: Vec<(u16, u8, u8)>, cut: u16, noise: Vec<u8>) -> bool {
+fn no_input_makes_a_parser_panic_and_splitting_it_changes_no_result() {
+    fn parses_the_same(seeds: Vec<(u16, u8, u8)>, split: u16, noise: Vec<u8>) -> bool {
         let valid = write::request("POST", "/x", [("host", "a"), ("content-length", "3")], None);
         let chunks = [&write::chunk(b"data: x\n\n")[..], &write::chunk(b"y")[..], write::LAST_CHUNK].concat();
         for bytes in [mutated(&valid, &seeds), noise] {
-            // A head that is complete, or refused, stays so whatever else comes.
-            let cut = usize::from(cut) % (bytes.len() + 1);
-            let (early, late) = (request(&bytes[..cut], &LIMITS), request(&bytes, &LIMITS));
-            match early {
-                Ok(Some(head)) if late != Ok(Some(head.clone())) => return false,
-                Err(_) if late.is_ok() => return false,
+            // A head that is complete or rejected stays so, whatever bytes follow.
+            let split = usize::from(split) % (bytes.len() + 1);
+            let (split_result, full_result) = (request(&bytes[..split], &LIMITS), request(&bytes, &LIMITS));
+            match split_result {
+                Ok(Some(head)) if full_result != Ok(Some(head.clone())) => return false,
+                Err(_) if full_result.is_ok() => return false,
                 _ => {}
             }
             let _ = response(&bytes, &LIMITS);
         }
         let chunks = mutated(&chunks, &seeds);
-        let cut = usize::from(cut) % (chunks.len() + 1);
-        read(Framing::Chunked, &[&chunks]) == read(Framing::Chunked, &[&chunks[..cut], &chunks[cut..]])
+        let split = usize::from(split) % (chunks.len() + 1);
+        read_body(Framing::Chunked, &[&chunks])
+            == read_body(Framing::Chunked, &[&chunks[..split], &chunks[split..]])
     }
     QuickCheck::new()
         .rng(Gen::new(200))
         .tests(CASES)
         .max_tests(CASES)
-        .quickcheck(same as fn(_, _, _) -> bool);
+        .quickcheck(parses_the_same as fn(_, _, _) -> bool);
 }
 
 #[test]
 fn chunks_of_any_bytes_round_trip() {
     fn round_trips(parts: Vec<Vec<u8>>, sizes: Vec<u8>) -> bool {
-        let full = parts.iter().filter(|p| !p.is_empty());
-        let mut text: Vec<u8> = full.flat_map(|p| write::chunk(p)).collect();
+        let non_empty = parts.iter().filter(|part| !part.is_empty());
+        let mut text: Vec<u8> = non_empty.flat_map(|part| write::chunk(part)).collect();
         text.extend(write::LAST_CHUNK);
-        let (mut pieces, mut left) = (vec![], text.as_slice());
+        let (mut pieces, mut rest) = (vec![], text.as_slice());
         for size in sizes {
-            let (piece, rest) = left.split_at(usize::from(size).min(left.len()));
+            let (piece, after_piece) = rest.split_at(usize::from(size).min(rest.len()));
             pieces.push(piece);
-            left = rest;
+            rest = after_piece;
         }
-        pieces.push(left);
-        read(Framing::Chunked, &pieces) == Ok((parts.concat(), true, vec![]))
+        pieces.push(rest);
+        read_body(Framing::Chunked, &pieces) == Ok((parts.concat(), true, vec![]))
     }
     let check = round_trips as fn(Vec<Vec<u8>>, Vec<u8>) -> bool;
     QuickCheck::new().rng(Gen::new(60)).tests(CASES / 4).max_tests(CASES / 4).quickcheck(check);
