--- a/crates/settings/src/classes.rs
+++ b/crates/settings/src/classes.rs
@@ -1,4 +1,4 @@
-//! The request classes.
+//! Reads the request classes.
 
 use serde_json::Value;
 use tideroute::types::{DeduplicationScope, Idempotency, RequestClass};
@@ -8,18 +8,19 @@
 use crate::units::to_tenth_millis;
 use crate::values::{list, number, string, unknown_value, value};
 
-/// Milliseconds within which a request that was sent has arrived in full, even in pieces: a round trip between zones and
-/// some more.
+/// Milliseconds within which a sent request arrives in full, even in several packets: a round trip between zones with a
+/// margin.
 const REQUEST_TRANSFER_MS: f64 = 100.0;
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Objectives of all classes that depend on the prompt's length: by class, microseconds per 1,000 prompt tokens.
+/// The part of each class's latency objective that depends on the prompt's length, in microseconds per 1,000 prompt
+/// tokens, by class.
 pub struct TokenObjectives(Vec<f64>);
 
 impl TokenObjectives {
-    /// Reads one number for each class; all are 0 where the settings have none.
+    /// Reads one number for each class; all are 0 if the settings lack the key.
     pub fn read(root: &Value, class_count: usize) -> Result<TokenObjectives, SettingsError> {
         let key = family::TTFT_OBJECTIVE_US_PER_1000_TOKENS;
         if value(root, key).is_err() {
@@ -34,7 +35,7 @@
     }
 }
 
-/// Refuses classes of the same name: the name would have two meanings.
+/// Rejects classes with the same name, because the name would be ambiguous.
 pub fn require_unique_names(classes: &[Value]) -> Result<(), SettingsError> {
     let mut names: Vec<&str> = vec![];
     for class_settings in classes {
@@ -67,10 +68,10 @@
     connect_timeout_ms: f64,
 ) -> Result<RequestClass, SettingsError> {
     if class_settings.get(class::HARD_LIMIT_MS).is_some() {
-        number_over_zero(class_settings, index, class::HARD_LIMIT_MS)?;
+        positive_number(class_settings, index, class::HARD_LIMIT_MS)?;
     }
     let idempotency = idempotency_of(index, class_settings, connect_timeout_ms)?;
-    let ttft_objective_ms = number_over_zero(class_settings, index, class::TTFT_OBJECTIVE_MS)?;
+    let ttft_objective_ms = positive_number(class_settings, index, class::TTFT_OBJECTIVE_MS)?;
     Ok(RequestClass {
         idempotency,
         ttft_objective: to_tenth_millis(ttft_objective_ms),
@@ -89,9 +90,9 @@
         idempotency::NON_IDEMPOTENT => Ok(Idempotency::NonIdempotent),
         idempotency::WITH_KEY => {
             let scope = scope_of(class_settings)?;
-            let key_ttl_ms = number_over_zero(class_settings, index, class::KEY_TTL_MS)?;
-            // A retry must arrive in full while the worker remembers the key. No retry is sent that might still wait for
-            // its connection, or be on its way, when the key expires.
+            let key_ttl_ms = positive_number(class_settings, index, class::KEY_TTL_MS)?;
+            // A retry must arrive in full while the worker remembers the key. The window therefore leaves out the time
+            // that a retry may take to connect and to be transferred.
             let window_ms = key_ttl_ms - connect_timeout_ms - REQUEST_TRANSFER_MS;
             let window = to_tenth_millis(window_ms.max(0.0));
             Ok(Idempotency::IdempotentWithKey { scope, window })
@@ -109,8 +110,8 @@
     }
 }
 
-/// A number of a class that must be over zero.
-fn number_over_zero(class_settings: &Value, index: usize, key: &'static str) -> Result<f64, SettingsError> {
+/// Reads a number of a class that must be greater than 0.
+fn positive_number(class_settings: &Value, index: usize, key: &'static str) -> Result<f64, SettingsError> {
     let found = class_settings.get(key);
     let number = found.and_then(Value::as_f64).filter(|number| *number > 0.0);
     number.ok_or_else(|| {
@@ -119,7 +120,7 @@
     })
 }
 
-/// The list of classes.
+/// Returns the list of classes.
 pub fn class_list(root: &Value) -> Result<&[Value], SettingsError> {
     list(root, keys::CLASSES).map(Vec::as_slice)
 }
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,8 +1,8 @@
-//! The keys of the operators' settings, as paths from the root of the JSON object, and the values that they take.
+//! Keys of the operators' settings, as paths from the root of the JSON object, and the values that they accept.
 
-/// Number of routers that share the fleet.
+/// Number of routers that share the workers.
 pub const ROUTERS: &str = "balancers";
-/// How the router learns of changes of the endpoint list.
+/// The way in which the router receives changes of the endpoint list.
 pub const DISCOVERY: &str = "discovery";
 /// Names of the worker kinds.
 pub const KINDS: &str = "kinds";
@@ -15,7 +15,7 @@
     pub const SUBSCRIBE: &str = "subscribe";
 }
 
-/// Keys of one request class.
+/// Keys of a request class.
 pub mod class {
     pub const NAME: &str = "name";
     pub const IDEMPOTENCY: &str = "idempotency";
@@ -40,7 +40,7 @@
     pub const CELL: &str = "cell";
 }
 
-/// What the router is allowed to do.
+/// Keys of the router's capabilities.
 pub mod capabilities {
     pub const CANCELLATION: &str = "caps.cancel";
     pub const CONNECT_TIMEOUT_MS: &str = "caps.dial_timeout_ms";
@@ -50,7 +50,7 @@
     pub const RETRY_AFTER: &str = "caps.retry_after";
 }
 
-/// What holds for the fleet's family of workers.
+/// Keys of the properties that all workers share.
 pub mod family {
     pub const ROOT: &str = "family_info";
     pub const DECODE_WORKERS_PREFILL: &str = "family_info.writers_read";
@@ -58,7 +58,7 @@
     pub const RESERVATIONS: &str = "family_info.ahead";
     pub const STATE_RELEASE_TIMEOUT_MS: &str = "family_info.pin_limit_ms";
     pub const TTFT_OBJECTIVE_US_PER_1000_TOKENS: &str = "family_info.aim_us_per_1000_prompt_tokens";
-    /// The key below [`ROOT`] that says what a column of load reports means begins so; the column's name follows.
+    /// Prefix of the keys below [`ROOT`] that describe the columns of load reports; the column's name follows it.
     pub const REPORT_MEANING_PREFIX: &str = "report_";
 }
 
@@ -69,7 +69,7 @@
     pub const MIXED: &str = "both";
 }
 
-/// Limits that the operators check.
+/// Keys of the limits that the operators check.
 pub mod invariants {
     pub const COLD_CAPACITY_SHARE: &str = "invariants.cold_share";
     pub const OVERLOAD_MULTIPLE: &str = "invariants.fall_multiple";
@@ -77,14 +77,14 @@
     pub const WARM_UP_TIME_MS: &str = "invariants.ramp_time_ms";
 }
 
-/// What workers report of their load.
+/// Keys of the load reports of workers.
 pub mod report {
     pub const COLUMNS: &str = "report.columns";
     pub const SOURCE: &str = "report.how";
-    /// Value of [`SOURCE`]: health checks bring reports.
+    /// Value of [`SOURCE`] if load reports arrive with health checks.
     pub const BY_HEALTH_CHECK: &str = "probe";
-    /// The column that counts the attempts in flight at a worker.
+    /// Name of the column that counts the attempts in flight at a worker.
     pub const ATTEMPTS_COLUMN: &str = "outstanding";
-    /// The meaning of a column that counts waiting prompt tokens begins so.
+    /// Beginning of the description of a column that counts waiting prompt tokens.
     pub const TOKENS_MEANING: &str = "thousands of prompt tokens waiting";
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the operators' settings of one router, a JSON object, into the configuration of its scheduler. The bench
-//! adapter and the HTTP gateway share it.
+//! Reads the operators' settings of a router, a JSON object, into the configuration of its scheduler. The bench adapter
+//! and the HTTP gateway use it.
 //!
-//! Keys that are not known are ignored. A value that is missing, of the wrong type or out of its range, and values that
-//! contradict each other, are refused with the key's name: see [`SettingsError`].
+//! Unknown keys are ignored. Values that are missing, of the wrong type, out of range or contradictory are rejected
+//! with a [`SettingsError`] that names the key.
 
 #![warn(missing_docs)]
 
@@ -23,12 +23,12 @@
 use serde_json::Value;
 use tideroute::types::SchedulerConfig;
 
-/// The settings of one router.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Configuration of the scheduler.
     pub scheduler: SchedulerConfig,
-    /// The column of load reports that health checks bring, if they bring one that the scheduler can use.
+    /// The column of load reports that the scheduler uses; `None` if health checks report no suitable one.
     pub load_report: Option<LoadReportColumn>,
 }
 
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The configuration of the scheduler.
+//! Reads the configuration of the scheduler.
 
 use serde_json::Value;
 use tideroute::types::SchedulerConfig;
@@ -8,10 +8,10 @@
 use crate::keys::{self, capabilities, discovery, family, invariants};
 use crate::load_report::load_report_column;
 use crate::units::to_tenth_millis;
-use crate::values::{flag, number, string, time_over_zero, unknown_value, value};
+use crate::values::{flag, number, positive_time, string, unknown_value, value};
 use crate::workers::roles_by_kind;
 
-/// The configuration of the scheduler, from settings that are parsed already.
+/// Reads the configuration of the scheduler from settings that are already parsed as JSON.
 pub fn scheduler_config(root: &Value) -> Result<SchedulerConfig, SettingsError> {
     let classes = class_list(root)?;
     require_unique_names(classes)?;
@@ -28,7 +28,7 @@
         role_by_kind: roles_by_kind(root, decode_workers_prefill)?,
         reservations_enabled: flag(root, family::RESERVATIONS)?,
         decode_workers_prefill,
-        state_release_timeout: to_tenth_millis(time_over_zero(root, family::STATE_RELEASE_TIMEOUT_MS)?),
+        state_release_timeout: to_tenth_millis(positive_time(root, family::STATE_RELEASE_TIMEOUT_MS)?),
         cold_capacity_share: number(root, invariants::COLD_CAPACITY_SHARE)?,
         warm_up_time: to_tenth_millis(number(root, invariants::WARM_UP_TIME_MS)?),
         overload_multiple: number(root, invariants::OVERLOAD_MULTIPLE)?,
@@ -48,10 +48,10 @@
     })
 }
 
-/// The time that a connection may take, in milliseconds; 0 where the settings name none.
+/// Reads the time that establishing a connection may take, in milliseconds; 0 if the settings lack it or have null.
 fn connect_timeout_ms(root: &Value) -> Result<f64, SettingsError> {
     match value(root, capabilities::CONNECT_TIMEOUT_MS) {
-        Ok(found) if !found.is_null() => time_over_zero(root, capabilities::CONNECT_TIMEOUT_MS),
+        Ok(found) if !found.is_null() => positive_time(root, capabilities::CONNECT_TIMEOUT_MS),
         _ => Ok(0.0),
     }
 }
--- a/crates/settings/src/workers.rs
+++ b/crates/settings/src/workers.rs
@@ -1,4 +1,4 @@
-//! The worker kinds.
+//! Reads the roles of the worker kinds.
 
 use serde_json::Value;
 use tideroute::types::Role;
@@ -7,8 +7,8 @@
 use crate::keys::{self, family, role};
 use crate::values::{list, value};
 
-/// The role of each worker kind. A fleet in which no kind prefills, or none decodes, could answer nothing and is
-/// refused.
+/// Reads the role of each worker kind. Rejects roles of which none prefills, or none decodes, because no request could
+/// be completed.
 pub fn roles_by_kind(root: &Value, decode_workers_prefill: bool) -> Result<Vec<Role>, SettingsError> {
     let key = family::KIND_ROLES;
     let roles: Vec<Role> = list(root, key)?.iter().map(role_of).collect::<Result<_, _>>()?;
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,8 +1,10 @@
-//! Settings become the scheduler's configuration: unknown keys are ignored, and an error names the key of a wrong value.
+//! Checks that settings are read into the scheduler's configuration, that unknown keys are ignored, and that an error
+//! names the key of a wrong value.
 
 use serde_json::{json, Value};
 use tideroute::types::{Idempotency, Role};
 
+/// Returns valid settings.
 fn settings() -> Value {
     json!({
         "balancers": 3, "unheard_of": {"a": 1}, "discovery": "subscribe", "kinds": ["r", "w"],
@@ -16,11 +18,11 @@
     })
 }
 
-/// The settings with a value put in at a path, or taken out.
-fn with(path: &str, value: Option<Value>) -> Value {
+/// Returns valid settings with a value set at a path, or removed.
+fn settings_with(path: &str, value: Option<Value>) -> Value {
     let mut root = settings();
-    let (above, key) = path.rsplit_once('/').expect("a path");
-    let object = root.pointer_mut(above).and_then(Value::as_object_mut).expect("an object");
+    let (parent, key) = path.rsplit_once('/').expect("the path has a parent");
+    let object = root.pointer_mut(parent).and_then(Value::as_object_mut).expect("the parent is an object");
     match value {
         Some(value) => object.insert(key.to_string(), value),
         None => object.remove(key),
@@ -29,8 +31,8 @@
 }
 
 #[test]
-fn settings_become_the_configuration_and_unknown_keys_are_ignored() {
-    let config = tideroute_settings::scheduler_config(&settings()).expect("sound");
+fn settings_are_read_into_the_configuration_and_unknown_keys_are_ignored() {
+    let config = tideroute_settings::scheduler_config(&settings()).expect("the settings are valid");
     assert_eq!((config.router_count, config.max_attempts, config.state_release_timeout), (3, 6, 10_000));
     assert_eq!(config.role_by_kind, [Role::Prefill, Role::Decode]);
     assert!(
@@ -43,13 +45,19 @@
     assert_eq!((config.retry_after_enabled, config.max_retry_after), (true, 5_000));
     assert_eq!(config.classes[1].idempotency, Idempotency::NonIdempotent);
     assert_eq!(config.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
-    let without_switch =
-        tideroute_settings::scheduler_config(&with("/family_info/ahead", None)).expect("sound");
-    assert!(!without_switch.reservations_enabled, "a missing switch is off");
-    // Without Retry-After its maximum is not needed.
-    let mut without_retry_after = with("/caps/max_retry_after_ms", None);
+    let without_reservations =
+        tideroute_settings::scheduler_config(&settings_with("/family_info/ahead", None))
+            .expect("the settings are valid");
+    assert!(!without_reservations.reservations_enabled, "a missing boolean is read as false");
+    // The maximum of Retry-After is not needed if Retry-After is off.
+    let mut without_retry_after = settings_with("/caps/max_retry_after_ms", None);
     without_retry_after["caps"]["retry_after"] = false.into();
-    assert_eq!(tideroute_settings::scheduler_config(&without_retry_after).expect("sound").max_retry_after, 0);
+    assert_eq!(
+        tideroute_settings::scheduler_config(&without_retry_after)
+            .expect("the settings are valid")
+            .max_retry_after,
+        0
+    );
 }
 
 #[test]
@@ -62,7 +70,9 @@
         if let Some(ms) = connect_timeout_ms {
             root["caps"]["dial_timeout_ms"] = ms.into();
         }
-        match tideroute_settings::scheduler_config(&root).expect("sound").classes[0].idempotency {
+        match tideroute_settings::scheduler_config(&root).expect("the settings are valid").classes[0]
+            .idempotency
+        {
             Idempotency::IdempotentWithKey { window, .. } => window,
             other => panic!("{other:?}"),
         }
@@ -75,12 +85,12 @@
 }
 
 #[test]
-fn load_reports_are_enabled_where_health_checks_report_waiting_work() {
-    let load = |source: &str, columns: Value, meaning: &str| {
-        let mut root = with("/report", Some(json!({"how": source, "columns": columns})));
+fn load_reports_are_enabled_if_health_checks_report_waiting_work() {
+    let read_report = |source: &str, columns: Value, meaning: &str| {
+        let mut root = settings_with("/report", Some(json!({"how": source, "columns": columns})));
         root["family_info"]["report_x1"] = meaning.into();
-        let report = tideroute_settings::load_report_column(&root).expect("sound");
-        let config = tideroute_settings::scheduler_config(&root).expect("sound");
+        let report = tideroute_settings::load_report_column(&root).expect("the settings are valid");
+        let config = tideroute_settings::scheduler_config(&root).expect("the settings are valid");
         (
             config.load_reports_enabled,
             config.load_in_tokens,
@@ -89,36 +99,38 @@
     };
     let tokens = "thousands of prompt tokens waiting to be read or fetched";
     assert_eq!(
-        load("probe", json!(["recent_ms", "x0", "x1"]), tokens),
+        read_report("probe", json!(["recent_ms", "x0", "x1"]), tokens),
         (true, true, Some((2, Some(1_500.0))))
     );
     let both = json!(["outstanding", "backlog", "x1"]);
-    assert_eq!(load("probe", both.clone(), tokens), (true, true, Some((2, Some(1_500.0)))));
-    assert_eq!(load("probe", both, "share of memory"), (true, false, Some((0, Some(1.5)))));
-    assert_eq!(load("probe", json!(["recent_ms", "x1"]), "share of memory"), (false, false, None));
-    assert_eq!(load("answers", json!(["x1"]), tokens), (false, false, None));
+    assert_eq!(read_report("probe", both.clone(), tokens), (true, true, Some((2, Some(1_500.0)))));
+    assert_eq!(read_report("probe", both, "share of memory"), (true, false, Some((0, Some(1.5)))));
+    assert_eq!(read_report("probe", json!(["recent_ms", "x1"]), "share of memory"), (false, false, None));
+    assert_eq!(read_report("answers", json!(["x1"]), tokens), (false, false, None));
     let mut without_health_checks =
-        with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
+        settings_with("/report", Some(json!({"how": "probe", "columns": ["outstanding"]})));
     without_health_checks["caps"]["probing"] = false.into();
     assert!(
-        !tideroute_settings::scheduler_config(&without_health_checks).expect("sound").load_reports_enabled
+        !tideroute_settings::scheduler_config(&without_health_checks)
+            .expect("the settings are valid")
+            .load_reports_enabled
     );
     assert_eq!(
-        tideroute_settings::load_report_column(&with("/report", Some(json!({"how": "probe"})))),
+        tideroute_settings::load_report_column(&settings_with("/report", Some(json!({"how": "probe"})))),
         Ok(None)
     );
-    let report = tideroute_settings::load_report_column(&with(
+    let report = tideroute_settings::load_report_column(&settings_with(
         "/report",
         Some(json!({"how": "probe", "columns": "x1"})),
     ));
-    assert!(report.expect_err("no list of columns").to_string().contains("report.columns"));
+    assert!(report.expect_err("a string is not a list of columns").to_string().contains("report.columns"));
     let attempts =
         tideroute_settings::LoadReportColumn { name: "outstanding".into(), column: 0, counts_tokens: false };
     assert_eq!([-1.0, f64::NAN, f64::INFINITY].map(|value| attempts.load(value)), [None; 3]);
 }
 
 #[test]
-fn missing_wrong_and_contradictory_values_are_refused_by_their_key() {
+fn missing_wrong_and_contradictory_values_are_rejected_with_their_key() {
     let cases: [(&str, Option<Value>, &str); 27] = [
         ("/balancers", None, "balancers"),
         ("/balancers", Some(json!(-1)), "balancers"),
@@ -141,8 +153,8 @@
         ("/classes/1/name", Some(json!("a")), "classes[1].name in the settings is \"a\" again"),
         ("/family_info/kind_role", None, "family_info.kind_role"),
         ("/family_info/kind_role", Some(json!(["read", "listen"])), "family_info.kind_role"),
-        ("/family_info/kind_role", Some(json!(["read", "read"])), "no kind that writes"),
-        ("/family_info/kind_role", Some(json!(["write", "write"])), "no kind that reads"),
+        ("/family_info/kind_role", Some(json!(["read", "read"])), "no worker kind that can decode"),
+        ("/family_info/kind_role", Some(json!(["write", "write"])), "no worker kind that can prefill"),
         ("/family_info/aim_us_per_1000_prompt_tokens", Some(json!([1.0])), "aim_us_per_1000_prompt_tokens"),
         (
             "/family_info/aim_us_per_1000_prompt_tokens",
@@ -152,13 +164,14 @@
         ("/invariants/fall_ms", Some(json!(-5.0)), "invariants.fall_ms"),
         ("/invariants/cold_share", None, "invariants.cold_share"),
     ];
-    for (path, value, named) in cases {
-        let error =
-            tideroute_settings::scheduler_config(&with(path, value.clone())).expect_err(path).to_string();
-        assert!(error.contains(named), "{path} as {value:?}: {error}");
+    for (path, value, expected_text) in cases {
+        let error = tideroute_settings::scheduler_config(&settings_with(path, value.clone()))
+            .expect_err(path)
+            .to_string();
+        assert!(error.contains(expected_text), "{path} as {value:?}: {error}");
     }
-    // Decode workers that prefill need no other kind.
-    let mut decode_only = with("/family_info/writers_read", Some(json!(true)));
+    // A prefill or mixed kind is not needed if decode workers prefill.
+    let mut decode_only = settings_with("/family_info/writers_read", Some(json!(true)));
     decode_only["family_info"]["kind_role"] = json!(["write", "write"]);
     assert!(tideroute_settings::scheduler_config(&decode_only).is_ok());
 }
