--- a/crates/reactor/src/timer_wheel.rs
+++ b/crates/reactor/src/timer_wheel.rs
@@ -2,7 +2,7 @@
 //!
 //! Each level has 64 slots, and each slot of a level spans as many ticks as the whole level below. A timer is kept at
 //! the level of the highest six bits in which its tick differs from the current tick, and moves down as time passes.
-//! The cost of setting a timer does not depend on their number. `benches/timer_wheel.rs` measures it against a
+//! The cost of setting a timer does not depend on their number. `benches/timer_wheel.rs` compares the wheel with a
 //! `BTreeMap`.
 
 /// Slots per level, each of which has one bit in a 64-bit word.
