--- a/crates/gateway/src/capacity.rs
+++ b/crates/gateway/src/capacity.rs
@@ -1,34 +1,35 @@
-//! How the process divides the descriptors and the memory that the configuration allows it. What exceeds a part is
-//! rejected; a reserve always allows one more connection to be accepted for that.
+//! Divides the descriptors and the memory that the configuration allows the process. Connections and requests beyond
+//! a limit are rejected; reserved descriptors always allow one more connection to be accepted and rejected.
 
 /// Descriptors for the event loop itself, logs, discovery and signals, with some to spare.
 const PROCESS_DESCRIPTORS: usize = 20;
-/// One in so many descriptors is reserved for connections that are only rejected or being closed.
+/// The number of descriptors divided by this is reserved for connections that are being rejected or closed.
 const LINGERING_DIVISOR: usize = 16;
-/// Descriptors reserved for that at least.
+/// Minimum number of descriptors reserved for connections that are being rejected or closed.
 const MIN_LINGERING: usize = 4;
-/// Descriptors divided between clients and workers at least.
+/// Minimum number of descriptors shared by clients and workers.
 const MIN_SHARED: usize = 8;
-/// Percent of the descriptors divided that clients get: reservations, releases and health checks go out to workers
-/// beside the attempts.
+/// Percentage of the shared descriptors for clients. Workers get more, because reservations, releases and health checks
+/// need connections besides the attempts.
 const CLIENT_PERCENT: usize = 48;
-/// Bytes of a request's head at most. A connection that waits or lingers may hold as much beside its accounted buffers.
+/// Maximum size of a request's head in bytes. A waiting or lingering connection may hold as much besides its accounted
+/// buffers.
 pub const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Bytes of a request's body at most, by the protocol.
+/// Maximum size of a request's body in bytes, as the protocol defines it.
 pub const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// Capacity limits of the process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Capacity {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections to workers.
+    /// Maximum number of connections to workers.
     pub worker_connections: usize,
-    /// Connections that are being closed in two steps, and those accepted only to be rejected.
+    /// Maximum number of connections in a lingering close, and of those accepted only to be rejected.
     pub lingering_connections: usize,
-    /// Requests open at once: each needs a connection to a worker, and some calls are made beside them.
+    /// Maximum number of open requests: each needs a connection to a worker, and other calls need some more.
     pub open_requests: usize,
-    /// Bytes of requests that are being received, or kept for a retry.
+    /// Maximum number of bytes of requests that are being received.
     pub buffered_bytes: usize,
 }
 
@@ -45,7 +46,7 @@
             lingering_connections,
             // A sixth of the connections is left for reservations, releases and health checks.
             open_requests: worker_connections * 5 / 6,
-            // A quarter of memory: outbound buffers may take as much, the program itself some megabytes.
+            // A quarter of the memory: outbound buffers may use as much, and the program itself some megabytes.
             buffered_bytes: (memory_mb << 20) / 4,
         }
     }
--- a/crates/gateway/src/capacity/tests.rs
+++ b/crates/gateway/src/capacity/tests.rs
@@ -1,9 +1,9 @@
-//! The parts of the capacity stay within the limits of the configuration.
+//! The capacity limits add up to no more than the configuration allows.
 
 use super::*;
 
 #[test]
-fn parts_stay_within_the_limits() {
+fn capacity_limits_stay_within_the_configured_limits() {
     for descriptors in [64, 256, 1_024, 65_536] {
         let capacity = Capacity::new(descriptors, 32);
         let connections =
--- a/crates/gateway/src/client_connection.rs
+++ b/crates/gateway/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, and how far the request on it has come.
+//! One client's connection, and the state of the request on it.
 
 use std::sync::Arc;
 
@@ -12,22 +12,22 @@
 
 /// What a client's connection waits for.
 pub enum ClientState {
-    /// The next request's head; what has arrived of it waits in [`ClientConnection::received`].
+    /// The next request's head; the part received so far is in [`ClientConnection::received`].
     AwaitingHead,
     /// The rest of a request's body.
     ReceivingBody(Box<PartialRequest>),
     /// The response to a request.
     AwaitingResponse {
-        /// The request that is open.
+        /// The open request.
         id: RequestId,
-        /// The client's name for it.
+        /// The request's trace id.
         trace_id: Arc<str>,
-        /// The response has begun to go to the client.
+        /// Whether the response has begun.
         is_streaming: bool,
     },
 }
 
-/// A request of which the body is not yet complete.
+/// A request whose body is not yet complete.
 pub struct PartialRequest {
     /// Its head.
     pub head: RequestHead,
@@ -43,22 +43,22 @@
     pub state: ClientState,
     /// Bytes received that are not yet parsed.
     pub received: BytesMut,
-    /// How long the client is waited for.
+    /// The timeout of the request being received, or of the idle connection.
     pub timeout: Timeout,
-    /// The connection is closed after the next response.
+    /// Whether the connection is closed after the next response.
     pub closes_after_response: bool,
-    /// Bytes that came ahead of their turn and were discarded.
+    /// Number of bytes discarded because they arrived while a request was open.
     pub discarded_bytes: usize,
-    /// A request has come on it.
+    /// Whether the head of a request has been received on the connection.
     pub has_sent_request: bool,
-    /// Since when it has had no open request; none while one is open.
+    /// Since when the connection has had no open request; `None` while one is open.
     pub(crate) idle_since: Option<Micros>,
-    /// Its bytes that count towards the buffered bytes of all clients.
+    /// The connection's part of the buffered bytes of all clients.
     pub(crate) accounted_bytes: usize,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Creates a connection that has just been accepted.
     pub fn new(now: Micros) -> ClientConnection {
         ClientConnection {
             state: ClientState::AwaitingHead,
@@ -72,22 +72,22 @@
         }
     }
 
-    /// Whether no byte of a request is there.
+    /// Returns whether no byte of a next request has been received and no request is open.
     pub fn has_no_request(&self) -> bool {
         self.received.is_empty() && matches!(self.state, ClientState::AwaitingHead)
     }
 
-    /// Whether a request is open.
+    /// Returns whether a request is open.
     pub fn awaits_response(&self) -> bool {
         matches!(self.state, ClientState::AwaitingResponse { .. })
     }
 
-    /// Whether the response to the open request has begun.
+    /// Returns whether the response to the open request has begun.
     pub fn is_streaming(&self) -> bool {
         matches!(self.state, ClientState::AwaitingResponse { is_streaming: true, .. })
     }
 
-    /// Bytes that it holds of requests that are being received.
+    /// Returns the number of buffered bytes of requests that are being received.
     pub(crate) fn buffered_bytes(&self) -> usize {
         let body_bytes = match &self.state {
             ClientState::ReceivingBody(request) => request.body.len(),
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! All clients' connections, with the trace ids that are open on them and the bytes that they hold.
+//! All clients' connections, with the trace ids of their open requests and the bytes that they buffer.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 
 use crate::client_connection::{ClientConnection, ClientState};
 
-/// A connection on which no byte of a request is there.
+/// A connection on which no request is open and no byte of a next one has been received.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct IdleClient {
     /// The connection.
     pub connection: ConnectionId,
-    /// A request has come on it before.
+    /// Whether a request has been received on it before.
     pub has_sent_request: bool,
-    /// Since when it has had no open request.
+    /// Since when the connection has had no open request.
     pub idle_since: Micros,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct Clients {
     connections: HashMap<ConnectionId, ClientConnection>,
-    /// Those with no open request, the longest idle first: they are the first to be closed for others.
+    /// Connections without an open request, the longest idle first; they are closed first to make room for others.
     idle: BTreeSet<(Micros, ConnectionId)>,
     /// Trace ids of open requests.
     open_trace_ids: HashMap<Arc<str>, RequestId>,
@@ -39,37 +39,37 @@
         self.connections.entry(connection).or_insert(ClientConnection::new(now))
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is no connection.
+    /// Returns whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Bytes of requests that all connections hold.
+    /// Returns the bytes of requests that all connections buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// A connection, if it is open.
+    /// Returns a connection, if it is open.
     pub fn get(&self, connection: ConnectionId) -> Option<&ClientConnection> {
         self.connections.get(&connection)
     }
 
-    /// A connection to change, if it is open.
+    /// Returns a connection for modification, if it is open.
     pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut ClientConnection> {
         self.connections.get_mut(&connection)
     }
 
-    /// Of those with no open request, the one that has been idle for longest.
+    /// Returns the connection that has been without an open request for longest.
     pub fn longest_idle(&self) -> Option<ConnectionId> {
         self.idle.first().map(|(_, connection)| *connection)
     }
 
-    /// Connections on which no byte of a request is there, the longest idle first.
+    /// Returns the connections without any byte of a request, the longest idle first.
     pub fn idle(&self) -> Vec<IdleClient> {
         let mut idle_clients = vec![];
         for &(idle_since, connection) in &self.idle {
@@ -82,12 +82,12 @@
         idle_clients
     }
 
-    /// Whether a request with that trace id is open.
+    /// Returns whether a request with `trace_id` is open.
     pub fn is_open(&self, trace_id: &str) -> bool {
         self.open_trace_ids.contains_key(trace_id)
     }
 
-    /// The request on a connection has been admitted.
+    /// Records that the request on a connection has been admitted.
     pub fn request_admitted(&mut self, connection: ConnectionId, trace_id: Arc<str>, id: RequestId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         if let Some(idle_since) = client.idle_since.take() {
@@ -97,7 +97,7 @@
         client.state = ClientState::AwaitingResponse { id, trace_id, is_streaming: false };
     }
 
-    /// The response on a connection is complete: the next request may begin.
+    /// Records that the response on a connection is complete; the next request may begin.
     pub fn response_completed(&mut self, now: Micros, connection: ConnectionId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         let state = std::mem::replace(&mut client.state, ClientState::AwaitingHead);
@@ -110,7 +110,7 @@
         self.idle.insert((now, connection));
     }
 
-    /// Accounts for the bytes that a connection holds now.
+    /// Updates the buffered bytes by what a connection holds now.
     pub fn account(&mut self, connection: ConnectionId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         let bytes = client.buffered_bytes();
@@ -118,12 +118,12 @@
         self.buffered_bytes -= client.accounted_bytes;
         client.accounted_bytes = bytes;
         if client.received.is_empty() {
-            // A buffer that was once large would stay so for as long as the connection is open.
+            // A buffer that has grown would keep its memory for as long as the connection is open.
             client.received = BytesMut::new();
         }
     }
 
-    /// Removes a connection that is gone or about to be closed. The request that was open on it is returned.
+    /// Removes a connection that has ended or is about to be closed; returns the request that was open on it.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<RequestId> {
         let client = self.connections.remove(&connection)?;
         if let Some(idle_since) = client.idle_since {
@@ -135,7 +135,7 @@
         Some(id)
     }
 
-    /// Whether the response to that request has begun; none if it is not open on the connection.
+    /// Returns whether the response to `request` has begun; `None` if it is not open on the connection.
     pub fn is_streaming(&self, connection: ConnectionId, request: RequestId) -> Option<bool> {
         match self.connections.get(&connection)?.state {
             ClientState::AwaitingResponse { id, is_streaming, .. } if id == request => Some(is_streaming),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The response to the open request begins.
+    /// Records that the response to the open request has begun.
     pub fn response_started(&mut self, connection: ConnectionId) {
         let Some(client) = self.connections.get_mut(&connection) else { return };
         if let ClientState::AwaitingResponse { is_streaming, .. } = &mut client.state {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether the connection is closed after the next response; also if it is not open.
+    /// Returns whether the connection is closed after the next response; true if it is not open.
     pub fn closes_after_response(&self, connection: ConnectionId) -> bool {
         self.get(connection).is_none_or(|client| client.closes_after_response)
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -12,23 +12,23 @@
 use crate::endpoint_list::{ConfiguredNames, EndpointListError, EndpointUpdate};
 use crate::headers::{parse_address, socket_address};
 
-/// Microseconds that a request and its response need on their way between a client and its router.
+/// Microseconds for the transmission of a request and its response between a client and the router.
 const TRAVEL_TIME: Micros = 5_000;
 /// Microseconds in a tenth of a millisecond, the scheduler's unit of time.
 const MICROS_PER_TENTH: Micros = 100;
-/// Descriptors that a configuration must allow at least.
+/// Minimum number of descriptors that a configuration must allow.
 const MIN_DESCRIPTORS: u64 = 64;
-/// Mebibytes of memory that a configuration must allow at least.
+/// Minimum number of mebibytes of memory that a configuration must allow.
 const MIN_MEMORY_MB: u64 = 16;
-/// Milliseconds that a time in the configuration stays below.
+/// Exclusive upper limit in milliseconds of a time in the configuration.
 const MAX_MILLISECONDS: f64 = 1e12;
-/// Characters of a value that an error message shows.
+/// Maximum number of characters of a value that an error message shows.
 const MAX_SHOWN: usize = 60;
 
 /// Why a configuration cannot be used: which field, and what was expected there.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigError {
-    /// The file is no JSON.
+    /// The file is not JSON.
     #[error("it is no JSON: {0}")]
     Json(String),
     /// A field is missing or of a wrong form.
@@ -36,9 +36,9 @@
     Field {
         /// The path of the field.
         field: &'static str,
-        /// What belongs there.
+        /// The expected value.
         expected: &'static str,
-        /// What stands there, cut to some length.
+        /// The value found, cut to `MAX_SHOWN` characters.
         found: String,
     },
     /// The scheduler's settings cannot be used.
@@ -52,7 +52,7 @@
 /// The configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// What the request lifecycle and the scheduler work under.
+    /// The configuration of the request lifecycle and the scheduler.
     pub lifecycle: LifecycleConfig,
     /// The address that clients connect to.
     pub listen: SocketAddr,
@@ -60,19 +60,19 @@
     pub discovery: Address,
     /// Capacity limits of the process.
     pub capacity: Capacity,
-    /// The names that discovery refers to.
+    /// The zone and kind names that discovery refers to.
     pub names: ConfiguredNames,
-    /// A worker may close a connection that has been idle for so long.
+    /// Microseconds after which a worker may close an idle connection.
     pub worker_idle_timeout: Micros,
-    /// A connection that is not established within this time has failed.
+    /// Microseconds within which a connection must be established.
     pub connect_timeout: Micros,
-    /// What is reserved for a request is released within this time.
+    /// Microseconds within which state reserved for a request is released.
     pub release_timeout: Micros,
-    /// The part of a client's time that its request and response spend on their way.
+    /// Microseconds of a client's remaining time that the transmission of its request and response takes.
     pub travel_time: Micros,
-    /// The column of load reports that says a worker's load, if health checks are answered with reports.
+    /// The column of load reports that contains a worker's load, if health checks are answered with reports.
     pub load_report: Option<LoadReportColumn>,
-    /// The endpoint list as this router last had it; null for none.
+    /// The last endpoint list that this router had; null for none.
     pub known_endpoints: Value,
 }
 
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Settings that cannot be met beside the others, each with what the router does about it: what can't be done in
-    /// time is not done.
+    /// Returns a message for each setting that conflicts with others, with the effect of the conflict: what can't be
+    /// done in time is not done.
     pub fn infeasible_settings(&self) -> Vec<String> {
         let mut problems = vec![];
         if self.release_timeout < self.connect_timeout {
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,4 +1,4 @@
-//! Names on the wire: header fields, paths, and how single values are written.
+//! Names of header fields, paths, and the formats of single values.
 
 use tideroute_wire::Address;
 
@@ -8,36 +8,36 @@
 pub const CLASS: &str = "x-qos";
 /// The session that a request belongs to.
 pub const SESSION: &str = "x-object";
-/// How long the client still waits, in milliseconds.
+/// The remaining time until the client's deadline, in milliseconds.
 pub const EXPIRES_IN_MS: &str = "x-expires-in-ms";
 /// Pairs of name=value that describe the prompt.
 pub const PROPERTIES: &str = "x-props";
 /// `1` in a response of a worker that has not run the request.
 pub const NEVER_RAN: &str = "x-never-ran";
 
-/// Where clients send their requests, and the router sends attempts.
+/// The path of clients' requests, and of attempts at workers.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
-/// Whether the router is ready.
+/// The router's readiness check.
 pub const READY_PATH: &str = "/up";
 /// A worker's health check.
 pub const HEALTH_PATH: &str = "/alive";
 /// A worker's health check that is answered with a load report.
 pub const LOAD_REPORT_PATH: &str = "/metrics/load";
-/// Reservations and releases at workers; the trace id follows.
+/// The path prefix of reservation and release calls to workers; the trace id follows.
 pub const RESERVATION_PATH: &str = "/internal/reservations/";
-/// The watch at discovery; the version of the list that is known follows.
+/// The path prefix of the discovery watch; the version of the known endpoint list follows.
 pub const WATCH_PATH: &str = "/discovery/hosts?watch=1&after=";
 
-/// Characters that a trace id may have.
+/// Maximum number of characters of a trace id.
 const MAX_TRACE_ID_LENGTH: usize = 128;
 
-/// Whether a trace id can be forwarded, also as a part of a path.
+/// Returns whether a trace id can be forwarded in a header field and as a part of a path.
 pub fn is_valid_trace_id(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     !text.is_empty() && text.len() <= MAX_TRACE_ID_LENGTH && text.bytes().all(is_allowed)
 }
 
-/// The value of a column in a load report: pairs of name=value, behind a word that says so.
+/// Returns the value of a column in a load report, which has name=value pairs after a leading word.
 pub fn reported_value(report: &[u8], column: &str) -> Option<f64> {
     let report = std::str::from_utf8(report).ok()?;
     report
@@ -47,7 +47,7 @@
         .find_map(|(_, value)| value.parse().ok())
 }
 
-/// A name as a number that is the same at every router and after every start.
+/// Hashes a name to a number that is the same at every router and after every start.
 pub fn hash_name(name: &str) -> u64 {
     let hash = blake3::hash(name.as_bytes());
     let mut first = [0; 8];
@@ -55,7 +55,7 @@
     u64::from_le_bytes(first)
 }
 
-/// An IPv4 address with its port, in textual form.
+/// Parses an IPv4 address with a port.
 pub fn parse_address(text: &str) -> Option<Address> {
     let socket: std::net::SocketAddrV4 = text.parse().ok()?;
     let [a, b, c, d] = socket.ip().octets();
@@ -63,7 +63,7 @@
     Some([a, b, c, d, high, low])
 }
 
-/// An address as one that can be printed.
+/// Converts an address to a socket address, which can be printed.
 pub fn socket_address([a, b, c, d, high, low]: Address) -> std::net::SocketAddrV4 {
     std::net::SocketAddrV4::new([a, b, c, d].into(), u16::from_be_bytes([high, low]))
 }
--- a/crates/gateway/src/json_splitter.rs
+++ b/crates/gateway/src/json_splitter.rs
@@ -2,18 +2,18 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Something other than white space stands between two objects.
+/// The error for anything but white space between two objects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("what stands between two objects is no JSON")]
 pub struct NotJson;
 
-/// The bytes received that are not yet taken, and how far the object that has begun was scanned.
+/// The received bytes that are not yet taken, and the scan state of the object at their start.
 #[derive(Debug, Default)]
 pub struct JsonSplitter {
     received: BytesMut,
-    /// Bytes of the object that have been scanned.
+    /// Number of bytes of the object that have been scanned.
     scanned: usize,
-    /// Brackets that are open.
+    /// Number of open brackets and braces.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -25,12 +25,12 @@
         self.received.extend_from_slice(piece);
     }
 
-    /// Bytes received that are not yet taken.
+    /// Returns the number of received bytes that are not yet taken.
     pub fn len(&self) -> usize {
         self.received.len()
     }
 
-    /// Whether no object has begun.
+    /// Returns whether no received bytes are left.
     pub fn is_empty(&self) -> bool {
         self.received.is_empty()
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! [`Gateway`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) on raw connections, without sockets
 //! and without a clock. What it receives goes to the request lifecycle of `tideroute-lifecycle`, which asks the
-//! scheduler for decisions; what those say goes out in the words of this protocol. The gateway translates and decides
-//! nothing about where and when a request runs.
+//! scheduler for decisions, which the gateway carries out over HTTP. The gateway only translates: it does not decide
+//! where and when a request runs.
 //!
-//! [`Config`] is the parsed configuration file; [`Capacity`] is how the process divides the memory and the descriptors
-//! that it may use.
+//! [`Config`] is the parsed configuration file; [`Capacity`] is the division of the memory and the descriptors
+//! that the process may use.
 //!
-//! The modules stand on floors, each of which uses only those beneath it:
+//! The modules form layers, each of which uses only the layers before it:
 //!
 //! 1. `timers`, `headers`, `request_trace`, `capacity`, `json_splitter`
 //! 2. `config`, `request_head`, `request_context`, `endpoint_list`, `worker_connection`, `client_connection`
-//! 3. `worker_pool`, `clients`, `discovery_watch`, `reserved_state`, and `release_calls`, which connects two of them
+//! 3. `worker_pool`, `clients`, `discovery_watch`, `reserved_state`, and `release_calls`, which connects `worker_pool` and `reserved_state`
 //! 4. `egress` (decisions to calls) and `state` (all parts together), then what each kind of event does: `ingress`,
 //!    `streaming`, `worker_events`, `endpoint_updates`, `shutdown`
 //! 5. `gateway`, which implements the event loop's trait
--- a/crates/gateway/src/request_context.rs
+++ b/crates/gateway/src/request_context.rs
@@ -1,15 +1,15 @@
-//! What the gateway keeps of a request beside its state in the lifecycle.
+//! What the gateway stores for a request in addition to its state in the lifecycle.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use tideroute_wire::event_loop::ConnectionId;
 
-/// Who sent a request, and what of it goes on to workers.
+/// The connection that a request came from, and the parts of the request that are forwarded to workers.
 pub struct RequestContext {
     /// The connection that its response goes to.
     pub client: ConnectionId,
-    /// The trace id by which the client and the workers name it.
+    /// The trace id by which the client and the workers identify the request.
     pub trace_id: Arc<str>,
     /// The request target, as the client sent it.
     pub target: String,
--- a/crates/gateway/src/request_head.rs
+++ b/crates/gateway/src/request_head.rs
@@ -7,14 +7,14 @@
 
 use crate::headers::{self, hash_name, is_valid_trace_id};
 
-/// Microseconds that a client may wait at most: a day is longer than any client waits, and keeps sums of times far from
+/// Maximum remaining time in microseconds: a day is longer than any client waits, and keeps sums of times far from
 /// overflow.
 const MAX_REMAINING_TIME: Micros = 86_400_000_000;
-/// Bytes of a body for each token of the prompt, where the client does not say how long the prompt is.
+/// Bytes of a body for each prompt token, used if the client does not send the prompt's length.
 const BYTES_PER_TOKEN: usize = 4;
 const BAD_REQUEST: u16 = 400;
 
-/// Why a request is not admitted, with the status that says so.
+/// Why a request is not admitted, with the status of the response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Rejection {
     /// The HTTP status.
@@ -24,7 +24,7 @@
 }
 
 impl Rejection {
-    /// A rejection with that status and text.
+    /// Creates a rejection.
     pub const fn new(status: u16, reason: &'static str) -> Rejection {
         Rejection { status, reason }
     }
@@ -37,17 +37,17 @@
 /// A request's head, parsed.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// The client's name for the request.
+    /// The request's trace id.
     pub trace_id: Arc<str>,
-    /// The request class, by its place in the settings.
+    /// The request class, by its index in the settings.
     pub class: u8,
     /// The session as a number, 0 for none.
     pub session: u64,
     /// The prompt's prefix as a number, 0 for none.
     pub prefix: u64,
-    /// The prompt's length, if the client says it.
+    /// The prompt's length in tokens, if the client sent it.
     pub prompt_tokens: Option<u32>,
-    /// How long the client waits.
+    /// Microseconds until the client's deadline.
     pub remaining_time: Micros,
     /// The request target, as it was sent.
     pub target: String,
@@ -85,7 +85,7 @@
         })
     }
 
-    /// How long the prompt is, by what the client said or else by the length of its body.
+    /// Returns the prompt's length in tokens: as the client sent it, else estimated from the length of the body.
     pub fn prompt_tokens(&self, body_length: usize) -> u32 {
         self.prompt_tokens.unwrap_or((body_length / BYTES_PER_TOKEN) as u32)
     }
@@ -99,7 +99,8 @@
     }
 }
 
-/// Workers are told anew how long the client waits. All else is forwarded, also the key by which they deduplicate.
+/// Returns the header fields to forward: all except the remaining time, which is computed anew for each attempt. The
+/// key by which workers deduplicate is forwarded too.
 fn forwarded_headers(fields: &Fields) -> Vec<(String, String)> {
     fields
         .end_to_end()
@@ -108,7 +109,7 @@
         .collect()
 }
 
-/// What a client says of its prompt.
+/// What a client states about its prompt.
 #[derive(Default)]
 struct PromptProperties {
     /// The prefix as a number, 0 for none.
@@ -117,7 +118,8 @@
 }
 
 impl PromptProperties {
-    /// Properties that are not needed are ignored, after a check of those whose form is known.
+    /// Parses the properties. Those that the router does not use are ignored, but their values are checked if their
+    /// format is known.
     fn parse(fields: &Fields) -> Result<PromptProperties, Rejection> {
         let rejection =
             Rejection::bad_request("x-props must be pairs of name=value, with lengths as numbers");
@@ -143,7 +145,7 @@
     u32::try_from(number(value.trim())?).ok()
 }
 
-/// Whether a body is one JSON value. One that a wrong length has cut is not, and goes to no worker.
+/// Returns whether a body is one JSON value. A body cut short by a wrong length is not, and is not sent to a worker.
 pub fn is_json(body: &[u8]) -> bool {
     serde_json::from_slice::<serde::de::IgnoredAny>(body).is_ok()
 }
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -1,5 +1,5 @@
-//! The request trace: one log event for each change of state of a request, its attempts, and what is reserved for it.
-//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` of a closed list,
+//! The request trace: one log event for each change of state of a request, its attempts, and its reserved state.
+//! All events have the target [`TARGET`], the request's id and trace id, and a `state` and `reason` from a fixed set,
 //! so that the log alone shows what was sent where, when, and why it ended.
 
 use tideroute::types::{AttemptOutcome, RequestId};
@@ -11,43 +11,43 @@
 /// The target of all trace events, by which a log filter selects them.
 pub const TARGET: &str = "tideroute::request";
 
-/// A change of state of a request, or of something that was done for it.
+/// A change of state of a request, of its attempts, or of its reserved state.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TraceEvent {
-    /// The lifecycle has admitted it.
+    /// The lifecycle has admitted the request.
     Admitted,
-    /// An attempt has a worker, whose connection may have to be dialled first.
+    /// A worker has been chosen for an attempt; its connection may not be established yet.
     AttemptChosen {
-        /// Counts the request's attempts.
+        /// The attempt's number, counted within its request.
         number: u16,
         /// The worker's address.
         to: Address,
     },
     /// The last byte of an attempt has been written.
     AttemptWritten {
-        /// Counts the request's attempts.
+        /// The attempt's number, counted within its request.
         number: u16,
         /// The worker's address.
         to: Address,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// Counts the request's attempts.
+        /// The attempt's number, counted within its request.
         number: u16,
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The first bytes of the response are on their way to the client.
+    /// The first bytes of the response have been sent to the client.
     ResponseStarted,
-    /// A worker is asked for a decode reservation.
+    /// A decode reservation has been requested from the worker at this address.
     ReservationRequested(Address),
-    /// A worker is told to release what is reserved.
+    /// A release call has been sent to the worker at this address.
     ReleaseSent(Address),
-    /// A worker has answered a release.
+    /// A worker has answered a release call.
     Released,
-    /// The final response.
+    /// The final response: completed, rejected or failed.
     Responded(Response),
-    /// The client has closed its connection before that.
+    /// The client has disconnected before the end of the response.
     ClientDisconnected,
 }
 
@@ -99,7 +99,7 @@
 
 /// Writes an event to the log.
 pub fn record(id: RequestId, trace_id: &str, event: TraceEvent) {
-    // Nothing is formatted for a log that filters it out.
+    // Skips the formatting if the log filter drops the event.
     if !tracing::enabled!(target: TARGET, tracing::Level::DEBUG) {
         return;
     }
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -324,7 +324,7 @@
     pub fn request_closed<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.is_request_closed = true;
-        // If only a reservation call may have reserved something, its answer is awaited until its timeout.
+        // If only a reservation call may have reserved something, its answer is awaited until a release is due.
         if !entry.is_reservation_only {
             self.release_now(id, context);
         }
--- a/crates/gateway/src/reserved_state/release.rs
+++ b/crates/gateway/src/reserved_state/release.rs
@@ -13,9 +13,9 @@
 /// Microseconds without an answer after which further workers are called: enough for some round trips and a handshake,
 /// and short enough that several workers can be tried within any release timeout.
 const ANSWER_TIMEOUT: Micros = 100_000;
-/// Maximum number of release calls in flight at once for one request. Each round makes as many calls as all rounds
-/// before it, so that one reachable worker is found within any release timeout even if half of the workers can't be
-/// reached.
+/// Maximum number of release calls in flight at once for one request. Each timeout makes as many further calls
+/// as were made before, so that one reachable worker is found within any release timeout even if half of the workers
+/// can't be reached.
 const MAX_CALLS_IN_FLIGHT: usize = 16;
 /// Microseconds that the protocol allows beyond the release timeout of the settings.
 const GRACE_PERIOD: Micros = 300_000;
@@ -56,7 +56,7 @@
         self.release_now(id, context);
     }
 
-    /// Makes `more` further release calls, and sets the timer for the round after them.
+    /// Makes `more` further release calls, and sets the timer for the calls after them.
     fn send_release_calls<W: Workers>(&mut self, id: RequestId, more: usize, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Some(release) = &mut entry.release else { return };
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -1,14 +1,14 @@
-//! Timers of the gateway: which event each one is for, and timeouts that keep one timer set at a time.
+//! Timers of the gateway: the event that each one stands for, and timeouts that keep one timer set at a time.
 //!
-//! The event loop knows a timer by a `u64` only. [`TimerKey`] is its one encoding: the kind stands in the top byte,
-//! what the timer is for in the 56 bits beneath.
+//! The event loop identifies a timer by a `u64`. [`TimerKey`] defines its encoding: the kind in the top byte, and the
+//! payload in the lower 56 bits.
 
 use tideroute::types::RequestId;
 use tideroute_lifecycle::{id_counter, Timer};
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::Micros;
 
-/// Bits of a key beneath its kind.
+/// Number of bits of a key below its kind.
 const PAYLOAD_BITS: u32 = 56;
 
 /// The part of a request's id that differs between the open requests of one process, and fits into a timer's key.
@@ -37,18 +37,18 @@
     Client(ConnectionId),
     /// The timeout of a connection to a worker.
     Worker(ConnectionId),
-    /// State that is reserved for a request has to be released, or looked after.
+    /// A release or a check of the state reserved for a request may be due.
     ReservedState(ShortRequestId),
     /// The timeout of the discovery watch, or the pause before it is opened again.
     DiscoveryWatch,
-    /// New requests are no longer admitted after a signal to shut down.
+    /// The end of the shutdown's grace period, after which new requests are no longer admitted.
     ShutdownGrace,
     /// The periodic log line of statistics.
     Statistics,
 }
 
 impl TimerKey {
-    /// The number by which the event loop knows the timer.
+    /// Returns the number by which the event loop identifies the timer.
     pub fn encode(self) -> u64 {
         let (kind, payload) = match self {
             TimerKey::SchedulerWake => (0, 0),
@@ -65,7 +65,7 @@
         kind << PAYLOAD_BITS | payload
     }
 
-    /// The timer of that number; none if the number is of no kind.
+    /// Returns the timer of a number; `None` if the number has no valid kind.
     pub fn decode(key: u64) -> Option<TimerKey> {
         let payload = key & ((1 << PAYLOAD_BITS) - 1);
         Some(match key >> PAYLOAD_BITS {
@@ -105,7 +105,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timeout {
     expires_at: Micros,
-    /// When the timer that is set fires.
+    /// When the timer fires, if one is set.
     timer_at: Option<Micros>,
 }
 
@@ -113,7 +113,7 @@
     /// A timeout that never expires.
     pub const NEVER: Timeout = Timeout { expires_at: Micros::MAX, timer_at: None };
 
-    /// When the timeout expires; `Micros::MAX` for never.
+    /// Returns when the timeout expires; `Micros::MAX` for never.
     pub fn expires_at(&self) -> Micros {
         self.expires_at
     }
@@ -127,13 +127,13 @@
         }
     }
 
-    /// Stops the timeout. A timer that is set still fires, and changes nothing.
+    /// Stops the timeout. A timer that is already set still fires, but has no effect.
     pub fn clear(&mut self) {
         self.expires_at = Micros::MAX;
     }
 
-    /// Called when a timer with this key has fired: whether the timeout has expired. If it has not, the next timer is
-    /// set.
+    /// Handles a fired timer with this key; returns whether the timeout has expired. If it has not, sets the next
+    /// timer.
     pub fn has_expired(&mut self, now: Micros, key: TimerKey, effects: &mut Effects) -> bool {
         if self.timer_at.is_some_and(|timer_at| timer_at <= now) {
             self.timer_at = None;
--- a/crates/gateway/src/timers/tests.rs
+++ b/crates/gateway/src/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Keys of timers are read back as they were written.
+//! Timer keys are decoded to the timers that they were encoded from.
 
 use super::*;
 
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -8,11 +8,11 @@
 use crate::headers;
 use crate::timers::Timeout;
 
-/// What the head of a worker's response may have, and the bytes that a stream may have.
+/// Limits of the head of a worker's response, and of the bytes of a stream.
 const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
-/// Bytes of a response that is no stream.
+/// Maximum body size in bytes of a response that is not a stream.
 const MAX_PLAIN_RESPONSE_BYTES: u64 = 256 << 10;
-/// Interim responses (1xx) before the final one.
+/// Maximum number of interim responses (1xx) before the final one.
 const MAX_INTERIM_RESPONSES: u8 = 16;
 
 /// What a connection is used for now.
@@ -22,26 +22,26 @@
     Attempt {
         /// The request.
         id: RequestId,
-        /// Counts the request's attempts.
+        /// The attempt's number, counted within its request.
         number: u16,
-        /// A prefill worker is to read the prompt; else the response is to be decoded.
+        /// Whether a prefill worker processes the prompt; else the attempt decodes the response.
         is_prefill: bool,
-        /// It decodes a request that must not run twice.
+        /// Whether the attempt decodes a request that must not run twice.
         is_non_idempotent: bool,
     },
-    /// Asks a decode worker for a reservation.
+    /// Requests a decode reservation.
     Reservation {
-        /// The request that it is for.
+        /// The request that needs the reservation.
         id: RequestId,
     },
-    /// Tells a worker to release what is reserved.
+    /// Tells a worker to release what it holds for a request.
     Release {
-        /// The request that it was reserved for.
+        /// The request.
         id: RequestId,
     },
-    /// A health check that the scheduler asked for.
+    /// A health check that the scheduler requested.
     HealthCheck {
-        /// Tells the answer from those to other health checks.
+        /// Identifies the health check.
         nonce: u64,
     },
     /// Checks whether the prefill worker of a request is alive.
@@ -55,42 +55,42 @@
 pub struct IncomingResponse {
     status: u16,
     never_ran: bool,
-    /// The worker closes the connection after it.
+    /// Whether the worker closes the connection after the response.
     pub closes_connection: bool,
     body: Body,
 }
 
 /// One connection to a worker.
 pub struct WorkerConnection {
-    /// Who is reached by it.
+    /// The worker at the other end.
     pub worker: WorkerId,
-    /// Where it was dialled.
+    /// The address that was dialled.
     pub to: Address,
-    /// What it is used for; none while it is idle.
+    /// The call that the connection carries; `None` while it is idle.
     pub call: Option<Call>,
-    /// It is established, and not only dialled.
+    /// Whether the connection is established.
     pub is_connected: bool,
-    /// The last byte of the call has been written.
+    /// Whether the last byte of the call has been written.
     pub is_written: bool,
-    /// It has carried a call before this one.
+    /// Whether the connection has carried a call before this one.
     pub is_reused: bool,
-    /// The last byte of the call is written by then, or the call is given up.
+    /// When an attempt whose last byte has not been written yet is given up.
     pub dispatch_deadline: Micros,
-    /// The decode worker that is asked for a reservation once the call is written.
+    /// The decode worker to request a reservation from once the call is written.
     pub pending_reservation: Option<WorkerId>,
-    /// The response is forwarded to the client.
+    /// Whether the response is being forwarded to the client.
     pub is_streaming: bool,
     /// The start of a stream until its first event is complete; or a load report.
     pub buffered: BytesMut,
-    /// How long the connection is waited for.
+    /// The timeout of the call, or of the idle connection.
     pub timeout: Timeout,
-    /// When it was dialled.
+    /// When the connection was dialled.
     pub opened_at: Micros,
-    /// When bytes last arrived on it; 0 for never.
+    /// When bytes last arrived on the connection; 0 for never.
     pub last_received_at: Micros,
-    /// Since when it was last idle.
+    /// When the connection last became idle.
     pub idle_since: Micros,
-    /// How long it had been idle before this call.
+    /// Microseconds for which the connection was idle before this call.
     pub idle_time: Micros,
     /// Bytes received that are not yet parsed.
     pub received: BytesMut,
@@ -100,27 +100,27 @@
     pub response: Option<IncomingResponse>,
 }
 
-/// What a complete response says beside its body.
+/// What a complete response states besides its body.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ResponseStatus {
     /// The HTTP status.
     pub status: u16,
-    /// It proves that the request has not run.
+    /// Whether the response states that the request has not run.
     pub never_ran: bool,
 }
 
-/// The next part of what has arrived on a connection.
+/// The next part of the bytes received on a connection.
 pub enum ResponseEvent {
     /// More bytes have to arrive.
     Incomplete,
-    /// A piece of the body of a response with that status.
+    /// The status of a response and a piece of its body.
     Body(u16, Bytes),
     /// The response is complete.
     Complete(ResponseStatus),
 }
 
 impl WorkerConnection {
-    /// A connection that is being dialled and has no call yet.
+    /// Creates a connection that is being dialled and has no call yet.
     pub fn new(worker: WorkerId, to: Address, now: Micros) -> WorkerConnection {
         WorkerConnection {
             worker,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Begins a call on the connection, which was idle since `idle_since` if it has carried one before.
+    /// Begins a call on the connection, which has been idle since `idle_since` if it is reused.
     pub fn begin_call(&mut self, now: Micros, call: Call, is_reused: bool, dispatch_deadline: Micros) {
         self.call = Some(call);
         self.is_written = false;
@@ -157,22 +157,22 @@
         self.timeout.clear();
     }
 
-    /// Whether its call is one that a draining worker must not get.
+    /// Returns whether the connection's call is one that a draining worker must not receive.
     pub fn is_new_work(&self) -> bool {
         matches!(self.call, Some(Call::Attempt { .. } | Call::Reservation { .. }))
     }
 
-    /// Whether it carries an attempt to be decoded.
+    /// Returns whether the connection carries a decode attempt.
     pub fn is_decode_attempt(&self) -> bool {
         matches!(self.call, Some(Call::Attempt { is_prefill: false, .. }))
     }
 
-    /// Takes bytes as they were received.
+    /// Appends received bytes.
     pub fn on_data(&mut self, bytes: &Bytes) {
         self.received.extend_from_slice(bytes);
     }
 
-    /// Parses the next part of what has been received.
+    /// Parses the next part of the received bytes.
     pub fn next_event(&mut self) -> Result<ResponseEvent, HttpError> {
         while self.response.is_none() {
             if !self.parse_head()? {
@@ -213,12 +213,12 @@
         Ok(true)
     }
 
-    /// Whether no part of a response has arrived.
+    /// Returns whether no part of a response has arrived.
     pub fn is_silent(&self) -> bool {
         self.received.is_empty() && self.response.is_none()
     }
 
-    /// The response that the end of the connection completes, if it does.
+    /// Returns the response that is completed by the end of the connection, if its framing allows that.
     pub fn completed_by_close(&self) -> Option<ResponseStatus> {
         let response = self.response.as_ref().filter(|response| response.body.may_end())?;
         Some(response.status())
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to workers. Each carries one call at a time; one whose call ended well is kept idle for the next, and is
-//! closed long before its worker would close it.
+//! Connections to workers. Each carries one call at a time. After a complete response it is kept idle for the next call,
+//! and is closed long before its worker would close it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -16,31 +16,31 @@
 
 use idle_connections::{IdleConnections, TakenIdle};
 
-/// Microseconds after which a worker that says nothing is taken for gone, and not only to hang.
+/// Microseconds of silence after which a worker counts as gone rather than hung.
 const HANG_TIMEOUT: Micros = 20_000_000;
-/// The same during shutdown, which leaves little more.
+/// The same during shutdown, which leaves little more time.
 const HANG_TIMEOUT_AT_SHUTDOWN: Micros = 3_500_000;
-/// Microseconds for which a connection whose stream has ended takes no other call: a second response may come some
-/// milliseconds behind the first, and would pass for the next call's.
+/// Microseconds for which a connection whose stream has ended takes no other call. A second response may arrive some
+/// milliseconds after the first, and would be taken for the next call's response.
 const LATE_RESPONSE_WINDOW: Micros = 30_000;
-/// Reservation calls that wait for a slow worker take one in so many of all connections at most.
+/// Late reservation calls may occupy at most the maximum number of connections divided by this.
 const LATE_RESERVATIONS_DIVISOR: usize = 8;
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct Dispatched {
     connection: ConnectionId,
     at: Micros,
 }
 
-/// What connections carry, in numbers.
+/// Numbers of connections and of the attempts that they carry.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PoolStatistics {
-    /// Attempts out at each worker.
+    /// Attempts in flight at each worker.
     pub attempts: BTreeMap<WorkerId, usize>,
-    /// Connections, with those being dialled.
+    /// All connections, including those being established.
     pub connections: usize,
-    /// Idle ones among them.
+    /// Idle connections among them.
     pub idle: usize,
 }
 
@@ -49,13 +49,13 @@
 pub struct WorkerPool {
     connections: BTreeMap<ConnectionId, WorkerConnection>,
     idle: IdleConnections,
-    /// The attempt that is out for each request.
+    /// The attempt in flight for each request.
     attempts: HashMap<RequestId, Dispatched>,
-    /// When bytes last came from each worker.
+    /// When bytes last arrived from each worker.
     last_seen: HashMap<WorkerId, Micros>,
-    /// Where each listed worker is reached.
+    /// The address of each listed worker.
     addresses: BTreeMap<WorkerId, Address>,
-    /// Listed workers that take nothing new.
+    /// Listed workers that take no new work.
     draining: BTreeSet<WorkerId>,
     health_checks: HashMap<WorkerId, ConnectionId>,
     max_connections: usize,
@@ -66,7 +66,7 @@
 }
 
 impl WorkerPool {
-    /// An empty pool of at most so many connections; how long dialling may take, and how long a connection may be idle.
+    /// Creates an empty pool of at most `max_connections`; `connect_timeout` and `idle_timeout` are in microseconds.
     pub fn new(max_connections: usize, connect_timeout: Micros, idle_timeout: Micros) -> WorkerPool {
         WorkerPool {
             max_connections,
@@ -77,22 +77,22 @@
         }
     }
 
-    /// A worker that says nothing for so long is taken for gone.
+    /// Returns the microseconds of silence after which a worker counts as gone.
     pub fn hang_timeout(&self) -> Micros {
         self.hang_timeout
     }
 
-    /// A connection to change, if it is there.
+    /// Returns a connection for modification, if it exists.
     pub fn get_mut(&mut self, connection: ConnectionId) -> Option<&mut WorkerConnection> {
         self.connections.get_mut(&connection)
     }
 
-    /// Whether the call on a connection has been written; none if the connection is not there.
+    /// Returns whether the call on a connection has been written; `None` if the connection does not exist.
     pub fn is_written(&self, connection: ConnectionId) -> Option<bool> {
         self.connections.get(&connection).map(|connection| connection.is_written)
     }
 
-    /// What the connections carry now.
+    /// Returns the current numbers of connections and attempts.
     pub fn statistics(&self) -> PoolStatistics {
         let mut attempts = BTreeMap::new();
         for connection in self.connections.values() {
@@ -103,7 +103,7 @@
         PoolStatistics { attempts, connections: self.connections.len(), idle: self.idle.len() }
     }
 
-    /// Bytes have come from the worker on that connection.
+    /// Records that bytes have arrived on `connection`, and returns it.
     pub fn on_data(&mut self, now: Micros, connection: ConnectionId) -> Option<&mut WorkerConnection> {
         let connection = self.connections.get_mut(&connection)?;
         connection.last_received_at = now;
@@ -111,21 +111,21 @@
         Some(connection)
     }
 
-    /// Whether bytes have come from a worker at that time or later.
+    /// Returns whether bytes have arrived from a worker at `time` or later.
     pub fn seen_since(&self, worker: WorkerId, time: Micros) -> bool {
         self.last_seen.get(&worker).is_some_and(|seen| *seen >= time)
     }
 
-    /// Listed workers, the one that was seen last first.
+    /// Returns the listed workers, the most recently seen first.
     pub fn workers_by_last_seen(&self) -> Vec<WorkerId> {
         let mut workers: Vec<_> = self.workers().collect();
         workers.sort_by_key(|worker| std::cmp::Reverse(self.last_seen.get(worker).copied()));
         workers
     }
 
-    /// A worker is listed. Connections that can't serve any more are returned: those that led to a process which
-    /// another one has replaced, idle ones to another address, and, if the worker drains, those being dialled for new
-    /// work, whose first byte might leave after its grace period.
+    /// Records a worker of the endpoint list, and returns its connections that can no longer be used: those to a
+    /// process that has been replaced, idle ones to another address, and, if the worker is draining, those being
+    /// established for new work, whose first byte might be sent after the worker's grace period.
     pub fn worker_listed(
         &mut self,
         worker: WorkerId,
@@ -152,7 +152,7 @@
             .collect()
     }
 
-    /// Connections that are being dialled for new work to workers that are no longer listed.
+    /// Returns the connections being established for new work to workers that are no longer listed.
     pub fn dialling_unlisted_workers(&self) -> Vec<ConnectionId> {
         let is_affected = |connection: &WorkerConnection| {
             !connection.is_connected
@@ -163,7 +163,7 @@
         affected.map(|(id, _)| *id).collect()
     }
 
-    /// A worker is removed from the list: nothing new reaches it, and its idle connections are closed.
+    /// Removes a worker from the list: it gets no new calls, and its idle connections are closed.
     pub fn worker_removed(&mut self, worker: WorkerId, effects: &mut Effects) {
         self.addresses.remove(&worker);
         self.draining.remove(&worker);
@@ -173,27 +173,27 @@
         }
     }
 
-    /// A full snapshot of the list begins: workers that it does not name are unlisted.
+    /// Unlists all workers at the start of a full snapshot, which then lists the workers that it names.
     pub fn unlist_all(&mut self) {
         self.addresses.clear();
     }
 
-    /// Whether new work may go to a worker.
+    /// Returns whether new work may be sent to a worker.
     pub fn is_serving(&self, worker: WorkerId) -> bool {
         self.addresses.contains_key(&worker) && !self.draining.contains(&worker)
     }
 
-    /// Where a worker is reached, if it is listed.
+    /// Returns a worker's address, if the worker is listed.
     pub fn address(&self, worker: WorkerId) -> Option<Address> {
         self.addresses.get(&worker).copied()
     }
 
-    /// Listed workers, in an order that is the same each time.
+    /// Returns the listed workers in a deterministic order.
     pub fn workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
         self.addresses.keys().copied()
     }
 
-    /// Nobody waits for the health check of a worker any more.
+    /// Cancels the health check of a worker, whose answer is no longer needed.
     pub fn cancel_health_check(&mut self, worker: WorkerId, effects: &mut Effects) {
         let Some(id) = self.health_checks.remove(&worker) else { return };
         let Some(connection) = self.connections.get(&id) else { return };
@@ -202,14 +202,14 @@
         }
     }
 
-    /// A connection broke under its call, after it had been idle for so long before it.
+    /// Records that a connection failed during a call, after it had been idle for `idle_time` before that call.
     pub fn broke_after_idle(&mut self, now: Micros, idle_time: Micros) {
         self.idle.broke_after(now, idle_time);
     }
 
-    /// A reservation call has not been answered in time. Its worker may hang and grant it later, so it is waited for
-    /// still; returned is the call to give up: this one after a second timeout, or the one that has waited for longest
-    /// where so many wait that other calls would lack connections.
+    /// Handles a reservation call without an answer in time. Its worker may hang and grant the reservation later, so
+    /// the call is kept. Returns a call to give up: this one after its second timeout, or the oldest late call if so
+    /// many are late that other calls would lack connections.
     pub fn reservation_timed_out(
         &mut self,
         now: Micros,
@@ -233,7 +233,7 @@
         self.late_reservations.pop_front()
     }
 
-    /// The router shuts down: workers that hang are waited for no longer than that allows.
+    /// Shortens the hang timeout to what the shutdown allows.
     pub fn begin_shutdown(&mut self, now: Micros, effects: &mut Effects) {
         self.hang_timeout = HANG_TIMEOUT_AT_SHUTDOWN;
         let expires_at = now + HANG_TIMEOUT_AT_SHUTDOWN;
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Begins a call and sends it. None if the worker is not listed, or no connection is left for it.
+    /// Begins a call and sends it. `None` if the worker is not listed or no connection is available.
     pub fn send_call(
         &mut self,
         now: Micros,
@@ -258,8 +258,8 @@
         Some(connection)
     }
 
-    /// Takes a connection for a call whose bytes are still to be sent. Those of an attempt are sent once the
-    /// connection is established, for they say how much time is left.
+    /// Assigns a connection to a call whose bytes the caller sends. The bytes of an attempt are sent once the
+    /// connection is established, because they contain the remaining time.
     pub fn begin_call(
         &mut self,
         now: Micros,
@@ -267,8 +267,8 @@
         call: Call,
         effects: &mut Effects,
     ) -> Option<ConnectionId> {
-        // Whether a request has run on an old connection that breaks is never known. One that must not run twice goes
-        // on a new connection.
+        // If a reused connection fails, it is unknown whether the request has run. A request that must not run twice
+        // therefore uses a new connection.
         let needs_new = matches!(call, Call::Attempt { is_non_idempotent: true, .. });
         let reused = if needs_new { None } else { self.take_idle(now, worker, effects) };
         let id = match reused {
@@ -315,7 +315,7 @@
         Some(connection)
     }
 
-    /// The call on a connection has ended with a complete response. The connection is kept idle, unless it must not be
+    /// Ends the call on a connection after a complete response. The connection is kept idle, unless it must not be
     /// used again.
     pub fn call_finished(&mut self, now: Micros, id: ConnectionId, effects: &mut Effects) -> Option<Call> {
         let connection = self.connections.get_mut(&id)?;
@@ -324,7 +324,7 @@
         connection.buffered = BytesMut::new();
         let is_unlisted = !self.addresses.contains_key(&connection.worker);
         let closes = response.is_none_or(|response| response.closes_connection);
-        // Bytes behind the response were not asked for; those of a call that was answered early may still leave.
+        // Bytes after the response belong to no call. The bytes of a call that was answered early may still be written.
         if is_unlisted || closes || !connection.received.is_empty() || !connection.is_written {
             self.abort(id, effects);
             return call;
@@ -337,14 +337,14 @@
         call
     }
 
-    /// Ends a connection at once, whatever it is used for.
+    /// Aborts a connection at once, whatever it is used for.
     pub fn abort(&mut self, connection: ConnectionId, effects: &mut Effects) {
         if self.remove(connection).is_some() {
             effects.abort(connection);
         }
     }
 
-    /// Removes a connection that is gone.
+    /// Removes a connection that has ended or is about to be aborted.
     pub fn remove(&mut self, id: ConnectionId) -> Option<WorkerConnection> {
         let connection = self.connections.remove(&id)?;
         self.idle.remove(connection.worker, id, connection.idle_since);
--- a/crates/gateway/src/worker_pool/idle_connections.rs
+++ b/crates/gateway/src/worker_pool/idle_connections.rs
@@ -11,22 +11,22 @@
 struct IdleConnection {
     connection: ConnectionId,
     since: Micros,
-    /// Before that a late response to its last call might pass for one to the next.
+    /// Before this time, a late response to the last call could be taken for the next call's response.
     reusable_at: Micros,
 }
 
-/// What a worker's idle connections are good for.
+/// The result of taking an idle connection of a worker.
 #[derive(PartialEq, Eq, Debug)]
 pub enum TakenIdle {
-    /// There is none that can be used now.
+    /// No connection can be used now.
     None,
-    /// The most recently used one, since when it was idle.
+    /// The most recently used connection that may be reused.
     Reusable(ConnectionId),
-    /// All have been idle for too long, and are to be closed in this order.
+    /// All connections have been idle for too long, and are to be closed in this order.
     Expired(Vec<ConnectionId>),
 }
 
-/// A connection broke after it had been idle: shorter idle times are trusted for a while.
+/// A shorter maximum idle time, applied for a while after a reused connection failed.
 #[derive(Clone, Copy, Debug)]
 struct ReducedTrust {
     max_idle_time: Micros,
@@ -36,9 +36,9 @@
 /// All idle connections.
 #[derive(Default)]
 pub struct IdleConnections {
-    /// By worker, the most recently used one last.
+    /// The idle connections of each worker, the most recently used last.
     by_worker: BTreeMap<WorkerId, Vec<IdleConnection>>,
-    /// Those of all workers, the longest idle first.
+    /// The idle connections of all workers, the longest idle first.
     by_age: BTreeSet<(Micros, ConnectionId)>,
     /// Idle connections are closed after this time.
     idle_timeout: Micros,
@@ -46,34 +46,34 @@
 }
 
 impl IdleConnections {
-    /// None yet; each may be idle for so long.
+    /// Creates an empty collection, whose connections may be idle for `idle_timeout` microseconds.
     pub fn new(idle_timeout: Micros) -> IdleConnections {
         IdleConnections { idle_timeout, ..IdleConnections::default() }
     }
 
-    /// How long a connection may be idle.
+    /// Returns the microseconds that a connection may be idle.
     pub fn idle_timeout(&self) -> Micros {
         self.idle_timeout
     }
 
-    /// How many there are.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.by_age.len()
     }
 
-    /// Of all workers' connections the one that has been idle for longest.
+    /// Returns the connection that has been idle for longest, among those of all workers.
     pub fn oldest(&self) -> Option<ConnectionId> {
         self.by_age.first().map(|(_, connection)| *connection)
     }
 
-    /// A connection becomes idle.
+    /// Adds a connection that becomes idle now and may be reused from `reusable_at`.
     pub fn insert(&mut self, now: Micros, worker: WorkerId, connection: ConnectionId, reusable_at: Micros) {
         let idle = IdleConnection { connection, since: now, reusable_at };
         self.by_age.insert((now, connection));
         self.by_worker.entry(worker).or_default().push(idle);
     }
 
-    /// A connection that may be idle, since that time, has ended.
+    /// Removes a connection that has ended, if it was idle since `since`.
     pub fn remove(&mut self, worker: WorkerId, connection: ConnectionId, since: Micros) {
         if !self.by_age.remove(&(since, connection)) {
             return;
@@ -94,7 +94,7 @@
         idle.into_iter().map(|idle| idle.connection).collect()
     }
 
-    /// Takes the connection of a worker that was used last, if it can be trusted.
+    /// Takes the most recently used connection of a worker, if it has not been idle for too long.
     pub fn take(&mut self, now: Micros, worker: WorkerId) -> TakenIdle {
         let max_idle_time = self.max_idle_time(now);
         let Some(idle) = self.by_worker.get_mut(&worker) else { return TakenIdle::None };
@@ -112,8 +112,9 @@
         TakenIdle::Expired(expired)
     }
 
-    /// A connection broke under its next call after it had been idle for so long, with no byte of a response: something
-    /// on the way forgets connections sooner than the workers say. Half of that time is trusted for a while.
+    /// Records that a reused connection failed without a byte of a response, after it had been idle for `idle_time`.
+    /// Something on the network path then drops connections sooner than the workers do, so only half of that idle time
+    /// is allowed for a while.
     pub fn broke_after(&mut self, now: Micros, idle_time: Micros) {
         let max_idle_time = idle_time / 2;
         if max_idle_time <= self.max_idle_time(now) {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// How long a connection may have been idle to be used again.
+    /// Returns the longest idle time after which a connection may be reused.
     fn max_idle_time(&self, now: Micros) -> Micros {
         match self.reduced_trust {
             Some(reduced) if now < reduced.since + self.idle_timeout => reduced.max_idle_time,
