--- a/crates/gateway/src/reserved_state/release.rs
+++ b/crates/gateway/src/reserved_state/release.rs
@@ -21,7 +21,7 @@
 const GRACE_PERIOD: Micros = 300_000;
 
 impl ReservedStateManager {
-    /// Releases now what is held for a request, which no longer needs it. Does nothing without an entry.
+    /// Starts the release of what is held for a request, unless one is in progress. Does nothing without an entry.
     pub fn release_now<W: Workers>(&mut self, id: RequestId, context: &mut Context<W>) {
         self.cancel_unwritten_reservations(id, context);
         let Some(entry) = self.entries.get_mut(&id) else { return };
@@ -31,7 +31,7 @@
         let since = entry.running_since().unwrap_or(context.now);
         entry.clock = ReleaseClock::Running { since };
         let lasts_until = (since + self.release_timeout).max(context.now + RELEASE_LEAD_TIME);
-        tracing::debug!(id, worker = ?entry.location, reserved_for = context.now - since, "reserved state no longer needed; releasing it");
+        tracing::debug!(id, worker = ?entry.location, reserved_for = context.now - since, "release of reserved state started");
         entry.release = Some(Release {
             began_at: context.now,
             remaining: release_order(entry.location, context.workers),
