--- a/crates/command/src/admin_thread.rs
+++ b/crates/command/src/admin_thread.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use metrics::counter;
 use tideroute_admin::{AdminServer, Administrator, Api, Role};
-use tideroute_config_language::kinds;
+use tideroute_config_language::records;
 use tideroute_lifecycle::TenantConfig;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
@@ -37,7 +37,7 @@
 
 impl AdminThread {
     /// Opens the store and begins to listen.
-    pub fn start(config: &kinds::Admin) -> Result<AdminThread, CommandError> {
+    pub fn start(config: &records::AdminConfig) -> Result<AdminThread, CommandError> {
         let path = Path::new(&config.store);
         let store = Arc::new(TenantStore::open(path).map_err(CommandError::in_file(path))?);
         let cores = Arc::<Mutex<BTreeMap<u32, Mailbox>>>::default();
@@ -81,7 +81,7 @@
     }
 }
 
-fn administrator(key: &kinds::AdminKey) -> Result<Administrator, CommandError> {
+fn administrator(key: &records::AdminKey) -> Result<Administrator, CommandError> {
     let hash = convert::hash(&key.key)
         .map_err(|source| CommandError::AdministratorKey { name: key.name.clone(), source })?;
     let role = match key.role.as_str() {
--- a/crates/command/src/emulation.rs
+++ b/crates/command/src/emulation.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use tideroute_config_language::kinds::Door;
+use tideroute_config_language::records::RelayListener;
 use tideroute_emulator::{Discovery, EmulatedWorker};
 use tideroute_relay::Relay;
 use tideroute_simulation::convert::{self, ConvertError};
@@ -36,7 +36,7 @@
 /// Runs a relay between the processes of a scenario.
 pub fn relay(path: &Path, args: &ProcessArgs) -> CommandResult {
     let record = config_file::require(path, config_file::read(path)?.relay, "relay")?;
-    let listeners = listen_addresses(&record.doors)?;
+    let listeners = listen_addresses(&record.listeners)?;
     let identity = ProcessIdentity { name: "relay", role: "relay" };
     let mut reactor = process::reactor(&listeners, args, identity)?;
     reactor.add_datagram_sockets(&listen_addresses(&record.datagrams)?)?;
@@ -45,6 +45,6 @@
     process::run(reactor, &mut Relay::new(convert::relay(&record, args.script_start.unwrap_or(now), now)?))
 }
 
-fn listen_addresses(doors: &[Door]) -> Result<Vec<SocketAddr>, ConvertError> {
+fn listen_addresses(doors: &[RelayListener]) -> Result<Vec<SocketAddr>, ConvertError> {
     doors.iter().map(|door| Ok(convert::socket(&door.listen)?.into())).collect()
 }
--- a/crates/command/src/error.rs
+++ b/crates/command/src/error.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use tideroute_config_language::Problems;
+use tideroute_config_language::ConfigErrors;
 use tideroute_reactor::ReactorError;
 use tideroute_simulation::convert::ConvertError;
 use tideroute_simulation::scenario::ScenarioError;
@@ -56,7 +56,7 @@
     FileTooLarge { path: PathBuf, size: u64, kind: &'static str },
     /// A configuration file that does not follow the schema: all its problems with their places.
     #[error("{}", .0.report())]
-    InvalidConfig(Problems),
+    InvalidConfig(ConfigErrors),
     /// Problems of several files, one after the other.
     #[error("{}", lines(.0))]
     InvalidFiles(Vec<CommandError>),
@@ -113,7 +113,7 @@
     VirtualTime(#[from] VirtualScenarioError),
     /// A file of the configuration language could not be written.
     #[error("{0}")]
-    PrintConfig(Problems),
+    PrintConfig(ConfigErrors),
     /// The load balance of a capture could not be measured.
     #[error(transparent)]
     LoadBalance(Box<dyn std::error::Error + Send + Sync>),
--- a/crates/command/src/fleet_status.rs
+++ b/crates/command/src/fleet_status.rs
@@ -201,7 +201,7 @@
 /// Queries the router of that configuration file, then all members that it sees.
 pub fn run(path: &Path, json: bool) -> CommandResult {
     let config = config_file::require(path, config_file::read(path)?.router, "router")?;
-    let fleet = config_file::require(path, config.fleet, "router.fleet")?;
+    let fleet = config_file::require(path, config.membership, "router.fleet")?;
     let (terms, seal) = convert::member(&config.name, &fleet, 0)?;
     let mut client = QueryClient { socket: bind_near(terms.address)?, seal, last_query: 0 };
     // No part has this fingerprint, so that the router sends all parts.
--- a/crates/command/src/measure/added_latency.rs
+++ b/crates/command/src/measure/added_latency.rs
@@ -14,7 +14,7 @@
 pub fn run(path: &Path, rounds: usize) -> CommandResult {
     let measured = Measured::read(path, "tideroute-measure")?;
     let rate = measured.scenario.load.rate;
-    let seconds = measured.scenario.load.lasts as f64 / 1e6;
+    let seconds = measured.scenario.load.duration as f64 / 1e6;
     println!("{rate:.0} submissions a second for {seconds:.0} s, {rounds} rounds; times in microseconds");
     println!("round  way       first token p50     p99   each token p50     p99  submissions");
     let mut means = [[0.0; FIGURES]; 2];
--- a/crates/command/src/measure/cores.rs
+++ b/crates/command/src/measure/cores.rs
@@ -18,7 +18,7 @@
 pub fn run(path: &Path, seconds: u64, rates: &[f64], plot_path: Option<&Path>) -> CommandResult {
     let mut measured = Measured::read(path, "tideroute-cores")?;
     measured.scenario.routers = 1;
-    measured.scenario.load.lasts = seconds * 1_000_000;
+    measured.scenario.load.duration = seconds * 1_000_000;
     let machine = std::thread::available_parallelism().map_or(0, usize::from);
     println!("{machine} cores on this machine, which clients and workers use too; {seconds} s each");
     println!("cores  asked/s  honoured/s  first token p50      p99    p99.9 ms  CPU us a submission  memory MiB  rules");
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -30,7 +30,7 @@
 /// Prints one line for each policy to choose a prefill worker, over the same load; a failure if a rule was broken.
 pub fn run(path: &Path, seconds: u64) -> CommandResult {
     let mut measured = Measured::read(path, "tideroute-spread")?;
-    measured.scenario.load.lasts = seconds * 1_000_000;
+    measured.scenario.load.duration = seconds * 1_000_000;
     println!(
         "{seconds} s; readers: fullest/mean, idle beside waiting, index of dispersion, windows with herds"
     );
@@ -66,7 +66,7 @@
             Ok(Run { capture, service: String::new(), rules_kept: None })
         }
         Chooser::Routers { load_reports } => {
-            measured.scenario.terms.asks = load_reports;
+            measured.scenario.settings.load_reports = load_reports;
             let played = scenario::play(
                 &measured.scenario,
                 &measured.program,
--- a/crates/command/src/measure/mod.rs
+++ b/crates/command/src/measure/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 
 use crate::error::CommandError;
 use crate::{config_file, scenario};
@@ -19,7 +19,7 @@
 /// A scenario that is measured, and where its processes run.
 struct Measured {
     /// Without faults.
-    scenario: Day,
+    scenario: Scenario,
     program: PathBuf,
     /// For logs and captures; removed after each run.
     folder: PathBuf,
@@ -33,9 +33,9 @@
         let file = config_file::read(path)?;
         let mut scenario = file.day.ok_or_else(|| CommandError::MissingScenario(path.into()))?;
         // What clients do slowly would be measured as if the router had.
-        scenario.load.sluggish = 0;
-        scenario.load.leaves = 0.0;
-        scenario.troubles.clear();
+        scenario.load.slow_readers = 0;
+        scenario.load.disconnect_share = 0.0;
+        scenario.scheduled_faults.clear();
         let interrupted = scenario::interrupted_by_signals()?;
         let program = std::env::current_exe().map_err(CommandError::CurrentExecutable)?;
         let folder = std::env::temp_dir().join(format!("{folder_prefix}-{}", std::process::id()));
--- a/crates/command/src/membership_thread.rs
+++ b/crates/command/src/membership_thread.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 
 use bytes::Bytes;
-use tideroute_config_language::kinds::Router;
+use tideroute_config_language::records::Router;
 use tideroute_membership::MembershipNode;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
@@ -27,7 +27,7 @@
     /// Joins the cluster that the configuration names; None if it names none. An address that is in use is an error
     /// before any core starts.
     pub fn start(config: &Router, args: &ProcessArgs) -> Result<Option<MembershipThread>, CommandError> {
-        let Some(fleet) = &config.fleet else { return Ok(None) };
+        let Some(fleet) = &config.membership else { return Ok(None) };
         let seed = config.seed.unwrap_or(multi_core::random_origin()? as u64);
         let (terms, seal) = convert::member(&config.name, fleet, seed)?;
         let mut args = args.clone();
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -11,7 +11,7 @@
 
 use metrics::counter;
 use signal_hook::consts::{SIGINT, SIGTERM};
-use tideroute_config_language::kinds::Router;
+use tideroute_config_language::records::Router;
 use tideroute_lifecycle::ProtobufRouter;
 use tideroute_reactor::{Reactor, ReactorError, RunOutcome};
 use tideroute_simulation::convert;
@@ -217,7 +217,7 @@
 
     /// Has the endpoint list kept in a file, if one is configured; returns what an earlier run left in it.
     fn persist_endpoints(&self, reactor: &mut Reactor) -> Option<bytes::Bytes> {
-        let path = self.config.keep.as_ref().map(PathBuf::from)?;
+        let path = self.config.endpoint_cache.as_ref().map(PathBuf::from)?;
         let own_path = core_path(&path, self.index);
         let cached = std::fs::read(&own_path).or_else(|_| std::fs::read(&path)).ok();
         reactor.persist_to(own_path);
--- a/crates/command/src/scenario.rs
+++ b/crates/command/src/scenario.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use signal_hook::consts::{SIGINT, SIGTERM};
-use tideroute_config_language::kinds::{Day, File, Trouble};
+use tideroute_config_language::records::{File, Scenario, ScenarioFault};
 use tideroute_simulation::scenario::{self, ScenarioError, ScenarioOutcome};
 use tideroute_simulation::{faults, virtual_scenario};
 
@@ -17,9 +17,9 @@
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// Reads a scenario and generates its random faults; `seed` takes the place of its own.
-fn read(path: &Path, seed: Option<u64>) -> Result<Day, CommandError> {
+fn read(path: &Path, seed: Option<u64>) -> Result<Scenario, CommandError> {
     let mut day = config_file::require(path, config_file::read(path)?.day, "day")?;
-    if let Some(faults) = day.faults.as_mut() {
+    if let Some(faults) = day.random_faults.as_mut() {
         faults.seed = seed.unwrap_or(faults.seed);
     }
     Ok(faults::with_generated_faults(&day))
@@ -68,18 +68,18 @@
     Ok(interrupted)
 }
 
-fn announce(path: &Path, scenario: &Day) {
+fn announce(path: &Path, scenario: &Scenario) {
     eprintln!(
         "{}: {} routers, {} workers, {:.0} submissions a second for {:.0} s",
         path.display(),
         scenario.routers,
         scenario.workers().count(),
         scenario.load.rate,
-        scenario.load.lasts as f64 / 1e6
+        scenario.load.duration as f64 / 1e6
     );
 }
 
-fn print_outcome(scenario: &Day, played: &ScenarioOutcome) {
+fn print_outcome(scenario: &Scenario, played: &ScenarioOutcome) {
     println!("{}", played.table);
     for (wanted, seen, held) in &played.expected {
         println!("  {} {wanted}: {seen}", if *held { "yes" } else { " NO" });
@@ -90,9 +90,12 @@
 }
 
 /// Prints what the processes of each kind used of the machine.
-fn print_resource_usage(scenario: &Day, played: &ScenarioOutcome) {
-    let groups =
-        scenario.fleet.iter().map(|g| (g.name.as_str(), g.count)).chain([("router", scenario.routers)]);
+fn print_resource_usage(scenario: &Scenario, played: &ScenarioOutcome) {
+    let groups = scenario
+        .worker_groups
+        .iter()
+        .map(|g| (g.name.as_str(), g.count))
+        .chain([("router", scenario.routers)]);
     for (group, count) in groups.chain([("list", 1), ("load", 1), ("relay", 1)]) {
         let in_group =
             |name: &String| name.strip_prefix(group).is_some_and(|n| n.bytes().all(|b| b.is_ascii_digit()));
@@ -116,20 +119,24 @@
 
 /// Plays a failed scenario again without parts of its faults, and writes the fewest with which it still fails.
 fn shrink_faults(
-    scenario: &Day,
+    scenario: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
     max_runs: usize,
 ) -> Result<(), CommandError> {
-    let with = |troubles: &[Trouble]| Day { troubles: troubles.to_vec(), faults: None, ..scenario.clone() };
-    let needed = faults::shrink(&scenario.troubles, max_runs, |some| {
+    let with = |troubles: &[ScenarioFault]| Scenario {
+        scheduled_faults: troubles.to_vec(),
+        random_faults: None,
+        ..scenario.clone()
+    };
+    let needed = faults::shrink(&scenario.scheduled_faults, max_runs, |some| {
         let failed = scenario::play(&with(some), program, &folder.join("smaller"), interrupted);
         let failed = failed.is_ok_and(|played| !played.passed());
         eprintln!(
             "with {} of {} troubles: {}",
             some.len(),
-            scenario.troubles.len(),
+            scenario.scheduled_faults.len(),
             if failed { "fails" } else { "passes" }
         );
         failed
@@ -138,7 +145,7 @@
     let path = folder.join("shrunk.cue");
     let text = tideroute_config_language::print(&file).map_err(CommandError::PrintConfig)?;
     std::fs::write(&path, text).map_err(CommandError::in_file(&path))?;
-    println!("{} of {} troubles matter: {}", needed.len(), scenario.troubles.len(), path.display());
+    println!("{} of {} troubles matter: {}", needed.len(), scenario.scheduled_faults.len(), path.display());
     Ok(())
 }
 
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -27,8 +27,6 @@
 
 pub use error::{ConfigError, ConfigErrors};
 pub use records::File;
-/// The module's and the errors' former names, for callers that still use them.
-pub use {error::ConfigErrors as Problems, records as kinds};
 
 /// The program's own definitions, which every file may name.
 pub const SCHEMA: &str = include_str!("schema.cue");
--- a/crates/config-language/src/records.rs
+++ b/crates/config-language/src/records.rs
@@ -22,10 +22,6 @@
 pub use scenario::{Expectations, Scenario, ScenarioLoad, WorkerGroup};
 pub use worker::{Worker, WorkerCapacity, WorkerFault};
 
-/// Names of the records before they had the field's terms, for callers that still use them.
-mod former_names;
-pub use former_names::*;
-
 /// The parts of a file, each of them optional.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct File {
--- a/crates/config-language/src/records/discovery.rs
+++ b/crates/config-language/src/records/discovery.rs
@@ -10,7 +10,8 @@
     /// How late its updates are.
     pub lag: u64,
     /// Periods in which they are later.
-    pub late: Vec<DiscoveryDelay>,
+    #[serde(rename = "late")]
+    pub delays: Vec<DiscoveryDelay>,
 }
 
 /// A period in which updates of discovery are late.
@@ -20,7 +21,7 @@
     pub at: u64,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// How late updates are.
     pub lag: u64,
 }
--- a/crates/config-language/src/records/fault.rs
+++ b/crates/config-language/src/records/fault.rs
@@ -9,34 +9,38 @@
     pub at: u64,
     /// What it is.
     #[serde(rename = "do")]
-    pub act: String,
+    pub kind: String,
     /// The processes or tenants that it meets.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub who: Vec<String>,
+    #[serde(rename = "who", default, skip_serializing_if = "Vec::is_empty")]
+    pub targets: Vec<String>,
     /// How long after a kill the process starts again.
-    pub back: Option<u64>,
+    #[serde(rename = "back")]
+    pub restart_after: Option<u64>,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub lasts: Option<u64>,
+    pub duration: Option<u64>,
     /// How late updates of discovery are, of `list-late`.
     pub lag: Option<u64>,
     /// How many times slower, of `slow`; how many times the load, of `burst`.
-    #[serde(default = "once", skip_serializing_if = "is_once")]
-    pub times: f64,
+    #[serde(rename = "times", default = "once", skip_serializing_if = "is_once")]
+    pub factor: f64,
     /// The tenant of a burst.
     pub tenant: Option<String>,
     /// Whether a killed router finds its cached endpoint list.
-    pub keeps: Option<bool>,
+    #[serde(rename = "keeps")]
+    pub keeps_endpoint_cache: Option<bool>,
     /// One side of a fault on the network.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub between: Vec<String>,
+    #[serde(rename = "between", default, skip_serializing_if = "Vec::is_empty")]
+    pub side: Vec<String>,
     /// The other side.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub and: Vec<String>,
+    #[serde(rename = "and", default, skip_serializing_if = "Vec::is_empty")]
+    pub other_side: Vec<String>,
     /// Which direction it meets: `both`, `there` or `back`.
-    pub way: Option<String>,
+    #[serde(rename = "way")]
+    pub direction: Option<String>,
     /// What a cut does: `silent` or `reset`.
-    pub how: Option<String>,
+    #[serde(rename = "how")]
+    pub cut_kind: Option<String>,
     /// Added latency.
     pub delay: Option<u64>,
     /// Random part of the added latency.
@@ -44,18 +48,22 @@
     /// The part of packets that is lost and sent again.
     pub loss: Option<f64>,
     /// How many times as fast a clock runs.
-    pub rate: Option<f64>,
+    #[serde(rename = "rate")]
+    pub clock_rate: Option<f64>,
     /// How far ahead a process that starts meanwhile finds its clock.
-    pub ahead: Option<u64>,
+    #[serde(rename = "ahead")]
+    pub clock_ahead: Option<u64>,
     /// How far back it finds it.
-    pub behind: Option<u64>,
+    #[serde(rename = "behind")]
+    pub clock_behind: Option<u64>,
 }
 
 /// Random faults.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RandomFaults {
     /// How many.
-    pub draw: usize,
+    #[serde(rename = "draw")]
+    pub count: usize,
     /// Their seed.
     pub seed: u64,
     /// When the first may begin.
@@ -63,7 +71,8 @@
     /// When all have ended.
     pub until: Option<u64>,
     /// How long one lasts at most.
-    pub longest: u64,
+    #[serde(rename = "longest")]
+    pub max_duration: u64,
 }
 
 /// The default of `times`, which is not printed.
@@ -79,6 +88,6 @@
 impl ScenarioFault {
     /// Whether it is done to processes from outside: routers can be met too, and several of a group at once.
     pub fn from_outside(&self) -> bool {
-        ["kill", "halt", "clock"].contains(&self.act.as_str())
+        ["kill", "halt", "clock"].contains(&self.kind.as_str())
     }
 }
--- a/crates/config-language/src/records/load.rs
+++ b/crates/config-language/src/records/load.rs
@@ -14,29 +14,36 @@
     pub rate: f64,
     /// How long requests come.
     #[serde(rename = "for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// Client connections.
     pub clients: usize,
     /// Request classes.
-    pub tracks: Vec<RequestClass>,
+    #[serde(rename = "tracks")]
+    pub classes: Vec<RequestClass>,
     /// What requests are like.
     pub traffic: Vec<Traffic>,
     /// Retries by a client at most.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
     /// Pause before a retry.
-    pub retry_wait: u64,
+    #[serde(rename = "retry_wait")]
+    pub retry_delay: u64,
     /// The part of requests whose client disconnects early.
-    pub leaves: f64,
+    #[serde(rename = "leaves")]
+    pub disconnect_share: f64,
     /// Clients that read slowly.
-    pub sluggish: usize,
+    #[serde(rename = "sluggish")]
+    pub slow_readers: usize,
     /// Bursts.
     pub bursts: Vec<LoadBurst>,
     /// Skewed load.
-    pub uneven: Option<SkewedLoad>,
+    #[serde(rename = "uneven")]
+    pub skew: Option<SkewedLoad>,
     /// Keys that the clients use in turn.
     pub keys: Vec<TenantKey>,
     /// Bytes of KV state a token, as the workers have it.
-    pub state_bytes_a_token: u32,
+    #[serde(rename = "state_bytes_a_token")]
+    pub state_bytes_per_token: u32,
 }
 
 /// A burst of load.
@@ -46,9 +53,10 @@
     pub at: u64,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// How many times the usual rate.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
     /// Of which tenant only.
     pub tenant: Option<String>,
 }
@@ -57,43 +65,56 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Traffic {
     /// Their request class.
-    pub track: String,
+    #[serde(rename = "track")]
+    pub class: String,
     /// Their tenant.
     pub tenant: Option<String>,
     /// Their part of the load, relative to the others.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub weight: f64,
     /// Turns of a session on average.
-    pub turns: f64,
+    #[serde(rename = "turns")]
+    pub mean_turns: f64,
     /// Prompt tokens that a turn adds.
-    pub adds: TokenRange,
+    #[serde(rename = "adds")]
+    pub turn_tokens: TokenRange,
     /// Tokens of a response at most.
-    pub answer: TokenRange,
+    #[serde(rename = "answer")]
+    pub response_tokens: TokenRange,
     /// The part of sessions that begin with a shared prefix.
-    pub shared: f64,
+    #[serde(rename = "shared")]
+    pub shared_prefix_share: f64,
     /// Shared prefixes.
-    pub texts: u32,
+    #[serde(rename = "texts")]
+    pub shared_prefixes: u32,
     /// Tokens of a shared prefix.
-    pub text_tokens: TokenRange,
+    #[serde(rename = "text_tokens")]
+    pub shared_prefix_tokens: TokenRange,
     /// The part of the deadline for which a client waits, at least.
-    pub patience: f64,
+    #[serde(rename = "patience")]
+    pub min_wait_share: f64,
 }
 
 /// A range of token counts.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct TokenRange {
     /// The least.
-    pub least: u32,
+    #[serde(rename = "least")]
+    pub min: u32,
     /// The most.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max: u32,
 }
 
 /// Skewed load: a part of the routers gets more than the others.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct SkewedLoad {
     /// The part of the routers.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub router_share: f64,
     /// How many times as much each of them gets.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
 
 /// A tenant's key, as clients send it.
--- a/crates/config-language/src/records/relay.rs
+++ b/crates/config-language/src/records/relay.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Relay {
     /// Listeners for connections.
-    pub doors: Vec<RelayListener>,
+    #[serde(rename = "doors")]
+    pub listeners: Vec<RelayListener>,
     /// Listeners for datagrams.
     pub datagrams: Vec<RelayListener>,
     /// Faults on the way.
@@ -33,11 +34,13 @@
     pub at: u64,
     /// How long it lasts.
     #[serde(rename = "for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// Which direction it meets, seen from who connects: `both`, `there` or `back`.
-    pub way: String,
+    #[serde(rename = "way")]
+    pub direction: String,
     /// What it does: `silent`, `reset` or `late`.
-    pub how: String,
+    #[serde(rename = "how")]
+    pub kind: String,
     /// Added latency.
     pub delay: u64,
     /// Random part of the added latency.
--- a/crates/config-language/src/records/router.rs
+++ b/crates/config-language/src/records/router.rs
@@ -10,27 +10,32 @@
     /// The address on which it accepts clients.
     pub listen: String,
     /// The address of discovery.
-    pub list: String,
+    #[serde(rename = "list")]
+    pub discovery: String,
     /// The address on which it serves metrics for Prometheus.
     pub metrics: Option<String>,
     /// The file in which it caches the endpoint list.
-    pub keep: Option<String>,
+    #[serde(rename = "keep")]
+    pub endpoint_cache: Option<String>,
     /// Seed of its random number generator.
     pub seed: Option<u64>,
     /// Threads that each run a router behind the same address.
     pub cores: u32,
     /// Request classes.
-    pub tracks: Vec<RequestClass>,
+    #[serde(rename = "tracks")]
+    pub classes: Vec<RequestClass>,
     /// Worker kinds.
     pub kinds: Vec<WorkerKind>,
     /// Settings of the scheduler and limits of the process.
-    pub terms: SchedulerSettings,
+    #[serde(rename = "terms")]
+    pub settings: SchedulerSettings,
     /// Tenants; with none anybody may send requests.
     pub tenants: Vec<Tenant>,
     /// The administration API.
     pub admin: Option<AdminConfig>,
     /// The cluster membership; without it the router runs alone.
-    pub fleet: Option<MembershipConfig>,
+    #[serde(rename = "fleet")]
+    pub membership: Option<MembershipConfig>,
 }
 
 /// Cluster membership: the routers that exchange gossip.
@@ -78,17 +83,23 @@
     /// Its weight in fair queueing.
     pub weight: f64,
     /// Requests a second; none for no limit.
-    pub submissions: Option<f64>,
+    #[serde(rename = "submissions")]
+    pub requests_per_second: Option<f64>,
     /// Burst of requests.
-    pub submissions_once: f64,
+    #[serde(rename = "submissions_once")]
+    pub request_burst: f64,
     /// Prompt tokens a second; none for no limit.
-    pub tokens: Option<f64>,
+    #[serde(rename = "tokens")]
+    pub tokens_per_second: Option<f64>,
     /// Burst of prompt tokens.
-    pub tokens_once: f64,
+    #[serde(rename = "tokens_once")]
+    pub token_burst: f64,
     /// Requests in flight; none for no limit.
-    pub in_flight: Option<u32>,
+    #[serde(rename = "in_flight")]
+    pub max_in_flight: Option<u32>,
     /// Requests that may wait to be admitted.
-    pub waiting: u32,
+    #[serde(rename = "waiting")]
+    pub max_waiting: u32,
 }
 
 /// A request class.
@@ -97,21 +108,29 @@
     /// Its name.
     pub name: String,
     /// Its idempotency: `replayable`, `referenced` or `single-use`.
-    pub repeat: String,
+    #[serde(rename = "repeat")]
+    pub idempotency: String,
     /// Its deduplication scope: `all`, `zone` or `cell`.
-    pub group: String,
+    #[serde(rename = "group")]
+    pub deduplication_scope: String,
     /// Its deduplication window.
-    pub window: u64,
+    #[serde(rename = "window")]
+    pub deduplication_window: u64,
     /// Its latency objective: the time to the first token.
-    pub contract: u64,
+    #[serde(rename = "contract")]
+    pub ttft_objective: u64,
     /// What 1,000 prompt tokens add to the latency objective.
-    pub per_thousand: u64,
+    #[serde(rename = "per_thousand")]
+    pub ttft_objective_per_1000_tokens: u64,
     /// Its deadline.
-    pub cut_off: u64,
+    #[serde(rename = "cut_off")]
+    pub deadline: u64,
     /// Its priority weight.
-    pub earnings: f64,
+    #[serde(rename = "earnings")]
+    pub priority_weight: f64,
     /// The part of the priority weight that a late response still counts.
-    pub late: f64,
+    #[serde(rename = "late")]
+    pub late_weight: f64,
 }
 
 /// What a worker does.
@@ -141,45 +160,65 @@
     /// Routers that share the load.
     pub routers: u32,
     /// Whether decode reservations are made ahead.
-    pub places: bool,
+    #[serde(rename = "places")]
+    pub reservations: bool,
     /// Whether decode workers can prefill.
-    pub writers_read: bool,
+    #[serde(rename = "writers_read")]
+    pub decode_workers_prefill: bool,
     /// How long KV state may be held with no attempt in flight.
-    pub release: u64,
+    #[serde(rename = "release")]
+    pub state_release_timeout: u64,
     /// The part of its share that a worker that is warming up gets.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub slow_start_share: f64,
     /// How long a worker warms up.
-    pub warm_after: u64,
+    #[serde(rename = "warm_after")]
+    pub warm_up: u64,
     /// How many times slower than before a worker counts as overloaded.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// How long it takes to tell that a worker is overloaded.
-    pub fall_span: u64,
+    #[serde(rename = "fall_span")]
+    pub overload_window: u64,
     /// Attempts a request at most.
-    pub most_shots: u16,
+    #[serde(rename = "most_shots")]
+    pub max_attempts: u16,
     /// Whether attempts can be cancelled.
-    pub withdrawals: bool,
+    #[serde(rename = "withdrawals")]
+    pub cancellations: bool,
     /// Whether workers are health-checked.
-    pub probes: bool,
+    #[serde(rename = "probes")]
+    pub health_checks: bool,
     /// Whether prefill workers are asked for their load before a prefill is sent.
-    pub asks: bool,
+    #[serde(rename = "asks")]
+    pub load_reports: bool,
     /// How long a request may wait to be admitted.
-    pub longest_wait: u64,
+    #[serde(rename = "longest_wait")]
+    pub max_queue_time: u64,
     /// Whether rejections carry Retry-After.
-    pub advice: bool,
+    #[serde(rename = "advice")]
+    pub retry_after: bool,
     /// The longest Retry-After.
-    pub longest_advice: u64,
+    #[serde(rename = "longest_advice")]
+    pub max_retry_after: u64,
     /// How long a worker that drains or is removed may still get something new.
     pub drain_grace: u64,
     /// The timeout of connections and health checks.
-    pub unheard: u64,
+    #[serde(rename = "unheard")]
+    pub connect_timeout: u64,
     /// The time that a response needs on its way to the client.
-    pub travel: u64,
+    #[serde(rename = "travel")]
+    pub network_delay: u64,
     /// Tokens of a stream in flight before its client has taken them.
-    pub window: u32,
+    #[serde(rename = "window")]
+    pub stream_window_tokens: u32,
     /// Open requests at most.
-    pub most_open: usize,
+    #[serde(rename = "most_open")]
+    pub max_open_requests: usize,
     /// Open requests of one client at most.
-    pub most_a_client: usize,
+    #[serde(rename = "most_a_client")]
+    pub max_requests_per_client: usize,
     /// Clients at most.
-    pub most_clients: usize,
+    #[serde(rename = "most_clients")]
+    pub max_clients: usize,
 }
--- a/crates/config-language/src/records/scenario.rs
+++ b/crates/config-language/src/records/scenario.rs
@@ -28,21 +28,27 @@
     /// Tenants.
     pub tenants: Vec<Tenant>,
     /// Whether routers know the tenants; without, the scenario is the baseline.
-    pub shares: bool,
+    #[serde(rename = "shares")]
+    pub routers_know_tenants: bool,
     /// Groups of workers.
-    pub fleet: Vec<WorkerGroup>,
+    #[serde(rename = "fleet")]
+    pub worker_groups: Vec<WorkerGroup>,
     /// Request classes.
-    pub tracks: Vec<RequestClass>,
+    #[serde(rename = "tracks")]
+    pub classes: Vec<RequestClass>,
     /// Settings of the routers.
-    pub terms: SchedulerSettings,
+    #[serde(rename = "terms")]
+    pub settings: SchedulerSettings,
     /// How late updates of discovery are.
     pub lag: u64,
     /// The load.
     pub load: ScenarioLoad,
     /// Scripted faults.
-    pub troubles: Vec<ScenarioFault>,
+    #[serde(rename = "troubles")]
+    pub scheduled_faults: Vec<ScenarioFault>,
     /// Random faults.
-    pub faults: Option<RandomFaults>,
+    #[serde(rename = "faults")]
+    pub random_faults: Option<RandomFaults>,
     /// What it must show.
     pub expect: Expectations,
 }
@@ -54,21 +60,26 @@
     pub rate: f64,
     /// How long requests come.
     #[serde(rename = "for")]
-    pub lasts: u64,
+    pub duration: u64,
     /// Client connections.
     pub clients: usize,
     /// What requests are like.
     pub traffic: Vec<Traffic>,
     /// Retries by a client at most.
-    pub retries: u32,
+    #[serde(rename = "retries")]
+    pub max_retries: u32,
     /// Pause before a retry.
-    pub retry_wait: u64,
+    #[serde(rename = "retry_wait")]
+    pub retry_delay: u64,
     /// The part of requests whose client disconnects early.
-    pub leaves: f64,
+    #[serde(rename = "leaves")]
+    pub disconnect_share: f64,
     /// Clients that read slowly.
-    pub sluggish: usize,
+    #[serde(rename = "sluggish")]
+    pub slow_readers: usize,
     /// Skewed load.
-    pub uneven: Option<SkewedLoad>,
+    #[serde(rename = "uneven")]
+    pub skew: Option<SkewedLoad>,
 }
 
 /// A group of like workers, spread over the cells in turn.
@@ -81,24 +92,28 @@
     /// Workers.
     pub count: usize,
     /// What each can do.
-    pub does: WorkerCapacity,
+    #[serde(rename = "does")]
+    pub capacity: WorkerCapacity,
 }
 
 /// What a scenario must show beside the rules.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Expectations {
     /// The part of all priority weight that was served within the latency objective, at least.
-    pub service: f64,
+    #[serde(rename = "service")]
+    pub min_service: f64,
     /// The part of requests completed in the end, at least.
-    pub honoured: f64,
+    #[serde(rename = "honoured")]
+    pub min_completed: f64,
     /// Bytes of memory that any process held, at most.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub max_memory: u64,
 }
 
 impl Scenario {
     /// All workers, group by group: name, group, and number within the group.
     pub fn workers(&self) -> impl Iterator<Item = (String, &WorkerGroup, usize)> {
-        self.fleet
+        self.worker_groups
             .iter()
             .flat_map(|group| (0..group.count).map(move |n| (format!("{}{n}", group.name), group, n)))
     }
@@ -106,7 +121,7 @@
     /// The processes that a name stands for: one, all of a group (`router`, or a worker group's name), or some of one
     /// (`router10-19`). Empty for a name that stands for none.
     pub fn named(&self, name: &str) -> Vec<String> {
-        let worker_groups = self.fleet.iter().map(|group| (group.name.as_str(), group.count));
+        let worker_groups = self.worker_groups.iter().map(|group| (group.name.as_str(), group.count));
         for (group, count) in worker_groups.chain([("router", self.routers)]) {
             let Some(numbers) = name.strip_prefix(group) else { continue };
             if let Some((first, last)) = number_range(numbers, count) {
@@ -123,8 +138,8 @@
     /// The same scenario with each process named that a fault from outside meets.
     pub fn with_names(&self) -> Scenario {
         let mut scenario = self.clone();
-        for fault in scenario.troubles.iter_mut().filter(|fault| fault.from_outside()) {
-            fault.who = fault.who.iter().flat_map(|name| self.named(name)).collect();
+        for fault in scenario.scheduled_faults.iter_mut().filter(|fault| fault.from_outside()) {
+            fault.targets = fault.targets.iter().flat_map(|name| self.named(name)).collect();
         }
         scenario
     }
--- a/crates/config-language/src/records/worker.rs
+++ b/crates/config-language/src/records/worker.rs
@@ -11,7 +11,8 @@
     /// Its address.
     pub listen: String,
     /// The address of discovery.
-    pub list: String,
+    #[serde(rename = "list")]
+    pub discovery: String,
     /// Index of its worker kind.
     pub kind: u16,
     /// Its cell.
@@ -21,9 +22,11 @@
     /// Whether it starts warmed up.
     pub warm: bool,
     /// What it can do.
-    pub does: WorkerCapacity,
+    #[serde(rename = "does")]
+    pub capacity: WorkerCapacity,
     /// Settings that it shares with the routers.
-    pub terms: SchedulerSettings,
+    #[serde(rename = "terms")]
+    pub settings: SchedulerSettings,
     /// Faults at set times.
     pub script: Vec<WorkerFault>,
 }
@@ -36,21 +39,29 @@
     /// Its capacity, relative to others of its kind.
     pub size: f64,
     /// Prefills in progress at most.
-    pub reads_at_once: usize,
+    #[serde(rename = "reads_at_once")]
+    pub prefill_slots: usize,
     /// Prefills that may wait.
-    pub reads_waiting: usize,
+    #[serde(rename = "reads_waiting")]
+    pub prefill_queue: usize,
     /// Prompt tokens prefilled a second.
-    pub read_rate: f64,
+    #[serde(rename = "read_rate")]
+    pub prefill_tokens_per_second: f64,
     /// Responses being decoded at most.
-    pub streams_at_once: usize,
+    #[serde(rename = "streams_at_once")]
+    pub decode_slots: usize,
     /// Decode attempts that may wait.
-    pub streams_waiting: usize,
+    #[serde(rename = "streams_waiting")]
+    pub decode_queue: usize,
     /// Time between two tokens of a response.
-    pub token_gap: u64,
+    #[serde(rename = "token_gap")]
+    pub token_interval: u64,
     /// Bytes of KV state a token.
-    pub state_bytes_a_token: u32,
+    #[serde(rename = "state_bytes_a_token")]
+    pub state_bytes_per_token: u32,
     /// Prefixes that it caches.
-    pub keeps: usize,
+    #[serde(rename = "keeps")]
+    pub max_cached_prefixes: usize,
 }
 
 /// A fault in a worker's script.
@@ -60,10 +71,11 @@
     pub at: u64,
     /// What it is.
     #[serde(rename = "do")]
-    pub act: String,
+    pub kind: String,
     /// How long it lasts; without it, to the end.
     #[serde(rename = "for")]
-    pub lasts: Option<u64>,
+    pub duration: Option<u64>,
     /// How many times slower everything is, of `slow`.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -22,7 +22,7 @@
     }
     if let Some(worker) = &file.worker {
         validator.address("worker.listen", &worker.listen);
-        validator.address("worker.list", &worker.list);
+        validator.address("worker.list", &worker.discovery);
     }
     if let Some(discovery) = &file.list {
         validator.address("list.listen", &discovery.listen);
@@ -45,11 +45,11 @@
 impl Validator<'_> {
     fn router(&mut self, router: &Router) {
         self.address("router.listen", &router.listen);
-        self.address("router.list", &router.list);
+        self.address("router.list", &router.discovery);
         if let Some(metrics) = &router.metrics {
             self.address("router.metrics", metrics);
         }
-        self.classes("router.tracks", &router.tracks);
+        self.classes("router.tracks", &router.classes);
         self.unique_names("router.kinds", router.kinds.iter().map(|kind| &kind.name));
         self.unique_names("router.tenants", router.tenants.iter().map(|tenant| &tenant.name));
         for (n, tenant) in router.tenants.iter().enumerate() {
@@ -58,7 +58,7 @@
         if let Some(admin) = &router.admin {
             self.admin(admin, &router.tenants);
         }
-        if let Some(membership) = &router.fleet {
+        if let Some(membership) = &router.membership {
             self.membership(membership);
         }
     }
@@ -91,9 +91,9 @@
         for (n, router) in load.routers.iter().enumerate() {
             self.address(&format!("load.routers[{n}]"), router);
         }
-        self.classes("load.tracks", &load.tracks);
+        self.classes("load.tracks", &load.classes);
         let tenants: Vec<_> = load.keys.iter().map(|key| &key.tenant).collect();
-        self.all_traffic("load.traffic", &load.traffic, &load.tracks, &tenants);
+        self.all_traffic("load.traffic", &load.traffic, &load.classes, &tenants);
         self.client_for_each_tenant("load.clients", load.clients, &tenants);
     }
 
@@ -101,23 +101,23 @@
         let tenants: Vec<_> = scenario.tenants.iter().map(|tenant| &tenant.name).collect();
         self.unique_names("day.tenants", tenants.iter().copied());
         self.client_for_each_tenant("day.load.clients", scenario.load.clients, &tenants);
-        self.classes("day.tracks", &scenario.tracks);
-        self.all_traffic("day.load.traffic", &scenario.load.traffic, &scenario.tracks, &tenants);
+        self.classes("day.tracks", &scenario.classes);
+        self.all_traffic("day.load.traffic", &scenario.load.traffic, &scenario.classes, &tenants);
         self.unique_names("day.kinds", scenario.kinds.iter().map(|kind| &kind.name));
-        self.unique_names("day.fleet", scenario.fleet.iter().map(|group| &group.name));
+        self.unique_names("day.fleet", scenario.worker_groups.iter().map(|group| &group.name));
         self.worker_groups(scenario);
         let targets =
             FaultTargets { scenario, tenants, workers: scenario.workers().map(|(name, ..)| name).collect() };
         let mut wrong_clocks = BTreeSet::new();
-        for (n, fault) in scenario.troubles.iter().enumerate() {
+        for (n, fault) in scenario.scheduled_faults.iter().enumerate() {
             self.fault(&format!("day.troubles[{n}]"), fault, &targets, &mut wrong_clocks);
         }
     }
 
     fn worker_groups(&mut self, scenario: &Scenario) {
-        for (n, group) in scenario.fleet.iter().enumerate() {
+        for (n, group) in scenario.worker_groups.iter().enumerate() {
             let kind = scenario.kinds.iter().find(|kind| kind.name == group.kind);
-            if kind.is_some_and(|kind| kind.role == group.does.role) {
+            if kind.is_some_and(|kind| kind.role == group.capacity.role) {
                 continue;
             }
             let known = scenario.kinds.iter().map(|kind| format!("{} ({:?})", kind.name, kind.role));
@@ -138,7 +138,7 @@
 impl FaultTargets<'_> {
     /// Whether a fault can happen to a process or tenant of that name.
     fn can_meet(&self, fault: &ScenarioFault, name: &String) -> bool {
-        if fault.act == "remove" {
+        if fault.kind == "remove" {
             return self.tenants.contains(&name);
         }
         let is_process = name != "load" && !self.scenario.named(name).is_empty();
@@ -156,8 +156,8 @@
         wrong_clocks: &mut BTreeSet<String>,
     ) {
         let scenario = targets.scenario;
-        if fault.act == "clock" {
-            for process in fault.who.iter().flat_map(|name| scenario.named(name)) {
+        if fault.kind == "clock" {
+            for process in fault.targets.iter().flat_map(|name| scenario.named(name)) {
                 if !wrong_clocks.insert(process.clone()) {
                     let message = format!("the clock of {process:?} is wrong twice");
                     self.error(&format!("{path}.who"), message, "once for each process");
@@ -170,14 +170,14 @@
             let message = format!("{tenant:?} is no tenant");
             self.error(&format!("{path}.tenant"), message, "the name of one of the day's tenants");
         }
-        if fault.at > scenario.load.lasts {
-            let message = format!("{} comes after the load has ended", fault.act);
+        if fault.at > scenario.load.duration {
+            let message = format!("{} comes after the load has ended", fault.kind);
             self.error(&format!("{path}.at"), message, "a time within the load");
         }
     }
 
     fn fault_sides(&mut self, path: &str, fault: &ScenarioFault, scenario: &Scenario) {
-        for (field, names) in [("between", &fault.between), ("and", &fault.and)] {
+        for (field, names) in [("between", &fault.side), ("and", &fault.other_side)] {
             for (n, name) in names.iter().enumerate().filter(|(_, name)| scenario.named(name).is_empty()) {
                 let message = format!("{name:?} stands for no process");
                 let expected = "a process, a group, some of one as router0-9, list or load";
@@ -187,12 +187,12 @@
     }
 
     fn fault_targets(&mut self, path: &str, fault: &ScenarioFault, targets: &FaultTargets) {
-        let expected = match fault.act.as_str() {
+        let expected = match fault.kind.as_str() {
             "remove" => "a tenant's name",
             _ if fault.from_outside() => "a worker's or a router's name, or list",
             _ => "a worker's name",
         };
-        for (n, name) in fault.who.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
+        for (n, name) in fault.targets.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
             let message = format!("{name:?} is nobody to whom this can happen");
             self.error(&format!("{path}.who[{n}]"), message, expected);
         }
@@ -232,7 +232,9 @@
         if classes.len() > MAX_CLASSES {
             self.error(path, format!("{} tracks", classes.len()), format!("at most {MAX_CLASSES}"));
         }
-        for (n, class) in classes.iter().enumerate().filter(|(_, class)| class.cut_off < class.contract) {
+        for (n, class) in
+            classes.iter().enumerate().filter(|(_, class)| class.deadline < class.ttft_objective)
+        {
             let message = format!("the track {:?} is given up before its contract time", class.name);
             self.error(&format!("{path}[{n}].cut_off"), message, "a cut-off after the contract time");
         }
@@ -249,22 +251,25 @@
             let path = format!("{path}[{n}]");
             self.traffic_class(&path, traffic, classes);
             self.traffic_tenant(&path, traffic, tenants);
-            let ranges =
-                [("adds", traffic.adds), ("answer", traffic.answer), ("text_tokens", traffic.text_tokens)];
-            for (name, range) in ranges.into_iter().filter(|(_, range)| range.least > range.most) {
-                let message = format!("{name} goes from {} to {}", range.least, range.most);
+            let ranges = [
+                ("adds", traffic.turn_tokens),
+                ("answer", traffic.response_tokens),
+                ("text_tokens", traffic.shared_prefix_tokens),
+            ];
+            for (name, range) in ranges.into_iter().filter(|(_, range)| range.min > range.max) {
+                let message = format!("{name} goes from {} to {}", range.min, range.max);
                 self.error(&format!("{path}.{name}"), message, "a least that is not above the most");
             }
         }
     }
 
     fn traffic_class(&mut self, path: &str, traffic: &Traffic, classes: &[RequestClass]) {
-        if classes.iter().any(|class| class.name == traffic.track) {
+        if classes.iter().any(|class| class.name == traffic.class) {
             return;
         }
         let known: Vec<_> = classes.iter().map(|class| class.name.as_str()).collect();
         let expected = format!("one of {}", known.join(", "));
-        self.error(&format!("{path}.track"), format!("{:?} is no track", traffic.track), expected);
+        self.error(&format!("{path}.track"), format!("{:?} is no track", traffic.class), expected);
     }
 
     /// Traffic names a tenant if there are tenants, and none if there are none.
--- a/crates/config-language/tests/reading.rs
+++ b/crates/config-language/tests/reading.rs
@@ -8,11 +8,14 @@
 #[test]
 fn a_good_file_is_typed_with_defaults_and_references() {
     let router = read("good.cue", GOOD).unwrap().router.unwrap();
-    assert_eq!(router.list, "127.0.0.1:7000");
-    assert_eq!((router.tracks[0].cut_off, router.tracks[0].earnings), (5_000_000, 2.0));
-    assert_eq!((router.tracks[1].contract, router.tracks[1].repeat.as_str()), (1_500_000, "single-use"));
-    assert_eq!((router.terms.cold_share, router.terms.release), (0.3, 500_000));
-    assert!(router.keep.is_none());
+    assert_eq!(router.discovery, "127.0.0.1:7000");
+    assert_eq!((router.classes[0].deadline, router.classes[0].priority_weight), (5_000_000, 2.0));
+    assert_eq!(
+        (router.classes[1].ttft_objective, router.classes[1].idempotency.as_str()),
+        (1_500_000, "single-use")
+    );
+    assert_eq!((router.settings.slow_start_share, router.settings.state_release_timeout), (0.3, 500_000));
+    assert!(router.endpoint_cache.is_none());
 }
 
 #[test]
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use tideroute_config_language::kinds::Load as LoadConfig;
+use tideroute_config_language::records::Load as LoadConfig;
 use tideroute_emulator::kv_state;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{client, say_hello_with, Address, Malformed, Micros, Party};
@@ -98,13 +98,13 @@
             connection: None,
             last_number: 0,
             in_flight: HashMap::new(),
-            sluggish: n < terms.sluggish,
+            sluggish: n < terms.slow_readers,
         };
         let progress = Arc::new(Progress::default());
         progress.planned.store(planned.len() as u64, Ordering::Relaxed);
         Load {
             clients: (0..terms.clients).map(client).collect(),
-            tally: LoadStatistics::new(&terms.tracks, terms.keys.iter().map(|k| k.tenant.clone())),
+            tally: LoadStatistics::new(&terms.classes, terms.keys.iter().map(|k| k.tenant.clone())),
             terms,
             routers,
             planned,
@@ -130,7 +130,7 @@
     fn send_due_requests(&mut self, now: Micros, effects: &mut Effects) {
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now) {
             let (request_index, remaining) = (self.next, p.left);
-            let priority_weight = self.terms.tracks[usize::from(p.track)].earnings;
+            let priority_weight = self.terms.classes[usize::from(p.track)].priority_weight;
             self.tally.record_request(p.track, p.tenant, priority_weight, self.arrival_second(request_index));
             let began = self.began + self.planned[request_index].at;
             let request = RequestProgress {
@@ -240,14 +240,14 @@
         effects: &mut Effects,
         count: impl Fn(&mut LoadStatistics) -> &mut u64,
     ) {
-        let track = &self.terms.tracks[usize::from(self.planned[request_index].track)];
-        let is_retryable =
-            track.repeat == "replayable" || track.repeat == "referenced" && track.group == "all";
+        let track = &self.terms.classes[usize::from(self.planned[request_index].track)];
+        let is_retryable = track.idempotency == "replayable"
+            || track.idempotency == "referenced" && track.deduplication_scope == "all";
         let Some(request) = self.requests.get_mut(&request_index) else { return };
         request.in_flight = None;
-        let at = now + after.max(self.terms.retry_wait);
+        let at = now + after.max(self.terms.retry_delay);
         let may_retry = (is_safe_to_retry || is_retryable)
-            && request.attempts <= self.terms.retries
+            && request.attempts <= self.terms.max_retries
             && at + MIN_RETRY_TIME < request.deadline;
         if may_retry && !request.finished && !self.stopped {
             effects.set_timer(at, timer_key(RETRY, request_index));
@@ -269,7 +269,7 @@
     /// A response is complete: its tokens are checked and its value is counted.
     fn on_completed(&mut self, now: Micros, request_index: usize, tokens: u32) {
         let p = &self.planned[request_index];
-        let track = &self.terms.tracks[usize::from(p.track)];
+        let track = &self.terms.classes[usize::from(p.track)];
         let Some(request) = self.requests.get_mut(&request_index) else { return };
         let expected = request
             .state_checksum
@@ -279,10 +279,11 @@
             tracing::error!(request_index, tokens, ?expected, "an answer is not that of its prompt");
         }
         let elapsed = request.first_token.map_or(now - request.began, |at| at - request.began);
-        let objective = track.contract + u64::from(p.prompt_tokens) * track.per_thousand / 1000;
-        let late = (elapsed > objective).then_some(track.late);
+        let objective =
+            track.ttft_objective + u64::from(p.prompt_tokens) * track.ttft_objective_per_1000_tokens / 1000;
+        let late = (elapsed > objective).then_some(track.late_weight);
         let (number, priority_weight, arrival_second) =
-            (p.track, track.earnings, self.arrival_second(request_index));
+            (p.track, track.priority_weight, self.arrival_second(request_index));
         let tenant = p.tenant;
         self.tally.record_response(number, tenant, priority_weight, late, arrival_second);
         self.tally.record_first_token(elapsed);
@@ -303,7 +304,7 @@
         let p = &self.planned[request_index];
         let Some(request) = self.requests.get_mut(&request_index) else { return };
         let state_checksum = *request.state_checksum.get_or_insert_with(|| {
-            let bytes = self.terms.state_bytes_a_token;
+            let bytes = self.terms.state_bytes_per_token;
             crc32fast::hash(&kv_state::generate(&p.prompt, p.prompt_tokens, bytes))
         });
         if request.tokens > 0 {
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -4,8 +4,9 @@
 
 use tideroute::types::{self, DeduplicationScope, Idempotency};
 use tideroute_admission::{Limits, RateLimit};
-use tideroute_config_language::kinds::{
-    Able, Door, Fault, Fleet, List, Relay, Role, Router, Step, Tenant, Terms, Track, Worker,
+use tideroute_config_language::records::{
+    Discovery, MembershipConfig, Relay, RelayFault, RelayListener, RequestClass, Role, Router,
+    SchedulerSettings, Tenant, Worker, WorkerCapacity, WorkerFault,
 };
 use tideroute_emulator::{DiscoveryConfig, ScriptedFault, WorkerConfig, WorkerRole};
 use tideroute_membership::MessageAuthenticator;
@@ -55,26 +56,28 @@
     (micros / MICROS_PER_TENTH_MILLI) as types::TenthMillis
 }
 
-fn request_class(t: &Track) -> types::RequestClass {
-    let scope = match t.group.as_str() {
+fn request_class(t: &RequestClass) -> types::RequestClass {
+    let scope = match t.deduplication_scope.as_str() {
         "zone" => DeduplicationScope::Zone,
         "cell" => DeduplicationScope::Cell,
         _ => DeduplicationScope::All,
     };
-    let idempotency = match t.repeat.as_str() {
+    let idempotency = match t.idempotency.as_str() {
         "replayable" => Idempotency::Idempotent,
-        "referenced" => Idempotency::IdempotentWithKey { scope, window: tenth_millis(t.window) },
+        "referenced" => {
+            Idempotency::IdempotentWithKey { scope, window: tenth_millis(t.deduplication_window) }
+        }
         _ => Idempotency::NonIdempotent,
     };
     types::RequestClass {
         idempotency,
-        ttft_objective: tenth_millis(t.contract),
-        ttft_objective_per_1000_tokens: tenth_millis(t.per_thousand),
-        priority_weight: t.earnings,
+        ttft_objective: tenth_millis(t.ttft_objective),
+        ttft_objective_per_1000_tokens: tenth_millis(t.ttft_objective_per_1000_tokens),
+        priority_weight: t.priority_weight,
     }
 }
 
-fn scheduler_config(terms: &Terms, config: &Router) -> types::SchedulerConfig {
+fn scheduler_config(terms: &SchedulerSettings, config: &Router) -> types::SchedulerConfig {
     let role = |role: &Role| match role {
         Role::Reader => types::Role::Prefill,
         Role::Writer => types::Role::Decode,
@@ -82,24 +85,24 @@
     };
     types::SchedulerConfig {
         router_count: terms.routers,
-        classes: config.tracks.iter().map(request_class).collect(),
+        classes: config.classes.iter().map(request_class).collect(),
         role_by_kind: config.kinds.iter().map(|k| role(&k.role)).collect(),
-        reservations_enabled: terms.places,
-        decode_workers_prefill: terms.writers_read,
-        state_release_timeout: tenth_millis(terms.release),
-        cold_capacity_share: terms.cold_share,
-        warm_up_time: tenth_millis(terms.warm_after),
-        overload_multiple: terms.fall_multiple,
-        overload_window: tenth_millis(terms.fall_span),
-        max_attempts: terms.most_shots,
-        cancellation_enabled: terms.withdrawals,
-        health_checks_enabled: terms.probes,
-        load_reports_enabled: terms.asks,
+        reservations_enabled: terms.reservations,
+        decode_workers_prefill: terms.decode_workers_prefill,
+        state_release_timeout: tenth_millis(terms.state_release_timeout),
+        cold_capacity_share: terms.slow_start_share,
+        warm_up_time: tenth_millis(terms.warm_up),
+        overload_multiple: terms.overload_multiple,
+        overload_window: tenth_millis(terms.overload_window),
+        max_attempts: terms.max_attempts,
+        cancellation_enabled: terms.cancellations,
+        health_checks_enabled: terms.health_checks,
+        load_reports_enabled: terms.load_reports,
         load_in_tokens: false,
         // The list is asked for once, and again whenever it was lost.
         endpoint_watch_enabled: true,
-        retry_after_enabled: terms.advice,
-        max_retry_after: tenth_millis(terms.longest_advice),
+        retry_after_enabled: terms.retry_after,
+        max_retry_after: tenth_millis(terms.max_retry_after),
     }
 }
 
@@ -112,34 +115,34 @@
     origin: Origin,
 ) -> Result<tideroute_lifecycle::RouterConfig, ConvertError> {
     let cores = config.cores as usize;
-    let mut scheduler_config = scheduler_config(&config.terms, config);
+    let mut scheduler_config = scheduler_config(&config.settings, config);
     scheduler_config.router_count = scheduler_config.router_count.saturating_mul(config.cores);
     let lifecycle_config = tideroute_lifecycle::LifecycleConfig {
         name: if config.cores > 1 { format!("{}/{core}", config.name) } else { config.name.clone() },
         scheduler: scheduler_config,
-        classes: config.tracks.iter().map(|t| t.name.clone()).collect(),
-        connect_timeout: config.terms.unheard,
-        max_open_requests: config.terms.most_open.div_ceil(cores),
+        classes: config.classes.iter().map(|t| t.name.clone()).collect(),
+        connect_timeout: config.settings.connect_timeout,
+        max_open_requests: config.settings.max_open_requests.div_ceil(cores),
         tenants: tenants(config)?,
-        limits_share: 1.0 / f64::from(config.terms.routers) / f64::from(config.cores),
-        max_admission_wait: config.terms.longest_wait,
+        limits_share: 1.0 / f64::from(config.settings.routers) / f64::from(config.cores),
+        max_admission_wait: config.settings.max_queue_time,
         seed,
     };
     Ok(tideroute_lifecycle::RouterConfig {
         lifecycle: lifecycle_config,
-        discovery: address(&config.list)?,
+        discovery: address(&config.discovery)?,
         origin,
-        network_delay: config.terms.travel,
-        stream_window_tokens: config.terms.window,
-        max_requests_per_client: config.terms.most_a_client,
-        max_clients: config.terms.most_clients.div_ceil(cores),
+        network_delay: config.settings.network_delay,
+        stream_window_tokens: config.settings.stream_window_tokens,
+        max_requests_per_client: config.settings.max_requests_per_client,
+        max_clients: config.settings.max_clients.div_ceil(cores),
     })
 }
 
 /// The settings of a cluster member, and the key that authenticates messages of the cluster.
 pub fn member(
     name: &str,
-    f: &Fleet,
+    f: &MembershipConfig,
     seed: u64,
 ) -> Result<(tideroute_membership::MembershipConfig, MessageAuthenticator), ConvertError> {
     let key = hash(&f.key)
@@ -165,11 +168,11 @@
         |a_second: Option<f64>, burst| a_second.map(|a_second| RateLimit { per_second: a_second, burst });
     let key = hash(&t.key).map_err(|e| ConvertError::Key { owner: t.name.clone(), source: Box::new(e) })?;
     let limits = Limits {
-        requests: rate(t.submissions, t.submissions_once),
-        tokens: rate(t.tokens, t.tokens_once),
-        in_flight: t.in_flight,
+        requests: rate(t.requests_per_second, t.request_burst),
+        tokens: rate(t.tokens_per_second, t.token_burst),
+        in_flight: t.max_in_flight,
         weight: t.weight,
-        waiting: t.waiting,
+        waiting: t.max_waiting,
     };
     Ok(tideroute_lifecycle::TenantConfig { name: t.name.clone(), version: 0, keys: vec![key], limits })
 }
@@ -180,27 +183,27 @@
     later.map(|(at, what)| (at - now, what)).collect()
 }
 
-fn steps(step: &Step) -> Vec<(u64, ScriptedFault)> {
-    let (begin, end) = match step.act.as_str() {
+fn steps(step: &WorkerFault) -> Vec<(u64, ScriptedFault)> {
+    let (begin, end) = match step.kind.as_str() {
         "refuse" => (ScriptedFault::Reject(true), Some(ScriptedFault::Reject(false))),
         "fault" => (ScriptedFault::ServerError(true), Some(ScriptedFault::ServerError(false))),
-        "slow" => (ScriptedFault::Slow(step.times), Some(ScriptedFault::Slow(1.0))),
+        "slow" => (ScriptedFault::Slow(step.factor), Some(ScriptedFault::Slow(1.0))),
         "corrupt" => (ScriptedFault::CorruptState(true), Some(ScriptedFault::CorruptState(false))),
         "silent" => (ScriptedFault::Silent, Some(ScriptedFault::Crash)),
         "drain" => (ScriptedFault::Drain, None),
         _ => (ScriptedFault::Crash, None),
     };
-    let end = end.zip(step.lasts).map(|(end, lasts)| (step.at + lasts, end));
+    let end = end.zip(step.duration).map(|(end, lasts)| (step.at + lasts, end));
     [(step.at, begin)].into_iter().chain(end).collect()
 }
 
 /// The settings of an emulated worker whose script began at a time and that starts now.
 pub fn worker(config: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerConfig, ConvertError> {
-    let capabilities: &Able = &config.does;
+    let capabilities: &WorkerCapacity = &config.capacity;
     Ok(WorkerConfig {
         name: config.name.clone(),
         address: address(&config.listen)?,
-        discovery: address(&config.list)?,
+        discovery: address(&config.discovery)?,
         role: match capabilities.role {
             Role::Reader => WorkerRole::Prefill,
             Role::Writer => WorkerRole::Decode,
@@ -211,43 +214,44 @@
         cell: config.cell,
         zone: config.zone,
         is_warm: config.warm && !cold,
-        prefill_slots: capabilities.reads_at_once,
-        max_queued_prefills: capabilities.reads_waiting,
-        prefill_tokens_per_second: capabilities.read_rate,
-        decode_slots: capabilities.streams_at_once,
-        max_queued_streams: capabilities.streams_waiting,
-        token_interval: capabilities.token_gap,
-        state_bytes_per_token: capabilities.state_bytes_a_token,
-        cold_capacity_share: config.terms.cold_share,
-        warm_up: config.terms.warm_after,
-        overload_multiple: config.terms.fall_multiple,
-        overload_window: config.terms.fall_span,
-        max_cached_prefixes: capabilities.keeps,
+        prefill_slots: capabilities.prefill_slots,
+        max_queued_prefills: capabilities.prefill_queue,
+        prefill_tokens_per_second: capabilities.prefill_tokens_per_second,
+        decode_slots: capabilities.decode_slots,
+        max_queued_streams: capabilities.decode_queue,
+        token_interval: capabilities.token_interval,
+        state_bytes_per_token: capabilities.state_bytes_per_token,
+        cold_capacity_share: config.settings.slow_start_share,
+        warm_up: config.settings.warm_up,
+        overload_multiple: config.settings.overload_multiple,
+        overload_window: config.settings.overload_window,
+        max_cached_prefixes: capabilities.max_cached_prefixes,
         script: remaining_steps(from, now, config.script.iter().flat_map(steps).collect()),
     })
 }
 
 /// A relay whose script began at a time and that starts now.
 pub fn relay(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
-    let route = |d: &Door| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
+    let route = |d: &RelayListener| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
     let since = now.saturating_sub(from);
     let ahead = from.saturating_sub(now);
-    let fault = |f: &Fault| tideroute_relay::Fault {
+    let fault = |f: &RelayFault| tideroute_relay::Fault {
         from: (ahead + f.at).saturating_sub(since),
-        until: (ahead + f.at + f.lasts).saturating_sub(since),
-        direction: match f.way.as_str() {
+        until: (ahead + f.at + f.duration).saturating_sub(since),
+        direction: match f.direction.as_str() {
             "there" => FaultDirection::Forward,
             "back" => FaultDirection::Backward,
             _ => FaultDirection::Both,
         },
-        kind: match f.how.as_str() {
+        kind: match f.kind.as_str() {
             "silent" => FaultKind::Blackhole,
             "reset" => FaultKind::Reset,
             _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
         },
     };
-    let routes = |routes: &[Door]| routes.iter().map(route).collect::<Result<Vec<_>, ConvertError>>();
-    let (listeners, datagram_sockets) = (routes(&config.doors)?, routes(&config.datagrams)?);
+    let routes =
+        |routes: &[RelayListener]| routes.iter().map(route).collect::<Result<Vec<_>, ConvertError>>();
+    let (listeners, datagram_sockets) = (routes(&config.listeners)?, routes(&config.datagrams)?);
     Ok(RelayConfig {
         listeners,
         datagram_sockets,
@@ -257,7 +261,8 @@
 }
 
 /// The settings of an endpoint list whose script began at a time and that starts now.
-pub fn list(config: &List, from: Micros, now: Micros) -> DiscoveryConfig {
-    let late = config.late.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.lasts, config.lag)]);
+pub fn list(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
+    let late =
+        config.delays.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.duration, config.lag)]);
     DiscoveryConfig { notification_delay: config.lag, script: remaining_steps(from, now, late.collect()) }
 }
--- a/crates/simulation/src/direct_load.rs
+++ b/crates/simulation/src/direct_load.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
-use tideroute_config_language::kinds::Load as Record;
+use tideroute_config_language::records::Load as Record;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::worker::{self, AttemptFailure};
 use tideroute_wire::{say_router, Address, Malformed, Micros};
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use tideroute_config_language::kinds::{Day, Trouble};
+use tideroute_config_language::records::{Scenario, ScenarioFault};
 use tideroute_wire::Micros;
 
 /// Microseconds: the shortest generated fault; a shorter one has no visible effect.
@@ -19,34 +19,34 @@
 const MAX_LOSS: f64 = 0.1;
 
 /// The scenario with generated faults beside those that it names.
-pub fn with_generated_faults(day: &Day) -> Day {
+pub fn with_generated_faults(day: &Scenario) -> Scenario {
     let mut day = day.with_names();
-    let Some(draw) = day.faults.clone() else { return day };
+    let Some(draw) = day.random_faults.clone() else { return day };
     let mut rng = Pcg64::seed_from_u64(draw.seed);
-    let (first, last) = (draw.from, draw.until.unwrap_or(day.load.lasts));
-    let clock = |t: &&Trouble| t.act == "clock";
+    let (first, last) = (draw.from, draw.until.unwrap_or(day.load.duration));
+    let clock = |t: &&ScenarioFault| t.kind == "clock";
     let mut clocks: Vec<String> =
-        day.troubles.iter().filter(clock).flat_map(|t| t.who.iter().cloned()).collect();
-    for _ in 0..draw.draw {
+        day.scheduled_faults.iter().filter(clock).flat_map(|t| t.targets.iter().cloned()).collect();
+    for _ in 0..draw.count {
         let at = rng.random_range(first..=last.max(first));
-        let lasts = rng.random_range(MIN_DURATION..=draw.longest.max(MIN_DURATION));
+        let lasts = rng.random_range(MIN_DURATION..=draw.max_duration.max(MIN_DURATION));
         let mut trouble = generate_fault(&day, &mut rng);
-        (trouble.at, trouble.lasts) = (at, Some(lasts));
-        trouble.who = trouble.who.iter().flat_map(|name| day.named(name)).collect();
-        if trouble.act == "kill" {
-            trouble.back = trouble.lasts.take();
+        (trouble.at, trouble.duration) = (at, Some(lasts));
+        trouble.targets = trouble.targets.iter().flat_map(|name| day.named(name)).collect();
+        if trouble.kind == "kill" {
+            trouble.restart_after = trouble.duration.take();
         }
-        if trouble.act == "clock" {
+        if trouble.kind == "clock" {
             // A process has one clock, with one fault in a scenario.
-            trouble.who.retain(|who| !clocks.contains(who));
-            clocks.extend(trouble.who.iter().cloned());
+            trouble.targets.retain(|who| !clocks.contains(who));
+            clocks.extend(trouble.targets.iter().cloned());
         }
-        if trouble.between.is_empty() && trouble.who.is_empty() {
+        if trouble.side.is_empty() && trouble.targets.is_empty() {
             continue;
         }
-        day.troubles.push(trouble);
+        day.scheduled_faults.push(trouble);
     }
-    day.faults = None;
+    day.random_faults = None;
     day
 }
 
@@ -58,8 +58,8 @@
     format!("{group}{from}-{}", from + length - 1)
 }
 
-fn generate_fault(day: &Day, rng: &mut Pcg64) -> Trouble {
-    let groups: Vec<_> = day.fleet.iter().map(|g| (g.name.clone(), g.count)).collect();
+fn generate_fault(day: &Scenario, rng: &mut Pcg64) -> ScenarioFault {
+    let groups: Vec<_> = day.worker_groups.iter().map(|g| (g.name.clone(), g.count)).collect();
     let routers = adjacent_members("router", day.routers, rng);
     let (group, count) = &groups[rng.random_range(0..groups.len())];
     let workers = adjacent_members(group, *count, rng);
@@ -70,27 +70,39 @@
     // Two different sides: routers and workers, routers and the list, or workers and the list.
     let sides = [[0, 1], [0, 2], [1, 2]][rng.random_range(0..3)].map(|n| vec![parts[n].clone()]);
     let [between, and] = sides;
-    let blank = Trouble { times: 1.0, ..Trouble::default() };
+    let blank = ScenarioFault { factor: 1.0, ..ScenarioFault::default() };
     match rng.random_range(0..6) {
-        0 | 1 => Trouble { act: "cut".into(), between, and, way: Some(way), how: Some(how), ..blank },
-        2 => Trouble {
-            act: "delay".into(),
-            between,
-            and,
-            way: Some(way),
+        0 | 1 => ScenarioFault {
+            kind: "cut".into(),
+            side: between,
+            other_side: and,
+            direction: Some(way),
+            cut_kind: Some(how),
+            ..blank
+        },
+        2 => ScenarioFault {
+            kind: "delay".into(),
+            side: between,
+            other_side: and,
+            direction: Some(way),
             delay: Some(rng.random_range(0..=MAX_DELAY)),
             jitter: Some(rng.random_range(0..=MAX_DELAY)),
             loss: Some(rng.random::<f64>() * MAX_LOSS),
             ..blank
         },
-        3 => Trouble { act: "kill".into(), who: vec![who], keeps: Some(rng.random::<bool>()), ..blank },
-        4 => Trouble { act: "halt".into(), who: vec![who], ..blank },
-        _ => Trouble {
-            act: "clock".into(),
-            who: vec![who],
-            rate: Some(1.0 + MAX_CLOCK_DRIFT * (2.0 * rng.random::<f64>() - 1.0)),
-            ahead: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
-            behind: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
+        3 => ScenarioFault {
+            kind: "kill".into(),
+            targets: vec![who],
+            keeps_endpoint_cache: Some(rng.random::<bool>()),
+            ..blank
+        },
+        4 => ScenarioFault { kind: "halt".into(), targets: vec![who], ..blank },
+        _ => ScenarioFault {
+            kind: "clock".into(),
+            targets: vec![who],
+            clock_rate: Some(1.0 + MAX_CLOCK_DRIFT * (2.0 * rng.random::<f64>() - 1.0)),
+            clock_ahead: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
+            clock_behind: Some(rng.random_range(0..=MAX_CLOCK_OFFSET)),
             ..blank
         },
     }
--- a/crates/simulation/src/load_statistics.rs
+++ b/crates/simulation/src/load_statistics.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use hdrhistogram::Histogram;
-use tideroute_config_language::kinds::Track;
+use tideroute_config_language::records::RequestClass;
 use tideroute_wire::Micros;
 
 /// Microseconds: the longest time that the histograms tell apart.
@@ -92,7 +92,7 @@
 
 impl LoadStatistics {
     /// Empty statistics for these request classes and tenants.
-    pub fn new(classes: &[Track], tenants: impl IntoIterator<Item = String>) -> LoadStatistics {
+    pub fn new(classes: &[RequestClass], tenants: impl IntoIterator<Item = String>) -> LoadStatistics {
         LoadStatistics {
             requests: 0,
             attempts: 0,
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use tideroute_config_language::kinds::{Day, Door, Fault, File, Relay, Trouble};
+use tideroute_config_language::records::{File, Relay, RelayFault, RelayListener, Scenario, ScenarioFault};
 
 use crate::process_configs::Ports;
 
@@ -30,9 +30,9 @@
     }
 
     /// Their configuration, in order, at these addresses.
-    fn records(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<Door> {
+    fn records(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<RelayListener> {
         let door = |((to, faults), listen): (&(String, Vec<usize>), &String)| {
-            Some(Door { listen: listen.clone(), to: address(to)?, faults: faults.clone() })
+            Some(RelayListener { listen: listen.clone(), to: address(to)?, faults: faults.clone() })
         };
         self.doors.iter().zip(ports).filter_map(door).collect()
     }
@@ -54,7 +54,7 @@
 pub struct Relays {
     connections: RelayListeners,
     datagrams: RelayListeners,
-    faults: Vec<Fault>,
+    faults: Vec<RelayFault>,
     seed: u64,
 }
 
@@ -62,18 +62,18 @@
 type FaultSets = (HashSet<String>, HashSet<String>);
 
 /// The same fault as those see it who connect from its first set, and from its second.
-fn both_directions(t: &Trouble) -> [Fault; 2] {
-    let way = t.way.as_deref().unwrap_or("both");
+fn both_directions(t: &ScenarioFault) -> [RelayFault; 2] {
+    let way = t.direction.as_deref().unwrap_or("both");
     let back = match way {
         "there" => "back",
         "back" => "there",
         both => both,
     };
-    [way, back].map(|way| Fault {
+    [way, back].map(|way| RelayFault {
         at: t.at,
-        lasts: t.lasts.unwrap_or(0),
-        way: way.into(),
-        how: if t.act == "delay" { "late".into() } else { t.how.clone().unwrap_or_default() },
+        duration: t.duration.unwrap_or(0),
+        direction: way.into(),
+        kind: if t.kind == "delay" { "late".into() } else { t.cut_kind.clone().unwrap_or_default() },
         delay: t.delay.unwrap_or(0),
         jitter: t.jitter.unwrap_or(0),
         loss: t.loss.unwrap_or(0.0),
@@ -81,21 +81,21 @@
 }
 
 /// Whether a fault concerns the network between two sets of processes.
-fn is_network_fault(t: &&Trouble) -> bool {
-    t.act == "cut" || t.act == "delay"
+fn is_network_fault(t: &&ScenarioFault) -> bool {
+    t.kind == "cut" || t.kind == "delay"
 }
 
 impl Relays {
     /// Plans the listeners that the network faults of a scenario need.
-    pub fn plan(day: &Day) -> Relays {
+    pub fn plan(day: &Scenario) -> Relays {
         let mut relays = Relays { seed: day.seed, ..Relays::default() };
-        let troubles: Vec<_> = day.troubles.iter().filter(is_network_fault).collect();
+        let troubles: Vec<_> = day.scheduled_faults.iter().filter(is_network_fault).collect();
         relays.faults = troubles.iter().flat_map(|t| both_directions(t)).collect();
         if troubles.is_empty() {
             return relays;
         }
         let all = |names: &[String]| names.iter().flat_map(|n| day.named(n)).collect::<HashSet<_>>();
-        let sets: Vec<_> = troubles.iter().map(|t| (all(&t.between), all(&t.and))).collect();
+        let sets: Vec<_> = troubles.iter().map(|t| (all(&t.side), all(&t.other_side))).collect();
         let routers: Vec<_> = day.router_names().collect();
         let workers: Vec<_> = day.workers().map(|(name, ..)| name).collect();
         let list = ["list".to_string()];
@@ -132,7 +132,7 @@
                 indices.push(2 * n);
             }
             // A fault in both directions meets a connection within both sets once.
-            if back && (!there || self.faults[2 * n].way != "both") {
+            if back && (!there || self.faults[2 * n].direction != "both") {
                 indices.push(2 * n + 1);
             }
         }
@@ -156,16 +156,16 @@
     }
 
     /// The relay's configuration; None if no fault needs one.
-    pub fn file(&self, day: &Day, ports: &Ports) -> Option<File> {
+    pub fn file(&self, day: &Scenario, ports: &Ports) -> Option<File> {
         let [connections, datagrams] = self.ports(ports);
         let doors = self.connections.records(connections, |name| address_of(day, ports, name));
         let datagrams = self.datagrams.records(datagrams, |name| membership_address(day, ports, name));
-        let relay = Relay { doors, datagrams, faults: self.faults.clone(), seed: self.seed };
+        let relay = Relay { listeners: doors, datagrams, faults: self.faults.clone(), seed: self.seed };
         (self.doors() > 0).then(|| File { relay: Some(relay), ..File::default() })
     }
 
     /// The address overrides of a process, a line each; None if it connects directly.
-    pub fn address_overrides(&self, day: &Day, ports: &Ports, client: &str) -> Option<String> {
+    pub fn address_overrides(&self, day: &Scenario, ports: &Ports, client: &str) -> Option<String> {
         let [connections, datagrams] = self.ports(ports);
         let address_overrides =
             self.connections.address_overrides(client, connections, |name| address_of(day, ports, name))
@@ -177,11 +177,11 @@
 }
 
 /// The membership address of a router.
-fn membership_address(day: &Day, ports: &Ports, name: &str) -> Option<String> {
+fn membership_address(day: &Scenario, ports: &Ports, name: &str) -> Option<String> {
     ports.members.get(day.router_names().position(|r| r == name)?).cloned()
 }
 
-fn address_of(day: &Day, ports: &Ports, name: &str) -> Option<String> {
+fn address_of(day: &Scenario, ports: &Ports, name: &str) -> Option<String> {
     if name == "list" {
         return Some(ports.list.clone());
     }
--- a/crates/simulation/src/scenario/expectations.rs
+++ b/crates/simulation/src/scenario/expectations.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_config_language::kinds::{Day, Trouble};
+use tideroute_config_language::records::{Scenario, ScenarioFault};
 use tideroute_trace_checker::Report;
 
 /// Each expectation, what was seen, and whether it held.
 pub fn expectations(
-    day: &Day,
+    day: &Scenario,
     figures: &serde_json::Value,
     memory: &BTreeMap<String, u64>,
     exits: &BTreeMap<String, bool>,
@@ -24,16 +24,16 @@
     let unlike = exits.values().filter(|well| !**well).count();
     // Whom a halted router answers late is for the check of the rules to judge, which knows of the halts.
     let router = |who: &String| day.router_names().any(|name| name == *who);
-    let halted = |t: &Trouble| t.act == "halt" && t.who.iter().any(router);
-    let unanswered = if day.troubles.iter().any(halted) { 0.0 } else { number("unanswered") };
+    let halted = |t: &ScenarioFault| t.kind == "halt" && t.targets.iter().any(router);
+    let unanswered = if day.scheduled_faults.iter().any(halted) { 0.0 } else { number("unanswered") };
     let wrong = number("wrong") + unanswered;
     vec![
-        least("a service", number("service"), day.expect.service),
-        least("an honoured part", number("honoured_part"), day.expect.honoured),
+        least("a service", number("service"), day.expect.min_service),
+        least("an honoured part", number("honoured_part"), day.expect.min_completed),
         (
-            format!("no process over {:.0} MiB", mib(day.expect.memory)),
+            format!("no process over {:.0} MiB", mib(day.expect.max_memory)),
             format!("{:.1} MiB, {name}", mib(bytes)),
-            bytes <= day.expect.memory,
+            bytes <= day.expect.max_memory,
         ),
         ("routers end in order when told".into(), format!("{unlike} did not"), unlike == 0),
         ("nobody fell over".into(), fallen.join(", "), fallen.is_empty()),
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
 
-use tideroute_config_language::kinds::Day;
-use tideroute_config_language::Problems;
+use tideroute_config_language::records::Scenario;
+use tideroute_config_language::ConfigErrors;
 use tideroute_membership_checker::Report as MembershipReport;
 use tideroute_reactor::clock::Clock;
 use tideroute_trace_checker::{CheckError, Report};
@@ -46,7 +46,7 @@
     NotListening(String),
     /// A configuration file could not be written.
     #[error("{0}")]
-    Config(#[from] Problems),
+    Config(#[from] ConfigErrors),
     /// The captures of the processes could not be merged.
     #[error("the record could not be merged: {0}")]
     Record(#[from] CaptureError),
@@ -102,12 +102,12 @@
 
 /// Plays a scenario in a folder of its own. `program` is the program itself; `interrupted` ends it early.
 pub fn play(
-    day: &Day,
+    day: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
 ) -> Result<ScenarioOutcome, ScenarioError> {
-    if day.troubles.iter().any(|t| t.act == "remove") {
+    if day.scheduled_faults.iter().any(|t| t.kind == "remove") {
         return Err(ScenarioError::VirtualOnly);
     }
     let day = &faults::with_generated_faults(day);
@@ -129,7 +129,7 @@
 
 /// Plays a scenario only to measure the network hops of requests, through its routers or directly to workers.
 pub fn measure(
-    day: &Day,
+    day: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
@@ -142,7 +142,7 @@
 /// Plays a scenario without routers: its load goes directly to workers, with that policy to choose prefill workers
 /// ([`PrefillPolicy`](crate::prefill_policies::PrefillPolicy)). Returns where the capture is.
 pub fn play_direct(
-    day: &Day,
+    day: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
@@ -152,7 +152,7 @@
 }
 
 fn play_and_merge(
-    day: &Day,
+    day: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
@@ -167,7 +167,7 @@
 
 /// Plays a scenario from the start of the first process to the end of the last.
 fn play_processes<'a>(
-    day: &'a Day,
+    day: &'a Scenario,
     program: &Path,
     folder: &'a Path,
     interrupted: &'a AtomicBool,
@@ -218,6 +218,6 @@
 }
 
 /// How many processes a scenario has.
-fn processes(day: &Day) -> usize {
+fn processes(day: &Scenario) -> usize {
     day.routers + day.workers().count() + 2
 }
--- a/crates/simulation/src/scenario/player.rs
+++ b/crates/simulation/src/scenario/player.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_wire::Micros;
 
 use super::timeline::{fault_timeline, FaultAction};
@@ -27,7 +27,7 @@
 /// The running processes of a scenario.
 pub struct ScenarioPlayer<'a> {
     /// The scenario.
-    pub day: &'a Day,
+    pub day: &'a Scenario,
     /// Where configurations, captures and logs lie.
     pub folder: &'a Path,
     /// When the load begins.
@@ -108,10 +108,12 @@
                     .map_err(|e| ScenarioError::File(path.display().to_string(), e))?;
                 recipe.arguments.extend(["--address-overrides".into(), path.display().to_string()]);
             }
-            if let Some(t) = day.troubles.iter().find(|t| t.act == "clock" && t.who.contains(name)) {
+            if let Some(t) =
+                day.scheduled_faults.iter().find(|t| t.kind == "clock" && t.targets.contains(name))
+            {
                 let from = self.begins + t.at;
-                let (until, rate) = (from + t.lasts.unwrap_or(0), t.rate.unwrap_or(1.0));
-                let ahead = t.ahead.unwrap_or(0) as i64 - t.behind.unwrap_or(0) as i64;
+                let (until, rate) = (from + t.duration.unwrap_or(0), t.clock_rate.unwrap_or(1.0));
+                let ahead = t.clock_ahead.unwrap_or(0) as i64 - t.clock_behind.unwrap_or(0) as i64;
                 recipe.arguments.push(format!("--clock-skew={from},{until},{rate},{ahead}"));
             }
         }
@@ -160,12 +162,12 @@
 
     /// Injects the faults in time, until the load has ended.
     pub fn run(&mut self) -> Result<(), ScenarioError> {
-        let mut actions = fault_timeline(&self.day.troubles);
+        let mut actions = fault_timeline(&self.day.scheduled_faults);
         actions.sort_by_key(|(at, _)| *at);
         let mut actions = actions.into_iter().peekable();
         let mut last_sample = 0;
-        let longest = self.day.tracks.iter().map(|t| t.cut_off).max().unwrap_or(0);
-        let latest = self.begins + self.day.load.lasts + 4 * longest + SHUTDOWN_TIMEOUT;
+        let longest = self.day.classes.iter().map(|t| t.deadline).max().unwrap_or(0);
+        let latest = self.begins + self.day.load.duration + 4 * longest + SHUTDOWN_TIMEOUT;
         loop {
             self.pause()?;
             let now = self.processes.now();
@@ -209,7 +211,7 @@
         self.processes.sample_all();
         let routers: Vec<_> = self.day.router_names().filter(|n| self.processes.is_running(n)).collect();
         let mut exits = BTreeMap::new();
-        let longest = self.day.tracks.iter().map(|t| t.cut_off).max().unwrap_or(0);
+        let longest = self.day.classes.iter().map(|t| t.deadline).max().unwrap_or(0);
         for first in [true, false] {
             let names = if first { routers.clone() } else { self.processes.running_names() };
             for name in &names {
--- a/crates/simulation/src/scenario/ports.rs
+++ b/crates/simulation/src/scenario/ports.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 
 use crate::process_configs::Ports;
 
@@ -12,7 +12,7 @@
 
 /// Addresses for all processes, on a loopback address of this process's own: a worker that was killed finds its port
 /// free when it comes back, as no connection and no other scenario can have taken it meanwhile.
-pub fn free_ports(day: &Day, doors: usize) -> io::Result<Ports> {
+pub fn free_ports(day: &Scenario, doors: usize) -> io::Result<Ports> {
     let (workers, process) = (day.workers().count(), std::process::id());
     let members = if day.membership { day.routers } else { 0 };
     let own = Ipv4Addr::new(127, 1 + (process >> 8) as u8 % 250, 1 + process as u8 % 250, 1);
--- a/crates/simulation/src/scenario/timeline.rs
+++ b/crates/simulation/src/scenario/timeline.rs
@@ -1,6 +1,6 @@
 //! The faults of a scenario that are injected from outside a process, as actions in time.
 
-use tideroute_config_language::kinds::Trouble;
+use tideroute_config_language::records::ScenarioFault;
 use tideroute_wire::Micros;
 
 /// Microseconds from the end of a silence or a drain to the restart.
@@ -21,25 +21,25 @@
 }
 
 /// The actions of all faults, each with its time after the begin of the load; not sorted.
-pub(crate) fn fault_timeline(troubles: &[Trouble]) -> Vec<(Micros, FaultAction<'_>)> {
+pub(crate) fn fault_timeline(troubles: &[ScenarioFault]) -> Vec<(Micros, FaultAction<'_>)> {
     let mut actions = Vec::new();
     for t in troubles {
-        for who in &t.who {
-            match t.act.as_str() {
+        for who in &t.targets {
+            match t.kind.as_str() {
                 "kill" => {
                     actions.push((t.at, FaultAction::Kill(who)));
-                    actions.extend(
-                        t.back.map(|back| (t.at + back, FaultAction::Start(who, t.keeps.unwrap_or(true)))),
-                    );
+                    actions.extend(t.restart_after.map(|back| {
+                        (t.at + back, FaultAction::Start(who, t.keeps_endpoint_cache.unwrap_or(true)))
+                    }));
                 }
                 "halt" => {
                     actions.push((t.at, FaultAction::Halt(who)));
-                    actions.push((t.at + t.lasts.unwrap_or(0), FaultAction::GoOn(who)));
+                    actions.push((t.at + t.duration.unwrap_or(0), FaultAction::GoOn(who)));
                 }
                 "remove" => actions.push((t.at, FaultAction::Remove(who))),
                 // What was silent or has drained is started anew.
                 "silent" | "drain" => {
-                    let Some(lasts) = t.lasts else { continue };
+                    let Some(lasts) = t.duration else { continue };
                     actions.push((t.at + lasts, FaultAction::Kill(who)));
                     actions.push((t.at + lasts + RESTART_DELAY, FaultAction::Start(who, true)));
                 }
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::Bytes;
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_emulator::{Discovery, EmulatedWorker};
 use tideroute_lifecycle::ProtobufRouter;
 use tideroute_trace_checker::{CheckError, Report};
@@ -65,17 +65,17 @@
 }
 
 /// Plays a scenario. The same scenario gives the same capture, byte for byte.
-pub fn play(day: &Day) -> Result<VirtualOutcome, VirtualScenarioError> {
+pub fn play(day: &Scenario) -> Result<VirtualOutcome, VirtualScenarioError> {
     let day = faults::with_generated_faults(day);
-    let real = day.troubles.iter().find(|t| ["cut", "delay", "clock"].contains(&t.act.as_str()));
+    let real = day.scheduled_faults.iter().find(|t| ["cut", "delay", "clock"].contains(&t.kind.as_str()));
     if let Some(t) = real {
-        return Err(VirtualScenarioError::Terms(format!("a {} is played on real processes only", t.act)));
+        return Err(VirtualScenarioError::Terms(format!("a {} is played on real processes only", t.kind)));
     }
     VirtualScenario::new(&day)?.run()
 }
 
 struct VirtualScenario<'a> {
-    day: &'a Day,
+    day: &'a Scenario,
     ports: Ports,
     simulator: Simulator,
     nodes: BTreeMap<String, NodeId>,
@@ -85,7 +85,7 @@
 }
 
 impl<'a> VirtualScenario<'a> {
-    fn new(day: &'a Day) -> Result<VirtualScenario<'a>, VirtualScenarioError> {
+    fn new(day: &'a Scenario) -> Result<VirtualScenario<'a>, VirtualScenarioError> {
         let at = |kind: u16, n: usize| format!("10.{kind}.{}.{}:7000", n / 250, n % 250 + 1);
         let workers = day.workers().count();
         let ports = Ports {
@@ -119,8 +119,8 @@
         let client = self.simulator.add_node("load", "client", None);
         self.simulator.start(client, Box::new(self.load.clone()));
         let killed = self.inject_faults()?;
-        self.simulator.run_until(self.begins + self.day.load.lasts);
-        let deadline = self.begins + self.day.load.lasts + DRAIN_TIME;
+        self.simulator.run_until(self.begins + self.day.load.duration);
+        let deadline = self.begins + self.day.load.duration + DRAIN_TIME;
         while self.simulator.runs(client) && self.simulator.now() < deadline {
             self.run_for(START_TIME);
         }
@@ -141,7 +141,7 @@
 
     /// Injects the faults in time; returns the names of all nodes that were killed.
     fn inject_faults(&mut self) -> Result<Vec<String>, VirtualScenarioError> {
-        let mut actions = fault_timeline(&self.day.troubles);
+        let mut actions = fault_timeline(&self.day.scheduled_faults);
         actions.sort_by_key(|(at, _)| *at);
         let mut killed = vec![];
         for (at, action) in actions {
@@ -179,7 +179,7 @@
         let events = self.simulator.events();
         let lasted = self.simulator.now() - EPOCH;
         let mut load = self.load.0.lock().unwrap_or_else(|e| e.into_inner());
-        let tally = std::mem::replace(&mut load.tally, LoadStatistics::new(&self.day.tracks, []));
+        let tally = std::mem::replace(&mut load.tally, LoadStatistics::new(&self.day.classes, []));
         Ok(VirtualOutcome { began: self.begins, report, tally, record, events, lasted, fallen })
     }
 
--- a/crates/simulation/tests/generated_faults.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_simulation::faults::with_generated_faults;
 use tideroute_simulation::traffic::routers_of;
 
-fn scenario(more: &str) -> Day {
+fn scenario(more: &str) -> Scenario {
     let text = format!(
         r#"
 day: {{
@@ -37,24 +37,27 @@
         let scenario =
             scenario(&format!("faults: {{draw: 8, seed: {seed}, from: 2s, until: 15s, longest: 3s}}"));
         let (one, two) = (with_generated_faults(&scenario), with_generated_faults(&scenario));
-        let text = |d: &Day| serde_json::to_string(&d.troubles).expect("plain data");
+        let text = |d: &Scenario| serde_json::to_string(&d.scheduled_faults).expect("plain data");
         assert_eq!(text(&one), text(&two));
-        assert!(!one.troubles.is_empty() && one.faults.is_none());
+        assert!(!one.scheduled_faults.is_empty() && one.random_faults.is_none());
         let known: BTreeSet<String> =
             scenario.workers().map(|(name, ..)| name).chain(scenario.router_names()).collect();
         // Written down, as when a failed day was shrunk, it is the same day.
-        let file = tideroute_config_language::kinds::File { day: Some(one.clone()), ..Default::default() };
+        let file = tideroute_config_language::records::File { day: Some(one.clone()), ..Default::default() };
         let printed = tideroute_config_language::print(&file).unwrap_or_else(|p| panic!("{p}"));
         let again = tideroute_config_language::read("printed", &printed).unwrap_or_else(|p| panic!("{p}"));
         assert_eq!(text(&again.day.expect("a day")), text(&one));
         let mut clocks = BTreeSet::new();
-        for t in &one.troubles {
-            kinds.insert(t.act.clone());
+        for t in &one.scheduled_faults {
+            kinds.insert(t.kind.clone());
             assert!((2_000_000..=15_000_000).contains(&t.at));
-            assert!(t.lasts.or(t.back).is_some_and(|l| (200_000..=3_000_000).contains(&l)), "{t:?}");
-            assert!(t.who.iter().all(|who| known.contains(who)), "{t:?}");
-            assert!(t.between.iter().chain(&t.and).all(|name| !scenario.named(name).is_empty()), "{t:?}");
-            assert!(t.act != "clock" || t.who.iter().all(|who| clocks.insert(who.clone())), "{t:?}");
+            assert!(
+                t.duration.or(t.restart_after).is_some_and(|l| (200_000..=3_000_000).contains(&l)),
+                "{t:?}"
+            );
+            assert!(t.targets.iter().all(|who| known.contains(who)), "{t:?}");
+            assert!(t.side.iter().chain(&t.other_side).all(|name| !scenario.named(name).is_empty()), "{t:?}");
+            assert!(t.kind != "clock" || t.targets.iter().all(|who| clocks.insert(who.clone())), "{t:?}");
         }
     }
     assert_eq!(kinds.into_iter().collect::<Vec<_>>(), ["clock", "cut", "delay", "halt", "kill"]);
@@ -72,7 +75,7 @@
     .unwrap_or_else(|p| panic!("{p}"))
     .load
     .expect("a load");
-    let of = |load: &tideroute_config_language::kinds::Load| {
+    let of = |load: &tideroute_config_language::records::Load| {
         let mut counts = vec![0; 60];
         routers_of(load, 60).into_iter().for_each(|n| counts[n] += 1);
         counts
@@ -85,6 +88,6 @@
     assert!(counts.iter().filter(|c| **c <= 20).all(|c| (9..=11).contains(c)), "{counts:?}");
     load.seed += 1;
     assert_ne!(of(&load), counts, "another seed has others busy");
-    load.uneven = None;
+    load.skew = None;
     assert!(of(&load).iter().all(|c| (15..=16).contains(c)));
 }
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -1,12 +1,12 @@
 //! Hard cases in virtual time: the real router, emulated workers and client load, with the rules checked on the
 //! capture. Each test first shows that its case occurred.
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, CapturedFrame, Reader};
 
 /// A small day with a place for its troubles.
-fn scenario(faults: &str, rate: u32, more: &str) -> Day {
+fn scenario(faults: &str, rate: u32, more: &str) -> Scenario {
     let text = format!(
         r#"
 day: {{
@@ -114,12 +114,12 @@
 		{at: 4s, do: "halt", who: ["writer0", "writer1", "writer2", "writer3"], for: 200ms},
 	"#;
     let mut scenario = scenario(text, 80, "");
-    scenario.fleet[0].does.read_rate = 900_000.0;
+    scenario.worker_groups[0].capacity.prefill_tokens_per_second = 900_000.0;
     let outcome = play(&scenario).expect("it plays");
     assert_rules_kept(&outcome);
     let places = reservations_answered_after_prefill(&outcome);
     assert!(places > 5, "only {places} answers came after their read");
-    assert!(outcome.report.counts.latest_send_after_drain <= scenario.terms.drain_grace);
+    assert!(outcome.report.counts.latest_send_after_drain <= scenario.settings.drain_grace);
 }
 
 /// Answers on places that a router heard after the read had ended.
--- a/crates/simulation/tests/router_cores.rs
+++ b/crates/simulation/tests/router_cores.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeMap;
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
 /// The field of a frame that asks a reader for a read.
 const READ: u8 = 2;
 
-fn day(cores: usize, rate: u32, traffic: &str, troubles: &str) -> Day {
+fn day(cores: usize, rate: u32, traffic: &str, troubles: &str) -> Scenario {
     let text = format!(
         r#"
 day: {{
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use tideroute_config_language::kinds::Day;
+use tideroute_config_language::records::Scenario;
 use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
-fn day(name: &str) -> Day {
+fn day(name: &str) -> Scenario {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     let text = std::fs::read_to_string(path).expect("the day is there");
     tideroute_config_language::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
@@ -30,8 +30,8 @@
 #[test]
 fn calm_tenants_are_served_beside_a_flood_as_without_it() {
     let [day, mut calm, mut bare] = [(); 3].map(|()| day("neighbour-flood.cue"));
-    calm.troubles.retain(|t| t.act != "burst");
-    bare.shares = false;
+    calm.scheduled_faults.retain(|t| t.kind != "burst");
+    bare.routers_know_tenants = false;
     let [calm, flood, bare] = [&calm, &day, &bare].map(|day| play(day).expect("it plays"));
     [&calm, &flood, &bare].into_iter().for_each(assert_rules_kept);
     let (without, with, unshared) =
@@ -48,8 +48,8 @@
 fn calm_tenants_are_served_beside_a_flood_on_other_seeds() {
     let threads = (32..38).map(|seed| {
         std::thread::spawn(move || {
-            let [mut calm, flood] = [(); 2].map(|()| Day { seed, ..day("neighbour-flood.cue") });
-            calm.troubles.retain(|t| t.act != "burst");
+            let [mut calm, flood] = [(); 2].map(|()| Scenario { seed, ..day("neighbour-flood.cue") });
+            calm.scheduled_faults.retain(|t| t.kind != "burst");
             let [without, with] = [&calm, &flood].map(|day| {
                 let outcome = play(day).expect("it plays");
                 assert_rules_kept(&outcome);
@@ -68,7 +68,7 @@
     let outcome = play(&removed).expect("it plays");
     assert_rules_kept(&outcome);
     let mut quiet = day("tenant-removed.cue");
-    quiet.troubles.retain(|t| t.act != "remove");
+    quiet.scheduled_faults.retain(|t| t.kind != "remove");
     let without = play(&quiet).expect("it plays");
     assert_rules_kept(&without);
     let (service_by_tenant, others) = (service_by_tenant(&outcome), service_by_tenant(&without));
@@ -83,7 +83,8 @@
     let counts = &outcome.report.counts;
     assert!(counts.rejected > 100 && counts.completed > 100 && counts.disconnected == 0, "{counts:?}");
     // What its clients ask after the removal never comes to a worker.
-    let gone = outcome.began + removed.troubles.iter().find(|t| t.act == "remove").expect("a removal").at;
+    let gone =
+        outcome.began + removed.scheduled_faults.iter().find(|t| t.kind == "remove").expect("a removal").at;
     let mut reader = Reader::new(outcome.record.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let routers: BTreeSet<u32> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
