--- a/crates/command/tests/bad/cut-of-nobody.cue
+++ b/crates/command/tests/bad/cut-of-nobody.cue
@@ -1,4 +1,4 @@
-// expect: 10:42: "router7-9" stands for no process; expected a process, a group, some of one as router0-9, list or load
+// expect: 10:42: "router7-9" matches no process; expected a process, a group, a range of a group such as router0-9, list or load
 day: {
 	routers: 4
 	kinds: [{name: "readers", role: "reader"}]
--- a/crates/command/tests/bad/names-itself.cue
+++ b/crates/command/tests/bad/names-itself.cue
@@ -1,4 +1,4 @@
-// expect: 3:8: name is named by its own value
+// expect: 3:8: name refers to itself
 router: {
 	name: name, listen: "127.0.0.1:7001", list: "127.0.0.1:7000"
 	tracks: [{name: "quick", contract: 1s}]
--- a/crates/command/tests/bad/names-nothing.cue
+++ b/crates/command/tests/bad/names-nothing.cue
@@ -1,4 +1,4 @@
-// expect: 6:9: #Terns names nothing
+// expect: 6:9: #Terns is not defined
 router: {
 	name: "r", listen: "127.0.0.1:7001", list: "127.0.0.1:7000"
 	tracks: [{name: "quick", contract: 1s}]
--- a/crates/command/tests/bad/no-unit.cue
+++ b/crates/command/tests/bad/no-unit.cue
@@ -1,4 +1,4 @@
-// expect: 4:37: sec is no unit; expected us, ms, s
+// expect: 4:37: unknown unit sec; expected us, ms, s
 router: {
 	name: "r", listen: "127.0.0.1:7001", list: "127.0.0.1:7000"
 	tracks: [{name: "quick", contract: 1sec}]
--- a/crates/command/tests/bad/open-brace.cue
+++ b/crates/command/tests/bad/open-brace.cue
@@ -1,4 +1,4 @@
-// expect: 7:1: the end of the file stands here; expected a field
+// expect: 7:1: unexpected end of file; expected a field
 router: {
 	name: "r", listen: "127.0.0.1:7001", list: "127.0.0.1:7000"
 	tracks: [{name: "quick", contract: 1s}]
--- a/crates/command/tests/bad/unknown-field.cue
+++ b/crates/command/tests/bad/unknown-field.cue
@@ -1,4 +1,4 @@
-// expect: 3:20: lisen is no field here; did you mean listen?
+// expect: 3:20: unknown field lisen; did you mean listen?
 router: {
 	name: "r", lisen: "127.0.0.1:7001", list: "127.0.0.1:7000"
 	tracks: [{name: "quick", contract: 1s}]
--- a/crates/config-language/src/ast.rs
+++ b/crates/config-language/src/ast.rs
@@ -1,29 +1,29 @@
-//! The syntax tree: fields and expressions, with their places in the file.
+//! The syntax tree: fields and expressions with their positions in the file.
 
 use crate::literal::Literal;
 use crate::span::Span;
 
-/// An expression and where it stands.
+/// An expression and its position.
 #[derive(Clone, Debug)]
 pub struct Expr {
     pub span: Span,
     pub node: Node,
 }
 
-/// What an expression is.
+/// The kinds of expression.
 #[derive(Clone, Debug)]
 pub enum Node {
     Literal(Literal),
     /// A bound such as `>0s`.
     Bound(Comparison, Literal),
     Struct(Vec<Field>),
-    /// Elements, and what any further ones must be; without it there are none.
+    /// Elements, and the constraint on any further elements; without one, further elements are not allowed.
     List(Vec<Expr>, Option<Box<Expr>>),
-    /// A name, and fields to follow from there.
+    /// A reference: a name, followed by the names of nested fields.
     Name(Vec<String>),
-    /// Parts that must all hold.
+    /// A conjunction: the value must satisfy all parts.
     And(Vec<Expr>),
-    /// Alternatives, the default ones marked.
+    /// A disjunction; each alternative comes with whether it is marked as a default.
     Or(Vec<(bool, Expr)>),
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Comparison {
-    /// The operator as it is written.
+    /// Returns the operator as files write it.
     pub fn sign(self) -> &'static str {
         match self {
             Comparison::Greater => ">",
@@ -54,14 +54,15 @@
 #[derive(Clone, Debug)]
 pub struct Field {
     pub name: String,
-    /// Where its name stands.
+    /// Position of the name.
     pub span: Span,
     pub is_optional: bool,
     pub value: Expr,
 }
 
 impl Field {
-    /// Whether a name is a definition's or a hidden field's: those serve others and are no part of the result.
+    /// Returns whether a name is that of a definition or a hidden field. Such fields can be referred to, but are not part
+    /// of the result.
     pub fn is_hidden(name: &str) -> bool {
         name.starts_with(['#', '_'])
     }
--- a/crates/config-language/src/bounds.rs
+++ b/crates/config-language/src/bounds.rs
@@ -5,7 +5,7 @@
 use crate::ast::Comparison;
 use crate::literal::Literal;
 
-/// How two literals compare; none if their types have no common order.
+/// Compares two literals. Returns `None` if their types have no common order.
 pub fn compare(a: &Literal, b: &Literal) -> Option<Ordering> {
     match (a, b) {
         (Literal::Duration(a), Literal::Duration(b)) | (Literal::Size(a), Literal::Size(b)) => Some(a.cmp(b)),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Whether a literal keeps a bound. One that can't be compared keeps only "not equal".
+/// Returns whether a literal satisfies a bound. A literal that can't be compared with it satisfies only "not equal".
 pub fn is_within(literal: &Literal, (comparison, bound): &(Comparison, Literal)) -> bool {
     let Some(order) = compare(literal, bound) else { return *comparison == Comparison::NotEqual };
     match comparison {
--- a/crates/config-language/src/describe.rs
+++ b/crates/config-language/src/describe.rs
@@ -1,17 +1,17 @@
-//! Values as they are named in messages.
+//! Descriptions of values for error messages.
 
 use crate::literal::Literal;
 use crate::value::{Shape, Value};
 
-/// A unit's name and how many microseconds or bytes it has.
+/// A unit's name and its size in microseconds or bytes.
 type Unit = (&'static str, i64);
 
-/// The units in which times are shown, the largest first.
+/// The units in which durations are shown, largest first.
 const TIME_UNITS: [Unit; 3] = [("s", 1_000_000), ("ms", 1_000), ("us", 1)];
-/// The units in which sizes are shown, the largest first.
+/// The units in which sizes are shown, largest first.
 const SIZE_UNITS: [Unit; 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
 
-/// A literal as a file could write it.
+/// Returns a literal as a file could write it.
 pub fn describe_literal(literal: &Literal) -> String {
     match literal {
         Literal::Null => "null".into(),
@@ -29,7 +29,7 @@
     format!("{}{name}", value / size)
 }
 
-/// What a value asks for.
+/// Describes the constraint that a value sets.
 pub fn describe_expected(value: &Value) -> String {
     match &value.shape {
         Shape::Any | Shape::Invalid => "a value".into(),
--- a/crates/config-language/src/error.rs
+++ b/crates/config-language/src/error.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a file, and where.
+//! Errors in a configuration file, with their positions.
 
 use miette::{Diagnostic, GraphicalReportHandler, LabeledSpan, NamedSource, SourceSpan};
 
 use crate::span::Span;
 
-/// Columns of a report: wide enough that no line is broken, so that file, line and column stay where tools look for
-/// them.
+/// Width of a report in columns. It is large enough that no line is wrapped, because tools look for file, line and column
+/// at the start of one line.
 const REPORT_WIDTH: usize = 1000;
 
-/// One thing that is wrong with a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Where: a range of bytes of the file.
+    /// Position of the error, as a range of bytes of the file.
     pub span: Span,
     /// What is wrong.
     pub message: String,
-    /// What was expected there; empty if that can't be said.
+    /// What was expected there; empty if unknown.
     pub expected: String,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// All that is wrong with one file, in the order of the places. Displayed as [`ConfigErrors::lines`].
+/// All errors in one file, ordered by position. Displayed as [`ConfigErrors::lines`].
 #[derive(Debug, thiserror::Error)]
 #[error("{}", self.lines().join("\n"))]
 pub struct ConfigErrors {
@@ -41,12 +41,12 @@
         ConfigErrors { file_name: file_name.to_string(), text: text.to_string(), errors }
     }
 
-    /// The errors, in the order of their places.
+    /// Returns the errors, ordered by position.
     pub fn all(&self) -> &[ConfigError] {
         &self.errors
     }
 
-    /// Line and column of a byte, both counted from one; columns are characters.
+    /// Returns line and column of a byte, both counted from 1; columns count characters.
     fn line_and_column(&self, byte: usize) -> (usize, usize) {
         let before = &self.text.as_bytes()[..byte.min(self.text.len())];
         let line = before.iter().filter(|&&byte| byte == b'\n').count() + 1;
@@ -55,7 +55,7 @@
         (line, column)
     }
 
-    /// One line for each error: file, line, column, what is wrong, what was expected.
+    /// Returns one line per error: file, line, column, what is wrong, what was expected.
     pub fn lines(&self) -> Vec<String> {
         self.errors.iter().map(|error| self.line(error)).collect()
     }
@@ -69,7 +69,7 @@
         format!("{}:{line}:{column}: {}{expected}", self.file_name, error.message)
     }
 
-    /// Each error with the lines around it, for a terminal.
+    /// Returns a report for a terminal that shows each error with the lines around it.
     pub fn report(&self) -> String {
         let handler = GraphicalReportHandler::new().with_width(REPORT_WIDTH);
         let reports = self.errors.iter().map(|error| {
@@ -90,7 +90,7 @@
     }
 }
 
-/// An error as a terminal shows it, beside the lines of the file.
+/// An error in the form that miette renders, with an excerpt of the file.
 #[derive(Debug, thiserror::Error)]
 #[error("{line}")]
 struct Excerpt {
--- a/crates/config-language/src/evaluator.rs
+++ b/crates/config-language/src/evaluator.rs
@@ -1,5 +1,5 @@
-//! Evaluates expressions to values. Names are looked up in the struct around them, then further out, then among the
-//! program's definitions. A definition (`#Name`) is closed: it takes no fields that it does not name.
+//! Evaluates expressions to values. A name is looked up in the innermost struct around it, then in the enclosing ones,
+//! then among the program's definitions. A definition (`#Name`) is closed: it accepts no fields but its own.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 use crate::value::{Shape, Slot, Value};
 use crate::value_type::ValueType;
 
-/// The definition that every file as a whole must fit.
+/// The definition that every file must satisfy as a whole.
 const FILE_DEFINITION: &str = "#File";
 
-/// Values that one file may name, each counted with all that it holds, so that a few lines that name each other many
-/// times over end in an error and not in hours.
+/// Limit of values to which the references of one file may lead, each counted with all values that it holds. Without it,
+/// a few lines that refer to each other several times would take hours to evaluate.
 const MAX_STEPS: u32 = 100_000;
 
-/// The value of a file that fits the definitions, or all that is wrong with it.
+/// Evaluates a file and unifies it with the definitions. Returns all errors if it doesn't fit them.
 pub fn evaluate(schema: &[Field], file: &[Field]) -> Result<Value, Vec<ConfigError>> {
     let form = file_form(schema)?;
     let mut evaluator = Evaluator::default();
@@ -29,7 +29,7 @@
     evaluator.finish(value)
 }
 
-/// What every file as a whole must be.
+/// Evaluates the definition that every file must satisfy.
 pub fn file_form(schema: &[Field]) -> Result<Value, Vec<ConfigError>> {
     let mut evaluator = Evaluator::default();
     let root = Scope { fields: schema, outer: None, is_schema: true };
@@ -40,16 +40,16 @@
     evaluator.finish(value)
 }
 
-/// Where names are looked up.
+/// A set of fields in which names are looked up.
 struct Scope<'a> {
     fields: &'a [Field],
     outer: Option<&'a Scope<'a>>,
-    /// What stands in the program's definitions has no place in the file.
+    /// Whether the fields are the program's definitions, whose values have no position in the file.
     is_schema: bool,
 }
 
 impl<'a> Scope<'a> {
-    /// This scope and those around it, from the inside out.
+    /// Returns this scope and the enclosing ones, innermost first.
     fn outwards(&'a self) -> impl Iterator<Item = &'a Scope<'a>> {
         std::iter::successors(Some(self), |scope| scope.outer)
     }
@@ -58,11 +58,11 @@
 #[derive(Default)]
 struct Evaluator {
     errors: Vec<ConfigError>,
-    /// Fields being evaluated, by their address, to find circles.
+    /// Addresses of the fields that are being evaluated, to detect reference cycles.
     in_progress: Vec<*const Field>,
-    /// Values that were named so far.
+    /// Number of values to which references led so far.
     steps: u32,
-    /// Values of the fields that were evaluated.
+    /// Values of the fields that were already evaluated, by their address.
     evaluated: BTreeMap<*const Field, Value>,
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The value of an expression; its structs are closed if it is a definition's.
+    /// Evaluates an expression; its structs are closed if it belongs to a definition.
     fn expr(&mut self, expr: &Expr, scope: &Scope, is_closed: bool) -> Value {
         let span = if scope.is_schema { 0..0 } else { expr.span.clone() };
         let shape = match &expr.node {
@@ -128,7 +128,7 @@
         Value::new(span, Shape::Struct { fields: slots, is_closed })
     }
 
-    /// A field's value, evaluated once.
+    /// Returns a field's value, which is evaluated once.
     fn field(&mut self, field: &Field, scope: &Scope) -> Value {
         let address: *const Field = field;
         if let Some(value) = self.evaluated.get(&address) {
@@ -146,7 +146,7 @@
     }
 
     fn too_many_steps(&mut self, span: Span) -> Value {
-        let message = "the file names its values too many times over";
+        let message = "the file refers to its values too many times";
         if !self.errors.iter().any(|error| error.message == message) {
             let expected = format!("at most {MAX_STEPS} of them");
             self.errors.push(ConfigError::new(span.clone(), message, expected));
@@ -154,7 +154,7 @@
         Value::invalid(span)
     }
 
-    /// The value of a name, followed by names of fields in it.
+    /// Evaluates a reference: a name, followed by names of nested fields.
     fn name(&mut self, names: &[String], scope: &Scope, span: Span) -> Value {
         let first = &names[0];
         self.steps = self.steps.saturating_add(1);
@@ -174,21 +174,21 @@
             return Value::new(span, Shape::Any);
         }
         let message = if self.is_in_progress(first, scope) {
-            format!("{first} is named by its own value")
+            format!("{first} refers to itself")
         } else {
-            format!("{first} names nothing")
+            format!("{first} is not defined")
         };
-        self.errors.push(ConfigError::new(span.clone(), message, "a field or a definition that is in reach"));
+        self.errors.push(ConfigError::new(span.clone(), message, "a field or a definition that is in scope"));
         Value::invalid(span)
     }
 
-    /// The value of the fields of a name in one scope, if there are some.
+    /// Returns the unified value of the fields of that name in one scope, or `None` if there are none.
     fn name_in(&mut self, name: &str, scope: &Scope) -> Option<Value> {
         let mut unified: Option<Value> = None;
         for field in scope.fields.iter().filter(|field| field.name == name) {
             let address: *const Field = field;
             if self.in_progress.contains(&address) {
-                // A field whose value is its own name means the one further out.
+                // In `x: x`, the value refers to the `x` of an enclosing scope.
                 continue;
             }
             let value = self.field(field, scope);
@@ -200,7 +200,7 @@
         unified
     }
 
-    /// Whether a field of that name, in reach, is being evaluated.
+    /// Returns whether a field of that name in this or an enclosing scope is being evaluated.
     fn is_in_progress(&self, name: &str, scope: &Scope) -> bool {
         let mut fields = scope.outwards().flat_map(|scope| scope.fields);
         fields.any(|field| field.name == name && self.in_progress.contains(&std::ptr::from_ref(field)))
@@ -214,8 +214,8 @@
                 _ => None,
             };
             let Some((_, slot)) = slot else {
-                let message = format!("it has no field {name}");
-                self.errors.push(ConfigError::new(span.clone(), message, "its fields"));
+                let message = format!("the value has no field {name}");
+                self.errors.push(ConfigError::new(span.clone(), message, "one of its fields"));
                 return Value::invalid(span);
             };
             value = Value::new(span.clone(), slot.value.shape.clone());
@@ -224,7 +224,7 @@
     }
 }
 
-/// A value that is limited by a bound; the bound's literal says of which type it is.
+/// Returns the shape of a value within a bound; the bound's literal determines its type.
 fn bound(comparison: Comparison, literal: &Literal) -> Shape {
     let value_type = match literal {
         Literal::Int(_) | Literal::Float(_) => Some(ValueType::Number),
@@ -236,7 +236,7 @@
     Shape::Limited(value_type, vec![(comparison, literal.clone())])
 }
 
-/// How many values a value holds, itself included, counted no further than matters.
+/// Returns the number of values that a value holds, itself included. The count saturates.
 fn size(value: &Value) -> u32 {
     let sum = |sizes: &mut dyn Iterator<Item = u32>| sizes.fold(1, u32::saturating_add);
     match &value.shape {
--- a/crates/config-language/src/export.rs
+++ b/crates/config-language/src/export.rs
@@ -1,4 +1,4 @@
-//! Values as JSON, with the place of each in the file.
+//! Converts values to JSON, and records the position of each in the file.
 
 use std::collections::HashMap;
 
@@ -11,10 +11,10 @@
 use crate::span::Span;
 use crate::value::{Shape, Slot, Value};
 
-/// Where each value stands in the file, by its path (`router.classes[0].name`).
+/// The position of each value in the file, by its path (such as `router.tracks[0].name`).
 pub type Places = HashMap<String, Span>;
 
-/// The value as JSON, or an error for each place where something is still open.
+/// Converts a value to JSON. Returns an error for each value that is missing or not concrete.
 pub fn export(value: &Value) -> Result<(Json, Places), Vec<ConfigError>> {
     let mut exporter = Exporter { places: Places::new(), errors: vec![] };
     let json = exporter.value(value, "", &value.span);
@@ -25,7 +25,7 @@
     }
 }
 
-/// Stands for a missing value until its field's name is known.
+/// Message for a missing value until the name of its field is known.
 const MISSING: &str = "a value is missing";
 
 struct Exporter {
@@ -34,7 +34,7 @@
 }
 
 impl Exporter {
-    /// `around` is where the struct or list stands that holds the value.
+    /// Converts a value; `around` is the position of the struct or list that holds it.
     fn value(&mut self, value: &Value, path: &str, around: &Span) -> Json {
         self.places.insert(path.to_string(), value.span.clone());
         match &value.shape {
@@ -64,7 +64,7 @@
             let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
             let first_error = self.errors.len();
             let json = self.value(&slot.value, &path, span);
-            // What is missing is reported where it should stand, with its name.
+            // A missing value is reported with its field's name, at the struct that lacks it.
             let new_errors = self.errors[first_error..].iter_mut();
             for error in new_errors.filter(|error| error.message == MISSING) {
                 error.message = format!("{name} has no value");
--- a/crates/config-language/src/lexer.rs
+++ b/crates/config-language/src/lexer.rs
@@ -13,31 +13,32 @@
 /// A token.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Token {
-    /// A name, with the # or _ that it may begin with.
+    /// A name, including a leading `#` or `_`.
     Name(String),
     Literal(Literal),
-    /// One of the signs and operators.
+    /// A punctuation mark or operator.
     Sign(&'static str),
-    /// The end of a line, which ends a field as a comma does.
+    /// The end of a line, which separates fields like a comma.
     LineEnd,
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// Signs and operators; one that begins with another comes first.
+/// Punctuation and operators. One that begins with another stands before it, because the first match is taken.
 const SIGNS: [&str; 20] = [
     "...", ">=", "<=", "!=", "==", "{", "}", "[", "]", "(", ")", ":", ",", "?", "&", "|", "*", ">", "<", ".",
 ];
 
-/// A unit's name and how many microseconds or bytes it has.
+/// A unit's name and its size in microseconds or bytes.
 type Unit = (&'static str, f64);
 
 const TIME_UNITS: [Unit; 5] = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("m", 6e7), ("h", 3.6e9)];
 const SIZE_UNITS: [Unit; 4] = [("B", 1.0), ("KiB", 1024.0), ("MiB", 1048576.0), ("GiB", 1073741824.0)];
-/// Times and sizes are below this, so that a float holds them to the last digit (2^53 is above it).
+/// Exclusive limit of durations (microseconds) and sizes (bytes). It is below 2^53, so that a float represents each
+/// value exactly.
 const MAX_SCALED: f64 = 9e15;
 
-/// Why a text is no token, though it begins like one.
+/// Why a text that begins like a token is invalid.
 struct TokenError {
     message: String,
     expected: &'static str,
@@ -49,7 +50,7 @@
     Err(TokenError { message, expected })
 }
 
-/// All tokens with their places, or an error for all that is none.
+/// Splits a text into tokens with their positions, or returns an error for each invalid part.
 pub fn tokens(text: &str) -> Result<Vec<(Token, Span)>, Vec<ConfigError>> {
     let mut input = LocatingSlice::new(text);
     let mut tokens = Vec::new();
@@ -79,7 +80,7 @@
     let character: ModalResult<char> = any.parse_next(input);
     let character = character.unwrap_or(' ');
     let span = start..start + character.len_utf8();
-    ConfigError::new(span, format!("{character:?} means nothing here"), "a name or a value")
+    ConfigError::new(span, format!("unexpected character {character:?}"), "a name or a value")
 }
 
 fn skip_blanks_and_comments(input: &mut Input) {
@@ -135,10 +136,10 @@
                 Some(escaped @ ('"' | '\\')) => text.push(escaped),
                 other => {
                     let escape = other.map_or(String::new(), |c| c.to_string());
-                    return Ok(token_error(format!("\\{escape} is no escape"), r#"\n, \t, \" or \\"#));
+                    return Ok(token_error(format!("unknown escape \\{escape}"), r#"\n, \t, \" or \\"#));
                 }
             },
-            Some('\n') | None => return Ok(token_error("the text has no end".into(), "a closing \"")),
+            Some('\n') | None => return Ok(token_error("the text is not closed".into(), "a closing \"")),
             Some(character) => text.push(character),
         }
     }
@@ -170,10 +171,11 @@
     })
 }
 
-/// A time or a size; `integer` is the number's whole part as the file has it.
+/// Returns a duration or a size. `integer` is the whole part of the number as the file writes it.
 fn with_unit(value: f64, integer: &str, unit: &str) -> Lexed {
     let factor_in = |units: &[Unit]| units.iter().find(|(name, _)| *name == unit).map(|(_, factor)| *factor);
-    let too_large = || token_error(format!("{integer}{unit} is too large"), "a value that can be counted");
+    let too_large =
+        || token_error(format!("{integer}{unit} is too large"), "a value below 9e15 microseconds or bytes");
     if let Some(micros) = factor_in(&TIME_UNITS) {
         return scale(value, micros)
             .map_or_else(too_large, |micros| Ok(Token::Literal(Literal::Duration(micros))));
@@ -181,7 +183,7 @@
     if let Some(bytes) = factor_in(&SIZE_UNITS) {
         return scale(value, bytes).map_or_else(too_large, |bytes| Ok(Token::Literal(Literal::Size(bytes))));
     }
-    token_error(format!("{unit} is no unit"), "us, ms, s, m, h, B, KiB, MiB, GiB or %")
+    token_error(format!("unknown unit {unit}"), "us, ms, s, m, h, B, KiB, MiB, GiB or %")
 }
 
 fn scale(value: f64, factor: f64) -> Option<i64> {
@@ -189,7 +191,7 @@
     (scaled.abs() < MAX_SCALED).then_some(scaled as i64)
 }
 
-/// Digits, which underscores may group.
+/// Parses digits, which may be grouped by underscores.
 fn digits<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
     (digit1, take_while(0.., |c: char| c.is_ascii_digit() || c == '_')).take().parse_next(input)
 }
--- a/crates/config-language/src/lib.rs
+++ b/crates/config-language/src/lib.rs
@@ -1,9 +1,8 @@
-//! The language of the files that the program is configured by: typed records, a stated subset of CUE
-//! (`docs/records.md` has the grammar). A file is checked as a whole, against the program's own definitions, before
-//! anything starts.
+//! The configuration language: a subset of CUE (`docs/records.md` has the grammar). A file is checked as a whole against
+//! the program's own definitions before anything starts.
 //!
-//! [`read`] takes the text of a file to a [`File`] of typed records, or to all of its [`ConfigErrors`] at once, each with
-//! its place and what was expected there. The definitions are written in the same language: [`SCHEMA`].
+//! [`read`] converts the text of a file to a [`File`] of typed records, or returns all of its errors at once as
+//! [`ConfigErrors`], each with its position and what was expected there. The definitions are written in the same language: [`SCHEMA`].
 
 #![warn(missing_docs)]
 
@@ -28,24 +27,24 @@
 pub use error::{ConfigError, ConfigErrors};
 pub use records::File;
 
-/// The program's own definitions, which every file may name.
+/// The program's own definitions, to which every file may refer.
 pub const SCHEMA: &str = include_str!("schema.cue");
-/// What errors call the definitions.
+/// File name of the definitions in error messages.
 const SCHEMA_NAME: &str = "schema.cue";
 
-/// Prints a file as text, which [`read`] reads again. Fails only if the definitions are wrong.
+/// Prints a file as text that [`read`] accepts. Fails only if the definitions are invalid.
 pub fn print(file: &File) -> Result<String, ConfigErrors> {
     let schema_errors = |errors| ConfigErrors::new(SCHEMA_NAME, SCHEMA, errors);
     let schema = parser::parse(SCHEMA).map_err(schema_errors)?;
     let form = evaluator::file_form(&schema).map_err(schema_errors)?;
     let json = serde_json::to_value(file).unwrap_or_default();
     let text = printer::print(&json, &form);
-    // The outermost braces are the file's own.
+    // A file has no braces around its fields.
     let fields = text.trim_start_matches('{').strip_suffix('}').unwrap_or("");
     Ok(format!("{fields}\n"))
 }
 
-/// Reads, checks and types a file. Errors call it `file_name`.
+/// Parses and validates a file and converts it to typed records. Error messages name it `file_name`.
 pub fn read(file_name: &str, text: &str) -> Result<File, ConfigErrors> {
     let file_errors = |errors: Vec<ConfigError>| ConfigErrors::new(file_name, text, errors);
     let schema = parser::parse(SCHEMA).map_err(file_errors)?;
--- a/crates/config-language/src/literal.rs
+++ b/crates/config-language/src/literal.rs
@@ -1,6 +1,6 @@
-//! Values as they are written out.
+//! Concrete values.
 
-/// A value written out.
+/// A concrete value as a file writes it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Literal {
     Null,
--- a/crates/config-language/src/parser.rs
+++ b/crates/config-language/src/parser.rs
@@ -1,4 +1,4 @@
-//! Parses the text of a file to a syntax tree.
+//! Parses the text of a file into a syntax tree.
 
 use crate::ast::{Comparison, Expr, Field, Node};
 use crate::error::ConfigError;
@@ -6,10 +6,10 @@
 use crate::literal::Literal;
 use crate::span::Span;
 
-/// How deep expressions may be nested; more is a mistake or an attack on the stack.
+/// Maximum nesting of expressions. A deeper file is a mistake or an attempt to overflow the stack.
 const MAX_DEPTH: u32 = 64;
 
-/// Operators of bounds; one that begins with another comes first.
+/// Operators of bounds, those of two characters first.
 const COMPARISONS: [Comparison; 5] = [
     Comparison::GreaterOrEqual,
     Comparison::LessOrEqual,
@@ -18,7 +18,7 @@
     Comparison::Less,
 ];
 
-/// The fields of a file; else the first error, or all that are no tokens.
+/// Parses the fields of a file. Returns all errors of the lexer, or the first syntax error.
 pub fn parse(text: &str) -> Result<Vec<Field>, Vec<ConfigError>> {
     let mut parser = Parser { tokens: tokens(text)?, position: 0, text_length: text.len(), depth: 0 };
     parser.fields(None).map_err(|error| vec![error])
@@ -39,13 +39,13 @@
         self.tokens.get(self.position).map(|(token, _)| token)
     }
 
-    /// Where the next token stands.
+    /// Returns the position of the next token.
     fn span(&self) -> Span {
         let end = self.text_length..self.text_length;
         self.tokens.get(self.position).map_or(end, |(_, span)| span.clone())
     }
 
-    /// From a byte to the end of the last token that was taken.
+    /// Returns the range from a byte to the end of the last token that was consumed.
     fn span_since(&self, start: usize) -> Span {
         start..self.tokens[self.position - 1].1.end
     }
@@ -54,7 +54,7 @@
         matches!(self.peek(), Some(Token::Sign(next)) if *next == sign)
     }
 
-    /// Takes a sign if it is next.
+    /// Consumes a sign if it is the next token, and returns whether it was.
     fn take(&mut self, sign: &str) -> bool {
         let is_next = self.is_next(sign);
         self.position += usize::from(is_next);
@@ -69,16 +69,16 @@
 
     fn unexpected<T>(&self, expected: &str) -> Parsed<T> {
         let found = match self.peek() {
-            None => "the end of the file".into(),
-            Some(Token::LineEnd) => "the end of the line".into(),
-            Some(Token::Name(name)) => format!("the name {name}"),
+            None => "end of file".into(),
+            Some(Token::LineEnd) => "end of line".into(),
+            Some(Token::Name(name)) => format!("name {name}"),
             Some(Token::Sign(sign)) => format!("`{sign}`"),
-            Some(Token::Literal(_)) => "a value".into(),
+            Some(Token::Literal(_)) => "value".into(),
         };
-        Err(ConfigError::new(self.span(), format!("{found} stands here"), expected))
+        Err(ConfigError::new(self.span(), format!("unexpected {found}"), expected))
     }
 
-    /// Fields up to the closing sign, or to the end of the file.
+    /// Parses fields up to the closing sign or, without one, to the end of the file.
     fn fields(&mut self, closing: Option<&str>) -> Parsed<Vec<Field>> {
         let mut fields = Vec::new();
         loop {
@@ -112,11 +112,11 @@
         Ok(Field { name, span, is_optional, value })
     }
 
-    /// An expression: alternatives between `|`.
+    /// Parses an expression: alternatives separated by `|`.
     fn alternatives(&mut self) -> Parsed<Expr> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            let message = "values stand in each other too deep";
+            let message = "values are nested too deep";
             return Err(ConfigError::new(self.span(), message, format!("at most {MAX_DEPTH} levels")));
         }
         self.skip_line_ends();
@@ -133,13 +133,13 @@
         Ok(Expr { span: self.span_since(start), node: Node::Or(alternatives) })
     }
 
-    /// One alternative, and whether it is marked as the default.
+    /// Parses one alternative, and returns whether it is marked as a default.
     fn alternative(&mut self) -> Parsed<(bool, Expr)> {
         let is_default = self.take("*");
         Ok((is_default, self.conjunction()?))
     }
 
-    /// Takes an operator, also from the start of the next line.
+    /// Consumes an operator, which may also stand at the start of a following line.
     fn take_operator(&mut self, sign: &str) -> bool {
         let position = self.position;
         self.skip_line_ends();
@@ -151,7 +151,7 @@
         false
     }
 
-    /// Terms between `&`.
+    /// Parses terms separated by `&`.
     fn conjunction(&mut self) -> Parsed<Expr> {
         let start = self.span().start;
         let mut terms = vec![self.term()?];
@@ -169,7 +169,7 @@
         let comparison = COMPARISONS.into_iter().find(|comparison| self.take(comparison.sign()));
         if let Some(comparison) = comparison {
             let Some(Token::Literal(literal)) = self.peek().cloned() else {
-                return self.unexpected("a value after the bound's sign");
+                return self.unexpected("a value after the operator of a bound");
             };
             self.position += 1;
             return Ok(Expr { span: self.span_since(start), node: Node::Bound(comparison, literal) });
@@ -207,7 +207,7 @@
         Ok(inner)
     }
 
-    /// A name, and those that follow behind points.
+    /// Parses the rest of a reference after its first name: further names, each after a dot.
     fn rest_of_path(&mut self, first: String) -> Parsed<Vec<String>> {
         let mut names = vec![first];
         while self.take(".") {
@@ -220,7 +220,7 @@
         Ok(names)
     }
 
-    /// A list behind its opening bracket.
+    /// Parses a list after its opening bracket.
     fn list(&mut self, start: usize) -> Parsed<Expr> {
         let mut items = Vec::new();
         let mut rest = None;
@@ -245,7 +245,7 @@
         Ok(Expr { span: self.span_since(start), node: Node::List(items, rest) })
     }
 
-    /// What further elements must be, behind `...`: anything, unless it is said.
+    /// Parses the constraint on further elements after `...`; without one, they may be anything.
     fn rest_of_list(&mut self) -> Parsed<Expr> {
         if self.is_next("]") || self.is_next(",") || self.peek() == Some(&Token::LineEnd) {
             return Ok(Expr { span: self.span(), node: Node::Name(vec!["_".into()]) });
--- a/crates/config-language/src/printer.rs
+++ b/crates/config-language/src/printer.rs
@@ -1,11 +1,11 @@
-//! JSON as text of the language.
+//! Prints JSON in the configuration language.
 
 use serde_json::Value as Json;
 
 use crate::value::{Shape, Value};
 use crate::value_type::ValueType;
 
-/// Prints JSON that fits a form, with the units that the form asks for. Null fields are left out.
+/// Prints JSON that fits a form, with the units that the form requires. Null fields are left out.
 pub fn print(json: &Json, form: &Value) -> String {
     if let Shape::Or(alternatives) = &form.shape {
         return print(json, fitting_alternative(json, alternatives));
@@ -31,7 +31,7 @@
     }
 }
 
-/// The unit in which the program counts values of a form.
+/// Returns the unit of the program's integers for values of a form.
 fn unit(form: &Value) -> &'static str {
     match &form.shape {
         Shape::Limited(Some(ValueType::Duration), _) => "us",
@@ -40,7 +40,8 @@
     }
 }
 
-/// The alternative that has the value's shape: all of its fields, or a type and not a value written out.
+/// Returns the alternative of the value's shape: a struct that has all of its fields, a list without a fixed length, or a
+/// type rather than a literal. Falls back to the first alternative.
 fn fitting_alternative<'a>(json: &Json, alternatives: &'a [(bool, Value)]) -> &'a Value {
     let fits = |alternative: &&Value| match (json, &alternative.shape) {
         (Json::Object(map), Shape::Struct { fields, .. }) => {
--- a/crates/config-language/src/records.rs
+++ b/crates/config-language/src/records.rs
@@ -1,5 +1,5 @@
-//! The records of a file, as they are used after it was checked. Durations are microseconds, sizes bytes. The keys of
-//! files are the names of the fields, or what serde renames them to.
+//! The typed records of a configuration file that passed validation. Durations are in microseconds, sizes in bytes.
+//! A field whose key in files differs from its name carries the key in a serde `rename` attribute.
 
 use serde::{Deserialize, Serialize};
 
@@ -22,18 +22,18 @@
 pub use scenario::{Expectations, Scenario, ScenarioLoad, WorkerGroup};
 pub use worker::{Worker, WorkerCapacity, WorkerFault};
 
-/// The parts of a file, each of them optional.
+/// A configuration file. Each part is optional; each command uses its own part.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct File {
-    /// One router process.
+    /// The configuration of one router process.
     pub router: Option<Router>,
-    /// One emulated worker.
+    /// The configuration of one emulated worker.
     pub worker: Option<Worker>,
-    /// Discovery.
+    /// The configuration of emulated discovery.
     pub list: Option<Discovery>,
-    /// A relay between the processes of a scenario.
+    /// The configuration of a relay between the processes of a scenario.
     pub relay: Option<Relay>,
-    /// Clients.
+    /// The configuration of the client load.
     pub load: Option<Load>,
     /// A scenario.
     pub day: Option<Scenario>,
--- a/crates/config-language/src/records/discovery.rs
+++ b/crates/config-language/src/records/discovery.rs
@@ -2,26 +2,26 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Discovery.
+/// Configuration of emulated discovery, which sends the endpoint list to routers.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Discovery {
-    /// Its address.
+    /// The address on which it listens.
     pub listen: String,
-    /// How late its updates are.
+    /// Delay of each update.
     pub lag: u64,
-    /// Periods in which they are later.
+    /// Periods with another delay of updates.
     #[serde(rename = "late")]
     pub delays: Vec<DiscoveryDelay>,
 }
 
-/// A period in which updates of discovery are late.
+/// A period in which discovery delays its updates by another time than usual.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DiscoveryDelay {
-    /// When it begins.
+    /// Start of the period, from the start of the run.
     pub at: u64,
-    /// How long it lasts.
+    /// Length of the period.
     #[serde(rename = "for")]
     pub duration: u64,
-    /// How late updates are.
+    /// Delay of updates within the period.
     pub lag: u64,
 }
--- a/crates/config-language/src/records/fault.rs
+++ b/crates/config-language/src/records/fault.rs
@@ -2,91 +2,92 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A scripted fault of a scenario. Which fields it has follows from `act`.
+/// A scheduled fault of a scenario. `kind` determines which of the other fields are set.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ScenarioFault {
-    /// When it begins.
+    /// Start of the fault, from the start of the scenario.
     pub at: u64,
-    /// What it is.
+    /// The kind of fault, such as `kill`, `cut`, `slow` or `burst`.
     #[serde(rename = "do")]
     pub kind: String,
-    /// The processes or tenants that it meets.
+    /// The processes that the fault affects; for `remove`, the tenants that are removed.
     #[serde(rename = "who", default, skip_serializing_if = "Vec::is_empty")]
     pub targets: Vec<String>,
-    /// How long after a kill the process starts again.
+    /// Time from a `kill` to the restart of the process; without it the process is not restarted.
     #[serde(rename = "back")]
     pub restart_after: Option<u64>,
-    /// How long it lasts.
+    /// Duration of the fault; a worker fault without one lasts to the end.
     #[serde(rename = "for")]
     pub duration: Option<u64>,
-    /// How late updates of discovery are, of `list-late`.
+    /// Delay of discovery updates during `list-late`.
     pub lag: Option<u64>,
-    /// How many times slower, of `slow`; how many times the load, of `burst`.
-    #[serde(rename = "times", default = "once", skip_serializing_if = "is_once")]
+    /// For `slow`, the factor by which the worker's processing times grow; for `burst`, the factor on the load.
+    #[serde(rename = "times", default = "default_factor", skip_serializing_if = "is_default_factor")]
     pub factor: f64,
-    /// The tenant of a burst.
+    /// The tenant whose load a `burst` raises; without it, the load of all clients.
     pub tenant: Option<String>,
-    /// Whether a killed router finds its cached endpoint list.
+    /// Whether a killed router finds its cached endpoint list after the restart.
     #[serde(rename = "keeps")]
     pub keeps_endpoint_cache: Option<bool>,
-    /// One side of a fault on the network.
+    /// Processes on one side of a network fault (`cut` or `delay`).
     #[serde(rename = "between", default, skip_serializing_if = "Vec::is_empty")]
     pub side: Vec<String>,
-    /// The other side.
+    /// Processes on the other side of a network fault.
     #[serde(rename = "and", default, skip_serializing_if = "Vec::is_empty")]
     pub other_side: Vec<String>,
-    /// Which direction it meets: `both`, `there` or `back`.
+    /// Direction of traffic that a network fault affects: `both`, `there` (from `between` to `and`) or `back`.
     #[serde(rename = "way")]
     pub direction: Option<String>,
-    /// What a cut does: `silent` or `reset`.
+    /// Effect of a `cut`: `silent` (connections stay open, nothing passes) or `reset` (connections are reset).
     #[serde(rename = "how")]
     pub cut_kind: Option<String>,
-    /// Added latency.
+    /// Latency that a `delay` adds.
     pub delay: Option<u64>,
-    /// Random part of the added latency.
+    /// Largest random addition to the latency of a `delay`.
     pub jitter: Option<u64>,
-    /// The part of packets that is lost and sent again.
+    /// Share of packets that a `delay` loses; they are sent again later.
     pub loss: Option<f64>,
-    /// How many times as fast a clock runs.
+    /// Speed of a clock, relative to real time.
     #[serde(rename = "rate")]
     pub clock_rate: Option<f64>,
-    /// How far ahead a process that starts meanwhile finds its clock.
+    /// Time by which the clock of a process that starts during the fault is ahead.
     #[serde(rename = "ahead")]
     pub clock_ahead: Option<u64>,
-    /// How far back it finds it.
+    /// Time by which the clock of a process that starts during the fault is behind.
     #[serde(rename = "behind")]
     pub clock_behind: Option<u64>,
 }
 
-/// Random faults.
+/// Faults that are generated from a seed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RandomFaults {
-    /// How many.
+    /// Number of faults.
     #[serde(rename = "draw")]
     pub count: usize,
-    /// Their seed.
+    /// Seed of the generator.
     pub seed: u64,
-    /// When the first may begin.
+    /// Earliest start of a fault.
     pub from: u64,
-    /// When all have ended.
+    /// Time by which all faults have ended; without it, the end of the load.
     pub until: Option<u64>,
-    /// How long one lasts at most.
+    /// Longest duration of a fault.
     #[serde(rename = "longest")]
     pub max_duration: u64,
 }
 
-/// The default of `times`, which is not printed.
-fn once() -> f64 {
+/// Returns the default of `ScenarioFault::factor`, which is left out of printed files.
+fn default_factor() -> f64 {
     1.0
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde calls it so")]
-fn is_once(times: &f64) -> bool {
-    *times == once()
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde passes the field by reference")]
+fn is_default_factor(factor: &f64) -> bool {
+    *factor == default_factor()
 }
 
 impl ScenarioFault {
-    /// Whether it is done to processes from outside: routers can be met too, and several of a group at once.
+    /// Returns whether the scenario player applies the fault to the process (`kill`, `halt`, `clock`) rather than the
+    /// worker's own script. Such a fault can also target routers, and several processes of a group by one name.
     pub fn from_outside(&self) -> bool {
         ["kill", "halt", "clock"].contains(&self.kind.as_str())
     }
--- a/crates/config-language/src/records/relay.rs
+++ b/crates/config-language/src/records/relay.rs
@@ -10,7 +10,7 @@
     pub listeners: Vec<RelayListener>,
     /// Listeners for datagrams.
     pub datagrams: Vec<RelayListener>,
-    /// Faults on the way.
+    /// Network faults; listeners refer to them by index.
     pub faults: Vec<RelayFault>,
     /// Seed of its random number generator.
     pub seed: u64,
@@ -19,32 +19,32 @@
 /// A listener of a relay.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RelayListener {
-    /// Its address.
+    /// The address on which it listens.
     pub listen: String,
     /// The address to which it forwards.
     pub to: String,
-    /// Indexes of the faults that meet what it forwards.
+    /// Indices into `Relay::faults` of the faults that affect its traffic.
     pub faults: Vec<usize>,
 }
 
-/// A fault on the way through a relay.
+/// A network fault in a relay.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RelayFault {
-    /// When it begins.
+    /// Start of the fault, from the start of the scenario.
     pub at: u64,
-    /// How long it lasts.
+    /// Duration of the fault.
     #[serde(rename = "for")]
     pub duration: u64,
-    /// Which direction it meets, seen from who connects: `both`, `there` or `back`.
+    /// Affected direction, seen from the side that connects: `both`, `there` or `back`.
     #[serde(rename = "way")]
     pub direction: String,
-    /// What it does: `silent`, `reset` or `late`.
+    /// Effect: `silent` (drops all traffic), `reset` (resets connections) or `late` (adds latency).
     #[serde(rename = "how")]
     pub kind: String,
-    /// Added latency.
+    /// Latency that `late` adds.
     pub delay: u64,
-    /// Random part of the added latency.
+    /// Largest random addition to the latency.
     pub jitter: u64,
-    /// The part of packets that is lost and sent again.
+    /// Share of packets that `late` loses; they are sent again later.
     pub loss: f64,
 }
--- a/crates/config-language/src/records/router.rs
+++ b/crates/config-language/src/records/router.rs
@@ -1,8 +1,8 @@
-//! One router process.
+//! The configuration of one router process.
 
 use serde::{Deserialize, Serialize};
 
-/// One router process.
+/// Configuration of one router process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Router {
     /// Its name.
@@ -19,7 +19,7 @@
     pub endpoint_cache: Option<String>,
     /// Seed of its random number generator.
     pub seed: Option<u64>,
-    /// Threads that each run a router behind the same address.
+    /// Number of threads; each runs a router of its own behind the same address.
     pub cores: u32,
     /// Request classes.
     #[serde(rename = "tracks")]
@@ -29,7 +29,7 @@
     /// Settings of the scheduler and limits of the process.
     #[serde(rename = "terms")]
     pub settings: SchedulerSettings,
-    /// Tenants; with none anybody may send requests.
+    /// Tenants; if there are none, clients need no key.
     pub tenants: Vec<Tenant>,
     /// The administration API.
     pub admin: Option<AdminConfig>,
@@ -45,7 +45,7 @@
     pub name: String,
     /// The address on which it receives gossip messages.
     pub listen: String,
-    /// Addresses of some members.
+    /// Addresses of some members, through which the router joins; may include its own.
     pub seeds: Vec<String>,
     /// The key of message authentication, as 64 hexadecimal digits.
     pub key: String,
@@ -54,11 +54,11 @@
 /// The administration API.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AdminConfig {
-    /// Its address.
+    /// The address on which it listens.
     pub listen: String,
     /// The file of its tenant store.
     pub store: String,
-    /// Who may use it.
+    /// Keys that permit the use of the API.
     pub keys: Vec<AdminKey>,
 }
 
@@ -69,11 +69,11 @@
     pub name: String,
     /// The BLAKE3 of the key, as 64 hexadecimal digits.
     pub key: String,
-    /// What it permits: `view`, `operate` or `own`.
+    /// What the key permits: `view` (reading), `operate` (also changes to tenants) or `own` (also snapshots).
     pub role: String,
 }
 
-/// A tenant. Limits hold for all routers together.
+/// A tenant. The limits apply to all routers together; each router enforces its share.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Tenant {
     /// Its name.
@@ -82,22 +82,22 @@
     pub key: String,
     /// Its weight in fair queueing.
     pub weight: f64,
-    /// Requests a second; none for no limit.
+    /// Request rate limit; without it, unlimited.
     #[serde(rename = "submissions")]
     pub requests_per_second: Option<f64>,
-    /// Burst of requests.
+    /// Number of requests that may arrive at once within the rate limit.
     #[serde(rename = "submissions_once")]
     pub request_burst: f64,
-    /// Prompt tokens a second; none for no limit.
+    /// Rate limit of prompt tokens; without it, unlimited.
     #[serde(rename = "tokens")]
     pub tokens_per_second: Option<f64>,
-    /// Burst of prompt tokens.
+    /// Number of prompt tokens that may arrive at once within the rate limit.
     #[serde(rename = "tokens_once")]
     pub token_burst: f64,
-    /// Requests in flight; none for no limit.
+    /// Maximum number of requests in flight; without it, unlimited.
     #[serde(rename = "in_flight")]
     pub max_in_flight: Option<u32>,
-    /// Requests that may wait to be admitted.
+    /// Maximum number of requests that wait for admission.
     #[serde(rename = "waiting")]
     pub max_waiting: u32,
 }
@@ -128,20 +128,20 @@
     /// Its priority weight.
     #[serde(rename = "earnings")]
     pub priority_weight: f64,
-    /// The part of the priority weight that a late response still counts.
+    /// Share of the priority weight that a response after its latency objective still counts.
     #[serde(rename = "late")]
     pub late_weight: f64,
 }
 
-/// What a worker does.
+/// The role of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Prefills.
+    /// Prefill only.
     Reader,
-    /// Decodes.
+    /// Decode only.
     Writer,
-    /// Both.
+    /// Prefill and decode.
     Mixed,
 }
 
@@ -150,37 +150,37 @@
 pub struct WorkerKind {
     /// Its name.
     pub name: String,
-    /// What its workers do.
+    /// The role of its workers.
     pub role: Role,
 }
 
 /// Settings of the scheduler, and limits of the process.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SchedulerSettings {
-    /// Routers that share the load.
+    /// Number of routers that share the load.
     pub routers: u32,
-    /// Whether decode reservations are made ahead.
+    /// Whether a decode slot is reserved before the prefill starts.
     #[serde(rename = "places")]
     pub reservations: bool,
     /// Whether decode workers can prefill.
     #[serde(rename = "writers_read")]
     pub decode_workers_prefill: bool,
-    /// How long KV state may be held with no attempt in flight.
+    /// Longest time for which a worker may hold KV state while no attempt for it is in flight.
     #[serde(rename = "release")]
     pub state_release_timeout: u64,
-    /// The part of its share that a worker that is warming up gets.
+    /// Share of its usual load that a worker gets while it warms up.
     #[serde(rename = "cold_share")]
     pub slow_start_share: f64,
     /// How long a worker warms up.
     #[serde(rename = "warm_after")]
     pub warm_up: u64,
-    /// How many times slower than before a worker counts as overloaded.
+    /// Factor of slowdown from which a worker counts as overloaded.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// How long it takes to tell that a worker is overloaded.
+    /// Period over which overload of a worker is measured.
     #[serde(rename = "fall_span")]
     pub overload_window: u64,
-    /// Attempts a request at most.
+    /// Maximum number of attempts per request.
     #[serde(rename = "most_shots")]
     pub max_attempts: u16,
     /// Whether attempts can be cancelled.
@@ -189,10 +189,10 @@
     /// Whether workers are health-checked.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// Whether prefill workers are asked for their load before a prefill is sent.
+    /// Whether routers request a load report from prefill workers before they dispatch a prefill.
     #[serde(rename = "asks")]
     pub load_reports: bool,
-    /// How long a request may wait to be admitted.
+    /// Longest time for which a tenant's request waits for admission.
     #[serde(rename = "longest_wait")]
     pub max_queue_time: u64,
     /// Whether rejections carry Retry-After.
@@ -201,24 +201,24 @@
     /// The longest Retry-After.
     #[serde(rename = "longest_advice")]
     pub max_retry_after: u64,
-    /// How long a worker that drains or is removed may still get something new.
+    /// Time after a worker drains or is removed in which it may still get new requests.
     pub drain_grace: u64,
-    /// The timeout of connections and health checks.
+    /// Timeout of connection attempts and health checks.
     #[serde(rename = "unheard")]
     pub connect_timeout: u64,
     /// The time that a response needs on its way to the client.
     #[serde(rename = "travel")]
     pub network_delay: u64,
-    /// Tokens of a stream in flight before its client has taken them.
+    /// Tokens of a stream that may be in flight before the client acknowledges them.
     #[serde(rename = "window")]
     pub stream_window_tokens: u32,
-    /// Open requests at most.
+    /// Maximum number of open requests.
     #[serde(rename = "most_open")]
     pub max_open_requests: usize,
-    /// Open requests of one client at most.
+    /// Maximum number of open requests per client.
     #[serde(rename = "most_a_client")]
     pub max_requests_per_client: usize,
-    /// Clients at most.
+    /// Maximum number of client connections.
     #[serde(rename = "most_clients")]
     pub max_clients: usize,
 }
--- a/crates/config-language/src/records/scenario.rs
+++ b/crates/config-language/src/records/scenario.rs
@@ -9,25 +9,25 @@
 /// A scenario: scripted load and faults on a whole deployment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Scenario {
-    /// What it is for.
+    /// Purpose of the scenario, for readers.
     pub note: String,
     /// Seed of all its random numbers.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Threads of each router.
+    /// Number of threads per router.
     pub cores: u32,
-    /// Whether routers form a cluster.
+    /// Whether the routers form a cluster by the membership protocol.
     pub membership: bool,
-    /// Cells.
+    /// Number of cells.
     pub cells: u16,
-    /// Zones.
+    /// Number of zones.
     pub zones: u8,
     /// Worker kinds.
     pub kinds: Vec<WorkerKind>,
     /// Tenants.
     pub tenants: Vec<Tenant>,
-    /// Whether routers know the tenants; without, the scenario is the baseline.
+    /// Whether routers know the tenants; a run without serves as the baseline.
     #[serde(rename = "shares")]
     pub routers_know_tenants: bool,
     /// Groups of workers.
@@ -39,87 +39,87 @@
     /// Settings of the routers.
     #[serde(rename = "terms")]
     pub settings: SchedulerSettings,
-    /// How late updates of discovery are.
+    /// Delay of discovery updates.
     pub lag: u64,
-    /// The load.
+    /// The client load.
     pub load: ScenarioLoad,
-    /// Scripted faults.
+    /// Faults at set times.
     #[serde(rename = "troubles")]
     pub scheduled_faults: Vec<ScenarioFault>,
-    /// Random faults.
+    /// Additional faults that are generated from a seed.
     #[serde(rename = "faults")]
     pub random_faults: Option<RandomFaults>,
-    /// What it must show.
+    /// Results that the run must reach.
     pub expect: Expectations,
 }
 
 /// The load of a scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ScenarioLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests come.
+    /// Period during which requests are sent.
     #[serde(rename = "for")]
     pub duration: u64,
-    /// Client connections.
+    /// Number of clients, each with one connection.
     pub clients: usize,
-    /// What requests are like.
+    /// Kinds of traffic that make up the load.
     pub traffic: Vec<Traffic>,
-    /// Retries by a client at most.
+    /// Maximum number of retries of a request by its client.
     #[serde(rename = "retries")]
     pub max_retries: u32,
-    /// Pause before a retry.
+    /// Minimum pause before a retry.
     #[serde(rename = "retry_wait")]
     pub retry_delay: u64,
-    /// The part of requests whose client disconnects early.
+    /// Share of requests that the client leaves before the response has ended.
     #[serde(rename = "leaves")]
     pub disconnect_share: f64,
-    /// Clients that read slowly.
+    /// Number of clients that read their responses slowly.
     #[serde(rename = "sluggish")]
     pub slow_readers: usize,
-    /// Skewed load.
+    /// Skew of the load between routers; without it the load is even.
     #[serde(rename = "uneven")]
     pub skew: Option<SkewedLoad>,
 }
 
-/// A group of like workers, spread over the cells in turn.
+/// A group of identical workers, assigned to the cells in turn.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerGroup {
-    /// Its name, which the workers' names begin with.
+    /// Name of the group; a worker's name is this and its number.
     pub name: String,
     /// Name of its worker kind.
     pub kind: String,
-    /// Workers.
+    /// Number of workers.
     pub count: usize,
-    /// What each can do.
+    /// Capacity of each worker.
     #[serde(rename = "does")]
     pub capacity: WorkerCapacity,
 }
 
-/// What a scenario must show beside the rules.
+/// Results that a run must reach, in addition to the invariants.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Expectations {
-    /// The part of all priority weight that was served within the latency objective, at least.
+    /// Minimum share of all priority weight that must be served within the latency objective.
     #[serde(rename = "service")]
     pub min_service: f64,
-    /// The part of requests completed in the end, at least.
+    /// Minimum share of requests that must be completed.
     #[serde(rename = "honoured")]
     pub min_completed: f64,
-    /// Bytes of memory that any process held, at most.
+    /// Maximum memory that any process may use, in bytes.
     #[serde(rename = "memory")]
     pub max_memory: u64,
 }
 
 impl Scenario {
-    /// All workers, group by group: name, group, and number within the group.
+    /// Returns all workers, group by group: name, group, and number within the group.
     pub fn workers(&self) -> impl Iterator<Item = (String, &WorkerGroup, usize)> {
         self.worker_groups
             .iter()
             .flat_map(|group| (0..group.count).map(move |n| (format!("{}{n}", group.name), group, n)))
     }
 
-    /// The processes that a name stands for: one, all of a group (`router`, or a worker group's name), or some of one
-    /// (`router10-19`). Empty for a name that stands for none.
+    /// Returns the processes that a name refers to: a single one, all of a group (`router`, or a worker group's name),
+    /// or a range of a group (`router10-19`). Empty if the name matches no process.
     pub fn named(&self, name: &str) -> Vec<String> {
         let worker_groups = self.worker_groups.iter().map(|group| (group.name.as_str(), group.count));
         for (group, count) in worker_groups.chain([("router", self.routers)]) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The same scenario with each process named that a fault from outside meets.
+    /// Returns the scenario with the targets of external faults resolved to the names of single processes.
     pub fn with_names(&self) -> Scenario {
         let mut scenario = self.clone();
         for fault in scenario.scheduled_faults.iter_mut().filter(|fault| fault.from_outside()) {
@@ -144,14 +144,14 @@
         scenario
     }
 
-    /// The names of the routers.
+    /// Returns the names of the routers.
     pub fn router_names(&self) -> impl Iterator<Item = String> {
         (0..self.routers).map(|n| format!("router{n}"))
     }
 }
 
-/// First and last number of `N`, `N-M`, or an empty text for all of a group of `count`; none if that is no range of the
-/// group.
+/// Parses a range of a group of `count`: `N`, `N-M`, or an empty text for the whole group. Returns the first and last
+/// number, or `None` if the text is no range within the group.
 fn number_range(text: &str, count: usize) -> Option<(usize, usize)> {
     let (first, last) = if text.is_empty() {
         (0, count.saturating_sub(1))
--- a/crates/config-language/src/records/worker.rs
+++ b/crates/config-language/src/records/worker.rs
@@ -3,12 +3,12 @@
 use super::router::{Role, SchedulerSettings};
 use serde::{Deserialize, Serialize};
 
-/// One emulated worker.
+/// Configuration of one emulated worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Worker {
     /// Its name.
     pub name: String,
-    /// Its address.
+    /// The address on which it listens.
     pub listen: String,
     /// The address of discovery.
     #[serde(rename = "list")]
@@ -19,47 +19,47 @@
     pub cell: u16,
     /// Its zone.
     pub zone: u8,
-    /// Whether it starts warmed up.
+    /// Whether it is warm from the start, without a slow start.
     pub warm: bool,
-    /// What it can do.
+    /// Its capacity.
     #[serde(rename = "does")]
     pub capacity: WorkerCapacity,
     /// Settings that it shares with the routers.
     #[serde(rename = "terms")]
     pub settings: SchedulerSettings,
-    /// Faults at set times.
+    /// Faults that the worker applies to itself at set times.
     pub script: Vec<WorkerFault>,
 }
 
-/// What a worker can do.
+/// Role and capacity of a worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerCapacity {
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its capacity, relative to others of its kind.
     pub size: f64,
-    /// Prefills in progress at most.
+    /// Maximum number of prefills in progress.
     #[serde(rename = "reads_at_once")]
     pub prefill_slots: usize,
-    /// Prefills that may wait.
+    /// Maximum number of waiting prefills.
     #[serde(rename = "reads_waiting")]
     pub prefill_queue: usize,
-    /// Prompt tokens prefilled a second.
+    /// Prompt tokens that a prefill processes per second.
     #[serde(rename = "read_rate")]
     pub prefill_tokens_per_second: f64,
-    /// Responses being decoded at most.
+    /// Maximum number of responses being decoded.
     #[serde(rename = "streams_at_once")]
     pub decode_slots: usize,
-    /// Decode attempts that may wait.
+    /// Maximum number of waiting decode attempts.
     #[serde(rename = "streams_waiting")]
     pub decode_queue: usize,
     /// Time between two tokens of a response.
     #[serde(rename = "token_gap")]
     pub token_interval: u64,
-    /// Bytes of KV state a token.
+    /// Bytes of KV state per token.
     #[serde(rename = "state_bytes_a_token")]
     pub state_bytes_per_token: u32,
-    /// Prefixes that it caches.
+    /// Maximum number of cached prefixes.
     #[serde(rename = "keeps")]
     pub max_cached_prefixes: usize,
 }
@@ -67,15 +67,15 @@
 /// A fault in a worker's script.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerFault {
-    /// When it begins.
+    /// Start of the fault, from the start of the script.
     pub at: u64,
-    /// What it is.
+    /// The kind of fault, such as `slow` or `drain`.
     #[serde(rename = "do")]
     pub kind: String,
-    /// How long it lasts; without it, to the end.
+    /// Duration of the fault; without it, the fault lasts to the end.
     #[serde(rename = "for")]
     pub duration: Option<u64>,
-    /// How many times slower everything is, of `slow`.
+    /// For `slow`, the factor by which processing times grow.
     #[serde(rename = "times")]
     pub factor: f64,
 }
--- a/crates/config-language/src/schema.cue
+++ b/crates/config-language/src/schema.cue
@@ -1,4 +1,4 @@
-// What the program's files may hold. A file has one or more of these parts; each command takes its own.
+// The parts of a configuration file. A file has one or more of them; each command uses its own part.
 #File: {
 	router?: #Router
 	worker?: #Worker
@@ -8,14 +8,14 @@
 	day?:    #Day
 }
 
-// One router process.
+// Configuration of one router process.
 #Router: {
 	name:   string
 	listen: string
 	list:   string
-	// Serves its figures as text for Prometheus.
+	// The address on which it serves metrics for Prometheus.
 	metrics?: string
-	// Where it keeps the last list, to start with it again.
+	// The file in which it caches the endpoint list, which a restart uses.
 	keep?: string
 	seed?: int & >=0
 	// Threads that each run a router of their own behind the same address.
@@ -23,26 +23,26 @@
 	tracks: [#Track, ...#Track]
 	kinds: [#Kind, ...#Kind]
 	terms: #Terms
-	// Who may use it; with none anybody may, and nobody's share is kept.
+	// Tenants; if there are none, clients need no key and no shares are enforced.
 	tenants: [...#Tenant] | *[]
-	// Tenants are kept in a store and administered while it runs.
+	// The administration API; tenants are then kept in its store.
 	admin?: #Admin
-	// The routers that it knows and that know it; without, it runs alone.
+	// Membership of a cluster of routers; without it, the router runs alone.
 	fleet?: #Fleet
 }
 
-// Routers of one name and key that tell each other by datagrams who is there.
+// Membership of a cluster: routers with the same name and key, which exchange gossip by datagrams.
 #Fleet: {
 	name:   string
-	// Where it hears the others, as they reach it.
+	// The address on which it receives gossip, as other members reach it.
 	listen: string
-	// Where some of them are; its own address may stand among them, so that all can have the same ones.
+	// Addresses of some members. The router's own address may be among them, so that all routers can have the same list.
 	seeds: [string, ...string]
-	// The same for all of the fleet, as 64 hexadecimal digits.
+	// The key of message authentication, the same for all members, as 64 hexadecimal digits.
 	key: string
 }
 
-// The administration API: where it listens, the file of its store, and who may use it.
+// The administration API: its address, the file of its tenant store, and the keys that permit its use.
 #Admin: {
 	listen: string
 	store:  string
@@ -53,40 +53,40 @@
 	name: string
 	// The BLAKE3 of the key, as 64 hexadecimal digits.
 	key:  string
-	// view: read; operate: change tenants too; own: take snapshots too.
+	// view: reading; operate: also changes to tenants; own: also snapshots.
 	role: "view" | "operate" | "own"
 }
 
-// One customer of the service. Limits hold for all routers together; each keeps its part of them.
+// A tenant. Limits apply to all routers together; each router enforces its share.
 #Tenant: {
 	name: string
-	// The BLAKE3 of its key, as 64 hexadecimal digits; a day makes keys up itself.
+	// The BLAKE3 of its key, as 64 hexadecimal digits; a scenario generates the keys itself.
 	key: string | *""
-	// Its part of what there is against others that have work; 0 for what they leave.
+	// Weight in fair queueing against other tenants with waiting requests; with 0, it gets only what they leave unused.
 	weight: number & >=0 & <=1000000 | *1
-	// Submissions and prompt tokens a second, and how many at once; without, no limit.
+	// Rate limits of requests and prompt tokens per second, each with its burst; without a rate, there is no limit.
 	submissions?:     number & >=0
 	submissions_once: number & >=1 | *10
 	tokens?:          number & >=0
 	tokens_once:      number & >=1 | *10000
 	in_flight?:       int & >=0 & <=1000000
-	// Submissions of it that may wait to be let in.
+	// Maximum number of its requests that wait for admission.
 	waiting: int & >=0 & <=100000 | *100
 }
 
 #Track: {
 	name: string
 	repeat: *"replayable" | "referenced" | "single-use"
-	// Of a referenced track: who drops repeats, and for how long.
+	// Deduplication scope and window, for referenced tracks.
 	group:  *"all" | "zone" | "cell"
 	window: duration & >0s | *5s
-	// When the first token is wanted, and what 1,000 prompt tokens add to it.
+	// Latency objective (time to first token), and what 1,000 prompt tokens add to it.
 	contract:     duration & >0s
 	per_thousand: duration & >=0s | *40ms
-	// When its client gives up.
+	// Deadline, after which the client gives up.
 	cut_off:  duration & >0s | *6s
 	earnings: number & >0 | *1
-	// The part of the earnings that a late answer still brings.
+	// Share of the priority weight (earnings) that a response after its latency objective still counts.
 	late: number & >=0 & <=1 | *0.2
 }
 
@@ -95,7 +95,7 @@
 	role: "reader" | "writer" | "mixed"
 }
 
-// What the decisions work under, and the bounds of the process.
+// Settings of the scheduler, and limits of the process.
 #Terms: {
 	routers:      int & >=1 & <=65535 | *1
 	places:       bool | *true
@@ -108,26 +108,26 @@
 	most_shots:   int & >=2 & <=64 | *5
 	withdrawals:  bool | *true
 	probes:       bool | *true
-	// Whether readers are asked how much they have before a read goes out.
+	// Whether routers request a load report from prefill workers before they dispatch a prefill.
 	asks: bool | *false
-	// Where there are tenants: how long a submission may wait to be let in.
+	// If there are tenants: longest time for which a request waits for admission.
 	longest_wait: duration & >0s | *1s
 	advice:       bool | *true
 	longest_advice: duration & >=0s | *1s
-	// Nothing new goes to a worker that drains or is gone later than this.
+	// Time after a worker drains or is removed in which it may still get new requests.
 	drain_grace: duration & >0s | *500ms
-	// A connection or probe that takes longer has failed.
+	// Timeout of connection attempts and health checks.
 	unheard: duration & >0s & <=60s | *250ms
-	// What an answer needs on its way to the client.
+	// Time that a response needs on its way to the client.
 	travel: duration & >=0s & <=10s | *10ms
-	// Tokens of a stream under way before its client has taken them.
+	// Tokens of a stream that may be in flight before the client acknowledges them.
 	window:        int & >=2 & <=65536 | *64
 	most_open:     int & >=1 & <=1000000 | *20000
 	most_a_client: int & >=1 & <=1000000 | *4000
 	most_clients:  int & >=1 & <=100000 | *4000
 }
 
-// One stand-in of a worker.
+// Configuration of one emulated worker.
 #Worker: {
 	name:   string
 	listen: string
@@ -141,7 +141,7 @@
 	script: [...#Step] | *[]
 }
 
-// What a worker can do.
+// Role and capacity of a worker.
 #Able: {
 	role:            "reader" | "writer" | "mixed"
 	size:            number & >0 | *1
@@ -158,13 +158,13 @@
 #Step: {
 	at: duration & >=0s
 	do: "refuse" | "fault" | "slow" | "silent" | "die" | "drain" | "corrupt"
-	// How long it lasts; without it, to the end.
+	// Duration; without it, the fault lasts to the end.
 	for?: duration & >0s
-	// How many times as long everything takes, of `slow`.
+	// For `slow`: the factor by which processing times grow.
 	times: number & >0 | *1
 }
 
-// The list of workers.
+// Emulated discovery, which sends the endpoint list.
 #List: {
 	listen: string
 	lag:    duration & >=0s | *200ms
@@ -177,23 +177,23 @@
 	lag: duration & >=0s
 }
 
-// A relay between processes of a day, made by its player.
+// A relay between processes of a scenario; the scenario player generates its configuration.
 #Relay: {
 	doors: [...#Door] | *[]
-	// Doors for datagrams: what comes to one is sent on.
+	// Listeners for datagrams, which are forwarded like connections.
 	datagrams: [...#Door] | *[]
 	faults: [...#Fault] | *[]
 	seed:   int & >=0 | *7
 }
 
-// Where it is dialled, where that leads, and which of the faults meet it, by their places.
+// A listener: its address, the address to which it forwards, and the indices of the relay's faults that affect it.
 #Door: {
 	listen: string
 	to:     string
 	faults: [...int & >=0] | *[]
 }
 
-// From whom it works, seen from who dials: both ways, there or back.
+// A network fault. `way` is the affected direction, seen from the side that connects.
 #Fault: {
 	at:  duration & >=0s
 	for: duration & >0s
@@ -204,7 +204,7 @@
 	loss:   number & >=0 & <=0.9 | *0
 }
 
-// Clients.
+// Configuration of the client load.
 #Load: {
 	routers: [string, ...string]
 	seed:    int & >=0 | *7
@@ -215,18 +215,18 @@
 	traffic: [#Traffic, ...#Traffic]
 	retries:    int & >=0 & <=10 | *2
 	retry_wait: duration & >=0s | *200ms
-	// The parts of submissions whose client leaves before the end, and of clients that read slowly.
+	// Share of requests that the client leaves before the response has ended, and number of clients that read slowly.
 	leaves:   number & >=0 & <=1 | *0
 	sluggish: int & >=0 & <=1000 | *0
 	bursts: [...#Burst] | *[]
 	uneven?: #Uneven
-	// Clients speak for these in turn.
+	// Keys of tenants, assigned to the clients in turn.
 	keys: [...#Key] | *[]
-	// Must agree with the workers'.
+	// Must equal the workers' value.
 	state_bytes_a_token: int & >=1 & <=4096 | *16
 }
 
-// A part of the routers, drawn from the seed, gets so many times as much as each of the others.
+// Skewed load: a share of the routers, chosen by the seed, each gets `times` the load of each other router.
 #Uneven: {
 	part:  number & >0 & <1
 	times: number & >=1 & <=10000
@@ -241,24 +241,24 @@
 	at:    duration & >=0s
 	for:   duration & >0s
 	times: number & >0
-	// Only of this tenant.
+	// The tenant whose load is changed; without it, the whole load.
 	tenant?: string
 }
 
 #Traffic: {
 	track: string
-	// Whose it is, where there are tenants.
+	// Required if there are tenants.
 	tenant?: string
 	part:  number & >0 | *1
-	// Turns a session has on average, prompt tokens a turn adds, and tokens of an answer at most.
+	// Average number of turns in a session, prompt tokens that a turn adds, and maximum tokens of a response.
 	turns:       number & >=1 | *2
 	adds:        #Range | *{least: 80, most: 400}
 	answer:      #Range | *{least: 20, most: 60}
-	// The part of sessions that begin with one of so many shared texts, and those texts' lengths.
+	// Share of sessions that begin with a shared prefix, number of shared prefixes, and their lengths in tokens.
 	shared:      number & >=0 & <=1 | *0.8
 	texts:       int & >=1 & <=100000 | *20
 	text_tokens: #Range | *{least: 600, most: 2000}
-	// The part of the cut-off for which a client waits, at least.
+	// Smallest share of the deadline after which a client gives up; the share is random between this and 1.
 	patience: number & >0 & <=1 | *0.5
 }
 
@@ -267,20 +267,20 @@
 	most:  int & >=1 & <=1000000
 }
 
-// A whole scripted day on real processes.
+// A scenario: scripted load and faults on a whole deployment.
 #Day: {
 	note:    string | *""
 	seed:    int & >=0 | *7
 	routers: int & >=1 & <=1000 | *3
-	// Of each router.
+	// Threads of each router.
 	cores: int & >=1 & <=64 | *1
-	// Whether routers know each other, as a fleet.
+	// Whether the routers form a cluster by the membership protocol.
 	membership: bool | *false
 	cells:   int & >=1 & <=1000 | *4
 	zones:   int & >=1 & <=255 | *2
 	kinds: [#Kind, ...#Kind]
 	tenants: [...#Tenant] | *[]
-	// Whether routers know the tenants; without, the day is the baseline.
+	// Whether routers know the tenants; a run without serves as the baseline.
 	shares: bool | *true
 	fleet: [#Group, ...#Group]
 	tracks: [#Track, ...#Track]
@@ -288,12 +288,12 @@
 	lag:   duration & >=0s | *200ms
 	load:  #DayLoad
 	troubles: [...#Trouble] | *[]
-	// Further ones drawn at random.
+	// Additional faults that are generated from a seed.
 	faults?: #Drawn
 	expect: #Expect
 }
 
-// So many faults drawn from a seed: cuts, delays, kills, halts and wrong clocks, each of part of the processes.
+// Random faults, generated from a seed: cuts, delays, kills, halts and wrong clocks, each of some of the processes.
 #Drawn: {
 	draw:    int & >=1 & <=1000
 	seed:    int & >=0 | *1
@@ -314,7 +314,7 @@
 	uneven?:    #Uneven
 }
 
-// So many workers of one kind, named by the group and a number, spread over the cells in turn.
+// A group of identical workers, each named by the group and a number, assigned to the cells in turn.
 #Group: {
 	name:  string
 	kind:  string
@@ -324,8 +324,8 @@
 
 #Trouble: #Kill | #Scripted | #Halt | #ListLate | #DayBurst | #Remove | #Cut | #Delay | #Clock
 
-// Killed outright; with `back`, it starts again so long after, cold and under its old name; a router finds the
-// list that it kept, unless it keeps nothing.
+// Kills processes. With `back`, each restarts after that time under its old name; a worker is then not warm. A router finds its
+// cached endpoint list after the restart, unless `keeps` is false.
 #Kill: {
 	at: duration & >=0s
 	do: "kill"
@@ -334,8 +334,9 @@
 	keeps: bool | *true
 }
 
-// Nothing passes between two sets of processes, or only from `between` to `and` where `way` is there, and only
-// back where it is back. Silent: connections stay and say nothing; reset: they break and dials are refused.
+// Blocks traffic between two sets of processes. `way` is the blocked direction: `there` is from `between` to `and`, `back`
+// the reverse. With `silent`, connections stay open but nothing passes; with `reset`, open connections are reset and new
+// ones refused.
 #Cut: {
 	at: duration & >=0s
 	do: "cut"
@@ -346,7 +347,7 @@
 	how: *"silent" | "reset"
 }
 
-// What passes between two sets takes longer; of its parts so many are lost and sent again.
+// Adds latency between two sets of processes; `loss` is the share of packets that are lost and sent again.
 #Delay: {
 	at: duration & >=0s
 	do: "delay"
@@ -359,7 +360,7 @@
 	loss:   number & >=0 & <=0.9 | *0
 }
 
-// A process's clock runs so many times as fast; one that starts meanwhile finds it set ahead, or back.
+// Runs the clocks of processes at `rate` times real time. A process that starts meanwhile has its clock set ahead or back.
 #Clock: {
 	at: duration & >=0s
 	do: "clock"
@@ -378,7 +379,7 @@
 	times: number & >0 | *1
 }
 
-// Stopped and then gone on, as a machine that pauses.
+// Stops processes and continues them afterwards, like a machine that pauses.
 #Halt: {
 	at: duration & >=0s
 	do: "halt"
@@ -393,7 +394,7 @@
 	lag: duration & >=0s
 }
 
-// Tenants removed while their submissions are under way; played in virtual time only.
+// Removes tenants while their requests are in progress; available in virtual time only.
 #Remove: {
 	at:  duration & >=0s
 	do:  "remove"
@@ -408,12 +409,12 @@
 	tenant?: string
 }
 
-// What a day must show beside the five rules.
+// Results that a run must reach, in addition to the five invariants.
 #Expect: {
-	// The part of all earnings asked for that was answered within the contract time, at least.
+	// Minimum share of all priority weight (earnings) that is served within the latency objective.
 	service: number & >=0 & <=1 | *0
-	// The part of submissions honoured in the end, at least.
+	// Minimum share of requests that are completed.
 	honoured: number & >=0 & <=1 | *0
-	// The most memory that any process held.
+	// Maximum memory that any process may use.
 	memory: size & >0B | *256MiB
 }
--- a/crates/config-language/src/similar_name.rs
+++ b/crates/config-language/src/similar_name.rs
@@ -1,16 +1,17 @@
-//! The name that was probably meant by one that is not known.
+//! Suggestions for unknown names.
 
-/// Letters that may be added, left out or changed.
+/// Largest edit distance at which a known name is suggested.
 const MAX_DISTANCE: usize = 2;
 
-/// The known name that is nearest, if it is near enough; of several, the first in alphabetical order.
+/// Returns the known name with the smallest edit distance, if it is within [`MAX_DISTANCE`]; of several, the first in
+/// alphabetical order.
 pub fn similar_name<'a>(name: &str, known: &'a [String]) -> Option<&'a String> {
     let candidates = known.iter().map(|candidate| (edit_distance(name, candidate), candidate));
     let near = candidates.filter(|(distance, _)| *distance <= MAX_DISTANCE);
     near.min().map(|(_, candidate)| candidate)
 }
 
-/// The Levenshtein distance of two names.
+/// Returns the Levenshtein distance of two names.
 fn edit_distance(a: &str, b: &str) -> usize {
     let (a, b): (Vec<_>, Vec<_>) = (a.chars().collect(), b.chars().collect());
     let mut row: Vec<usize> = (0..=b.len()).collect();
--- a/crates/config-language/src/span.rs
+++ b/crates/config-language/src/span.rs
@@ -1,4 +1,4 @@
-//! Places in a file.
+//! Positions in a file.
 
 use std::ops::Range;
 
--- a/crates/config-language/src/unify.rs
+++ b/crates/config-language/src/unify.rs
@@ -1,5 +1,5 @@
-//! Unification: makes one value of two, which keeps all that both ask for. Errors are reported at the place of the
-//! second one, the more particular.
+//! Unification: combines two values into one that satisfies the constraints of both. Errors are reported at the position
+//! of the second value, which is the more specific one.
 
 use crate::ast::{Comparison, Field};
 use crate::bounds::{compare, is_within};
@@ -11,7 +11,7 @@
 use crate::value::{Shape, Slot, Value};
 use crate::value_type::ValueType;
 
-/// Makes one value of two; an invalid one, with errors, if they contradict each other.
+/// Combines two values. Reports errors and returns an invalid value if they contradict each other.
 pub fn unify(a: &Value, b: &Value, errors: &mut Vec<ConfigError>) -> Value {
     if a.is_invalid() || b.is_invalid() {
         return Value::invalid(b.span.clone());
@@ -47,7 +47,7 @@
     Value::invalid(b.span.clone())
 }
 
-/// A literal that must have a type and keep bounds; `limit` is the value that asks for them.
+/// Checks a literal against a type and bounds; `limit` is the value that requires them.
 fn limit_literal(
     value_type: Option<ValueType>,
     bounds: &[(Comparison, Literal)],
@@ -89,13 +89,13 @@
     Value::new(b.span.clone(), Shape::Limited(value_type, bounds))
 }
 
-/// Alternatives, and a value that one of them has to fit.
+/// Alternatives, and a value that must fit one of them.
 struct Choice<'a> {
     alternatives: &'a [(bool, Value)],
     other: &'a Value,
     /// Whether the other value comes first in the unification.
     other_first: bool,
-    /// Where the result stands.
+    /// Position of the result.
     span: &'a Span,
 }
 
@@ -108,7 +108,8 @@
         }
     }
 
-    /// The bound that stands beside a default, if there is nothing else.
+    /// Returns the only alternative that is no literal, if the others include a default. An example is the bound in
+    /// `>0 | *1`.
     fn bound_beside_default(&self) -> Option<&Value> {
         let mut open = self.alternatives.iter().filter(|(_, v)| !matches!(v.shape, Shape::Literal(_)));
         let (_, bound) = open.next()?;
@@ -122,7 +123,8 @@
     }
 }
 
-/// Keeps the alternatives that fit the other value. If none does, the one that came nearest is explained.
+/// Keeps the alternatives that fit the other value. If none of several structs fits, reports the errors of the one with
+/// the fewest.
 fn choose(choice: &Choice, errors: &mut Vec<ConfigError>) -> Value {
     let mut fitting: Vec<(bool, Value)> = vec![];
     let mut fewest_errors: Option<Vec<ConfigError>> = None;
@@ -144,7 +146,7 @@
         return Value::new(span, Shape::Or(fitting));
     }
     if let Some(bound) = choice.bound_beside_default() {
-        // What is wrong with the bound says all.
+        // The error of the bound alone is the clearest explanation.
         choice.unify(bound, errors);
     } else if choice.is_among_structs() {
         errors.extend(fewest_errors.unwrap_or_default());
@@ -182,7 +184,7 @@
     Value::new(b.span.clone(), Shape::Struct { fields, is_closed: *a_closed || *b_closed })
 }
 
-/// Reports the given fields that a closed struct does not know.
+/// Reports each given field that a closed struct does not have.
 fn report_unknown_fields(
     known: &[(String, Slot)],
     given: &[(String, Slot)],
@@ -196,10 +198,10 @@
         }
         let hint = similar_name(name, &known);
         let hint = hint.map_or(String::new(), |similar| format!("; did you mean {similar}?"));
-        let message = format!("{name} is no field here{hint}");
+        let message = format!("unknown field {name}{hint}");
         let visible: Vec<_> = known.iter().filter(|known| !Field::is_hidden(known)).cloned().collect();
         let expected = format!("one of {}", visible.join(", "));
-        // What the program's definitions say has no place in the file.
+        // Values from the program's definitions have no position in the file.
         let span = if slot.value.span.end > 0 { &slot.value.span } else { struct_span };
         errors.push(ConfigError::new(span.clone(), message, expected));
     }
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -1,4 +1,4 @@
-//! What types alone don't say: addresses, names that must be known, values that contradict each other.
+//! Checks that types cannot express: addresses, references between names, and values that contradict each other.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -9,12 +9,12 @@
 };
 use crate::span::Span;
 
-/// Request classes at most: a class is numbered by a byte.
+/// Maximum number of request classes, because a class index is one byte.
 const MAX_CLASSES: usize = 256;
-/// Hexadecimal digits of a BLAKE3 hash and of a cluster's key.
+/// Number of hexadecimal digits of a BLAKE3 hash and of a cluster's key.
 const HASH_DIGITS: usize = 64;
 
-/// All that is wrong with a file; `place` is where the value of a path stands.
+/// Returns all errors of a file; `place` returns the position of the value at a path.
 pub fn validate(file: &File, place: &dyn Fn(&str) -> Span) -> Vec<ConfigError> {
     let mut validator = Validator { place, errors: vec![] };
     if let Some(router) = &file.router {
@@ -41,7 +41,7 @@
     errors: Vec<ConfigError>,
 }
 
-/// The parts of a file.
+/// Checks of the parts of a file.
 impl Validator<'_> {
     fn router(&mut self, router: &Router) {
         self.address("router.listen", &router.listen);
@@ -70,7 +70,7 @@
             self.hash(&format!("router.admin.keys[{n}].key"), &key.key);
         }
         if !tenants.is_empty() {
-            let message = "tenants are named here and kept in a store";
+            let message = "tenants are listed here, but `admin` keeps them in its store";
             self.error("router.tenants", message, "no tenants where there is `admin`");
         }
     }
@@ -79,7 +79,7 @@
         self.address("router.fleet.listen", &membership.listen);
         self.hash("router.fleet.key", &membership.key);
         if membership.name.is_empty() {
-            let expected = "one that all of its routers have";
+            let expected = "a name that all routers of the fleet share";
             self.error("router.fleet.name", "the fleet has no name", expected);
         }
         for (n, seed) in membership.seeds.iter().enumerate() {
@@ -122,13 +122,13 @@
             }
             let known = scenario.kinds.iter().map(|kind| format!("{} ({:?})", kind.name, kind.role));
             let expected = format!("one of {}", known.collect::<Vec<_>>().join(", ")).to_lowercase();
-            let message = format!("{:?} is no kind of that role", group.kind);
+            let message = format!("{:?} is not a kind of the role of `does`", group.kind);
             self.error(&format!("day.fleet[{n}].kind"), message, expected);
         }
     }
 }
 
-/// Whom the faults of a scenario may meet.
+/// The processes and tenants that faults of a scenario may target.
 struct FaultTargets<'a> {
     scenario: &'a Scenario,
     tenants: Vec<&'a String>,
@@ -136,7 +136,7 @@
 }
 
 impl FaultTargets<'_> {
-    /// Whether a fault can happen to a process or tenant of that name.
+    /// Returns whether a fault can target the process or tenant of that name.
     fn can_meet(&self, fault: &ScenarioFault, name: &String) -> bool {
         if fault.kind == "remove" {
             return self.tenants.contains(&name);
@@ -146,7 +146,7 @@
     }
 }
 
-/// The faults of a scenario.
+/// Checks of the faults of a scenario.
 impl Validator<'_> {
     fn fault(
         &mut self,
@@ -159,8 +159,8 @@
         if fault.kind == "clock" {
             for process in fault.targets.iter().flat_map(|name| scenario.named(name)) {
                 if !wrong_clocks.insert(process.clone()) {
-                    let message = format!("the clock of {process:?} is wrong twice");
-                    self.error(&format!("{path}.who"), message, "once for each process");
+                    let message = format!("{process:?} has two clock troubles");
+                    self.error(&format!("{path}.who"), message, "at most one for each process");
                 }
             }
         }
@@ -179,8 +179,8 @@
     fn fault_sides(&mut self, path: &str, fault: &ScenarioFault, scenario: &Scenario) {
         for (field, names) in [("between", &fault.side), ("and", &fault.other_side)] {
             for (n, name) in names.iter().enumerate().filter(|(_, name)| scenario.named(name).is_empty()) {
-                let message = format!("{name:?} stands for no process");
-                let expected = "a process, a group, some of one as router0-9, list or load";
+                let message = format!("{name:?} matches no process");
+                let expected = "a process, a group, a range of a group such as router0-9, list or load";
                 self.error(&format!("{path}.{field}[{n}]"), message, expected);
             }
         }
@@ -193,13 +193,13 @@
             _ => "a worker's name",
         };
         for (n, name) in fault.targets.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
-            let message = format!("{name:?} is nobody to whom this can happen");
+            let message = format!("{name:?} cannot be a target of this trouble");
             self.error(&format!("{path}.who[{n}]"), message, expected);
         }
     }
 }
 
-/// What several parts have.
+/// Checks that several parts share.
 impl Validator<'_> {
     fn error(&mut self, path: &str, message: impl Into<String>, expected: impl Into<String>) {
         self.errors.push(ConfigError::new((self.place)(path), message, expected));
@@ -207,7 +207,11 @@
 
     fn address(&mut self, path: &str, text: &str) {
         if text.parse::<SocketAddrV4>().is_err() {
-            self.error(path, format!("{text:?} is no address"), "one like 127.0.0.1:7000");
+            self.error(
+                path,
+                format!("{text:?} is not an IPv4 address with a port"),
+                "one like 127.0.0.1:7000",
+            );
         }
     }
 
@@ -235,8 +239,12 @@
         for (n, class) in
             classes.iter().enumerate().filter(|(_, class)| class.deadline < class.ttft_objective)
         {
-            let message = format!("the track {:?} is given up before its contract time", class.name);
-            self.error(&format!("{path}[{n}].cut_off"), message, "a cut-off after the contract time");
+            let message = format!("the cut_off of track {:?} is before its contract time", class.name);
+            self.error(
+                &format!("{path}[{n}].cut_off"),
+                message,
+                "a cut_off that is not before the contract time",
+            );
         }
     }
 
@@ -258,7 +266,7 @@
             ];
             for (name, range) in ranges.into_iter().filter(|(_, range)| range.min > range.max) {
                 let message = format!("{name} goes from {} to {}", range.min, range.max);
-                self.error(&format!("{path}.{name}"), message, "a least that is not above the most");
+                self.error(&format!("{path}.{name}"), message, "a `least` that is not above `most`");
             }
         }
     }
@@ -272,7 +280,7 @@
         self.error(&format!("{path}.track"), format!("{:?} is no track", traffic.class), expected);
     }
 
-    /// Traffic names a tenant if there are tenants, and none if there are none.
+    /// Checks that traffic names a tenant if tenants are configured, and none otherwise.
     fn traffic_tenant(&mut self, path: &str, traffic: &Traffic, tenants: &[&String]) {
         let is_sound = match &traffic.tenant {
             Some(tenant) => tenants.contains(&tenant),
@@ -291,11 +299,11 @@
         self.error(&format!("{path}.tenant"), format!("{named} is no tenant"), expected);
     }
 
-    /// Each tenant needs a client that sends its requests.
+    /// Checks that each tenant has a client that sends its requests.
     fn client_for_each_tenant(&mut self, path: &str, clients: usize, tenants: &[&String]) {
         if clients < tenants.len() {
-            let message = format!("{clients} clients speak for {} tenants", tenants.len());
-            self.error(path, message, "a client for each tenant at least");
+            let message = format!("{clients} clients are too few for {} tenants", tenants.len());
+            self.error(path, message, "at least one client for each tenant");
         }
     }
 }
--- a/crates/config-language/src/value.rs
+++ b/crates/config-language/src/value.rs
@@ -1,11 +1,11 @@
-//! Values, from "anything" down to written-out ones.
+//! Values at every degree of knowledge, from unconstrained to concrete.
 
 use crate::ast::Comparison;
 use crate::literal::Literal;
 use crate::span::Span;
 use crate::value_type::ValueType;
 
-/// A value and where it stands in the file; at `0..0` if it comes from the program's definitions.
+/// A value and its position in the file, which is `0..0` for values from the program's definitions.
 #[derive(Clone, Debug)]
 pub struct Value {
     pub span: Span,
@@ -15,19 +15,19 @@
 /// What is known of a value.
 #[derive(Clone, Debug)]
 pub enum Shape {
-    /// Nothing.
+    /// Nothing: any value fits.
     Any,
-    /// Its type and bounds; no type where only bounds of a type are known.
+    /// Its type and bounds. The type is `None` if only bounds without a type of their own are known.
     Limited(Option<ValueType>, Vec<(Comparison, Literal)>),
-    /// All: it is written out.
+    /// The concrete value.
     Literal(Literal),
-    /// Its fields; a closed struct has no others.
+    /// Its fields; a closed struct accepts no others.
     Struct { fields: Vec<(String, Slot)>, is_closed: bool },
-    /// Its elements, and what further ones must be; without it there are none.
+    /// Its elements, and the constraint on any further elements; without one, further elements are not allowed.
     List(Vec<Value>, Option<Box<Value>>),
-    /// Alternatives, the default ones marked.
+    /// Alternatives, each with whether it is marked as a default.
     Or(Vec<(bool, Value)>),
-    /// It is wrong, and an error was already reported for it.
+    /// The value is invalid, and an error was already reported for it.
     Invalid,
 }
 
@@ -43,7 +43,7 @@
         Value { span, shape }
     }
 
-    /// A value for which an error was already reported.
+    /// Returns a value for which an error was already reported.
     pub fn invalid(span: Span) -> Value {
         Value::new(span, Shape::Invalid)
     }
--- a/crates/config-language/src/value_type.rs
+++ b/crates/config-language/src/value_type.rs
@@ -15,7 +15,7 @@
 }
 
 impl ValueType {
-    /// The type of a name, as files write it.
+    /// Returns the type that files write by that name.
     pub fn from_name(name: &str) -> Option<ValueType> {
         Some(match name {
             "bool" => ValueType::Bool,
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Its name, as files write it.
+    /// Returns the name that files write.
     pub fn name(self) -> &'static str {
         match self {
             ValueType::Bool => "bool",
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The type of a literal; null has none.
+    /// Returns the type of a literal; `None` for null.
     pub fn of(literal: &Literal) -> Option<ValueType> {
         Some(match literal {
             Literal::Null => return None,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The narrower of two types, if one includes the other.
+    /// Returns the narrower of two types, or `None` if neither includes the other.
     pub fn narrower(self, other: ValueType) -> Option<ValueType> {
         match (self, other) {
             (a, b) if a == b => Some(a),
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Whether a literal has this type.
+    /// Returns whether a literal has this type.
     pub fn includes(self, literal: &Literal) -> bool {
         ValueType::of(literal).is_some_and(|other| other.narrower(self) == Some(other))
     }
 
-    /// Whether a bound by that literal can limit values of this type.
+    /// Returns whether a bound by that literal can apply to values of this type.
     pub fn accepts_bound(self, bound: &Literal) -> bool {
         ValueType::of(bound).is_none_or(|bound| self.narrower(bound).is_some())
     }
