--- a/crates/config-language/src/records/worker.rs
+++ b/crates/config-language/src/records/worker.rs
@@ -3,67 +3,79 @@
 use super::router::{Role, SchedulerSettings};
 use serde::{Deserialize, Serialize};
 
-/// One emulated worker.
+/// Configuration of one emulated worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Worker {
     /// Its name.
     pub name: String,
-    /// Its address.
+    /// The address on which it listens.
     pub listen: String,
     /// The address of discovery.
-    pub list: String,
+    #[serde(rename = "list")]
+    pub discovery: String,
     /// Index of its worker kind.
     pub kind: u16,
     /// Its cell.
     pub cell: u16,
     /// Its zone.
     pub zone: u8,
-    /// Whether it starts warmed up.
+    /// Whether it is warm from the start, without a slow start.
     pub warm: bool,
-    /// What it can do.
-    pub does: WorkerCapacity,
+    /// Its capacity.
+    #[serde(rename = "does")]
+    pub capacity: WorkerCapacity,
     /// Settings that it shares with the routers.
-    pub terms: SchedulerSettings,
-    /// Faults at set times.
+    #[serde(rename = "terms")]
+    pub settings: SchedulerSettings,
+    /// Faults that the worker applies to itself at set times.
     pub script: Vec<WorkerFault>,
 }
 
-/// What a worker can do.
+/// Role and capacity of a worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerCapacity {
-    /// What it does.
+    /// Its role.
     pub role: Role,
     /// Its capacity, relative to others of its kind.
     pub size: f64,
-    /// Prefills in progress at most.
-    pub reads_at_once: usize,
-    /// Prefills that may wait.
-    pub reads_waiting: usize,
-    /// Prompt tokens prefilled a second.
-    pub read_rate: f64,
-    /// Responses being decoded at most.
-    pub streams_at_once: usize,
-    /// Decode attempts that may wait.
-    pub streams_waiting: usize,
+    /// Maximum number of prefills in progress.
+    #[serde(rename = "reads_at_once")]
+    pub prefill_slots: usize,
+    /// Maximum number of waiting prefills.
+    #[serde(rename = "reads_waiting")]
+    pub prefill_queue: usize,
+    /// Prompt tokens that a prefill processes per second.
+    #[serde(rename = "read_rate")]
+    pub prefill_tokens_per_second: f64,
+    /// Maximum number of responses being decoded.
+    #[serde(rename = "streams_at_once")]
+    pub decode_slots: usize,
+    /// Maximum number of waiting decode attempts.
+    #[serde(rename = "streams_waiting")]
+    pub decode_queue: usize,
     /// Time between two tokens of a response.
-    pub token_gap: u64,
-    /// Bytes of KV state a token.
-    pub state_bytes_a_token: u32,
-    /// Prefixes that it caches.
-    pub keeps: usize,
+    #[serde(rename = "token_gap")]
+    pub token_interval: u64,
+    /// Bytes of KV state per token.
+    #[serde(rename = "state_bytes_a_token")]
+    pub state_bytes_per_token: u32,
+    /// Maximum number of cached prefixes.
+    #[serde(rename = "keeps")]
+    pub max_cached_prefixes: usize,
 }
 
 /// A fault in a worker's script.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerFault {
-    /// When it begins.
+    /// Start of the fault, from the start of the script.
     pub at: u64,
-    /// What it is.
+    /// The kind of fault, such as `slow` or `drain`.
     #[serde(rename = "do")]
-    pub act: String,
-    /// How long it lasts; without it, to the end.
+    pub kind: String,
+    /// Duration of the fault; without it, the fault lasts to the end.
     #[serde(rename = "for")]
-    pub lasts: Option<u64>,
-    /// How many times slower everything is, of `slow`.
-    pub times: f64,
+    pub duration: Option<u64>,
+    /// For `slow`, the factor by which processing times grow.
+    #[serde(rename = "times")]
+    pub factor: f64,
 }
