--- a/crates/trace-checker/src/address.rs
+++ b/crates/trace-checker/src/address.rs
@@ -1,8 +1,8 @@
-//! Socket addresses in text.
+//! Formats socket addresses as text.
 
 use tideroute_wire::Address;
 
-/// The address as `127.0.0.1:7000`.
+/// Returns the address in the form `127.0.0.1:7000`.
 pub fn display_address(address: Address) -> String {
     let [a, b, c, d, port_high, port_low] = address;
     let port = u16::from_be_bytes([port_high, port_low]);
--- a/crates/trace-checker/src/checker.rs
+++ b/crates/trace-checker/src/checker.rs
@@ -1,4 +1,4 @@
-//! Reads a capture and gives its events to the rules.
+//! Reads a capture and checks its events against the rules.
 
 use std::collections::BTreeSet;
 use std::io::Read;
@@ -14,17 +14,18 @@
 use crate::report::{Report, Rule};
 use crate::rules::Rules;
 
-/// Events after which requests that ended long ago are checked and forgotten, so that memory follows what is open.
+/// Number of events between two cleanups. A cleanup checks and forgets the requests that ended long ago, so that memory
+/// use follows the number of open requests.
 const EVENTS_BETWEEN_CLEANUPS: u64 = 1 << 18;
 
 /// Why a capture cannot be checked.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// The capture does not parse.
-    #[error("the record cannot be read: {0}")]
+    #[error("capture cannot be read: {0}")]
     Capture(#[from] CaptureError),
-    /// The [`CheckerConfig`] in its head does not parse.
-    #[error("the record's terms cannot be read: {0}")]
+    /// The [`CheckerConfig`] in the capture's header does not parse.
+    #[error("checker configuration in the capture header cannot be read: {0}")]
     Config(#[from] serde_json::Error),
 }
 
@@ -66,14 +67,19 @@
     fn handle_event(&mut self, captured: &CapturedFrame) {
         self.report.counts.events += 1;
         if captured.at < self.last_event_at {
-            self.report.add_violation(Rule::Capture, captured.at, None, "the record goes back in time");
+            self.report.add_violation(
+                Rule::Capture,
+                captured.at,
+                None,
+                "event is earlier than the event before it",
+            );
         }
         self.last_event_at = captured.at;
         if self.report.counts.events.is_multiple_of(EVENTS_BETWEEN_CLEANUPS) {
             self.rules.check_ended(captured.at, &self.connections, &self.pauses, &mut self.report);
         }
         if !self.processes.contains(&captured.process) {
-            let description = format!("process {} is unknown", captured.process);
+            let description = format!("process {} is not listed in the capture header", captured.process);
             return self.report.add_violation(Rule::Capture, captured.at, None, description);
         }
         match captured.event {
@@ -85,7 +91,7 @@
 
     fn apply_rules(&mut self, captured: &CapturedFrame) {
         let mut context = EventContext { captured, pauses: &self.pauses, report: &mut self.report };
-        let conversation = self.connections.follow(&mut context);
+        let conversation = self.connections.handle_event(&mut context);
         match captured.event {
             CaptureEvent::Sent | CaptureEvent::Received => {
                 if let Some(conversation) = conversation {
@@ -114,6 +120,6 @@
 
 fn handle_frame(context: &mut EventContext, conversation: Conversation, rules: &mut Rules) {
     if let Err(error) = message_handler::handle_frame(context, conversation, rules) {
-        context.violation(Rule::Capture, None, format!("a frame cannot be read: {error}"));
+        context.violation(Rule::Capture, None, format!("frame cannot be decoded: {error}"));
     }
 }
--- a/crates/trace-checker/src/connections.rs
+++ b/crates/trace-checker/src/connections.rs
@@ -1,4 +1,4 @@
-//! Which ends of connections belong together, who talks to whom on them, and whether any frame is missing.
+//! Pairs the two ends of each connection, determines which processes talk on it, and checks that no frame is missing.
 
 mod connection_end;
 mod conversation;
@@ -27,7 +27,7 @@
     listener_roles: HashMap<Address, String>,
     ends: Ends,
     unpaired: UnpairedEnds,
-    /// The routers' ends of clients' connections, kept to the end of the capture.
+    /// The router's end of each client connection, by the client's end; kept until the end of the capture.
     client_peers: HashMap<EndKey, EndKey>,
     killed: BTreeSet<u32>,
     origins: RouterOrigins,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Follows one event; returns the conversation that it belongs to, if that is known.
-    pub fn follow(&mut self, context: &mut EventContext) -> Option<Conversation> {
+    /// Processes one event. Returns the conversation that the event belongs to, if that is known.
+    pub fn handle_event(&mut self, context: &mut EventContext) -> Option<Conversation> {
         let captured = context.captured;
         let key = EndKey::of(captured);
         match captured.event {
@@ -100,7 +100,11 @@
         let role = self.role(key.process);
         let purpose = Purpose::between(role, listener.map_or("", String::as_str));
         if purpose.is_none() {
-            context.violation(Rule::Capture, None, format!("a {role} dials nobody that is known"));
+            context.violation(
+                Rule::Capture,
+                None,
+                format!("{role} dialled an address at which no suitable process listens"),
+            );
         }
         let end = self.ends.entry(key).or_default();
         end.is_dialler = true;
@@ -121,26 +125,27 @@
         end.connected_at = captured.at;
     }
 
-    /// An end whose addresses are known looks for its other one.
+    /// Pairs an end whose addresses are known with its other end, if that one is known already.
     fn find_peer(&mut self, key: EndKey, context: &mut EventContext) {
         let Some(end) = self.ends.get(&key).filter(|end| !end.connect_failed) else { return };
         let Some(mut addresses) = end.addresses else { return };
         if !end.is_dialler {
-            addresses = self.unpaired.front_of(addresses, context.captured.at);
+            addresses = self.unpaired.downstream_of(addresses, context.captured.at);
         }
         if let Some(peer) = self.unpaired.take_peer(&self.ends, key, addresses) {
             self.pair(key, peer, context.report);
         }
     }
 
-    /// A relay tells which connection behind it continues one before it. The end behind may have been captured first.
+    /// Handles a relay's event that tells which upstream connection it joined with which downstream connection. The
+    /// accepted end of the upstream connection may have been captured before this event.
     fn relay_joined(&mut self, context: &mut EventContext) {
-        const BEHIND: usize = 12;
+        const UPSTREAM_OFFSET: usize = 12;
         let captured = context.captured;
-        let Some(front) = AddressPair::acceptor_first(captured, 0) else { return };
-        let Some(behind) = AddressPair::acceptor_first(captured, BEHIND) else { return };
-        let Some(key) = self.unpaired.relay_joined(&self.ends, front, behind, captured.at) else { return };
-        if let Some(peer) = self.unpaired.take_peer(&self.ends, key, front) {
+        let Some(downstream) = AddressPair::acceptor_first(captured, 0) else { return };
+        let Some(upstream) = AddressPair::acceptor_first(captured, UPSTREAM_OFFSET) else { return };
+        let Some(key) = self.unpaired.take_end(&self.ends, downstream, upstream, captured.at) else { return };
+        if let Some(peer) = self.unpaired.take_peer(&self.ends, key, downstream) {
             self.pair(key, peer, context.report);
         }
     }
@@ -149,8 +154,10 @@
         let end = self.ends.entry(key).or_default();
         end.closed_at = Some(context.captured.at);
         if counted(&context.captured.frame) != Some((end.sent.frames, end.received.frames)) {
-            let description =
-                format!("process {} link {:x} lacks its last frames", key.process, key.connection);
+            let description = format!(
+                "process {} connection {:x}: its last frames are missing",
+                key.process, key.connection
+            );
             context.violation(Rule::Capture, None, description);
         }
     }
@@ -177,7 +184,8 @@
         let flow = if is_sent { &mut end.sent } else { &mut end.received };
         if captured.position != flow.frames {
             let EndKey { process, connection } = key;
-            let description = format!("process {process} link {connection:x} lacks frame {}", flow.frames);
+            let description =
+                format!("process {process} connection {connection:x}: frame {} is missing", flow.frames);
             context.violation(Rule::Capture, None, description);
             flow.skip_to(captured.position);
         }
@@ -186,11 +194,15 @@
         if is_hello && !end.is_dialler {
             end.purpose = purpose_of_hello(captured, role);
             if end.purpose.is_none() {
-                context.violation(Rule::Capture, None, format!("a {role} was told no Hello"));
+                context.violation(Rule::Capture, None, format!("{role} did not receive a valid Hello"));
             }
         }
         let Some(conversation) = conversation(end, is_hello) else {
-            context.violation(Rule::Capture, None, "a frame passed on a connection never made");
+            context.violation(
+                Rule::Capture,
+                None,
+                "frame belongs to a connection that was never established",
+            );
             return None;
         };
         let names_origin =
@@ -213,7 +225,8 @@
         self.compare(one, report);
     }
 
-    /// What one end received is what the other sent. Frames that were captured at both ends are forgotten.
+    /// Compares what each end received with what the other end sent. Frames that were captured at both ends are
+    /// dropped.
     fn compare(&mut self, key: EndKey, report: &mut Report) {
         let Some(peer) = self.ends.get(&key).and_then(|end| end.peer) else { return };
         let Some(mut one) = self.ends.remove(&key) else { return };
@@ -227,11 +240,11 @@
         self.ends.insert(key, one);
     }
 
-    /// Once both ends are closed and compared, nothing more is to be known of them.
+    /// Compares a connection whose ends are both closed for the last time, and forgets it.
     fn remove_if_finished(&mut self, key: EndKey, report: &mut Report) {
         let Some(end) = self.ends.get(&key).filter(|end| !end.is_open()) else { return };
         if end.connect_failed {
-            // Nobody was there, so that nobody receives what was sent.
+            // The connection was never established, so no other end can have received what was sent.
             self.ends.remove(&key);
             return;
         }
@@ -248,7 +261,8 @@
         }
     }
 
-    /// The capture is at its end: what one end received is what the other sent, up to where the connection broke.
+    /// Pairs and compares the ends that are left at the end of the capture. What an end received must have been sent by
+    /// the other end; what was sent need not have been received, because connections may break.
     pub fn finish(&mut self, report: &mut Report) {
         for mut keys in self.unpaired.take_groups() {
             while let Some(key) = keys.pop() {
@@ -263,37 +277,37 @@
             if !is_paired && end.is_dialler && end.addresses.is_none() {
                 if !self.killed.contains(&key.process) {
                     let description = format!(
-                        "what became of process {} link {:x} is not told",
+                        "process {} connection {:x}: the outcome of connecting is missing",
                         key.process, key.connection
                     );
                     report.add_violation(Rule::Capture, 0, None, description);
                 }
             } else if end.received.has_unmatched() && (end.is_dialler || is_paired) {
-                // A connection that the other side never accepted ended before that side sent anything.
-                report_received(report, *key, if is_paired { NOT_SENT } else { FROM_NOBODY });
+                // If the other side never accepted the connection, it cannot have sent anything.
+                report_received(report, *key, if is_paired { NOT_SENT } else { NOT_ACCEPTED });
             }
         }
     }
 
-    /// Whether the connection had ended, or its process was killed, by the end of the capture.
+    /// Returns whether the connection has ended or its process was killed.
     pub fn is_over(&self, key: EndKey) -> bool {
         self.killed.contains(&key.process) || self.ends.get(&key).is_none_or(|end| !end.is_open())
     }
 
-    /// The router's end of a client's connection.
+    /// Returns the router's end of a client's connection.
     pub fn router_end(&self, client_end: EndKey) -> Option<EndKey> {
         self.client_peers.get(&client_end).copied()
     }
 }
 
-const NOT_SENT: &str = "what was not sent";
-const FROM_NOBODY: &str = "words from nobody";
+const NOT_SENT: &str = "a frame that the other end did not send";
+const NOT_ACCEPTED: &str = "a frame on a connection that no process accepted";
 
 fn report_received(report: &mut Report, key: EndKey, what: &str) {
-    /// No moment is known: the ends are compared when both were captured.
-    const UNKNOWN: Micros = 0;
-    let description = format!("process {} link {:x} heard {what}", key.process, key.connection);
-    report.add_violation(Rule::Capture, UNKNOWN, None, description);
+    /// The time of the violation is unknown, because ends are compared only once both were captured.
+    const UNKNOWN_TIME: Micros = 0;
+    let description = format!("process {} connection {:x} received {what}", key.process, key.connection);
+    report.add_violation(Rule::Capture, UNKNOWN_TIME, None, description);
 }
 
 fn conversation(end: &ConnectionEnd, is_hello: bool) -> Option<Conversation> {
@@ -305,7 +319,8 @@
     })
 }
 
-/// What the process that sent a Hello wants of one of this role.
+/// Returns the purpose of a connection from the Hello that a process of this role received.
+/// `None` if the Hello cannot be decoded or its sender does not connect to this role.
 fn purpose_of_hello(captured: &CapturedFrame, role: &str) -> Option<Purpose> {
     let (party, ..) = tideroute_wire::first(&captured.frame).ok()?;
     Purpose::between(conversation::role_of(party), role)
--- a/crates/trace-checker/src/connections/connection_end.rs
+++ b/crates/trace-checker/src/connections/connection_end.rs
@@ -7,7 +7,7 @@
 
 use super::conversation::Purpose;
 
-/// An end of a connection: the process, and its own number for the connection.
+/// Identifies an end of a connection by its process and the process's own number for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndKey {
     pub process: u32,
@@ -30,7 +30,7 @@
 /// Bytes of an address in a captured event.
 const ADDRESS_LENGTH: usize = 6;
 
-/// An address in the content of a captured event.
+/// Reads an address from the content of a captured event.
 pub fn address_at(captured: &CapturedFrame, offset: usize) -> Option<Address> {
     let bytes = captured.frame.get(offset..offset + ADDRESS_LENGTH)?;
     Address::try_from(bytes).ok()
@@ -52,23 +52,25 @@
     }
 }
 
-/// Frames of one direction at one end. Those that were not yet matched with the other end wait here.
+/// Frames of one direction at one end: how many there were, and the checksums of those that were not yet matched with
+/// the frames of the other end.
 #[derive(Default)]
 pub struct FrameFlow {
     pub frames: u64,
     unmatched: VecDeque<u32>,
 }
 
-/// The most frames that are made up for a gap; a capture that lacks more is none.
+/// The highest number of placeholders that are added for missing frames; a capture that lacks more is unusable anyway.
 const MAX_MISSING: u64 = 1 << 16;
 
 impl FrameFlow {
-    /// Adds a frame to those that wait to be matched.
+    /// Adds a frame that is to be matched with the other end.
     pub fn push(&mut self, frame: &[u8]) {
         self.push_checksum(checksum(capture::common(frame)));
     }
 
-    /// Makes up for frames missing before a position, so that one gap is not reported again by each later frame.
+    /// Adds placeholders for the frames missing before a position, so that a gap is not reported again for each later
+    /// frame.
     pub fn skip_to(&mut self, position: u64) {
         let missing = position.saturating_sub(self.frames).min(MAX_MISSING);
         for _ in 0..missing {
@@ -98,7 +100,8 @@
     }
 }
 
-/// FNV-1a: frames are compared with their other end, not defended against forgery.
+/// Returns the FNV-1a hash, which suffices because the frames of both ends are only compared and not protected against
+/// forgery.
 fn checksum(bytes: &[u8]) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -108,9 +111,9 @@
 /// One end of a connection.
 #[derive(Default)]
 pub struct ConnectionEnd {
-    /// This end dialled.
+    /// Whether this end dialled.
     pub is_dialler: bool,
-    /// The connection was never made.
+    /// Whether connecting failed.
     pub connect_failed: bool,
     /// The address that was dialled.
     pub dialled_address: Option<Address>,
--- a/crates/trace-checker/src/connections/conversation.rs
+++ b/crates/trace-checker/src/connections/conversation.rs
@@ -1,8 +1,8 @@
-//! Who talks to whom on a connection.
+//! Which processes talk on a connection, and for what purpose.
 
 use tideroute_wire::{Address, Party};
 
-/// Roles of processes, as the head of a capture names them.
+/// Roles of processes, as the header of a capture names them.
 pub mod role {
     pub const CLIENT: &str = "client";
     pub const ROUTER: &str = "router";
@@ -13,20 +13,21 @@
 /// What a connection is for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Purpose {
-    /// Requests of a client.
+    /// A client sends requests.
     ClientToRouter,
-    /// Attempts and health checks.
+    /// A router sends reservation requests, attempts and health checks.
     RouterToWorker,
-    /// A router's watch of the endpoint list.
+    /// A router watches the endpoint list.
     RouterToDiscovery,
-    /// A worker's registration.
+    /// A worker registers itself.
     WorkerToDiscovery,
     /// A decode worker fetches KV state.
     StateTransfer,
 }
 
 impl Purpose {
-    /// What a process of one role wants of one of another.
+    /// Returns the purpose of a connection between processes of these roles; `None` if such a connection is not
+    /// expected.
     pub fn between(dialler_role: &str, acceptor_role: &str) -> Option<Purpose> {
         match (dialler_role, acceptor_role) {
             (role::CLIENT, role::ROUTER) => Some(Purpose::ClientToRouter),
@@ -39,7 +40,7 @@
     }
 }
 
-/// The role of a process that introduces itself with a Hello.
+/// Returns the role of a process that names this party in its Hello.
 pub fn role_of(party: Party) -> &'static str {
     match party {
         Party::Client => role::CLIENT,
@@ -52,10 +53,10 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Conversation {
     pub purpose: Purpose,
-    /// The process dialled.
+    /// Whether that process dialled.
     pub is_dialler: bool,
-    /// The address that was dialled: the worker's, on a connection to one.
+    /// The address that was dialled; on a connection to a worker, the worker's address.
     pub dialled_address: Address,
-    /// The frame is the Hello with which the connection begins.
+    /// Whether the event's frame is the Hello with which the connection begins.
     pub is_hello: bool,
 }
--- a/crates/trace-checker/src/connections/router_origins.rs
+++ b/crates/trace-checker/src/connections/router_origins.rs
@@ -1,4 +1,4 @@
-//! By which origin each router tells its request ids from those of others.
+//! Checks the origins of routers, which keep the request ids of different routers apart.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,7 +7,7 @@
 use crate::event_context::EventContext;
 use crate::report::Rule;
 
-/// The origins that routers name in their Hello: each router has its own, and keeps it.
+/// The origins that routers send in their Hello messages. Each router must have an origin of its own and keep it.
 #[derive(Default)]
 pub struct RouterOrigins {
     by_process: BTreeMap<u32, Origin>,
@@ -19,12 +19,13 @@
     pub fn check_hello(&mut self, context: &mut EventContext) {
         let process = context.captured.process;
         let Ok(origin) = tideroute_wire::origin_of(&context.captured.frame) else {
-            return context.violation(Rule::Capture, None, "a router says no origin");
+            return context.violation(Rule::Capture, None, "router sent a Hello without an origin");
         };
         let known = *self.by_process.entry(process).or_insert(origin);
         let owner = *self.owners.entry(origin).or_insert(process);
         if known != origin || owner != process {
-            let description = format!("processes {owner} and {process} have one origin, or one has two");
+            let description =
+                format!("processes {owner} and {process} share an origin, or one process changed its origin");
             context.violation(Rule::Capture, None, description);
         }
     }
--- a/crates/trace-checker/src/connections/unpaired_ends.rs
+++ b/crates/trace-checker/src/connections/unpaired_ends.rs
@@ -1,5 +1,4 @@
-//! Ends of connections whose other end is not known yet. Ports are given out again, so that several ends may have the
-//! same addresses.
+//! Ends of connections whose other end is not known yet. Ports are reused, so several ends may have the same addresses.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,17 +6,18 @@
 
 use super::connection_end::{AddressPair, ConnectionEnd, EndKey};
 
-/// Microseconds for which a connection may wait to be accepted: longer than any process is paused.
+/// The longest time in microseconds for which a connection may wait to be accepted: longer than any process is paused.
 const MAX_ACCEPT_DELAY: Micros = 60_000_000;
-/// Microseconds by which a relay may be late to say what it joined.
+/// The longest delay in microseconds with which a relay captures that it joined two connections.
 const MAX_RELAY_DELAY: Micros = 1_000_000;
 
 /// The ends of all connections.
 pub type Ends = BTreeMap<EndKey, ConnectionEnd>;
 
-/// The addresses before a relay that it joined with those behind it, and when it said so.
+/// The addresses of a downstream connection (from the dialler to a relay), and when the relay joined it with an
+/// upstream connection (from the relay to the acceptor).
 struct RelayedConnection {
-    front: AddressPair,
+    downstream: AddressPair,
     at: Micros,
 }
 
@@ -25,41 +25,43 @@
 #[derive(Default)]
 pub struct UnpairedEnds {
     by_addresses: HashMap<AddressPair, Vec<EndKey>>,
-    /// Connections that a relay joined, by the addresses behind it, until the end behind is known.
+    /// Connections that a relay joined, by the upstream addresses, until the accepted end of the upstream connection is
+    /// known.
     relayed: HashMap<AddressPair, RelayedConnection>,
 }
 
 impl UnpairedEnds {
-    /// The addresses by which an accepted connection's other end knows it: those before a relay, if one stands between.
-    pub fn front_of(&mut self, addresses: AddressPair, accepted_at: Micros) -> AddressPair {
+    /// Returns the addresses that the dialling end of an accepted connection has: the downstream addresses if a relay
+    /// joined the connection with another, else the same addresses.
+    pub fn downstream_of(&mut self, addresses: AddressPair, accepted_at: Micros) -> AddressPair {
         match self.relayed.remove(&addresses) {
-            Some(relayed) if accepted_at.saturating_sub(relayed.at) < MAX_ACCEPT_DELAY => relayed.front,
+            Some(relayed) if accepted_at.saturating_sub(relayed.at) < MAX_ACCEPT_DELAY => relayed.downstream,
             _ => addresses,
         }
     }
 
-    /// A relay joined two connections. Returns the accepted end behind it if that is known already; it is then no longer
-    /// unpaired by the addresses behind.
-    pub fn relay_joined(
+    /// Handles a relay's event that it joined two connections. If the accepted end of the upstream connection is known
+    /// already, removes it from the ends that are unpaired by the upstream addresses and returns it.
+    pub fn take_end(
         &mut self,
         ends: &Ends,
-        front: AddressPair,
-        behind: AddressPair,
+        downstream: AddressPair,
+        upstream: AddressPair,
         at: Micros,
     ) -> Option<EndKey> {
-        let unpaired = self.by_addresses.get(&behind);
-        let fitting =
+        let unpaired = self.by_addresses.get(&upstream);
+        let nearest_end =
             unpaired.and_then(|keys| keys.iter().filter_map(|key| accepted_near(ends, *key, at)).min());
-        let Some((_, key)) = fitting else {
-            self.relayed.insert(behind, RelayedConnection { front, at });
+        let Some((_, key)) = nearest_end else {
+            self.relayed.insert(upstream, RelayedConnection { downstream, at });
             return None;
         };
-        self.by_addresses.entry(behind).or_default().retain(|other| *other != key);
+        self.by_addresses.entry(upstream).or_default().retain(|other| *other != key);
         Some(key)
     }
 
-    /// Takes the other end of `key` out, or adds `key` to the unpaired ends. Of ends that look alike, one that is still
-    /// open is the other end, and the rest stay to the end of the capture.
+    /// Removes and returns the other end of `key`, or adds `key` to the unpaired ends if there is none. Only an end
+    /// that is still open can be the other end; closed ends with the same addresses stay until the end of the capture.
     pub fn take_peer(&mut self, ends: &Ends, key: EndKey, addresses: AddressPair) -> Option<EndKey> {
         let is_dialler = ends.get(&key)?.is_dialler;
         let unpaired = self.by_addresses.entry(addresses).or_default();
@@ -78,20 +80,22 @@
         Some(peer)
     }
 
-    /// Takes out all groups of unpaired ends with the same addresses.
+    /// Removes and returns all unpaired ends, grouped by their addresses.
     pub fn take_groups(&mut self) -> Vec<Vec<EndKey>> {
         std::mem::take(&mut self.by_addresses).into_values().collect()
     }
 }
 
-/// An accepted end that a relay may have joined at a moment, with the time between; one of long ago had the same port.
+/// Returns an accepted end that a relay may have joined at `joined_at`, with the time between both events. An end that
+/// was closed and accepted long before is an earlier connection with the same port.
 fn accepted_near(ends: &Ends, key: EndKey, joined_at: Micros) -> Option<(Micros, EndKey)> {
     let end = ends.get(&key).filter(|end| !end.is_dialler)?;
-    let apart = end.connected_at.abs_diff(joined_at);
-    (end.is_open() || apart < MAX_RELAY_DELAY).then_some((apart, key))
+    let distance = end.connected_at.abs_diff(joined_at);
+    (end.is_open() || distance < MAX_RELAY_DELAY).then_some((distance, key))
 }
 
-/// Of ends with the same addresses, the index of the other end of `key` that connected at the nearest time.
+/// Returns the index of the candidate that connected nearest in time to `key` and can be its other end. All candidates
+/// have the same addresses.
 pub fn nearest_peer(ends: &Ends, key: EndKey, candidates: &[EndKey]) -> Option<usize> {
     let end = ends.get(&key)?;
     let distance = |candidate: &EndKey| {
--- a/crates/trace-checker/src/drain_rule.rs
+++ b/crates/trace-checker/src/drain_rule.rs
@@ -1,4 +1,4 @@
-//! Rule 3: what each router was notified of, and what it sent to a worker that drains or was removed.
+//! Rule 3: what each router was notified of, and what it sent to workers that drain or were removed.
 
 use std::collections::BTreeMap;
 
@@ -9,29 +9,30 @@
 use crate::event_context::EventContext;
 use crate::report::Rule;
 
-/// An endpoint as a router's process was notified of it.
+/// The last notification about an endpoint that a router's process received.
 #[derive(Clone, Copy)]
 struct Notified {
     status: EndpointStatus,
-    /// When it was notified of the status, first of several statuses that all end service.
+    /// When the process was notified of the status. Of several notifications in a row that the worker is out of
+    /// service, the first one counts.
     since: Micros,
     started: Micros,
 }
 
-/// What the first core of a router was notified of.
+/// What a router knows about a worker, from whichever of its cores was notified first.
 #[derive(Default)]
 struct FirstNotified {
     version: u64,
-    /// When it was notified that the worker drains or was removed.
+    /// When the router was notified that the worker drains or was removed; `None` if the worker serves.
     out_of_service_at: Option<Micros>,
 }
 
-/// Rule 3, with the endpoint lists of all routers.
+/// The state of rule 3, with the endpoint lists of all routers.
 pub struct DrainRule {
     grace: Micros,
-    /// Which processes are cores of one router: those that listen at one address.
+    /// The address at which each router process listens. Processes with the same address are cores of one router.
     router_addresses: BTreeMap<u32, Address>,
-    /// By router and worker.
+    /// By router address and worker.
     first_notified: BTreeMap<(Address, Address), FirstNotified>,
     /// The version of the endpoint list update that is being read.
     version: u64,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// A router's process received the head of an update. What a full snapshot does not name was removed.
+    /// Handles the head of an endpoint list update that a router's process received. Endpoints that a full snapshot
+    /// does not name were removed.
     pub fn update_begun(&mut self, context: &EventContext, version: u64, is_snapshot: bool) {
         self.version = version;
         if !is_snapshot {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// A router's process received an endpoint.
+    /// Handles an endpoint of an update that a router's process received.
     pub fn endpoint_notified(
         &mut self,
         context: &EventContext,
@@ -76,16 +78,17 @@
         let captured = context.captured;
         let is_serving = status == EndpointStatus::Serving;
         let before = self.notified.get(&(captured.process, worker));
-        // Of several notifications that service ends, the first counts.
+        // A removal may follow a drain notification; the first of them counts.
         let since = match before {
             Some(before) if before.status != EndpointStatus::Serving && !is_serving => before.since,
             _ => captured.at,
         };
         self.notified.insert((captured.process, worker), Notified { status, since, started });
-        // The router knows what its first core was notified of; a slower core repeats an older version.
+        // A router knows of an update once its first core was notified. An older version that a slower core receives
+        // later changes nothing.
         let Some(&router) = self.router_addresses.get(&captured.process) else { return };
         let first = self.first_notified.entry((router, worker)).or_default();
-        // One update may hold the end of a worker and its new start.
+        // One update may contain both the removal of a worker and its next start.
         if self.version >= first.version {
             first.version = self.version;
             first.out_of_service_at = match is_serving {
@@ -95,12 +98,12 @@
         }
     }
 
-    /// Whether a router's process was last notified of this start of the worker.
+    /// Returns whether the last notification about the worker that a router's process received was of this start.
     pub fn knows_start(&self, process: u32, worker: Address, started: Micros) -> bool {
         self.notified.get(&(process, worker)).is_some_and(|notified| notified.started == started)
     }
 
-    /// Rule 3: a router sends an attempt or asks for a reservation.
+    /// Checks rule 3 for an attempt or a reservation request that a router sends to a worker.
     pub fn check_send(&self, context: &mut EventContext, request_id: u64, worker: Address) {
         let (process, now) = (context.captured.process, context.captured.at);
         let Some(since) = self.out_of_service_since(process, worker) else { return };
@@ -110,7 +113,7 @@
         *latest = delay.max(*latest);
         if delay > self.grace {
             let description = format!(
-                "sent to {} {} ms after it was told to drain or to be gone",
+                "sent to {} {} ms after the router was notified that the worker drains or was removed",
                 display_address(worker),
                 delay / 1000
             );
@@ -118,11 +121,12 @@
         }
     }
 
-    /// When the process, or the first core of its router, was notified that the worker is out of service.
+    /// Returns when the process or the first core of its router was notified that the worker is out of service.
     fn out_of_service_since(&self, process: u32, worker: Address) -> Option<Micros> {
         let notified = self.notified.get(&(process, worker));
-        let by_process =
-            notified.filter(|notified| notified.status != EndpointStatus::Serving).map(|n| n.since);
+        let by_process = notified
+            .filter(|notified| notified.status != EndpointStatus::Serving)
+            .map(|notified| notified.since);
         let router = self.router_addresses.get(&process);
         let first = router.and_then(|&router| self.first_notified.get(&(router, worker)));
         let by_router = first.and_then(|first| first.out_of_service_at);
--- a/crates/trace-checker/src/event_context.rs
+++ b/crates/trace-checker/src/event_context.rs
@@ -1,11 +1,11 @@
-//! The event under check.
+//! The event that is being checked, with what its checks need.
 
 use tideroute_wire::capture::CapturedFrame;
 
 use crate::process_pauses::ProcessPauses;
 use crate::report::{Report, Rule};
 
-/// The event under check, with the pauses known so far and the report that takes violations.
+/// The event that is being checked, the pauses known so far, and the report to which violations are added.
 pub struct EventContext<'a> {
     pub captured: &'a CapturedFrame,
     pub pauses: &'a ProcessPauses,
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checks from a traffic capture whether the router kept its five rules. [`check`] reads the capture once, in order of
-//! time. It knows of the router only what the router sent and received: it shares no code with the request lifecycle or
-//! the scheduler.
+//! Checks from a traffic capture whether the routers kept their five rules. [`check`] reads the capture once, in order
+//! of time. It knows only what the routers sent and received, and shares no code with the request lifecycle or the
+//! scheduler.
 //!
-//! A capture that lacks something cannot show that a rule was kept, so gaps are violations too: frames are numbered on
-//! each connection, both ends of a connection are compared, and a message that answers nothing is reported.
+//! A capture with gaps cannot show that a rule was kept, so gaps are violations too: frames are numbered on each
+//! connection, both ends of a connection are compared, and an answer to a message that was never sent is reported.
 
 #![warn(missing_docs)]
 
--- a/crates/trace-checker/src/message_handler.rs
+++ b/crates/trace-checker/src/message_handler.rs
@@ -1,4 +1,4 @@
-//! Decodes captured frames and gives their messages to the rules.
+//! Decodes captured frames and passes their messages to the rules.
 
 use bytes::Bytes;
 use tideroute_wire::capture::CaptureEvent;
@@ -12,8 +12,8 @@
 use crate::router_request::NewAttempt;
 use crate::rules::Rules;
 
-/// Decodes one frame. Messages between a client and a router count on both sides, all others where the router captured
-/// them; the start of a worker is what it registers with discovery.
+/// Decodes one frame. Messages between a client and a router are checked as captured at both ends, all others only as
+/// captured by the router, except that the start time of a worker is taken from its registration with discovery.
 pub fn handle_frame(
     context: &mut EventContext,
     conversation: Conversation,
@@ -24,7 +24,7 @@
     }
     let captured = context.captured;
     let is_dialler = conversation.is_dialler;
-    // The dialler speaks in the frames that it sent, and in those that the acceptor received.
+    // The dialler is the sender of the frames that it sent itself, and of those that the acceptor received.
     let from_dialler = (captured.event == CaptureEvent::Sent) == is_dialler;
     let frame = &captured.frame;
     let mut handler = MessageHandler { context, conversation, rules };
@@ -50,7 +50,7 @@
 }
 
 impl MessageHandler<'_, '_> {
-    /// The frame was captured by the client, not by the router.
+    /// Returns whether the frame was captured by the client and not by the router. Valid for client connections only.
     fn is_at_client(&self) -> bool {
         self.conversation.is_dialler
     }
@@ -61,7 +61,7 @@
 
     fn response(&mut self, number: u64, response: Response) -> Result<(), Malformed> {
         if self.is_at_client() {
-            self.rules.clients.response(self.context, number, response);
+            self.rules.clients.response_received(self.context, number, response);
         } else {
             self.rules.routers.response_sent(self.context, number, response);
         }
@@ -80,11 +80,11 @@
         _prefix_tokens: u32,
         _max_tokens: u32,
         timeout: Micros,
-        _mark: u64,
+        _idempotency_key: u64,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
         if self.is_at_client() {
-            self.rules.clients.submitted(self.context, number, timeout);
+            self.rules.clients.request_sent(self.context, number, timeout);
         } else {
             self.rules.routers.request_received(self.context, number, class, timeout);
         }
@@ -93,7 +93,7 @@
 
     fn cancel(&mut self, number: u64) -> Result<(), Malformed> {
         if self.is_at_client() {
-            self.rules.clients.cancelled(self.context, number);
+            self.rules.clients.cancel_sent(self.context, number);
         } else {
             self.rules.routers.cancel_received(self.context, number);
         }
@@ -104,7 +104,7 @@
 impl client::Client for MessageHandler<'_, '_> {
     fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
         if self.is_at_client() {
-            self.rules.clients.admitted(self.context, number);
+            self.rules.clients.admission_received(self.context, number);
         } else {
             self.rules.routers.admitted(self.context, number, id);
         }
@@ -113,7 +113,7 @@
 
     fn token(&mut self, number: u64, index: u32, _text: Bytes) -> Result<(), Malformed> {
         if self.is_at_client() {
-            self.rules.clients.token(self.context, number, index);
+            self.rules.clients.token_received(self.context, number, index);
         } else {
             self.rules.routers.token_sent(self.context, number);
         }
@@ -176,7 +176,7 @@
         _prompt_tokens: u32,
         max_tokens: u32,
         _timeout: Micros,
-        _mark: u64,
+        _idempotency_key: u64,
         _prefill_worker: Option<Address>,
         _window: u32,
         _session: u64,
--- a/crates/trace-checker/src/process_pauses.rs
+++ b/crates/trace-checker/src/process_pauses.rs
@@ -1,16 +1,16 @@
-//! When processes were paused from outside. Time in which a process could do nothing is not held against it.
+//! Tracks when processes were paused from outside. The time in which a process was paused is deducted from its delays.
 
 use std::collections::BTreeMap;
 
 use tideroute_wire::Micros;
 
-/// Microseconds after a pause in which a process comes to what waited for it: time for the first iteration of its event
-/// loop, on a machine that runs hundreds of them.
+/// Time in microseconds after a pause in which a process handles what arrived during the pause: the first iteration of
+/// its event loop, on a machine that runs hundreds of event loops.
 const RESUME_GRACE: Micros = 20_000;
 
 struct Pause {
     from: Micros,
-    /// The end of time while the pause goes on.
+    /// `Micros::MAX` while the pause lasts.
     until: Micros,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl ProcessPauses {
-    /// A process was paused.
+    /// Records that a process was paused.
     pub fn begin(&mut self, process: u32, at: Micros) {
         let pauses = self.by_process.entry(process).or_default();
         let is_paused = pauses.last().is_some_and(|pause| pause.until == Micros::MAX);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A process was resumed.
+    /// Records that a process was resumed.
     pub fn end(&mut self, process: u32, at: Micros) {
         let Some(pauses) = self.by_process.get_mut(&process) else { return };
         let Some(pause) = pauses.last_mut() else { return };
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How long a process was paused within a time.
+    /// Returns how long a process was paused between two times.
     pub fn paused_within(&self, process: u32, from: Micros, until: Micros) -> Micros {
         let Some(pauses) = self.by_process.get(&process) else { return 0 };
         pauses.iter().map(|pause| pause.overlap(from, until)).sum()
--- a/crates/trace-checker/src/report.rs
+++ b/crates/trace-checker/src/report.rs
@@ -1,20 +1,20 @@
-//! What a check found.
+//! The result of a check.
 
 use tideroute_wire::Micros;
 
-/// Violations that are listed; of further ones only the number is kept.
+/// The highest number of violations that are listed; further ones are only counted.
 const MAX_LISTED: usize = 200;
 
-/// What a violation concerns.
+/// The rule that a violation breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// No rule: the capture has a gap or contradicts itself.
+    /// None of the five rules: the capture has a gap or contradicts itself.
     Capture,
     /// Rule 1: each request gets exactly one final response, in time.
     Lost,
     /// Rule 2: no request takes effect twice.
     Duplicate,
-    /// Rule 3: a draining worker gets nothing new.
+    /// Rule 3: a draining or removed worker gets no new work.
     Drain,
     /// Rule 4: a worker that has just started is not overloaded.
     SlowStart,
@@ -23,30 +23,30 @@
 }
 
 impl Rule {
-    /// All of them, in the order in which they are reported.
+    /// All rules, in the order in which they are reported.
     pub const ALL: [Rule; 6] =
         [Rule::Capture, Rule::Lost, Rule::Duplicate, Rule::Drain, Rule::SlowStart, Rule::Pinned];
 
-    /// The rule in a few words, as the check prints it.
+    /// Returns the rule in a few words, as the command `check-trace` prints it.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::Capture => "the record is whole",
-            Rule::Lost => "rule 1, no submission lost",
-            Rule::Duplicate => "rule 2, no effect twice",
-            Rule::Drain => "rule 3, drains kept",
-            Rule::SlowStart => "rule 4, no cold worker pushed over",
-            Rule::Pinned => "rule 5, nothing left pinned",
+            Rule::Capture => "the capture is complete and consistent",
+            Rule::Lost => "rule 1, no request lost",
+            Rule::Duplicate => "rule 2, no duplicate execution",
+            Rule::Drain => "rule 3, no work sent to draining workers",
+            Rule::SlowStart => "rule 4, no warming worker overloaded",
+            Rule::Pinned => "rule 5, no worker state left pinned",
         }
     }
 
-    /// The rule in one word, as the table of measurements prints it.
+    /// Returns a short label of the rule, as the table of measurements prints it.
     pub fn label(self) -> &'static str {
         match self {
-            Rule::Capture => "Record",
+            Rule::Capture => "Capture",
             Rule::Lost => "Lost",
-            Rule::Duplicate => "Twice",
+            Rule::Duplicate => "Duplicate",
             Rule::Drain => "Drain",
-            Rule::SlowStart => "Cold",
+            Rule::SlowStart => "Slow start",
             Rule::Pinned => "Pinned",
         }
     }
@@ -57,15 +57,15 @@
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// When, by the clock of the capture; 0 if no moment is known.
+    /// When it happened, by the clock of the capture; 0 if the time is not known.
     pub at: Micros,
-    /// The router's id of the request, if one is concerned and known.
+    /// The router's id of the request, if the violation concerns a request and its id is known.
     pub request_id: Option<u64>,
     /// What happened.
     pub description: String,
 }
 
-/// How much of everything a capture holds: one that holds little shows little.
+/// Counts of what a capture contains. A check of a capture that contains little proves little.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Captured events.
@@ -86,29 +86,30 @@
     pub disconnected: u64,
     /// Attempts that were sent to workers.
     pub attempts: u64,
-    /// Decode reservations that were asked for.
+    /// Decode reservations that were requested.
     pub reservations: u64,
-    /// The latest send to a worker after the router was notified of its drain or removal, microseconds.
+    /// The longest time between the notification of a worker's drain or removal and a send to that worker,
+    /// microseconds.
     pub latest_send_after_drain: Micros,
-    /// The most work that was sent to a warming worker, as a part of what overloads it.
+    /// The most work that was sent to a warming worker, as a fraction of the work that overloads it.
     pub peak_slow_start_load: f64,
-    /// The longest that a worker kept state for a request without an attempt in flight, microseconds.
+    /// The longest time for which a worker kept state for a request without an attempt in flight, microseconds.
     pub longest_idle_state: Micros,
 }
 
-/// What a check found.
+/// The result of a check.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// How much was checked.
+    /// What the capture contains.
     pub counts: Counts,
-    /// Violations, by rule and time.
+    /// The listed violations, sorted by rule and time.
     pub violations: Vec<Violation>,
-    /// Violations beyond those listed.
+    /// Number of violations beyond the listed ones.
     pub unlisted: u64,
 }
 
 impl Report {
-    /// No rule was violated, and the capture has no gap.
+    /// Returns whether no rule was violated and the capture has no gap.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
--- a/crates/trace-checker/src/router_request.rs
+++ b/crates/trace-checker/src/router_request.rs
@@ -1,4 +1,5 @@
-//! One request as its router saw it, with rule 5: what workers keep for it.
+//! A request as its router saw it, with the checks of its attempts (rules 1 and 2) and of the state that workers keep
+//! for it (rule 5).
 
 use std::collections::BTreeSet;
 
@@ -14,26 +15,27 @@
 
 /// A request as its router saw it.
 pub struct RouterRequest {
-    /// The client's number for it, at the router's end.
+    /// Identifies the request at the router's end of the client's connection.
     pub key: RequestKey,
     pub class: u8,
     pub received_at: Micros,
     pub timeout: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u16,
     pub in_flight: Option<InFlightAttempt>,
     /// The first attempt that may have run on a decode worker.
     pub may_have_run: Option<AttemptStart>,
-    /// Workers that keep KV state or a reservation for it, or were asked to.
+    /// Workers that keep KV state or a reservation for the request, or were asked for a reservation.
     pub kept_at: BTreeSet<Address>,
-    /// Since when what is kept may be idle: the last outcome, or the last reservation asked for.
+    /// Start of the time in which kept state may be idle: the admission, the last end of an attempt or the last
+    /// reservation request.
     pub idle_since: Micros,
-    /// When its first token went to the client.
+    /// When the router sent the first token to the client.
     pub first_token_at: Option<Micros>,
     pub ended_at: Option<Micros>,
 }
 
-/// An attempt that was sent and has no outcome yet.
+/// An attempt that was sent and has not ended yet.
 pub struct InFlightAttempt {
     pub number: u16,
     pub connection: u64,
@@ -53,7 +55,7 @@
     pub number: u16,
     pub worker: Address,
     pub is_prefill: bool,
-    /// Tokens that it makes the worker process.
+    /// Number of tokens that the worker has to process for the attempt.
     pub tokens: f64,
 }
 
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Rules 1 and 2: whether an attempt may be sent now.
+    /// Checks rules 1 and 2: whether an attempt may be sent now.
     pub fn check_attempt(
         &self,
         context: &mut EventContext,
@@ -90,47 +92,64 @@
     ) {
         let number = attempt.number;
         if let Some(in_flight) = &self.in_flight {
-            let description = format!("shot {number} goes out while shot {} still is", in_flight.number);
+            let description =
+                format!("attempt {number} was sent while attempt {} was in flight", in_flight.number);
             context.violation(Rule::Duplicate, Some(id), description);
         }
         if number != self.attempts {
-            let description = format!("shot {number} is the {}th that was sent", self.attempts + 1);
+            let description =
+                format!("attempt {number} is the {}th attempt that was sent", self.attempts + 1);
             context.violation(Rule::Duplicate, Some(id), description);
         }
         if number >= config.max_attempts {
-            context.violation(Rule::Duplicate, Some(id), format!("shot {number} is one too many"));
+            context.violation(
+                Rule::Duplicate,
+                Some(id),
+                format!("attempt {number} exceeds the limit of attempts"),
+            );
         }
         if self.ended_at.is_some() {
-            context.violation(Rule::Lost, Some(id), format!("shot {number} goes out after the end"));
+            context.violation(
+                Rule::Lost,
+                Some(id),
+                format!("attempt {number} was sent after the request ended"),
+            );
         }
         if attempt.is_prefill {
             return;
         }
-        if let Some(reason) = self.forbids_decode(context.captured.at, attempt.worker, config) {
+        if let Some(reason) = self.reason_against_decode(context.captured.at, attempt.worker, config) {
             let class = &config.classes[usize::from(self.class)];
-            let description = format!("of {}: shot {number} goes out {reason}", class.name);
+            let description = format!("class {}: attempt {number} was sent {reason}", class.name);
             context.violation(Rule::Duplicate, Some(id), description);
         }
     }
 
-    /// Why the request may not run on a decode worker once more.
-    fn forbids_decode(&self, now: Micros, worker: Address, config: &CheckerConfig) -> Option<&'static str> {
+    /// Returns why the request must not run on a decode worker once more; `None` if it may.
+    fn reason_against_decode(
+        &self,
+        now: Micros,
+        worker: Address,
+        config: &CheckerConfig,
+    ) -> Option<&'static str> {
         let first = self.may_have_run?;
         let class = &config.classes[usize::from(self.class)];
         match class.idempotency {
             Idempotency::Idempotent => None,
-            Idempotency::NonIdempotent => Some("though an earlier one may have run"),
+            Idempotency::NonIdempotent => Some("although an earlier attempt may have run"),
             Idempotency::IdempotentWithKey if now > first.at + class.deduplication_window => {
-                Some("after the window")
+                Some("after the deduplication window")
             }
             Idempotency::IdempotentWithKey => {
                 let is_deduplicated = share_keys(config, class.deduplication_scope, first.worker, worker);
-                (!is_deduplicated).then_some("outside the group that drops its repeats")
+                (!is_deduplicated)
+                    .then_some("to a worker outside the deduplication scope of the first attempt")
             }
         }
     }
 
-    /// Rule 2: a rejection tells the client that it may send the request again. Whether that would be harmless.
+    /// Returns whether rule 2 allows a rejection. A rejection tells the client that it may send the request again, so
+    /// the request must not have run, or running it again must be harmless.
     pub fn may_be_rejected(&self, config: &CheckerConfig) -> bool {
         let class = &config.classes[usize::from(self.class)];
         self.may_have_run.is_none()
@@ -151,7 +170,7 @@
         self.in_flight = Some(InFlightAttempt { number: attempt.number, connection, start });
     }
 
-    /// The attempt in flight is over. `never_ran` says that it certainly had no effect.
+    /// Records the end of the attempt in flight. `never_ran` says that the attempt certainly had no effect.
     pub fn attempt_ended(&mut self, at: Micros, never_ran: bool) {
         let Some(attempt) = self.in_flight.take() else { return };
         if never_ran && self.may_have_run == Some(attempt.start) {
@@ -160,7 +179,7 @@
         self.idle_since = at;
     }
 
-    /// Rule 5: while no attempt is in flight, what is kept is used or released in time.
+    /// Checks rule 5: while no attempt is in flight, kept state must be used or released in time.
     pub fn check_kept_state(
         &mut self,
         id: u64,
@@ -179,14 +198,15 @@
         *longest = idle.max(*longest);
         if idle > max_idle_state {
             let worker = display_address(worker);
-            let description = format!("{worker} held for it {} ms with no shot out", idle / 1000);
+            let description =
+                format!("{worker} kept state for {} ms without an attempt in flight", idle / 1000);
             report.add_violation(Rule::Pinned, now, Some(id), description);
             self.kept_at.clear();
         }
     }
 }
 
-/// Whether two workers share the keys by which they deduplicate.
+/// Returns whether two workers share the keys by which they deduplicate requests.
 fn share_keys(config: &CheckerConfig, scope: DeduplicationScope, one: Address, two: Address) -> bool {
     if scope == DeduplicationScope::All {
         return true;
--- a/crates/trace-checker/src/router_requests.rs
+++ b/crates/trace-checker/src/router_requests.rs
@@ -14,7 +14,7 @@
 use crate::response::Response;
 use crate::router_request::{NewAttempt, RouterRequest};
 
-/// A request by its router's process and the id that the router gave it.
+/// Identifies a request by its router's process and the id that the router gave it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RouterRequestKey {
     process: u32,
@@ -29,10 +29,10 @@
 
 type RequestTable = BTreeMap<RouterRequestKey, RouterRequest>;
 
-/// A request that a router received and neither admitted nor rejected yet.
+/// A request that a router received and has neither admitted nor rejected yet.
 struct PendingRequest {
     class: u8,
-    at: Micros,
+    received_at: Micros,
     timeout: Micros,
 }
 
@@ -43,7 +43,7 @@
     /// The router's id for each request that it admitted.
     ids: BTreeMap<RequestKey, u64>,
     requests: RequestTable,
-    /// When the response to each request went out.
+    /// When the router sent the response to each request.
     responses: BTreeMap<RequestKey, Micros>,
     /// Health checks without an answer, by process and nonce.
     health_checks: BTreeSet<(u32, u64)>,
@@ -63,30 +63,32 @@
         }
     }
 
-    /// The router's id for a request, by the number that its client gave it.
+    /// Returns the router's id of a request; `None` if the router did not admit it.
     pub fn id(&self, key: RequestKey) -> Option<u64> {
         self.ids.get(&key).copied()
     }
 
-    /// When the first token of a request went out.
+    /// Returns when the router sent the first token of a request.
     pub fn first_token_at(&self, key: RequestKey) -> Option<Micros> {
         let id = self.id(key)?;
         self.requests.get(&RouterRequestKey { process: key.process, id })?.first_token_at
     }
 
-    /// When the response to a request went out.
+    /// Returns when the router sent the response to a request.
     pub fn response_at(&self, key: RequestKey) -> Option<Micros> {
         self.responses.get(&key).copied()
     }
 
-    // What a router receives from and sends to clients.
+    // Messages between routers and clients.
 
     pub fn request_received(&mut self, context: &mut EventContext, number: u64, class: u8, timeout: Micros) {
         if usize::from(class) >= self.config.classes.len() {
-            let description = format!("number {number} is of track {class}, which the terms do not name");
+            let description = format!(
+                "request number {number} has class {class}, which the checker configuration does not define"
+            );
             return context.violation(Rule::Capture, None, description);
         }
-        let pending = PendingRequest { class, at: context.captured.at, timeout };
+        let pending = PendingRequest { class, received_at: context.captured.at, timeout };
         self.pending.insert(RequestKey::of(context.captured, number), pending);
     }
 
@@ -102,14 +104,15 @@
         let captured = context.captured;
         let key = RequestKey::of(captured, number);
         let Some(pending) = self.pending.remove(&key) else {
-            let description = format!("a router takes number {number}, which it never heard of");
+            let description = format!("router admitted request number {number}, which it never received");
             return context.violation(Rule::Capture, Some(id), description);
         };
         context.report.counts.admitted += 1;
-        let request = RouterRequest::new(key, pending.class, pending.at, pending.timeout, captured.at);
+        let request =
+            RouterRequest::new(key, pending.class, pending.received_at, pending.timeout, captured.at);
         self.ids.insert(key, id);
         if self.requests.insert(RouterRequestKey::of(captured, id), request).is_some() {
-            context.violation(Rule::Capture, Some(id), "two submissions have one id");
+            context.violation(Rule::Capture, Some(id), "two requests have the same id");
         }
     }
 
@@ -118,11 +121,15 @@
         let id = self.id(RequestKey::of(captured, number));
         let Some(request) = id.and_then(|id| self.requests.get_mut(&RouterRequestKey::of(captured, id)))
         else {
-            return context.violation(Rule::Capture, id, format!("a token for number {number}, never taken"));
+            return context.violation(
+                Rule::Capture,
+                id,
+                format!("token was sent for request number {number}, which was never admitted"),
+            );
         };
         request.first_token_at.get_or_insert(captured.at);
         if request.ended_at.is_some() {
-            context.violation(Rule::Lost, id, "a token was sent after the end");
+            context.violation(Rule::Lost, id, "token was sent after the request ended");
         }
     }
 
@@ -131,32 +138,37 @@
         let key = RequestKey::of(captured, number);
         let id = self.id(key);
         if self.responses.insert(key, captured.at).is_some() {
-            context.violation(Rule::Lost, id, "a second answer was sent");
+            context.violation(Rule::Lost, id, "second response was sent");
         }
         if self.pending.remove(&key).is_some() {
             return;
         }
         let Some(request) = id.and_then(|id| self.requests.get_mut(&RouterRequestKey::of(captured, id)))
         else {
-            return context.violation(Rule::Capture, id, format!("number {number} is answered, never taken"));
+            return context.violation(
+                Rule::Capture,
+                id,
+                format!("response was sent for request number {number}, which was never admitted"),
+            );
         };
         request.ended_at.get_or_insert(captured.at);
         let paused = context.pauses.paused_within(captured.process, request.received_at, captured.at);
-        let late = captured.at.saturating_sub(request.received_at + request.timeout + paused);
-        if late > 0 && request.first_token_at.is_none() {
-            let description = format!("it was answered {late} us after its client's time was up");
+        let lateness = captured.at.saturating_sub(request.received_at + request.timeout + paused);
+        if lateness > 0 && request.first_token_at.is_none() {
+            let description = format!("response was sent {lateness} us after the deadline");
             context.violation(Rule::Lost, id, description);
         }
         if response == Response::Rejected && !request.may_be_rejected(&self.config) {
             let class = &self.config.classes[usize::from(request.class)];
-            let description = format!("of {} and turned back, though a shot may have run", class.name);
+            let description =
+                format!("class {}: request was rejected although an attempt may have run", class.name);
             context.violation(Rule::Duplicate, id, description);
         }
     }
 
-    // What a router sends to and receives from workers.
+    // Messages between routers and workers.
 
-    /// An attempt is sent. Returns whether its request is known.
+    /// Records and checks an attempt that a router sends. Returns whether its request is known.
     pub fn attempt_sent(&mut self, context: &mut EventContext, id: u64, attempt: &NewAttempt) -> bool {
         context.report.counts.attempts += 1;
         let captured = context.captured;
@@ -182,9 +194,14 @@
         worker: Address,
         is_reserved: bool,
     ) {
-        // After the end nothing is expected of it: it was released while the answer was under way.
+        // An answer after the end of the request is no violation: the reservation was released while the answer was in
+        // flight.
         if !self.requests.contains_key(&RouterRequestKey::of(context.captured, id)) {
-            return context.violation(Rule::Capture, Some(id), "an answer on a place never asked for");
+            return context.violation(
+                Rule::Capture,
+                Some(id),
+                "reservation was answered for a request that was never admitted",
+            );
         }
         let Some(request) = find(&mut self.requests, &self.config, context, id) else { return };
         if !is_reserved {
@@ -201,7 +218,7 @@
         }
     }
 
-    /// A token is received from a worker. The first one shows that the state kept for the request is in use.
+    /// Handles a token from a worker. The first token shows that the state kept for the request is in use.
     pub fn token_received(&mut self, context: &mut EventContext, id: u64, attempt: u16, index: u32) {
         let Some(request) = find(&mut self.requests, &self.config, context, id) else { return };
         if is_in_flight(request, attempt, context) && index == 0 {
@@ -233,7 +250,7 @@
 
     pub fn health_check_answered(&mut self, context: &mut EventContext, nonce: u64) {
         if !self.health_checks.remove(&(context.captured.process, nonce)) {
-            context.violation(Rule::Capture, None, "an answer to a probe that was never sent");
+            context.violation(Rule::Capture, None, "answer to a health check that was never sent");
         }
     }
 
@@ -249,14 +266,15 @@
         }
     }
 
-    /// The worker drops what it kept for requests of this connection, and attempts on it are over.
+    /// Handles the end of a connection to a worker: the worker drops what it kept for requests of this connection, and
+    /// the attempts on it have ended.
     fn worker_connection_closed(&mut self, context: &mut EventContext, worker: Address) {
         let captured = context.captured;
         let never_ran = captured.event == CaptureEvent::ConnectFailed;
         for (key, request) in requests_of(&mut self.requests, captured.process) {
             let attempt = request.in_flight.as_ref();
-            let is_concerned = attempt.is_some_and(|attempt| attempt.connection == captured.connection);
-            if is_concerned {
+            let is_on_connection = attempt.is_some_and(|attempt| attempt.connection == captured.connection);
+            if is_on_connection {
                 request.attempt_ended(captured.at, never_ran);
             } else if request.kept_at.contains(&worker) {
                 let limit = self.config.max_idle_state;
@@ -277,23 +295,27 @@
     pub fn process_ended(&mut self, context: &mut EventContext) {
         let captured = context.captured;
         self.ended_processes.insert(captured.process);
-        // A router that exits owes its responses; one that was killed is excused.
+        // A router that exits by itself must have sent all responses; a router that was killed is excused.
         let exited = captured.event == CaptureEvent::ProcessExited;
         for (key, request) in requests_of(&mut self.requests, captured.process) {
             let limit = self.config.max_idle_state;
             request.check_kept_state(key.id, captured.at, limit, context.pauses, context.report);
             if exited && request.ended_at.is_none() {
-                context.violation(Rule::Lost, Some(key.id), "its router left without an answer");
+                context.violation(
+                    Rule::Lost,
+                    Some(key.id),
+                    "router exited without a response to the request",
+                );
             }
             request.kept_at.clear();
             request.ended_at.get_or_insert(captured.at);
         }
     }
 
-    // Memory.
+    // Cleanup, and the end of the capture.
 
-    /// Forgets requests that ended longer ago than `age`. A message for one of them that still comes is one for a
-    /// request that was never admitted, which is a violation all the same.
+    /// Forgets requests that ended more than `age` ago. A later message for one of them is reported as a message for a
+    /// request that was never admitted, so it remains a violation.
     pub fn forget_ended(&mut self, now: Micros, age: Micros) {
         let is_over = |request: &RouterRequest| {
             let ended_long_ago = request.ended_at.is_some_and(|at| at + age < now);
@@ -309,7 +331,7 @@
         });
     }
 
-    /// The capture is at its end: what is still kept should not be.
+    /// Checks at the end of the capture whether workers still keep state for longer than rule 5 allows.
     pub fn finish(&mut self, now: Micros, pauses: &ProcessPauses, report: &mut Report) {
         for (key, request) in &mut self.requests {
             if !self.ended_processes.contains(&key.process) {
@@ -319,7 +341,8 @@
     }
 }
 
-/// The request that a worker's message concerns. What was kept too long until now is reported first.
+/// Returns the request that a message to or from a worker concerns, after a check of the state that was kept for it
+/// until now.
 fn find<'a>(
     requests: &'a mut RequestTable,
     config: &CheckerConfig,
@@ -328,17 +351,18 @@
 ) -> Option<&'a mut RouterRequest> {
     let captured = context.captured;
     let Some(request) = requests.get_mut(&RouterRequestKey::of(captured, id)) else {
-        context.violation(Rule::Capture, Some(id), "a shot of a submission that was never taken");
+        context.violation(Rule::Capture, Some(id), "message for a request that was never admitted");
         return None;
     };
     request.check_kept_state(id, captured.at, config.max_idle_state, context.pauses, context.report);
     Some(request)
 }
 
-/// Whether the attempt is the one in flight on this connection. A late message of a cancelled one is no fault.
+/// Returns whether the attempt is the one in flight on this connection. A late message of a cancelled attempt is no
+/// violation; a message of an attempt that was never sent is reported.
 fn is_in_flight(request: &RouterRequest, attempt: u16, context: &mut EventContext) -> bool {
     if attempt >= request.attempts {
-        let description = format!("a word of shot {attempt}, which was never sent");
+        let description = format!("message for attempt {attempt}, which was never sent");
         context.violation(Rule::Capture, None, description);
     }
     let Some(in_flight) = &request.in_flight else { return false };
--- a/crates/trace-checker/src/rules.rs
+++ b/crates/trace-checker/src/rules.rs
@@ -1,4 +1,5 @@
-//! All rules together, and rule 1 as it needs both sides: whether each client got its response in time.
+//! Combines all rules, and checks the part of rule 1 that needs the client's and the router's side: whether each client
+//! got its response in time.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 use crate::router_requests::RouterRequests;
 use crate::slow_start_rule::SlowStartRule;
 
-/// Microseconds for which a request that ended is remembered: longer than any client waits or any process is paused.
+/// Time in microseconds for which a request that ended is kept: longer than any client waits or any process is paused.
 const RETENTION: Micros = 120_000_000;
 
 /// The state of all rules.
@@ -27,7 +28,8 @@
 }
 
 impl Rules {
-    /// `router_addresses` says which processes are cores of one router: those that listen at one address.
+    /// `router_addresses` holds the address at which each router process listens. Processes with the same address are
+    /// cores of one router.
     pub fn new(config: &CheckerConfig, router_addresses: BTreeMap<u32, Address>) -> Rules {
         Rules {
             clients: ClientRequests::default(),
@@ -37,7 +39,7 @@
         }
     }
 
-    /// A router sends an attempt to a worker.
+    /// Checks an attempt that a router sends to a worker.
     pub fn attempt_sent(&mut self, context: &mut EventContext, id: u64, attempt: NewAttempt) {
         if !self.routers.attempt_sent(context, id, &attempt) {
             return;
@@ -50,7 +52,7 @@
         self.slow_start.check_attempt(context, id, worker, attempt.tokens, knew_start);
     }
 
-    /// A router asks a worker for a reservation.
+    /// Checks a reservation request that a router sends to a worker.
     pub fn reservation_requested(&mut self, context: &mut EventContext, id: u64, worker: Address) {
         self.routers.reservation_requested(context, id, worker);
         self.drain.check_send(context, id, worker);
@@ -67,11 +69,11 @@
         for (key, request) in self.clients.take_ended(now, RETENTION) {
             self.check_response(key, &request, connections, pauses, report);
         }
-        // The router's side of a request is needed to check the client's, so it is kept for as long again.
+        // The router's side of a request is needed to check the client's side, so it is kept for twice the time.
         self.routers.forget_ended(now, 2 * RETENTION);
     }
 
-    /// The capture is at its end: all that is still open is checked.
+    /// Checks all requests that are left at the end of the capture.
     pub fn finish(
         &mut self,
         now: Micros,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Rule 1: whether a client got one response in time.
+    /// Checks rule 1: whether a client got a response in time.
     fn check_response(
         &self,
         key: RequestKey,
@@ -107,21 +109,24 @@
             if is_over || router_end.is_none_or(|end| connections.is_over(end)) {
                 report.counts.disconnected += 1;
             } else {
-                let description = format!("client link {connection:x} number {number} was never answered");
+                let description =
+                    format!("client connection {connection:x}, request number {number}: no response");
                 report.add_violation(Rule::Lost, request.sent_at, id, description);
             }
         } else if request.first_token_at.is_none_or(|at| at > request.deadline) {
             let Some(router_key) = router_key else { return };
             if self.is_late(request, router_key, pauses) {
-                let description =
-                    format!("client link {connection:x} number {number} was answered after its time");
+                let description = format!(
+                    "client connection {connection:x}, request number {number}: response after the deadline"
+                );
                 report.add_violation(Rule::Lost, request.deadline, id, description);
             }
         }
     }
 
-    /// Whether the router was late. A client that reads late did not get its response late, so what counts is when the
-    /// router sent it; on one machine both have the same clock. Time in which the router was paused is excused.
+    /// Returns whether the router sent the first token, or else the response, after the deadline. The time of sending
+    /// counts, because a client may be late to read; both run on one machine and use the same clock. Time in which the
+    /// router was paused is excused.
     fn is_late(&self, request: &ClientRequest, router_key: RequestKey, pauses: &ProcessPauses) -> bool {
         let first_token_at = self.routers.first_token_at(router_key);
         let Some(sent_at) = first_token_at.or(self.routers.response_at(router_key)) else { return false };
--- a/crates/trace-checker/tests/check/capture_builder.rs
+++ b/crates/trace-checker/tests/check/capture_builder.rs
@@ -1,4 +1,4 @@
-//! Writes captures of a small fleet, event by event.
+//! Writes captures of a router with a few workers, event by event.
 
 use std::collections::BTreeMap;
 
@@ -16,14 +16,14 @@
 pub const DECODE: u32 = 4;
 pub const DISCOVERY: u32 = 5;
 pub const OTHER_DECODE: u32 = 6;
-/// A second router, where a test has one.
+/// A second router, which only some tests use.
 pub const SECOND_ROUTER: u32 = 7;
 /// Microseconds in a millisecond.
 pub const MS: u64 = 1000;
 /// The router's id of the one request of most captures.
 pub const ID: u64 = 77;
 
-/// Where a process listens.
+/// Returns the address at which a process listens.
 pub fn address(process: u32) -> Address {
     [127, 0, 0, 1, 0, process as u8]
 }
@@ -62,15 +62,16 @@
     }
 }
 
-/// One connection: who dialled and who accepted it, with the frames sent by the acceptor and by the dialler.
+/// A connection: the process that dialled it (`from`) and the one that accepted it (`to`), with the number of frames
+/// sent by the acceptor and by the dialler.
 struct TestConnection {
     from: u32,
     to: u32,
-    link: u64,
+    connection_number: u64,
     frames: [u64; 2],
 }
 
-/// A capture being written.
+/// A capture that is being written.
 pub struct CaptureBuilder {
     pub now: u64,
     pub events: Vec<CapturedFrame>,
@@ -78,8 +79,9 @@
 }
 
 impl CaptureBuilder {
-    /// All processes run and are connected. The connections: 0 of the client, 1 to the prefill worker, 2 to the decode
-    /// worker, 3 of the router to discovery, 4 and 5 of both workers to discovery, 6 to the other decode worker.
+    /// Creates a capture in which all processes run and are connected. The connections: 0 of the client to the router,
+    /// 1 to the prefill worker, 2 to the decode worker, 3 of the router to discovery, 4 and 5 of both workers to
+    /// discovery, 6 to the other decode worker.
     pub fn new() -> CaptureBuilder {
         let mut capture = CaptureBuilder { now: 1_000_000 * MS, events: vec![], connections: vec![] };
         for process in [CLIENT, ROUTER, PREFILL, DECODE, DISCOVERY, OTHER_DECODE] {
@@ -111,33 +113,66 @@
         capture
     }
 
-    pub fn add_event(&mut self, process: u32, link: u64, event: CaptureEvent, position: u64, frame: Bytes) {
-        self.events.push(CapturedFrame { at: self.now, process, connection: link, event, position, frame });
+    pub fn add_event(
+        &mut self,
+        process: u32,
+        connection_number: u64,
+        event: CaptureEvent,
+        position: u64,
+        frame: Bytes,
+    ) {
+        self.events.push(CapturedFrame {
+            at: self.now,
+            process,
+            connection: connection_number,
+            event,
+            position,
+            frame,
+        });
     }
 
     pub fn connect(&mut self, from: u32, to: u32, party: Party) {
-        let link = self.connections.len() as u64;
-        let (dialler, acceptor) = ([127, 0, 0, 1, 9, link as u8], address(to));
-        self.add_event(from, link, CaptureEvent::Connecting, 0, Bytes::copy_from_slice(&acceptor));
-        self.add_event(to, link, CaptureEvent::Accepted, 0, Bytes::from([dialler, acceptor].concat()));
-        self.add_event(from, link, CaptureEvent::Connected, 0, Bytes::from([acceptor, dialler].concat()));
-        self.connections.push(TestConnection { from, to, link, frames: [0, 0] });
+        let connection_number = self.connections.len() as u64;
+        let (dialler, acceptor) = ([127, 0, 0, 1, 9, connection_number as u8], address(to));
+        self.add_event(
+            from,
+            connection_number,
+            CaptureEvent::Connecting,
+            0,
+            Bytes::copy_from_slice(&acceptor),
+        );
+        self.add_event(
+            to,
+            connection_number,
+            CaptureEvent::Accepted,
+            0,
+            Bytes::from([dialler, acceptor].concat()),
+        );
+        self.add_event(
+            from,
+            connection_number,
+            CaptureEvent::Connected,
+            0,
+            Bytes::from([acceptor, dialler].concat()),
+        );
+        self.connections.push(TestConnection { from, to, connection_number, frames: [0, 0] });
         let hello = match party {
             Party::Router => say_router("somebody", u128::from(from)),
             _ => say_hello(party, "somebody"),
         };
-        self.send(link as usize, true, hello);
+        self.send(connection_number as usize, true, hello);
     }
 
-    /// A frame is sent on a connection, by the dialler or by the acceptor, and received.
+    /// Adds a frame that the dialler or the acceptor of a connection sends and the other one receives.
     pub fn send(&mut self, connection: usize, from_dialler: bool, frame: Bytes) {
-        let TestConnection { from, to, link, frames } = &mut self.connections[connection];
-        let (from, to, link, direction) = (*from, *to, *link, usize::from(from_dialler));
+        let TestConnection { from, to, connection_number, frames } = &mut self.connections[connection];
+        let (from, to, connection_number, direction) =
+            (*from, *to, *connection_number, usize::from(from_dialler));
         let position = frames[direction];
         frames[direction] += 1;
         let (sender, receiver) = if from_dialler { (from, to) } else { (to, from) };
-        self.add_event(sender, link, CaptureEvent::Sent, position, frame.clone());
-        self.add_event(receiver, link, CaptureEvent::Received, position, frame);
+        self.add_event(sender, connection_number, CaptureEvent::Sent, position, frame.clone());
+        self.add_event(receiver, connection_number, CaptureEvent::Received, position, frame);
     }
 
     pub fn send_update(&mut self, endpoints: &[(u32, EndpointStatus, u64)]) {
@@ -163,7 +198,7 @@
         self.send(1, true, worker::prefill(id, attempt, 0, 1, 0, 100, 0, 0, Bytes::new()));
     }
 
-    /// An attempt to the decode worker on connection 2, or to the other one on connection 6.
+    /// Sends an attempt to the decode worker on connection 2, or to the other decode worker on connection 6.
     pub fn send_decode(&mut self, connection: usize, id: u64, attempt: u16, max_tokens: u32) {
         let prefill_worker = Some(address(PREFILL));
         self.send(
@@ -183,7 +218,7 @@
         self.send(0, false, client::completed(number, 2));
     }
 
-    /// A request from its submission to its completion, with every kind of message of these.
+    /// Adds all messages of a request that is prefilled, decoded and completed.
     pub fn complete_request(&mut self, number: u64, class: u8) {
         let id = ID + number - 1;
         self.advance(10).submit(number, class, 4000);
@@ -197,9 +232,9 @@
 
     pub fn close_all(&mut self) {
         for connection in 0..self.connections.len() {
-            let TestConnection { from, to, link, frames } = self.connections[connection];
-            self.add_event(from, link, CaptureEvent::Closed, 0, counts(frames[1], frames[0]));
-            self.add_event(to, link, CaptureEvent::Closed, 0, counts(frames[0], frames[1]));
+            let TestConnection { from, to, connection_number, frames } = self.connections[connection];
+            self.add_event(from, connection_number, CaptureEvent::Closed, 0, counts(frames[1], frames[0]));
+            self.add_event(to, connection_number, CaptureEvent::Closed, 0, counts(frames[0], frames[1]));
         }
     }
 
@@ -209,7 +244,7 @@
     }
 }
 
-/// Checks a capture of these events.
+/// Checks a capture that consists of these events.
 pub fn check_events(events: &[CapturedFrame]) -> Report {
     let role = |process| match process {
         CLIENT => "client",
@@ -230,12 +265,13 @@
     check(bytes.as_slice()).unwrap()
 }
 
-/// A capture without any violation, in which every kind of message occurs.
+/// Returns a capture without any violation, in which every kind of message occurs.
 pub fn clean_capture() -> CaptureBuilder {
     let mut capture = CaptureBuilder::new();
     capture.complete_request(1, 0);
     capture.complete_request(2, 1);
-    // One request that is rejected, one that fails, one that is cancelled with its attempt; a health check and its answer.
+    // One request that is rejected, one that fails, one that is cancelled with its attempt; a health check and its
+    // answer.
     capture.advance(10).submit(3, 0, 1000);
     capture.advance(5).send(0, false, client::rejected(3, 500 * MS));
     capture.submit(4, 1, 1000);
--- a/crates/trace-checker/tests/check/capture_gaps.rs
+++ b/crates/trace-checker/tests/check/capture_gaps.rs
@@ -1,4 +1,4 @@
-//! A capture that lacks or contradicts something is found.
+//! Captures with missing or contradictory events are reported as violations.
 
 use bytes::Bytes;
 use tideroute_trace_checker::Report;
@@ -10,9 +10,9 @@
     SECOND_ROUTER,
 };
 
-/// Request ids are unique only if the origins of routers are.
+/// Request ids are unique only if the origins of routers are unique and do not change.
 #[test]
-fn routers_that_share_an_origin_or_change_it_are_found() {
+fn routers_that_share_or_change_an_origin_are_reported() {
     for (process, origin) in [(OTHER_DECODE, u128::from(ROUTER)), (ROUTER, 99)] {
         let mut capture = clean_capture();
         capture.connect(process, DISCOVERY, Party::Client);
@@ -31,27 +31,28 @@
         }
         let report = capture.check();
         let is_found =
-            report.violations.iter().any(|violation| violation.description.contains("have one origin"));
+            report.violations.iter().any(|violation| violation.description.contains("share an origin"));
         assert!(is_found, "{:?}", report.violations);
     }
 }
 
 /// The relay's address that the router dials.
-const FRONT: Address = [127, 0, 0, 9, 1, 1];
+const RELAY_LISTENER: Address = [127, 0, 0, 9, 1, 1];
 /// The relay's address that the worker sees.
-const BEHIND: Address = [127, 0, 0, 9, 2, 2];
+const RELAY_SOURCE: Address = [127, 0, 0, 9, 2, 2];
 
-/// A clean capture with a relay between the router and the decode worker: each end sees the relay's address in place of
-/// the other's. One frame may be changed on its way, and the relay's own event be late or missing.
+/// Checks a clean capture with a relay between the router and the decode worker: each end sees the relay's address in
+/// place of the other end's. `is_changed`: a frame differs between both ends. `is_late`: the relay's own event comes
+/// last instead of first. `is_captured`: the relay's own event is in the capture.
 fn check_relayed(is_changed: bool, is_late: bool, is_captured: bool) -> Report {
     let mut capture = clean_capture();
     capture.close_all();
     let dialler = [127, 0, 0, 1, 9, 2];
-    let joined = [FRONT, dialler, address(DECODE), BEHIND].concat();
+    let joined = [RELAY_LISTENER, dialler, address(DECODE), RELAY_SOURCE].concat();
     for captured in capture.events.iter_mut().filter(|event| event.connection == 2) {
         match captured.event {
-            CaptureEvent::Connected => captured.frame = Bytes::from([FRONT, dialler].concat()),
-            CaptureEvent::Accepted => captured.frame = Bytes::from([BEHIND, address(DECODE)].concat()),
+            CaptureEvent::Connected => captured.frame = Bytes::from([RELAY_LISTENER, dialler].concat()),
+            CaptureEvent::Accepted => captured.frame = Bytes::from([RELAY_SOURCE, address(DECODE)].concat()),
             CaptureEvent::Received if is_changed && captured.position == 2 => {
                 captured.frame = Bytes::from_static(b"else")
             }
@@ -70,27 +71,35 @@
     check_events(&capture.events)
 }
 
-/// The relay uses a port that it used before: what it joined then is not what it joined now.
+/// Checks a capture in which a relay reuses a port. Connections that ended before have the same addresses and must not
+/// be paired with the present one.
 fn check_reused_port(is_late: bool) -> Report {
     const DIALLER: Address = [127, 0, 0, 1, 9, 9];
     let mut capture = CaptureBuilder::new();
-    let old = Bytes::from([[127, 0, 0, 9, 7, 7], [127, 0, 0, 1, 7, 7], address(DECODE), BEHIND].concat());
-    let ends = Bytes::from([BEHIND, address(DECODE)].concat());
-    // A connection through the relay that it announced first, and one that it never announced.
+    let old =
+        Bytes::from([[127, 0, 0, 9, 7, 7], [127, 0, 0, 1, 7, 7], address(DECODE), RELAY_SOURCE].concat());
+    let ends = Bytes::from([RELAY_SOURCE, address(DECODE)].concat());
+    // A connection whose joining the relay captured before it was accepted, and one whose joining it never captured.
     capture.add_event(DISCOVERY, 0, CaptureEvent::Joined, 0, old);
-    for link in [50, 49] {
-        capture.add_event(DECODE, link, CaptureEvent::Accepted, 0, ends.clone());
-        capture.add_event(DECODE, link, CaptureEvent::Closed, 0, counts(0, 0));
+    for connection in [50, 49] {
+        capture.add_event(DECODE, connection, CaptureEvent::Accepted, 0, ends.clone());
+        capture.add_event(DECODE, connection, CaptureEvent::Closed, 0, counts(0, 0));
         capture.advance(10);
     }
     capture.advance(10_000);
-    let joined = [FRONT, DIALLER, address(DECODE), BEHIND].concat();
+    let joined = [RELAY_LISTENER, DIALLER, address(DECODE), RELAY_SOURCE].concat();
     if !is_late {
         capture.add_event(DISCOVERY, 0, CaptureEvent::Joined, 0, joined.clone().into());
     }
     let hello = say_router("somebody", u128::from(ROUTER));
     capture.add_event(ROUTER, 51, CaptureEvent::Connecting, 0, Bytes::copy_from_slice(&address(DECODE)));
-    capture.add_event(ROUTER, 51, CaptureEvent::Connected, 0, Bytes::from([FRONT, DIALLER].concat()));
+    capture.add_event(
+        ROUTER,
+        51,
+        CaptureEvent::Connected,
+        0,
+        Bytes::from([RELAY_LISTENER, DIALLER].concat()),
+    );
     capture.add_event(DECODE, 52, CaptureEvent::Accepted, 0, ends);
     if is_late {
         capture.add_event(DISCOVERY, 0, CaptureEvent::Joined, 0, joined.into());
@@ -115,7 +124,7 @@
         assert!(report.is_clean(), "{:?}", report.violations);
         assert!(!check_relayed(true, is_late, true).is_clean());
     }
-    // Without the relay's event, the check finds frames that nobody sent.
+    // Without the relay's event, the ends cannot be paired, and the received frames have no sender.
     assert!(!check_relayed(false, false, false).is_clean());
 }
 
@@ -123,7 +132,7 @@
 fn no_event_can_be_removed_without_a_violation() {
     let mut capture = clean_capture();
     capture.close_all();
-    // A kind of frame: who captured it, whether it was sent, and the first byte, which names the message.
+    // The kind of a frame: whether it was sent, which process captured it, and its first byte, which names the message.
     let kind = |captured: &CapturedFrame| {
         (captured.event == CaptureEvent::Sent, captured.process, captured.frame.first().copied())
     };
--- a/crates/trace-checker/tests/check/config_json.rs
+++ b/crates/trace-checker/tests/check/config_json.rs
@@ -1,4 +1,4 @@
-//! Captures of earlier versions hold the checker's configuration in their head: its JSON stays as it is.
+//! Captures of earlier versions hold the checker's configuration in their header, so its JSON must not change.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     r#""fall_span":13,"most_shots":5}"#,
 );
 
-/// Before latency objectives and slots were kept.
+/// The form that captures had before they contained latency objectives and slots.
 const OLD_JSON: &str = concat!(
     r#"{"tracks":[{"name":"a","repeat":"replayable","group":"all","window":1}],"#,
     r#""workers":{"127.0.0.1:7000":{"rate":1000.5,"reader":true,"cell":1,"zone":2}},"#,
--- a/crates/trace-checker/tests/check/main.rs
+++ b/crates/trace-checker/tests/check/main.rs
@@ -1,5 +1,5 @@
-//! The checker on short captures: a clean one passes, a violation is found by rule and request, and nothing can be removed
-//! from a clean capture without a violation.
+//! Runs the checker on short captures: a clean capture passes, each violation is reported with its rule and request,
+//! and no event can be removed from a clean capture without a violation.
 
 mod capture_builder;
 mod capture_gaps;
--- a/crates/trace-checker/tests/check/rule_violations.rs
+++ b/crates/trace-checker/tests/check/rule_violations.rs
@@ -1,4 +1,4 @@
-//! Each rule violated on purpose is found, by rule and request.
+//! Each rule is violated on purpose, and the violation is reported with its rule and request.
 
 use bytes::Bytes;
 use tideroute_trace_checker::{Report, Rule};
@@ -11,7 +11,7 @@
     address, check_events, clean_capture, CaptureBuilder, DECODE, ID, PREFILL, ROUTER,
 };
 
-/// Only this rule is violated, at first by this request.
+/// Asserts that only this rule is violated, and that its first violation names this request.
 fn assert_violates_only(report: &Report, rule: Rule, request_id: Option<u64>) {
     let found = report.violations.iter().find(|violation| violation.rule == rule);
     let found = found.unwrap_or_else(|| panic!("{rule:?} was not found: {:?}", report.violations));
@@ -32,7 +32,7 @@
 fn rule_1_missing_response() {
     let mut capture = CaptureBuilder::new();
     capture.advance(10).submit(1, 0, 1000);
-    // The connection stays open: the request did not end with it.
+    // The connection stays open, so that the request has not ended with it.
     let mut report = check_events(&capture.events);
     report.violations.retain(|violation| violation.rule != Rule::Capture);
     assert_violates_only(&report, Rule::Lost, Some(ID));
@@ -75,7 +75,7 @@
         }
         assert_violates_only(&capture.check(), Rule::Duplicate, Some(ID));
     }
-    // A request that is known not to have run may be both.
+    // A request that is known not to have run may be both retried and rejected.
     let mut capture = CaptureBuilder::new();
     capture.advance(10).submit(1, 1, 4000);
     capture.send_decode(2, ID, 0, 20);
@@ -150,7 +150,8 @@
 
 #[test]
 fn rule_4_warming_worker_overloaded() {
-    // It processes 250 tokens a second at its start. Twice that within a second overloads it, a little later more.
+    // The worker processes 250 tokens per second at its start. Twice that within a second overloads it; a little after
+    // the start, the limit is a little higher.
     for (tokens, is_notified, kept) in [(480, true, true), (560, true, false), (560, false, true)] {
         let mut capture = CaptureBuilder::new();
         let started = capture.now;
@@ -192,7 +193,7 @@
     }
 }
 
-/// A router that is paused from outside cannot respond. Once it resumes, its delays are excused by as much, and no more,
+/// A router that is paused from outside cannot respond. Its delays are excused by the length of the pause and no more,
 /// and only by its own pauses.
 #[test]
 fn time_in_which_a_router_was_paused_is_excused_and_nothing_else() {
@@ -209,7 +210,7 @@
         if pause.is_some() {
             capture.add_event(process, 0, CaptureEvent::ProcessResumed, 0, Bytes::new());
         }
-        // Its KV state waits at the prefill worker for 1,990 ms, and its response is 995 ms late.
+        // The prefill worker keeps the request's KV state for 1,990 ms, and the response is 995 ms late.
         capture.advance(1990 - ms).send(1, true, worker::release(ID));
         capture.send(0, false, client::rejected(1, 0));
         capture.check()
