--- a/crates/membership-checker/src/capture_header.rs
+++ b/crates/membership-checker/src/capture_header.rs
@@ -1,4 +1,4 @@
-//! What the header of a capture says about the fleet. The keys in JSON are those of the captures that are stored.
+//! The part of a capture's header that describes the cluster of routers. Its JSON keys are those of stored captures.
 
 use serde::{Deserialize, Serialize};
 use tideroute_wire::Micros;
@@ -6,27 +6,27 @@
 /// The part of a capture's header that this package reads.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct CaptureHeader {
-    /// The fleet, if the routers of the day form one.
+    /// The cluster, if the routers of the scenario form one.
     #[serde(rename = "members")]
-    pub fleet: Option<FleetMembers>,
+    pub cluster: Option<FleetMembers>,
 }
 
-/// The members of a fleet, and when some of them could not reach others.
+/// The members of a cluster of routers, and the network partitions between them.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct FleetMembers {
     /// Names of the members.
     pub names: Vec<String>,
-    /// Network partitions of the day.
+    /// Network partitions of the scenario.
     #[serde(rename = "cuts")]
     pub partitions: Vec<Partition>,
 }
 
-/// A time in which some members could not hear some others, or each other.
+/// A time in which members on one side could not receive from those on the other side, or neither side from the other.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Partition {
-    /// Its first moment.
+    /// Start of the partition.
     pub from: Micros,
-    /// Its last moment.
+    /// End of the partition.
     pub until: Micros,
     /// Names of the members on one side.
     #[serde(rename = "between")]
--- a/crates/membership-checker/src/check.rs
+++ b/crates/membership-checker/src/check.rs
@@ -14,27 +14,27 @@
 use crate::view_convergence::check_convergence;
 use crate::violation::ViolationKind;
 
-/// Role of the processes whose observations are checked.
+/// Role of the processes whose observations are checked, as the capture header names it.
 const MEMBER_ROLE: &str = "member";
 
 /// Why a capture could not be checked.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// The capture cannot be read.
-    #[error("the record cannot be read: {0}")]
+    #[error("capture cannot be read: {0}")]
     Capture(#[from] CaptureError),
     /// The capture's header cannot be read.
-    #[error("the record's terms cannot be read: {0}")]
+    #[error("capture header cannot be read: {0}")]
     Header(#[from] serde_json::Error),
 }
 
-/// Checks a capture; `None` if its routers form no fleet.
+/// Checks a capture. Returns `None` if its routers form no cluster.
 pub fn check(capture: impl Read) -> Result<Option<Report>, CheckError> {
     let mut reader = Reader::new(capture);
     let (processes, header) = reader.head()?;
-    let Some(fleet) = serde_json::from_str::<CaptureHeader>(&header)?.fleet else { return Ok(None) };
-    let mut report = Report { members: fleet.names.len(), ..Report::default() };
-    let mut truth = GroundTruth::new(&fleet);
+    let Some(cluster) = serde_json::from_str::<CaptureHeader>(&header)?.cluster else { return Ok(None) };
+    let mut report = Report { members: cluster.names.len(), ..Report::default() };
+    let mut truth = GroundTruth::new(&cluster);
     let members = members_by_process(&processes, &truth);
     while let Some(frame) = reader.next_passed()? {
         if let Some(&member) = members.get(&frame.process) {
@@ -70,7 +70,7 @@
 
 fn run_checks(truth: &GroundTruth, report: &mut Report) {
     check_deaths(truth, report);
-    let Some(end) = end_of_day(truth) else {
+    let Some(end) = end_of_scenario(truth) else {
         report.add_violation(0, ViolationKind::NoOrderlyExit);
         return;
     };
@@ -81,8 +81,9 @@
     }
 }
 
-/// When the routers began to exit: the first exit, or the first goodbye that was observed.
-fn end_of_day(truth: &GroundTruth) -> Option<Micros> {
+/// Returns when the routers began to exit: the first graceful exit, or the first time that a router was observed to
+/// leave.
+fn end_of_scenario(truth: &GroundTruth) -> Option<Micros> {
     let exits = truth.runs.iter().flatten().filter(|run| run.exited).map(|run| run.until);
     let left = truth.observations.iter().filter(|observation| observation.status == ObservedStatus::Left);
     exits.chain(left.map(|observation| observation.at)).min()
--- a/crates/membership-checker/src/false_deaths.rs
+++ b/crates/membership-checker/src/false_deaths.rs
@@ -1,4 +1,4 @@
-//! Checks that no router is taken for dead or gone that is not.
+//! Checks that no router is considered dead or left while it is not.
 
 use crate::ground_truth::{GroundTruth, Observation, ObservedStatus};
 use crate::limits::{EXCUSE_WINDOW, MAX_LEAVE_TIME, MAX_TOLERATED_PAUSE};
@@ -16,7 +16,7 @@
 }
 
 fn check_leave(truth: &GroundTruth, observation: &Observation, report: &mut Report) {
-    // A router says goodbye a little before it exits.
+    // A router announces that it leaves a little before it exits.
     let latest_exit = observation.at + MAX_LEAVE_TIME;
     let has_left = truth.runs[observation.member].iter().any(|run| run.exited && run.until <= latest_exit);
     if !has_left {
@@ -40,8 +40,8 @@
     report.add_violation(observation.at, ViolationKind::FalseDeath { viewer, member });
 }
 
-/// Excused is the death of a router that was down not long ago (it may be that of its former run), or was paused for longer
-/// than must be tolerated, and any death across a partition.
+/// Returns whether an observed death is excused: the member was down shortly before (the death may be that of its
+/// previous run) or paused for longer than must be tolerated, or the member or the viewer was partitioned.
 fn is_excused(truth: &GroundTruth, observation: &Observation) -> bool {
     let Observation { at, viewer, member, .. } = *observation;
     let since = at.saturating_sub(EXCUSE_WINDOW);
--- a/crates/membership-checker/src/ground_truth.rs
+++ b/crates/membership-checker/src/ground_truth.rs
@@ -1,4 +1,4 @@
-//! What happened to each router, and what each observed.
+//! What happened to each router, and what each router observed.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
     pub from: Micros,
     /// `Micros::MAX` while it runs.
     pub until: Micros,
-    /// It exited by itself, in order.
+    /// Whether it exited gracefully by itself.
     pub exited: bool,
 }
 
@@ -25,16 +25,17 @@
     pub until: Micros,
 }
 
-/// What a router takes another for.
+/// The status of a router as another router observed it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ObservedStatus {
-    /// In the fleet: alive, or suspected.
+    /// A member of the cluster: alive or suspected.
     Member,
     Dead,
     Left,
 }
 
-/// What a router takes another for from a moment on. Routers are given by their index in `GroundTruth::names`.
+/// The status that a router assigned to another one from a time on. Routers are given by their index in
+/// `GroundTruth::names`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Observation {
     pub at: Micros,
@@ -43,7 +44,7 @@
     pub status: ObservedStatus,
 }
 
-/// What happened to each router, by its index in `names`, and what each observed.
+/// What happened to each router, by its index in `names`, and what each router observed.
 pub(crate) struct GroundTruth {
     pub names: Vec<String>,
     index_by_name: HashMap<String, usize>,
@@ -54,13 +55,13 @@
 }
 
 impl GroundTruth {
-    pub fn new(fleet: &FleetMembers) -> GroundTruth {
-        let names = fleet.names.clone();
+    pub fn new(cluster: &FleetMembers) -> GroundTruth {
+        let names = cluster.names.clone();
         GroundTruth {
             index_by_name: names.iter().enumerate().map(|(index, name)| (name.clone(), index)).collect(),
             runs: vec![vec![]; names.len()],
             pauses: vec![vec![]; names.len()],
-            partitions: fleet.partitions.clone(),
+            partitions: cluster.partitions.clone(),
             observations: vec![],
             names,
         }
@@ -74,7 +75,7 @@
         self.runs[member].push(Run { from: at, until: Micros::MAX, exited: false });
     }
 
-    /// A router was killed, or exited by itself.
+    /// Records that a router was killed, or that it exited by itself.
     pub fn ended(&mut self, member: usize, at: Micros, exited: bool) {
         if let Some(run) = self.runs[member].last_mut().filter(|run| run.until == Micros::MAX) {
             run.until = at;
@@ -93,9 +94,9 @@
         }
     }
 
-    /// Takes an observation as a router notes it: a status, an incarnation and a name.
-    pub fn observed(&mut self, viewer: usize, at: Micros, note: &[u8]) -> Result<(), ViolationKind> {
-        let text = String::from_utf8_lossy(note);
+    /// Records an observation in the form that routers write: status, incarnation and name, separated by spaces.
+    pub fn observed(&mut self, viewer: usize, at: Micros, observation: &[u8]) -> Result<(), ViolationKind> {
+        let text = String::from_utf8_lossy(observation);
         let mut parts = text.splitn(3, ' ');
         let status = parts.next().unwrap_or("");
         let name = parts.nth(1).unwrap_or("");
@@ -116,23 +117,24 @@
         Ok(())
     }
 
-    /// The run that a router is in at a moment; `None` if it is down.
+    /// Returns the run of a router at a time; `None` if it is down.
     pub fn run_at(&self, member: usize, at: Micros) -> Option<&Run> {
         self.runs[member].iter().find(|run| run.from <= at && at < run.until)
     }
 
-    /// It is up all the time between two moments, in one run.
+    /// Returns whether a router is up all the time between two times, in a single run.
     pub fn is_up_throughout(&self, member: usize, from: Micros, until: Micros) -> bool {
         self.run_at(member, from).is_some_and(|run| run.until > until)
     }
 
-    /// Since when a router has been down, if it is and was ever up.
+    /// Returns since when a router has been down; `None` if it is up or was never up.
     pub fn down_since(&self, member: usize, at: Micros) -> Option<Micros> {
         let last = self.runs[member].iter().rev().find(|run| run.from <= at)?;
         (last.until <= at).then_some(last.until)
     }
 
-    /// It is paused at some moment between two, in a pause that lasts longer than `min_length` until then.
+    /// Returns whether a router is paused at some time between `from` and `until`, in a pause that has lasted longer
+    /// than `min_length` by `until`.
     pub fn is_paused_within(&self, member: usize, from: Micros, until: Micros, min_length: Micros) -> bool {
         self.pauses[member].iter().any(|pause| {
             let is_within = pause.from <= until && pause.until >= from;
@@ -140,7 +142,7 @@
         })
     }
 
-    /// It is on a side of a partition at some moment between two.
+    /// Returns whether a router is on a side of a partition at some time between `from` and `until`.
     pub fn is_partitioned_within(&self, member: usize, from: Micros, until: Micros) -> bool {
         let name = &self.names[member];
         let concerns =
@@ -148,7 +150,7 @@
         self.partitions.iter().any(|partition| concerns(partition) && overlaps(partition, from, until))
     }
 
-    /// There is a partition at some moment between two.
+    /// Returns whether there is any partition at some time between `from` and `until`.
     pub fn has_partition_within(&self, from: Micros, until: Micros) -> bool {
         self.partitions.iter().any(|partition| overlaps(partition, from, until))
     }
--- a/crates/membership-checker/src/kill_detection.rs
+++ b/crates/membership-checker/src/kill_detection.rs
@@ -1,4 +1,4 @@
-//! Checks how soon each router knows that another was killed.
+//! Checks how soon each router detects that another was killed.
 
 use tideroute_wire::Micros;
 
@@ -9,20 +9,20 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A kill, and the time up to which the others should have noticed.
+/// A kill, and the time by which the other routers must have detected it.
 struct Kill {
     member: usize,
     at: Micros,
     deadline: Micros,
 }
 
-/// What a router knew of a kill.
+/// Whether and when a router detected a kill.
 enum Detection {
-    /// It knew after this time.
+    /// It detected the kill after this time.
     After(Micros),
-    /// It did not know by the deadline.
+    /// It did not detect the kill by the deadline.
     Missed,
-    /// Nothing can be said: it did not know the member, was down or paused.
+    /// The router is not checked: it did not know the member, or it was down or paused.
     NotApplicable,
 }
 
@@ -62,7 +62,7 @@
     observations
 }
 
-/// Kills that the others had time to notice, without a partition in which they could not.
+/// Returns the kills that the other routers had time to detect, and that no partition could have hidden.
 fn checkable_kills(truth: &GroundTruth, end: Micros) -> Vec<Kill> {
     let mut kills = Vec::new();
     for (member, runs) in truth.runs.iter().enumerate() {
@@ -102,12 +102,12 @@
         .filter(|observation| observation.viewer == viewer && observation.at <= kill.deadline);
     let (before, after): (Vec<&Observation>, Vec<&Observation>) =
         of_viewer.partition(|observation| observation.at < kill.at);
-    // A router that never saw the member has nothing to notice.
+    // A router that never observed the member has nothing to detect.
     let Some(last_before) = before.last() else { return Detection::NotApplicable };
     if let Some(first) = after.iter().find(|observation| observation.status != ObservedStatus::Member) {
         return Detection::After(first.at - kill.at);
     }
-    // A router that took the member for gone already knows at once.
+    // A router that considered the member dead or left before the kill has detected it at once.
     if last_before.status != ObservedStatus::Member {
         return Detection::After(0);
     }
--- a/crates/membership-checker/src/lib.rs
+++ b/crates/membership-checker/src/lib.rs
@@ -1,14 +1,15 @@
-//! Checks from the capture of a day whether the routers of a fleet saw each other as they were.
+//! Checks from the capture of a scenario whether the routers of a cluster saw each other's true status.
 //!
-//! What was true comes from the capture's events of processes (started, killed, paused) and from its header (network
-//! partitions); what each router saw, from the observations that it noted in the capture. No code is shared with the
-//! membership that is checked.
+//! The true status comes from the capture's process events (started, killed, paused) and from its header (network
+//! partitions). What each router saw comes from the observations that it recorded in the capture. This package shares
+//! no code with the membership protocol that it checks.
 //!
-//! [`check`] judges four things:
-//! - The others know of a kill within [`MAX_DETECTION_TIME`], at the 99th percentile.
-//! - No router is taken for dead that was up, unless a restart, a long pause or a partition excuses it.
-//! - Once nothing has changed for [`CONVERGENCE_TIME`], each router sees all that are up, and none that is not.
-//! - Something could be compared at all: a capture that shows nothing is a violation too.
+//! [`check`] checks four things:
+//! - The other routers detect a kill within [`MAX_DETECTION_TIME`], at the 99th percentile.
+//! - No router that is up is considered dead, unless a restart, a long pause or a partition excuses it.
+//! - Once nothing has changed for [`CONVERGENCE_TIME`], each router sees all routers that are up, and none that is
+//!   down.
+//! - The capture allows views to be compared: if it does not, that is a violation too.
 
 #![warn(missing_docs)]
 
--- a/crates/membership-checker/src/report.rs
+++ b/crates/membership-checker/src/report.rs
@@ -4,10 +4,10 @@
 
 use crate::violation::{Violation, ViolationKind};
 
-/// Violations that are listed; further ones are only counted.
+/// The highest number of violations that are listed; further ones are only counted.
 const MAX_LISTED: usize = 100;
 
-/// The time from a kill until another router knew of it.
+/// The time from a kill until another router detected it, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DetectionTimes {
     /// Median.
@@ -21,35 +21,35 @@
 /// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Members of the fleet.
+    /// Number of members of the cluster.
     pub members: usize,
-    /// Observations in the capture.
+    /// Number of observations in the capture.
     pub observations: u64,
-    /// Kills of which it was checked when the others knew.
+    /// Number of kills whose detection was checked.
     pub kills: u64,
-    /// How fast the others knew of kills.
+    /// How fast the other routers detected kills.
     pub detection_times: DetectionTimes,
-    /// Moments at which all views were compared with what was true.
+    /// Number of times at which all views were compared with the true status.
     pub compared_moments: u64,
-    /// Views of one member by another that were compared.
+    /// Number of views of one member by another that were compared.
     pub compared_views: u64,
-    /// Deaths that were observed.
+    /// Number of deaths that were observed.
     pub deaths: u64,
-    /// Observed deaths of routers that were up, which were excused.
+    /// Number of observed deaths of routers that were up, but which were excused.
     pub excused_deaths: u64,
     /// The first violations, sorted by time and text.
     pub violations: Vec<Violation>,
-    /// Violations beyond the listed ones.
+    /// Number of violations beyond the listed ones.
     pub unlisted_violations: u64,
 }
 
 impl Report {
-    /// There was no violation.
+    /// Returns whether there was no violation.
     pub fn is_clean(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// Number of all violations.
+    /// Returns the number of all violations.
     pub fn violation_count(&self) -> u64 {
         self.violations.len() as u64 + self.unlisted_violations
     }
--- a/crates/membership-checker/src/view_convergence.rs
+++ b/crates/membership-checker/src/view_convergence.rs
@@ -1,4 +1,4 @@
-//! Checks that all views are true at moments before which nothing has changed for a while.
+//! Checks that all views match the true status at times before which nothing has changed for a while.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 pub(crate) fn check_convergence(truth: &GroundTruth, end: Micros, report: &mut Report) {
     let mut views = Views::new(truth);
     let mut observations = truth.observations.iter().peekable();
-    for at in quiet_moments(truth, end) {
+    for at in comparison_times(truth, end) {
         report.compared_moments += 1;
         while let Some(observation) = observations.next_if(|observation| observation.at <= at) {
             views.apply(truth, observation);
@@ -23,26 +23,27 @@
     }
 }
 
-/// Moments that follow a time without changes: one soon after it has lasted long enough, and its last.
-fn quiet_moments(truth: &GroundTruth, end: Micros) -> BTreeSet<Micros> {
+/// Returns the times at which views are compared: for each period without changes that is long enough, the time at
+/// which views must have converged, and the last time before the next change.
+fn comparison_times(truth: &GroundTruth, end: Micros) -> BTreeSet<Micros> {
     let changes: Vec<_> = change_times(truth).into_iter().filter(|at| *at < end).collect();
-    let mut moments = BTreeSet::new();
+    let mut times = BTreeSet::new();
     for (index, change) in changes.iter().enumerate() {
-        let quiet_from = change + CONVERGENCE_TIME;
+        let converged_at = change + CONVERGENCE_TIME;
         let next_change = changes.get(index + 1).copied().unwrap_or(end);
         let is_partitioned = truth
             .partitions
             .iter()
-            .any(|partition| partition.from <= quiet_from && partition.until > *change);
-        if next_change >= quiet_from && !is_partitioned {
-            moments.insert(quiet_from);
-            moments.insert(next_change.saturating_sub(1).min(end - 1));
+            .any(|partition| partition.from <= converged_at && partition.until > *change);
+        if next_change >= converged_at && !is_partitioned {
+            times.insert(converged_at);
+            times.insert(next_change.saturating_sub(1).min(end - 1));
         }
     }
-    moments
+    times
 }
 
-/// When routers started or ended, and when partitions and long pauses began or ended.
+/// Returns the times at which routers started or ended, and at which partitions and long pauses began or ended.
 fn change_times(truth: &GroundTruth) -> BTreeSet<Micros> {
     let mut times = BTreeSet::new();
     for run in truth.runs.iter().flatten() {
@@ -59,11 +60,11 @@
     times
 }
 
-/// What each router takes each other for, as last observed.
+/// The status that each router assigned to each other router, as last observed.
 struct Views {
-    /// By viewer and member.
+    /// The last observed status, by viewer and member.
     statuses: Vec<Vec<ObservedStatus>>,
-    /// The start of the viewer's run in which it observed last.
+    /// By viewer: the start of the run in which the viewer made its last observation.
     run_starts: Vec<Micros>,
 }
 
@@ -76,7 +77,7 @@
     fn apply(&mut self, truth: &GroundTruth, observation: &Observation) {
         let viewer = observation.viewer;
         let run_start = truth.run_at(viewer, observation.at).map_or(0, |run| run.from);
-        // In a new run the viewer has observed nobody yet.
+        // In a new run, the viewer has not observed any member yet.
         if self.run_starts[viewer] != run_start {
             self.run_starts[viewer] = run_start;
             self.statuses[viewer].fill(ObservedStatus::Dead);
@@ -85,7 +86,7 @@
     }
 }
 
-/// Compares what one router takes all others for with what is true.
+/// Compares one router's views of all other routers with their true status.
 fn compare_view(truth: &GroundTruth, views: &Views, viewer: usize, at: Micros, report: &mut Report) {
     let Some(run) = truth.run_at(viewer, at) else { return };
     if truth.is_paused_within(viewer, at, at, 0) {
--- a/crates/membership-checker/src/violation.rs
+++ b/crates/membership-checker/src/violation.rs
@@ -1,85 +1,85 @@
-//! Violations: what a fleet did that it must not do.
+//! Violations of the membership rules.
 
 use tideroute_wire::Micros;
 
-/// Something that a fleet must not do.
+/// A violation that a cluster committed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// When it happened, on the capture's clock.
+    /// When it happened, by the clock of the capture.
     pub at: Micros,
     /// What happened.
     pub kind: ViolationKind,
 }
 
-/// What a fleet must not do. Members are given by name.
+/// The kinds of violations. Members are given by name.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ViolationKind {
-    /// No router left in order, so that the end of the day is not known.
-    #[error("no router ended in order: there is no end up to which to look")]
+    /// No router exited gracefully, so the end of the scenario is not known.
+    #[error("no router exited gracefully, so the end of the scenario is not known")]
     NoOrderlyExit,
-    /// There was no moment at which views could be compared with what was true.
-    #[error("nothing was compared: all the time something had just happened")]
+    /// There was no time at which views could be compared with the true status.
+    #[error("no views were compared, because changes followed each other too quickly")]
     NothingCompared,
-    /// A router saw another leave that did not.
-    #[error("{viewer} saw {member} leave, which it did not")]
+    /// A router saw another leave that did not leave.
+    #[error("{viewer} saw {member} leave, which did not leave")]
     FalseLeave {
-        /// Who saw it.
+        /// The router that saw it.
         viewer: String,
-        /// Whom it saw leave.
+        /// The router that it saw leave.
         member: String,
     },
-    /// A router took another for dead that was up.
-    #[error("{viewer} took {member} for dead, which was up")]
+    /// A router considered another dead that was up.
+    #[error("{viewer} considered {member} dead, which was up")]
     FalseDeath {
-        /// Who did.
+        /// The router that considered it dead.
         viewer: String,
-        /// Whom it took for dead.
+        /// The router that it considered dead.
         member: String,
     },
-    /// A router did not notice that another was killed.
-    #[error("{viewer} did not know {seconds:.1} s after that {member} was killed")]
+    /// A router did not detect that another was killed.
+    #[error("{viewer} did not detect within {seconds:.1} s that {member} was killed")]
     UndetectedKill {
-        /// Who did not notice.
+        /// The router that did not detect it.
         viewer: String,
-        /// Who was killed.
+        /// The router that was killed.
         member: String,
-        /// The time that it had.
+        /// The time in seconds that the router had to detect it.
         seconds: f64,
     },
-    /// Kills were noticed too late.
-    #[error("kills were known after {p99_seconds:.1} s at the 99th percentile")]
+    /// Kills were detected too late.
+    #[error("kills were detected after {p99_seconds:.1} s at the 99th percentile")]
     SlowDetection {
-        /// The 99th percentile of the time until another router knew.
+        /// The 99th percentile of the time in seconds until another router detected a kill.
         p99_seconds: f64,
     },
     /// A router did not see another that was up.
     #[error("{viewer} does not see {member}, which is up")]
     MissingMember {
-        /// Who did not see it.
+        /// The router that did not see it.
         viewer: String,
-        /// Whom it did not see.
+        /// The router that it did not see.
         member: String,
     },
     /// A router saw another that was down.
-    #[error("{viewer} still sees {member}, which is not")]
+    #[error("{viewer} still sees {member}, which is down")]
     StaleMember {
-        /// Who saw it.
+        /// The router that saw it.
         viewer: String,
-        /// Whom it saw.
+        /// The router that it saw.
         member: String,
     },
     /// An observation in the capture cannot be read.
-    #[error("{viewer} says {text:?}, which is no sight")]
+    #[error("{viewer} recorded {text:?}, which is not a valid observation")]
     MalformedObservation {
-        /// Who noted it.
+        /// The router that recorded it.
         viewer: String,
         /// Its text.
         text: String,
     },
-    /// A router saw another that is no member of the fleet.
-    #[error("{viewer} saw {member:?}, whom nobody started")]
+    /// A router saw a name that is not a member of the cluster.
+    #[error("{viewer} saw {member:?}, which is not a member of the cluster")]
     UnknownMember {
-        /// Who saw it.
+        /// The router that saw it.
         viewer: String,
         /// The name that it saw.
         member: String,
--- a/crates/membership-checker/tests/violations.rs
+++ b/crates/membership-checker/tests/violations.rs
@@ -1,4 +1,4 @@
-//! Captures in which one thing is wrong, which the checker finds, and the valid one that they are made from.
+//! Each test changes a valid capture and asserts which violations the checker reports.
 
 use bytes::Bytes;
 use tideroute_membership_checker::{check, CaptureHeader, FleetMembers, Partition, Report};
@@ -14,12 +14,13 @@
 }
 
 impl TestCapture {
-    /// All start and see each other; router5 is killed at 10 s, and all know after 3; all end at 40 s.
+    /// All routers start and see each other; router5 is killed at 10 s, and all others detect it 3 s later; all exit at
+    /// 40 s.
     fn valid() -> TestCapture {
         let mut capture = TestCapture { events: vec![], partitions: vec![] };
         for n in 0..MEMBER_COUNT {
             capture.add(SECOND + u64::from(n), n, CaptureEvent::ProcessStarted, "");
-            for other in (0..MEMBER_COUNT).filter(|o| *o != n) {
+            for other in (0..MEMBER_COUNT).filter(|other| *other != n) {
                 capture.add(2 * SECOND, n, CaptureEvent::Observed, &format!("there 1 router{other}"));
             }
         }
@@ -40,8 +41,8 @@
     /// Removes the events of a member that have this text.
     fn without(mut self, n: u32, text: &str) -> TestCapture {
         let before = self.events.len();
-        self.events.retain(|p| p.process != n + 1 || p.frame != text.as_bytes());
-        assert!(self.events.len() < before, "it was there");
+        self.events.retain(|event| event.process != n + 1 || event.frame != text.as_bytes());
+        assert!(self.events.len() < before, "the capture has no such event");
         self
     }
 
@@ -58,7 +59,7 @@
 
     fn check(mut self) -> Report {
         let names = (0..MEMBER_COUNT).map(|n| format!("router{n}")).collect();
-        let header = CaptureHeader { fleet: Some(FleetMembers { names, partitions: self.partitions }) };
+        let header = CaptureHeader { cluster: Some(FleetMembers { names, partitions: self.partitions }) };
         let process = |n: u32| CapturedProcess {
             number: n + 1,
             name: format!("router{n}"),
@@ -66,12 +67,14 @@
             address: None,
         };
         let mut bytes = Vec::new();
-        let header = serde_json::to_string(&header).expect("plain data");
+        let header = serde_json::to_string(&header).expect("the header is serializable");
         capture::write_head(&mut bytes, &(0..MEMBER_COUNT).map(process).collect::<Vec<_>>(), &header)
-            .expect("a head");
-        self.events.sort_by_key(|p| p.at);
-        self.events.iter().for_each(|p| capture::write(&mut bytes, p).expect("an event"));
-        check(&bytes[..]).expect("it can be read").expect("they know each other")
+            .expect("writing to memory succeeds");
+        self.events.sort_by_key(|event| event.at);
+        self.events
+            .iter()
+            .for_each(|event| capture::write(&mut bytes, event).expect("writing to memory succeeds"));
+        check(&bytes[..]).expect("the capture is readable").expect("the routers form a cluster")
     }
 
     /// Asserts that there is a violation, and that all violations contain this text.
@@ -91,7 +94,7 @@
     let times = report.detection_times;
     assert_eq!([times.median, times.p99, times.max], [3 * SECOND; 3]);
     assert_eq!((report.kills, report.deaths, report.excused_deaths), (1, 5, 0));
-    // 6 x 5 before the kill, at two moments; 5 x 4 and later 5 x 5 after it.
+    // 6 x 5 views before the kill, compared at two times; after it, 5 x 4 views and later 5 x 5.
     assert_eq!((report.compared_moments, report.compared_views), (4, 2 * 30 + 20 + 25));
 }
 
@@ -101,31 +104,33 @@
     valid()
         .with(20 * SECOND, 2, CaptureEvent::Observed, "dead 1 router3")
         .with(21 * SECOND, 2, CaptureEvent::Observed, "there 2 router3")
-        .assert_violation("router2 took router3 for dead, which was up");
+        .assert_violation("router2 considered router3 dead, which was up");
     valid().without(4, "dead 1 router5").assert_violation("router5");
     valid().without(1, "there 1 router4").assert_violation("router1 does not see router4, which is up");
     valid()
         .with(30 * SECOND, 1, CaptureEvent::Observed, "there 2 router5")
-        .assert_violation("router1 still sees router5, which is not");
+        .assert_violation("router1 still sees router5, which is down");
     valid().with(30 * SECOND, 1, CaptureEvent::Observed, "left 1 router2").assert_violation("router");
     valid()
         .with(30 * SECOND, 1, CaptureEvent::Observed, "there 1 router77")
-        .assert_violation("whom nobody started");
-    valid().with(30 * SECOND, 1, CaptureEvent::Observed, "lurking 1 router2").assert_violation("no sight");
-    let mut late = valid().without(4, "dead 1 router5").without(3, "dead 1 router5");
+        .assert_violation("which is not a member of the cluster");
+    valid()
+        .with(30 * SECOND, 1, CaptureEvent::Observed, "lurking 1 router2")
+        .assert_violation("which is not a valid observation");
+    let mut slow_detection = valid().without(4, "dead 1 router5").without(3, "dead 1 router5");
     for n in [3, 4] {
-        late = late.with(17 * SECOND, n, CaptureEvent::Observed, "dead 1 router5");
+        slow_detection = slow_detection.with(17 * SECOND, n, CaptureEvent::Observed, "dead 1 router5");
     }
-    late.assert_violation("7.0 s at the 99th percentile");
-    let mut endless = valid();
-    endless.events.retain(|p| p.event != CaptureEvent::ProcessExited);
-    endless.assert_violation("no router ended in order");
+    slow_detection.assert_violation("7.0 s at the 99th percentile");
+    let mut without_exits = valid();
+    without_exits.events.retain(|event| event.event != CaptureEvent::ProcessExited);
+    without_exits.assert_violation("no router exited gracefully");
     // What a router observed in one run does not count in the next.
-    let mut again = valid().with(20 * SECOND, 5, CaptureEvent::ProcessStarted, "");
+    let mut restarted = valid().with(20 * SECOND, 5, CaptureEvent::ProcessStarted, "");
     for n in 0..5 {
-        again = again.with(21 * SECOND, n, CaptureEvent::Observed, "there 2 router5");
+        restarted = restarted.with(21 * SECOND, n, CaptureEvent::Observed, "there 2 router5");
     }
-    again.assert_violation("router5 does not see");
+    restarted.assert_violation("router5 does not see");
 }
 
 #[test]
@@ -138,7 +143,7 @@
             .with(23 * SECOND, 2, CaptureEvent::Observed, "there 2 router3")
     };
     assert_eq!(paused(1_900_000).check().violations, []);
-    paused(SECOND).assert_violation("router2 took router3 for dead, which was up");
+    paused(SECOND).assert_violation("router2 considered router3 dead, which was up");
     let with_partition = || {
         TestCapture::valid()
             .with_partition(20 * SECOND, 24 * SECOND)
@@ -157,11 +162,11 @@
 #[test]
 fn the_header_keeps_its_serialized_names() {
     let partition = Partition { from: 1, until: 2, side: vec!["a".into()], other_side: vec!["b".into()] };
-    let fleet = FleetMembers { names: vec!["a".into(), "b".into()], partitions: vec![partition] };
+    let cluster = FleetMembers { names: vec!["a".into(), "b".into()], partitions: vec![partition] };
     let json = concat!(
         r#"{"members":{"names":["a","b"],"#,
         r#""cuts":[{"from":1,"until":2,"between":["a"],"and":["b"]}]}}"#
     );
-    let header = CaptureHeader { fleet: Some(fleet) };
-    assert_eq!(serde_json::to_string(&header).expect("plain data"), json);
+    let header = CaptureHeader { cluster: Some(cluster) };
+    assert_eq!(serde_json::to_string(&header).expect("the header is serializable"), json);
 }
