--- a/crates/load-balance-report/src/client_side.rs
+++ b/crates/load-balance-report/src/client_side.rs
@@ -1,4 +1,4 @@
-//! Time to first token, as clients saw it.
+//! Measures the time to first token as clients saw it.
 
 use std::collections::{HashMap, HashSet};
 
@@ -10,14 +10,14 @@
 
 use crate::report::ClassLatency;
 
-/// Microseconds: longer times to first token count as this one.
+/// The longest time to first token, in microseconds, that is recorded; longer times count as this one.
 const MAX_TTFT: Micros = 600_000_000;
-/// Significant figures of the histograms: a per mille is more than is read from them.
+/// Significant figures of the histograms. Three give a precision of a per mille, more than the report needs.
 const SIGNIFICANT_FIGURES: u8 = 3;
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// A request by the client's process, connection and number.
+/// Identifies a request by the client's process, connection and request number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct RequestKey {
     process: u32,
@@ -25,7 +25,7 @@
     number: u64,
 }
 
-/// A request that has had no token yet.
+/// A request that has not received a token yet.
 struct PendingRequest {
     sent_at: Micros,
     class: usize,
@@ -52,8 +52,9 @@
     }
 
     fn ttft_objective(&self, prompt_tokens: u32) -> Micros {
-        let for_prompt = u64::from(prompt_tokens) * self.config.ttft_objective_per_1000_tokens / 1000;
-        self.config.ttft_objective + for_prompt
+        let objective_for_prompt =
+            u64::from(prompt_tokens) * self.config.ttft_objective_per_1000_tokens / 1000;
+        self.config.ttft_objective + objective_for_prompt
     }
 
     fn latency(&self) -> ClassLatency {
@@ -90,7 +91,7 @@
         self.processes.contains(&process)
     }
 
-    /// When the last request was sent.
+    /// Returns when the last request was sent.
     pub fn last_request_at(&self) -> Micros {
         self.last_request_at
     }
@@ -99,8 +100,9 @@
         self.classes.iter().map(ClassRequests::latency).collect()
     }
 
-    /// Follows an event of a client's process. What cannot be decoded is left to the trace checker.
-    pub fn follow(&mut self, captured: &CapturedFrame) {
+    /// Processes an event of a client's process. Frames that cannot be decoded are ignored; the trace checker reports
+    /// them.
+    pub fn handle_event(&mut self, captured: &CapturedFrame) {
         let mut handler = MessageHandler { side: self, captured };
         let _ = match captured.event {
             // The first frame is the Hello.
@@ -112,7 +114,7 @@
         };
     }
 
-    fn submitted(&mut self, key: RequestKey, at: Micros, class: usize, prompt_tokens: u32) {
+    fn request_sent(&mut self, key: RequestKey, at: Micros, class: usize, prompt_tokens: u32) {
         let Some(requests) = self.classes.get_mut(class) else { return };
         requests.requests += 1;
         let ttft_objective = requests.ttft_objective(prompt_tokens);
@@ -120,7 +122,7 @@
         self.last_request_at = at;
     }
 
-    /// A request ended. It counts as one that missed its objective if it has had no token.
+    /// Handles the end of a request. A request that ends without a token counts as one that missed its objective.
     fn ended(&mut self, key: RequestKey) {
         self.pending.remove(&key);
     }
@@ -156,10 +158,10 @@
         _prefix_tokens: u32,
         _max_tokens: u32,
         _timeout: Micros,
-        _mark: u64,
+        _idempotency_key: u64,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
-        self.side.submitted(self.key(number), self.captured.at, usize::from(class), prompt_tokens);
+        self.side.request_sent(self.key(number), self.captured.at, usize::from(class), prompt_tokens);
         Ok(())
     }
 
--- a/crates/load-balance-report/src/herd_detector.rs
+++ b/crates/load-balance-report/src/herd_detector.rs
@@ -1,4 +1,4 @@
-//! Arrivals at workers within short windows, against what as many independent choices would bring.
+//! Compares the arrivals at workers within short windows with what as many independent random choices would bring.
 
 #[cfg(test)]
 mod tests;
@@ -7,21 +7,24 @@
 
 use crate::report::WindowPeak;
 
-/// Microseconds: within a window, routers act on the same load reports, and none knows of another's choices.
+/// Length of a window in microseconds. Within a window, routers act on the same load reports, and none knows the
+/// choices of the others.
 const WINDOW: Micros = 100_000;
-/// A window is a herd if independent choice brings its fullest worker as many arrivals with less than this probability.
+/// A window counts as a herd if independent choices would bring its fullest worker as many arrivals with a probability
+/// below this one.
 const HERD_PROBABILITY: f64 = 0.001;
-/// The least probability of another worker, against a division by zero.
+/// Lower bound for the probability that a choice falls on another worker; prevents a division by zero.
 const MIN_PROBABILITY: f64 = 1e-12;
 
 /// Counts windows in which many routers chose the same worker.
 #[derive(Default)]
 pub struct HerdDetector {
     window_start: Micros,
-    /// Arrivals of the present window by worker.
+    /// Arrivals in the current window, by worker.
     arrivals: Vec<u32>,
-    /// The sum of squared deviations over the expected arrivals, and its degrees of freedom.
+    /// Sum of the squared deviations from the expected arrivals, each divided by the expected arrivals.
     dispersion: f64,
+    /// Degrees of freedom of `dispersion`.
     degrees_of_freedom: f64,
     windows: u64,
     herd_windows: u64,
@@ -29,7 +32,7 @@
 }
 
 impl HerdDetector {
-    /// An arrival at a worker. `weights` are the capacities of all workers, 0 for one that does not run.
+    /// Records an arrival at a worker. `weights` are the capacities of all workers, 0 for a worker that does not run.
     pub fn arrived(&mut self, now: Micros, worker: usize, weights: &[f64]) {
         if self.arrivals.len() != weights.len() {
             self.arrivals = vec![0; weights.len()];
@@ -41,63 +44,64 @@
         self.arrivals[worker] += 1;
     }
 
-    /// Ends the present window.
+    /// Evaluates the current window and starts a new one.
     pub fn close_window(&mut self, weights: &[f64]) {
-        let all: u32 = self.arrivals.iter().sum();
+        let total_arrivals: u32 = self.arrivals.iter().sum();
         let total_weight: f64 = weights.iter().sum();
-        if all == 0 || total_weight <= 0.0 {
+        if total_arrivals == 0 || total_weight <= 0.0 {
             return;
         }
         self.windows += 1;
-        // The greatest probability, over all workers, that independent choice brings a worker fewer arrivals.
+        // The highest probability, over all workers, that independent choices bring a worker fewer arrivals.
         let mut probability_of_fewer = 0.0;
         for (count, weight) in self.arrivals.iter().zip(weights).filter(|(_, weight)| **weight > 0.0) {
-            let expected = f64::from(all) * weight / total_weight;
+            let expected = f64::from(total_arrivals) * weight / total_weight;
             self.dispersion += (f64::from(*count) - expected).powi(2) / expected;
             if *count > self.worst_window.at_worker {
-                self.worst_window = WindowPeak { at_worker: *count, in_window: all };
+                self.worst_window = WindowPeak { at_worker: *count, in_window: total_arrivals };
             }
             if f64::from(*count) > expected {
-                let tail = binomial_tail(all, weight / total_weight, *count);
+                let tail = binomial_tail(total_arrivals, weight / total_weight, *count);
                 probability_of_fewer = f64::max(probability_of_fewer, 1.0 - tail);
             }
         }
-        // Once the sum is known, one count fewer is free to vary.
+        // As the sum of the counts is fixed, there is one degree of freedom fewer than workers.
         let running = weights.iter().filter(|weight| **weight > 0.0).count();
         self.degrees_of_freedom += running as f64 - 1.0;
-        // Bonferroni: with so many workers, any one of them is the fullest.
+        // Bonferroni correction: any of the workers may be the fullest one.
         let probability = (1.0 - probability_of_fewer) * weights.len() as f64;
         self.herd_windows += u64::from(probability < HERD_PROBABILITY);
         self.arrivals.fill(0);
     }
 
-    /// Windows with arrivals.
+    /// Returns the number of windows with arrivals.
     pub fn windows(&self) -> u64 {
         self.windows
     }
 
-    /// Windows in which the fullest worker got more than independent choice explains.
+    /// Returns the number of windows in which the fullest worker got more arrivals than independent choices explain.
     pub fn herd_windows(&self) -> u64 {
         self.herd_windows
     }
 
-    /// The most arrivals at one worker in one window.
+    /// Returns the window with the most arrivals at one worker.
     pub fn worst_window(&self) -> WindowPeak {
         self.worst_window
     }
 
-    /// 1 for independent choice, more for herds, less for an even balance.
+    /// Returns the index of dispersion: 1 for independent choices, more for herds, less for a more even balance.
     pub fn dispersion_index(&self) -> f64 {
         self.dispersion / self.degrees_of_freedom.max(1.0)
     }
 
-    /// Windows that independent choice would show as herds, at most.
+    /// Returns the highest number of windows that would count as herds with independent choices.
     pub fn expected_herd_windows(&self) -> f64 {
         HERD_PROBABILITY * self.windows as f64
     }
 }
 
-/// The probability that of `n` choices with probability `p` each at least `k` fall on one worker.
+/// Returns the probability that at least `k` of `n` choices fall on a worker that each choice selects with probability
+/// `p`.
 fn binomial_tail(n: u32, p: f64, k: u32) -> f64 {
     let mut term = (1.0 - p).powi(n as i32);
     let mut below = 0.0;
--- a/crates/load-balance-report/src/measurement.rs
+++ b/crates/load-balance-report/src/measurement.rs
@@ -1,4 +1,4 @@
-//! Reads a capture once and measures it.
+//! Reads a capture once and measures the load balance from its events.
 
 use std::io::Read;
 
@@ -13,21 +13,21 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     /// The capture does not parse.
-    #[error("the record cannot be read: {0}")]
+    #[error("capture cannot be read: {0}")]
     Capture(#[from] CaptureError),
-    /// The [`CheckerConfig`] in its head, which names the workers and the classes, does not parse.
-    #[error("the record's terms cannot be read: {0}")]
+    /// The [`CheckerConfig`] in the capture's header, which names the workers and the classes, does not parse.
+    #[error("checker configuration in the capture header cannot be read: {0}")]
     Config(#[from] serde_json::Error),
 }
 
-/// Measures a whole capture. Frames that cannot be decoded are passed over; the trace checker reports them.
+/// Measures a whole capture. Frames that cannot be decoded are ignored; the trace checker reports them.
 pub fn measure(capture: impl Read) -> Result<LoadBalanceReport, MeasureError> {
     let mut reader = Reader::new(capture);
     let (processes, config) = reader.head()?;
     let config: CheckerConfig = serde_json::from_str(&config)?;
     let mut measurement = Measurement::new(&processes, &config);
     while let Some(captured) = reader.next_passed()? {
-        measurement.follow(&captured);
+        measurement.handle_event(&captured);
     }
     Ok(measurement.finish())
 }
@@ -45,15 +45,16 @@
         }
     }
 
-    fn follow(&mut self, captured: &CapturedFrame) {
+    fn handle_event(&mut self, captured: &CapturedFrame) {
         if self.workers.is_worker(captured.process) {
-            self.workers.follow(captured);
+            self.workers.handle_event(captured);
         } else if self.clients.is_client(captured.process) {
-            self.clients.follow(captured);
+            self.clients.handle_event(captured);
         }
     }
 
-    /// The load is measured up to the last request that a client sent: after it, the workers only finish.
+    /// Ends the measurement at the time of the last request that a client sent; after it, the workers only finish their
+    /// work.
     fn finish(mut self) -> LoadBalanceReport {
         let [prefill, decode] = self.workers.finish(self.clients.last_request_at());
         LoadBalanceReport {
--- a/crates/load-balance-report/src/report.rs
+++ b/crates/load-balance-report/src/report.rs
@@ -1,8 +1,8 @@
-//! What was measured. The keys of its JSON are read by scripts and stay as they are.
+//! The results of the measurement. Scripts read the keys of their JSON, so these must not change.
 
 use serde::Serialize;
 
-/// How evenly the load of a capture was balanced.
+/// How evenly the load in a capture was balanced.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadBalanceReport {
     /// The prefill workers.
@@ -11,10 +11,10 @@
     /// The decode workers.
     #[serde(rename = "writers")]
     pub decode: RoleBalance,
-    /// Of the tokens of shared prefixes that were prefilled, the part that was found cached.
+    /// The fraction of the prefilled tokens of shared prefixes that was found cached.
     #[serde(rename = "kept")]
     pub cached_share: f64,
-    /// By request class.
+    /// Latencies by request class.
     #[serde(rename = "tracks")]
     pub classes: Vec<ClassLatency>,
 }
@@ -22,41 +22,43 @@
 /// How evenly the load was balanced over the workers of one role.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RoleBalance {
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Attempts that arrived at them.
+    /// Number of attempts that arrived at the workers.
     pub arrivals: u64,
-    /// The fullest worker over the mean, median of the seconds.
+    /// Ratio of the work at the fullest worker to the mean, both relative to capacity: median over the seconds.
     #[serde(rename = "ratio_p50")]
     pub peak_to_mean_p50: f64,
-    /// The same, 99th percentile.
+    /// The same ratio, 99th percentile over the seconds.
     #[serde(rename = "ratio_p99")]
     pub peak_to_mean_p99: f64,
-    /// The same, worst second.
+    /// The same ratio, worst second.
     #[serde(rename = "ratio_worst")]
     pub peak_to_mean_max: f64,
-    /// The part of worker time that was spent idle while another worker of the role had work queued.
+    /// The fraction of worker time that was spent idle while another worker of the role had work queued.
     #[serde(rename = "idle_beside")]
     pub idle_while_queued: f64,
-    /// Index of dispersion of arrivals in windows of 100 ms: 1 for independent choice.
+    /// Index of dispersion of the arrivals in windows of 100 ms: 1 for independent choices, more for herds.
     #[serde(rename = "dispersion")]
     pub dispersion_index: f64,
-    /// Windows in which the fullest worker got what independent choice brings once in a thousand.
+    /// Number of windows in which the fullest worker got so many arrivals that independent choices would bring them in
+    /// fewer than one of a thousand windows.
     #[serde(rename = "herds")]
     pub herd_windows: u64,
-    /// All windows with arrivals.
+    /// Number of windows with arrivals.
     pub windows: u64,
-    /// Windows that independent choice would show as herds, at most.
+    /// The highest number of windows that would count as herds with independent choices.
     #[serde(rename = "herds_by_chance")]
     pub expected_herd_windows: f64,
-    /// The most arrivals at one worker in one window.
+    /// The window with the most arrivals at one worker.
     pub worst_window: WindowPeak,
-    /// The fullest worker over the mean, second by second.
+    /// Ratio of the work at the fullest worker to the mean for each second, both relative to capacity. Seconds with
+    /// little work are left out.
     #[serde(rename = "ratios")]
     pub peak_to_mean: Vec<f64>,
 }
 
-/// The fullest worker of a window. In JSON: an array of both numbers.
+/// The arrivals at the fullest worker of a window. In JSON, it is an array of both numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u32, u32)")]
 pub struct WindowPeak {
@@ -75,12 +77,12 @@
 /// The time to first token of one request class.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClassLatency {
-    /// The class.
+    /// Name of the class.
     pub name: String,
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     #[serde(rename = "submitted")]
     pub requests: u64,
-    /// The part of them that met the latency objective.
+    /// The fraction of the requests that met the latency objective.
     #[serde(rename = "service")]
     pub objective_met: f64,
     /// Median time to first token, milliseconds.
--- a/crates/load-balance-report/src/role_load.rs
+++ b/crates/load-balance-report/src/role_load.rs
@@ -1,4 +1,4 @@
-//! The attempts in flight at each worker of one role, as time passes.
+//! Tracks the attempts in flight at each worker of one role over time.
 
 #[cfg(test)]
 mod tests;
@@ -8,27 +8,27 @@
 use crate::herd_detector::HerdDetector;
 use crate::report::RoleBalance;
 
-/// Microseconds.
+/// A second in microseconds.
 const SECOND: Micros = 1_000_000;
-/// Seconds with less than this part of the median second's work are left out: in the last second of a day, with a third
-/// of the work, whichever worker ends last is the fullest by far.
+/// Seconds with less than this fraction of the median second's work are left out. In the last second of a scenario,
+/// which may have a third of the work, the worker that finishes last would be the fullest by far.
 const MIN_SHARE_OF_MEDIAN: f64 = 0.5;
 
 struct Worker {
-    /// Its capacity, relative to the others.
+    /// Capacity, relative to that of the other workers.
     weight: f64,
-    /// Attempts that it runs at once; more of them are queued.
+    /// Number of attempts that the worker runs concurrently; further attempts are queued.
     slots: u32,
     in_flight: u32,
     is_running: bool,
-    /// Attempts times microseconds in the present second.
+    /// Attempts in flight times microseconds, added up over the current second.
     work: f64,
 }
 
 /// One second of all workers of the role.
 struct LoadSecond {
     work: f64,
-    /// The fullest worker over the mean, both relative to capacity.
+    /// Ratio of the work at the fullest worker to the mean, both relative to capacity.
     peak_to_mean: f64,
 }
 
@@ -39,12 +39,13 @@
     herds: HerdDetector,
     arrivals: u64,
     now: Micros,
-    /// When the present second ends.
+    /// When the current second ends.
     second_end: Micros,
     /// Seconds in which there was any work.
     seconds: Vec<LoadSecond>,
-    /// Worker time spent idle while another worker had work queued.
+    /// Worker time spent idle while another worker had work queued, in microseconds.
     idle_while_queued: f64,
+    /// Time that all workers ran, added up, in microseconds.
     worker_time: f64,
 }
 
@@ -55,7 +56,7 @@
         self.workers.len() - 1
     }
 
-    /// An attempt arrived at a worker.
+    /// Records that an attempt arrived at a worker.
     pub fn attempt_arrived(&mut self, now: Micros, worker: usize) {
         self.advance(now);
         self.arrivals += 1;
@@ -65,14 +66,14 @@
         self.herds.arrived(now, worker, &weights);
     }
 
-    /// An attempt at a worker ended.
+    /// Records that an attempt at a worker ended.
     pub fn attempt_ended(&mut self, now: Micros, worker: usize) {
         self.advance(now);
         let worker = &mut self.workers[worker];
         worker.in_flight = worker.in_flight.saturating_sub(1);
     }
 
-    /// A worker's process started or ended. Attempts at it are over.
+    /// Records that a worker's process started or ended, which ends all its attempts.
     pub fn set_running(&mut self, now: Micros, worker: usize, is_running: bool) {
         if self.now > 0 {
             self.advance(now);
@@ -83,14 +84,14 @@
         worker.work = 0.0;
     }
 
-    /// Ends the measurement. What is still in flight is not followed further.
+    /// Ends the measurement. Attempts that are still in flight count up to this time.
     pub fn finish(&mut self, now: Micros) {
         self.advance(now);
         let weights: Vec<f64> = self.workers.iter().map(|worker| worker.weight).collect();
         self.herds.close_window(&weights);
     }
 
-    /// The balance so far.
+    /// Returns the balance measured so far.
     pub fn balance(&self) -> RoleBalance {
         let peak_to_mean = self.peak_to_mean();
         let mut sorted = peak_to_mean.clone();
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Adds the work of a time in which nothing arrives and nothing ends.
+    /// Adds the work of a period in which no attempt arrives or ends.
     fn add_work(&mut self, elapsed: f64) {
         let is_queueing = |worker: &Worker| worker.is_running && worker.in_flight > worker.slots;
         let is_any_queueing = self.workers.iter().any(is_queueing);
@@ -155,8 +156,8 @@
         }
     }
 
-    /// The fullest worker over the mean, second by second. Seconds with next to no work, as when the last few requests
-    /// are retried after the load, say nothing of the balance and are left out.
+    /// Returns the ratio of the work at the fullest worker to the mean for each second. Seconds with almost no work, as
+    /// when the last few requests are retried after the load has ended, say nothing about the balance and are left out.
     fn peak_to_mean(&self) -> Vec<f64> {
         let mut work: Vec<f64> = self.seconds.iter().map(|second| second.work).collect();
         work.sort_by(f64::total_cmp);
@@ -170,8 +171,8 @@
     }
 }
 
-/// The nearest rank; 0 of no values.
-fn quantile(sorted: &[f64], part: f64) -> f64 {
-    let rank = (sorted.len() as f64 * part).ceil() as usize;
+/// Returns the quantile by the nearest-rank method; 0 if there are no values.
+fn quantile(sorted: &[f64], fraction: f64) -> f64 {
+    let rank = (sorted.len() as f64 * fraction).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
--- a/crates/load-balance-report/src/worker_side.rs
+++ b/crates/load-balance-report/src/worker_side.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight and cached prefixes, as workers saw them.
+//! Measures attempts in flight and cached prefixes as workers saw them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,24 +11,24 @@
 use crate::report::RoleBalance;
 use crate::role_load::RoleLoad;
 
-/// What a worker does.
+/// The role of a worker.
 #[derive(Clone, Copy)]
 enum Role {
     Prefill,
     Decode,
 }
 
-/// A worker: its role, and its index among the workers of the role.
+/// Identifies a worker by its role and its index among the workers of that role.
 #[derive(Clone, Copy)]
 struct WorkerIndex {
     role: Role,
     index: usize,
 }
 
-/// A connection of a worker, by its process and the process's own number for it.
+/// Identifies a connection of a worker by the process and the process's own number for the connection.
 type ConnectionKey = (u32, u64);
 
-/// An attempt by the worker's process, the connection that it came on, and the request's id.
+/// Identifies an attempt by the worker's process, the connection on which it arrived, and the request's id.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     process: u32,
@@ -42,22 +42,23 @@
     }
 }
 
-/// Tokens of shared prefixes.
+/// Token counts of shared prefixes.
 #[derive(Default)]
 struct PrefixTokens {
+    /// Tokens of shared prefixes in completed prefills.
     prefilled: f64,
-    /// Those of them that were found cached.
+    /// The part of `prefilled` that was found cached.
     cached: f64,
 }
 
 /// The workers of both roles.
 pub struct WorkerSide {
-    /// By process.
+    /// The worker that runs in each process.
     workers: HashMap<u32, WorkerIndex>,
     loads: [RoleLoad; 2],
-    /// Whether a router is at the other end of a connection, once it sent its Hello.
+    /// Whether the other end of a connection is a router; known once the first frame was received.
     is_router: HashMap<ConnectionKey, bool>,
-    /// Attempts in flight, with the tokens of their shared prefix.
+    /// Attempts in flight, with the number of tokens of their shared prefix.
     attempts: BTreeMap<AttemptKey, u32>,
     prefix_tokens: PrefixTokens,
 }
@@ -71,7 +72,7 @@
             attempts: BTreeMap::new(),
             prefix_tokens: PrefixTokens::default(),
         };
-        // A worker that is started again is another process at the same address.
+        // A worker that is restarted is a new process at the same address.
         let mut by_address: HashMap<Address, WorkerIndex> = HashMap::new();
         for process in processes.iter().filter(|process| process.role == "worker") {
             let Some(address) = process.address else { continue };
@@ -91,8 +92,8 @@
         self.workers.contains_key(&process)
     }
 
-    /// Follows an event of a worker's process.
-    pub fn follow(&mut self, captured: &CapturedFrame) {
+    /// Processes an event of a worker's process.
+    pub fn handle_event(&mut self, captured: &CapturedFrame) {
         let connection: ConnectionKey = (captured.process, captured.connection);
         match captured.event {
             CaptureEvent::ProcessStarted => self.set_running(captured, true),
@@ -110,14 +111,15 @@
                 self.is_router.insert(connection, is_router);
             }
             CaptureEvent::Received | CaptureEvent::Sent if self.is_router.get(&connection) == Some(&true) => {
-                self.follow_frame(captured);
+                self.handle_frame(captured);
             }
             _ => {}
         }
     }
 
-    /// What cannot be decoded is left to the trace checker.
-    fn follow_frame(&mut self, captured: &CapturedFrame) {
+    /// Processes a frame between a router and a worker. Frames that cannot be decoded are ignored; the trace checker
+    /// reports them.
+    fn handle_frame(&mut self, captured: &CapturedFrame) {
         let mut handler = MessageHandler { side: self, captured };
         let _ = match captured.event {
             CaptureEvent::Received => worker::receive_from_router(&captured.frame, &mut handler),
@@ -163,12 +165,12 @@
         self.attempt_ended(captured.at, attempt);
     }
 
-    /// Of the tokens of shared prefixes that were prefilled, the part that was found cached.
+    /// Returns the fraction of the prefilled tokens of shared prefixes that was found cached.
     pub fn cached_share(&self) -> f64 {
         self.prefix_tokens.cached / self.prefix_tokens.prefilled.max(1.0)
     }
 
-    /// Ends the measurement. Returns the balance of prefill and of decode workers.
+    /// Ends the measurement. Returns the balance of the prefill workers and that of the decode workers.
     pub fn finish(&mut self, at: Micros) -> [RoleBalance; 2] {
         for load in &mut self.loads {
             load.finish(at);
@@ -225,7 +227,7 @@
         _prompt_tokens: u32,
         _max_tokens: u32,
         _timeout: Micros,
-        _mark: u64,
+        _idempotency_key: u64,
         _prefill_worker: Option<Address>,
         _window: u32,
         _session: u64,
--- a/crates/load-balance-report/tests/report_json.rs
+++ b/crates/load-balance-report/tests/report_json.rs
@@ -1,4 +1,4 @@
-//! Scripts read the report as JSON: its keys and forms stay as they are.
+//! Scripts read the report as JSON, so its keys and structure must not change.
 
 use tideroute_load_balance_report::{ClassLatency, LoadBalanceReport, RoleBalance, WindowPeak};
 
@@ -9,7 +9,7 @@
 );
 
 #[test]
-fn report_is_written_with_the_keys_of_the_operators_scripts() {
+fn report_is_written_with_the_keys_that_operators_scripts_read() {
     let role = RoleBalance {
         workers: 2,
         arrivals: 3,
