--- a/crates/wire/build.rs
+++ b/crates/wire/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the protocol's definitions; protox is the compiler, so no tool need be on the machine.
+//! Generates the message types from the `.proto` files. protox compiles them, so `protoc` need not be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = ["serving", "record", "fleet"].map(|name| format!("proto/tideroute/v1/{name}.proto"));
--- a/crates/wire/src/capture/event.rs
+++ b/crates/wire/src/capture/event.rs
@@ -1,4 +1,4 @@
-//! The events of a capture, and the processes that wrote them.
+//! The events of a capture, and the processes that recorded them.
 
 use std::io;
 
@@ -10,28 +10,28 @@
 /// One process of a capture.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CapturedProcess {
-    /// Its number, by which events name it.
+    /// Its number in the capture, which [`CapturedFrame::process`] refers to.
     pub number: u32,
     /// Its name.
     pub name: String,
     /// `client`, `router`, `worker`, `list` or `relay`.
     pub role: String,
-    /// Where it listens; none for one that only connects.
+    /// The address at which it listens; `None` for a process that only connects.
     pub address: Option<Address>,
 }
 
-/// What happened, and what the frame of the event holds.
+/// The kind of an event, which determines what [`CapturedFrame::frame`] holds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CaptureEvent {
-    /// The process began to connect to the address in the frame.
+    /// The process started to connect; the frame holds the address of the peer.
     Connecting,
-    /// The connection was established: the frame holds the other end's address, then this one's.
+    /// An outbound connection was established; the frame holds the peer's address, then the local address.
     Connected,
-    /// The connection was never established: what was sent on it did not arrive.
+    /// An outbound connection was never established; nothing that was sent on it arrived.
     ConnectFailed,
-    /// A connection was accepted; the frame as with [`Connected`](CaptureEvent::Connected).
+    /// A connection was accepted; the frame holds the same as for [`Connected`](CaptureEvent::Connected).
     Accepted,
-    /// A connection ended: the frame holds how many frames were sent and received ([`counts`]).
+    /// A connection ended; the frame holds how many frames were sent and received on it ([`counts`]).
     Closed,
     /// A frame was sent.
     Sent,
@@ -39,7 +39,7 @@
     Received,
     /// The process started.
     ProcessStarted,
-    /// The process ended by itself, in order.
+    /// The process exited by itself.
     ProcessExited,
     /// The process was killed from outside.
     ProcessKilled,
@@ -50,55 +50,55 @@
     ProcessPaused,
     /// The process was resumed.
     ProcessResumed,
-    /// The process observed something, which the frame holds as text.
+    /// The process observed something, which the frame describes as text.
     Observed,
 }
 
 /// One event of a capture.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct CapturedFrame {
-    /// When it happened.
+    /// The time of the event.
     pub at: Micros,
-    /// The process that wrote it.
+    /// The number of the process that recorded the event.
     pub process: u32,
-    /// The process's own number of the connection.
+    /// The number of the connection within the process.
     pub connection: u64,
-    /// What happened.
+    /// The kind of the event.
     pub event: CaptureEvent,
-    /// Which frame of its direction on the connection it is, from 0.
+    /// Index of the frame within its direction on the connection, from 0.
     pub position: u64,
-    /// What passed, or what the event holds.
+    /// The frame that was sent or received; for other events, as the kind of the event says.
     pub frame: Bytes,
 }
 
-/// Why a capture could not be read.
+/// The reason why a capture could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum CaptureError {
-    /// Reading failed.
+    /// Reading the file failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The frame that begins at byte `at` cannot be decoded.
-    #[error("byte {at}: {problem}")]
+    #[error("malformed frame at byte {at}: {problem}")]
     Malformed {
-        /// Offset in the file.
+        /// Offset of the frame in the file.
         at: u64,
-        /// What is wrong.
+        /// The reason why the frame cannot be decoded.
         problem: Malformed,
     },
     /// The capture ends within a frame.
-    #[error("the record ends in the middle of a frame that begins at byte {at}")]
+    #[error("the capture ends in the middle of the frame that begins at byte {at}")]
     CutOff {
-        /// Offset in the file.
+        /// Offset of the frame in the file.
         at: u64,
     },
 }
 
-/// The frame of a closed connection: frames sent and frames received.
+/// Encodes the frame of [`CaptureEvent::Closed`]: the number of frames sent and the number received.
 pub fn counts(sent: u64, received: u64) -> Bytes {
     [sent.to_le_bytes(), received.to_le_bytes()].concat().into()
 }
 
-/// Reads what [`counts`] wrote: frames sent and frames received.
+/// Decodes the result of [`counts`]: the number of frames sent and the number received; `None` if it is too short.
 pub fn counted(frame: &[u8]) -> Option<(u64, u64)> {
     let sent = frame.get(0..8)?.try_into().ok()?;
     let received = frame.get(8..16)?.try_into().ok()?;
--- a/crates/wire/src/capture/reader.rs
+++ b/crates/wire/src/capture/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a capture.
+//! Reads captures.
 
 use std::io::Read;
 
@@ -14,21 +14,21 @@
 /// Bytes read from the file at a time.
 const READ_CHUNK: usize = 1 << 16;
 
-/// Reads a capture from its head on, holding one chunk of it at a time.
+/// Reads a capture in order, from its head on, and buffers one chunk of it at a time.
 pub struct Reader<R> {
     file: R,
     buffered: BytesMut,
-    /// Offset in the file of the next frame.
+    /// Offset of the next frame in the file.
     at: u64,
 }
 
 impl<R: Read> Reader<R> {
-    /// A reader at the start of a capture.
+    /// Creates a reader for a capture that is read from its start.
     pub fn new(file: R) -> Self {
         Reader { file, buffered: BytesMut::new(), at: 0 }
     }
 
-    /// The processes and the settings of the head; the first thing to read.
+    /// Reads the processes and the trace checker's settings from the head. Must be called once, before any event is read.
     pub fn head(&mut self) -> Result<(Vec<CapturedProcess>, String), CaptureError> {
         let frame = self.frame()?.ok_or_else(|| self.malformed(Malformed::Empty))?;
         let head = Head::decode(frame).map_err(|error| self.malformed(error))?;
@@ -46,7 +46,7 @@
         Ok((processes, head.terms))
     }
 
-    /// The next event; None at the end.
+    /// Reads the next event; `None` at the end of the capture.
     pub fn next_passed(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
         let Some(frame) = self.frame()? else { return Ok(None) };
         let event = Event::decode(frame).map_err(|error| self.malformed(error))?;
--- a/crates/wire/src/capture/truncation.rs
+++ b/crates/wire/src/capture/truncation.rs
@@ -1,20 +1,22 @@
-//! How much of a frame a capture keeps.
+//! Truncation of long frames in captures.
 
 use bytes::Bytes;
 
 use crate::frame;
 
-/// Bytes: longer frames of a worker are truncated, as chunks of KV state are long and many. What has a meaning for the
-/// trace checker is shorter there; an update of the endpoint list is not, and other roles keep frames complete.
+/// Longest frame in bytes that the capture of a worker keeps complete. Longer ones are truncated because chunks of KV state
+/// are long and many; all frames of a worker that the trace checker decodes are shorter. Updates of the endpoint list are
+/// longer, so the captures of other roles keep them complete.
 pub(super) const MAX_WORKER_FRAME: usize = 1024;
-/// Bytes kept of a frame that is truncated.
+/// Number of bytes kept of a truncated frame.
 pub(super) const TRUNCATED_LENGTH: usize = 16;
-/// Bytes: a longer frame is truncated in every role, or its event would be too long for a frame.
-const MAX_FRAME: usize = frame::LARGEST / 2;
+/// Longest frame in bytes that a capture of any role keeps complete. The event that holds the frame must itself fit into a
+/// frame.
+const MAX_KEPT_FRAME: usize = frame::MAX_LENGTH / 2;
 
-/// What a capture keeps of a frame that passed at a process of that role.
+/// Returns what the capture of a process with this role keeps of a frame.
 pub fn kept(frame: &Bytes, role: &str) -> Bytes {
-    let max_length = if role == "worker" { MAX_WORKER_FRAME } else { MAX_FRAME };
+    let max_length = if role == "worker" { MAX_WORKER_FRAME } else { MAX_KEPT_FRAME };
     if frame.len() > max_length {
         frame.slice(..TRUNCATED_LENGTH)
     } else {
@@ -22,7 +24,8 @@
     }
 }
 
-/// The part of a frame that the captures of both ends have, whatever each has kept.
+/// Returns the part of a captured frame that the captures of both ends of the connection have, even if only one of them
+/// truncated it.
 pub fn common(frame: &[u8]) -> &[u8] {
     if frame.len() > MAX_WORKER_FRAME {
         &frame[..TRUNCATED_LENGTH]
--- a/crates/wire/src/capture/truncation/tests.rs
+++ b/crates/wire/src/capture/truncation/tests.rs
@@ -1,15 +1,15 @@
-//! Which frames are truncated.
+//! Truncation of captured frames.
 
 use super::{common, kept, MAX_WORKER_FRAME, TRUNCATED_LENGTH};
 use crate::endpoint_list::{EndpointStatus, Page};
 use crate::{state_transfer, GlobalRequestId};
 
-/// An update of 100 endpoints was once truncated at a router, and the trace checker could not read it.
+/// The capture of a router once truncated an update of 100 endpoints, so that the trace checker could not decode it.
 #[test]
 fn updates_of_many_endpoints_are_kept_complete_and_chunks_of_kv_state_are_not() {
     let mut page = Page::new(1, true);
-    (0..200u8).for_each(|n| {
-        page.add([127, 0, 0, n, 1, 1], 0, 1.0, EndpointStatus::Serving, 0, 0, 1_700_000_000_000_000);
+    (0..200u8).for_each(|host| {
+        page.add([127, 0, 0, host, 1, 1], 0, 1.0, EndpointStatus::Serving, 0, 0, 1_700_000_000_000_000);
     });
     let frame = page.frame();
     assert!(frame.len() > MAX_WORKER_FRAME);
@@ -19,6 +19,6 @@
     let chunk =
         state_transfer::chunk(GlobalRequestId { origin: 1, local_id: 2 }, 0, vec![7; 16 << 10].into(), 3);
     assert_eq!(kept(&chunk, "worker").len(), TRUNCATED_LENGTH);
-    // What one end truncated and the other kept is the same to who compares them.
+    // A frame that one end truncated compares equal to the complete frame of the other end.
     assert_eq!(common(&kept(&frame, "worker")), common(&frame));
 }
--- a/crates/wire/src/capture/writer.rs
+++ b/crates/wire/src/capture/writer.rs
@@ -1,4 +1,4 @@
-//! Writing a capture.
+//! Writes captures.
 
 use std::io::{self, Write};
 
@@ -10,8 +10,8 @@
 use crate::frame;
 use crate::generated::record::{Event, Head, Process};
 
-/// Writes the head: the processes, and the settings by which the trace checker judges, as JSON text; empty in the
-/// capture of one process.
+/// Writes the head: the processes, and the settings of the trace checker as JSON text. The settings are empty in the
+/// capture of a single process.
 pub fn write_head(file: &mut impl Write, processes: &[CapturedProcess], settings: &str) -> io::Result<()> {
     let processes = processes.iter().map(|process| Process {
         number: process.number,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,4 +1,4 @@
-//! The conversation of a client with a router.
+//! The conversation between a client and a router.
 
 use bytes::Bytes;
 use prost::Message;
@@ -7,11 +7,11 @@
 use crate::generated::{self, from_client, to_client, FromClient, ToClient};
 use crate::{Malformed, Micros};
 
-/// What a router receives from a client after its Hello.
+/// The messages that a router receives from a client after its Hello.
 pub trait Router {
-    /// A request. `number` is the client's own and never used twice on a connection; `prefix` identifies the text that
-    /// the prompt shares with others (0 for none); `remaining` is the time until the client gives up;
-    /// `idempotency_key` identifies repeats of one request.
+    /// The client sends a request. `number` is the client's number of the request, never used twice on a connection;
+    /// `prefix` identifies the text at the beginning of the prompt that other prompts share (0 for none); `remaining` is
+    /// the time until the client gives up; `idempotency_key` is the same in all retries of one request.
     fn submit(
         &mut self,
         number: u64,
@@ -25,27 +25,28 @@
         idempotency_key: u64,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    /// The client gives the request up and wants no response.
+    /// The client cancels the request and expects no response.
     fn cancel(&mut self, number: u64) -> Result<(), Malformed>;
 }
 
-/// What a client receives from a router: for each request `accepted`, then tokens, then one of the three outcomes.
+/// The messages that a client receives from a router: for each request `accepted`, then tokens, then one of `completed`,
+/// `rejected` and `failed`.
 pub trait Client {
-    /// The router has given the request an id.
+    /// The router has assigned an id to the request.
     fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed>;
-    /// The response's token of that index.
+    /// A token of the response, with its index.
     fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed>;
-    /// The response is complete.
+    /// The response is complete, with this number of tokens.
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed>;
-    /// The request never ran, and may be retried after a time; 0 for no advice.
+    /// The request never ran. The client may retry it after `retry_after`; 0 for no advice.
     fn rejected(&mut self, number: u64, retry_after: Micros) -> Result<(), Malformed>;
-    /// The request failed; it may have taken effect or not.
+    /// The request failed; it may or may not have taken effect.
     fn failed(&mut self, number: u64) -> Result<(), Malformed>;
-    /// The Hello was refused, and the connection ends.
+    /// The router refused the Hello and closes the connection.
     fn unauthorized(&mut self, reason: &str) -> Result<(), Malformed>;
 }
 
-/// Decodes a frame from a client and makes the call that it stands for.
+/// Decodes a frame from a client and calls the method for its message.
 pub fn receive_from_client(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     match FromClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         from_client::Said::Hello(_) => Err(Malformed::Hello),
@@ -65,7 +66,7 @@
     }
 }
 
-/// Decodes a frame from a router and makes the call that it stands for.
+/// Decodes a frame from a router and calls the method for its message.
 pub fn receive_from_router(frame: &Bytes, client: &mut impl Client) -> Result<(), Malformed> {
     match ToClient::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_client::Said::Taken(taken) => client.accepted(taken.number, taken.id),
@@ -77,7 +78,7 @@
     }
 }
 
-/// The message that calls [`Router::submit`].
+/// Encodes the message that calls [`Router::submit`].
 pub fn submit(
     number: u64,
     class: u8,
@@ -104,37 +105,37 @@
     }))
 }
 
-/// The message that calls [`Router::cancel`].
+/// Encodes the message that calls [`Router::cancel`].
 pub fn cancel(number: u64) -> Bytes {
     from_client(from_client::Said::Leave(generated::Leave { number }))
 }
 
-/// The message that calls [`Client::accepted`].
+/// Encodes the message that calls [`Client::accepted`].
 pub fn accepted(number: u64, id: u64) -> Bytes {
     to_client(to_client::Said::Taken(generated::Taken { number, id }))
 }
 
-/// The message that calls [`Client::token`].
+/// Encodes the message that calls [`Client::token`].
 pub fn token(number: u64, index: u32, text: Bytes) -> Bytes {
     to_client(to_client::Said::Token(generated::Token { number, index, text }))
 }
 
-/// The message that calls [`Client::completed`].
+/// Encodes the message that calls [`Client::completed`].
 pub fn completed(number: u64, tokens: u32) -> Bytes {
     to_client(to_client::Said::Honoured(generated::Honoured { number, tokens }))
 }
 
-/// The message that calls [`Client::rejected`].
+/// Encodes the message that calls [`Client::rejected`].
 pub fn rejected(number: u64, retry_after: Micros) -> Bytes {
     to_client(to_client::Said::TurnedBack(generated::TurnedBack { number, after_us: retry_after }))
 }
 
-/// The message that calls [`Client::failed`].
+/// Encodes the message that calls [`Client::failed`].
 pub fn failed(number: u64) -> Bytes {
     to_client(to_client::Said::Abandoned(generated::Abandoned { number }))
 }
 
-/// The message that calls [`Client::unauthorized`].
+/// Encodes the message that calls [`Client::unauthorized`].
 pub fn unauthorized(reason: &str) -> Bytes {
     to_client(to_client::Said::Denied(generated::Denied { why: reason.to_string() }))
 }
--- a/crates/wire/src/endpoint_list.rs
+++ b/crates/wire/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The conversations with the endpoint list: workers register, and routers watch for what changes.
+//! The conversations with the endpoint list: workers register, and routers watch it for changes.
 
 use bytes::Bytes;
 use prost::Message;
@@ -10,19 +10,20 @@
 /// The status of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash)]
 pub enum EndpointStatus {
-    /// No longer in the list.
+    /// The endpoint is no longer in the list.
     Removed,
-    /// Takes new requests.
+    /// The worker accepts new requests.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// The worker finishes the requests that it has and accepts no new ones.
     Draining,
 }
 
-/// What the list receives from routers and workers after their Hello.
+/// The messages that the endpoint list receives from routers and workers after their Hello.
 pub trait List {
-    /// A router watches for changes after the version that it has; 0 for none.
-    fn watch(&mut self, have: u64) -> Result<(), Malformed>;
-    /// A worker registers. `size` is its relative capacity, `started_at` the time of its start.
+    /// A router watches for changes after `known_version`, the version of the list that it has; 0 if it has none.
+    fn watch(&mut self, known_version: u64) -> Result<(), Malformed>;
+    /// A worker registers its endpoint. `size` is its capacity relative to other workers of its kind, `started_at` the start
+    /// time of its process; 0 if it started long ago.
     fn register(
         &mut self,
         worker: Address,
@@ -35,11 +36,11 @@
     ) -> Result<(), Malformed>;
 }
 
-/// What a router receives from the list: the beginning of an update, then its entries.
+/// The messages that a router receives from the endpoint list: the beginning of an update, then each endpoint in it.
 pub trait Router {
-    /// An update to that version begins; a full snapshot replaces all entries that the router has.
-    fn begin_update(&mut self, version: u64, full_snapshot: bool) -> Result<(), Malformed>;
-    /// An endpoint of the update.
+    /// An update to this version begins. A full snapshot replaces all endpoints that the router has.
+    fn begin_update(&mut self, version: u64, is_full_snapshot: bool) -> Result<(), Malformed>;
+    /// An endpoint in the update.
     fn endpoint(
         &mut self,
         worker: Address,
@@ -52,7 +53,7 @@
     ) -> Result<(), Malformed>;
 }
 
-/// An entry whose fields are checked.
+/// An endpoint whose fields have been validated.
 struct Entry {
     worker: Address,
     kind: u16,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Decodes a frame from a router or worker and makes the call that it stands for.
+/// Decodes a frame from a router or worker and calls the method for its message.
 pub fn receive_from_caller(frame: &Bytes, list: &mut impl List) -> Result<(), Malformed> {
     match ToList::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_list::Said::Hello(_) => Err(Malformed::Hello),
@@ -124,8 +125,8 @@
     }
 }
 
-/// Decodes a frame from the list and makes the calls that it stands for. All entries are checked first, so that an
-/// update is applied completely or not at all.
+/// Decodes a frame from the endpoint list and calls the methods for it. All endpoints are validated before the first call,
+/// so that an update is applied completely or not at all.
 pub fn receive_from_list(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     let from_list::Said::Page(page) = FromList::decode(frame.clone())?.said.ok_or(Malformed::Empty)?;
     let mut entries = Vec::with_capacity(page.listings.len());
@@ -139,12 +140,14 @@
     Ok(())
 }
 
-/// The message that calls [`List::watch`].
-pub fn watch(have: u64) -> Bytes {
-    ToList { said: Some(to_list::Said::Watch(generated::Watch { have })) }.encode_to_vec().into()
+/// Encodes the message that calls [`List::watch`].
+pub fn watch(known_version: u64) -> Bytes {
+    ToList { said: Some(to_list::Said::Watch(generated::Watch { have: known_version })) }
+        .encode_to_vec()
+        .into()
 }
 
-/// The message that calls [`List::register`].
+/// Encodes the message that calls [`List::register`].
 pub fn register(
     worker: Address,
     kind: u16,
@@ -159,16 +162,16 @@
     ToList { said: Some(to_list::Said::Here(here)) }.encode_to_vec().into()
 }
 
-/// An update of the list, which is filled entry by entry and then sent.
+/// An update of the endpoint list, built endpoint by endpoint.
 pub struct Page(generated::Page);
 
 impl Page {
-    /// An update to that version without entries.
-    pub fn new(version: u64, full_snapshot: bool) -> Page {
-        Page(generated::Page { version, whole: full_snapshot, listings: vec![] })
+    /// Creates an update to this version, without endpoints.
+    pub fn new(version: u64, is_full_snapshot: bool) -> Page {
+        Page(generated::Page { version, whole: is_full_snapshot, listings: vec![] })
     }
 
-    /// Adds an endpoint.
+    /// Adds an endpoint to the update.
     pub fn add(
         &mut self,
         worker: Address,
@@ -183,7 +186,7 @@
         self.0.listings.push(entry.encode());
     }
 
-    /// The message that calls [`Router::begin_update`], and [`Router::endpoint`] for each entry.
+    /// Encodes the message that calls [`Router::begin_update`], then [`Router::endpoint`] for each endpoint.
     pub fn frame(self) -> Bytes {
         FromList { said: Some(from_list::Said::Page(self.0)) }.encode_to_vec().into()
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,34 +1,34 @@
-//! Why a frame, or what it holds, is refused.
+//! The error for frames and messages that violate the protocol.
 
-/// Why a frame, or what it holds, is refused.
+/// The reason why a frame or its message was refused.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum Malformed {
-    /// The bytes are not a message of the conversation.
-    #[error("the frame is no message of this conversation: {0}")]
+    /// The bytes cannot be decoded as a message of this conversation.
+    #[error("the frame cannot be decoded as a message of this conversation: {0}")]
     Unreadable(String),
-    /// The message, or a part that it must have, is missing.
-    #[error("the frame holds no message that is known")]
+    /// The frame holds no known message, or a required part of the message is missing.
+    #[error("the frame holds no known message, or a required part of it is missing")]
     Empty,
-    /// A frame of this many bytes is over the limit.
-    #[error("a frame of {0} bytes is over the bound of {1}")]
+    /// The length of a frame in bytes, and the limit that it exceeds.
+    #[error("a frame of {0} bytes exceeds the limit of {1} bytes")]
     Oversized(u64, usize),
-    /// The length before a frame is not a varint.
-    #[error("a length takes more than ten bytes")]
+    /// The length before a frame is not a varint that fits into 64 bits.
+    #[error("the length of a frame is not a varint of at most 64 bits")]
     Length,
-    /// A field, by its name on the wire, has a value out of its range.
-    #[error("{0} is out of its range")]
+    /// A field, named as in the protocol definition, has an invalid value.
+    #[error("the value of {0} is out of range")]
     Range(&'static str),
-    /// A field, by its name on the wire, is not an address.
-    #[error("{0} must be six bytes of address and port")]
+    /// A field, named as in the protocol definition, is not an address.
+    #[error("{0} is not an address of four IPv4 bytes and two port bytes")]
     Address(&'static str),
-    /// The peer speaks another version of the protocol.
-    #[error("version {0} of the protocol is not spoken here")]
+    /// The peer uses another version of the protocol.
+    #[error("protocol version {0} is not supported")]
     Version(u32),
-    /// The first message is not a Hello, or a later one is.
-    #[error("Hello comes first, and only once")]
+    /// The first message is not a Hello, or a later message is one.
+    #[error("the first message of a connection, and no later one, must be a Hello")]
     Hello,
-    /// A message, by its name on the wire, comes in a state in which it must not.
-    #[error("{0} comes out of order")]
+    /// The described message is not allowed in the current state of the conversation.
+    #[error("not allowed in the current state of the conversation: {0}")]
     Order(&'static str),
 }
 
--- a/crates/wire/src/fields.rs
+++ b/crates/wire/src/fields.rs
@@ -1,4 +1,4 @@
-//! Fields that several messages share, checked as they are read.
+//! Encoding, decoding and validation of fields that several messages share.
 
 use bytes::Bytes;
 
@@ -8,7 +8,7 @@
     bytes.try_into().map_err(|_| Malformed::Address(field))
 }
 
-/// An address that may be left out.
+/// Decodes an optional address: `None` if there are no bytes.
 pub(crate) fn decode_optional_address(
     field: &'static str,
     bytes: &[u8],
@@ -23,12 +23,12 @@
     Bytes::copy_from_slice(&address)
 }
 
-/// No bytes stand for an address that is left out.
+/// Encodes an optional address: no bytes for `None`.
 pub(crate) fn encode_optional_address(address: Option<Address>) -> Bytes {
     address.map_or_else(Bytes::new, encode_address)
 }
 
-/// A number of fewer bits than its field on the wire.
+/// Converts a number that is sent in a wider field than its values need.
 pub(crate) fn decode_small<T: TryFrom<u32>>(field: &'static str, value: u32) -> Result<T, Malformed> {
     T::try_from(value).map_err(|_| Malformed::Range(field))
 }
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -1,4 +1,4 @@
-//! The first message of every connection, which says who opened it.
+//! The Hello, the first message of every connection, which identifies the party that opened it.
 
 use bytes::Bytes;
 use prost::Message;
@@ -7,15 +7,15 @@
 use crate::generated::{self, from_fetcher, FromFetcher};
 use crate::{Malformed, Origin};
 
-/// The version of the protocol that a Hello names.
+/// The protocol version, sent in every Hello.
 pub const VERSION: u32 = 2;
 
-/// Bytes of the longest name in a Hello.
-const MAX_NAME: usize = 256;
-/// Bytes of the longest key in a Hello.
-const MAX_KEY: usize = 256;
+/// Longest name in a Hello, in bytes.
+const MAX_NAME_LENGTH: usize = 256;
+/// Longest key in a Hello, in bytes.
+const MAX_KEY_LENGTH: usize = 256;
 
-/// Who opened a connection, as its Hello says.
+/// The party that opened a connection, as its Hello says.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Party {
     /// A client, which sends requests to a router.
@@ -26,36 +26,36 @@
     Worker,
 }
 
-/// The Hello with which the opener of any connection begins.
+/// Encodes a Hello without a key and without an origin.
 pub fn say_hello(party: Party, name: &str) -> Bytes {
     say_hello_with(party, name, &[])
 }
 
-/// A client's Hello with its tenant's key.
+/// Encodes a Hello with the key of the client's tenant.
 pub fn say_hello_with(party: Party, name: &str, key: &[u8]) -> Bytes {
     encode(party, name, key, None)
 }
 
-/// A router's Hello, which names the origin of the request ids that follow.
+/// Encodes the Hello of a router, with the origin of the request ids that it sends on the connection.
 pub fn say_router(name: &str, origin: Origin) -> Bytes {
     encode(Party::Router, name, &[], Some(origin))
 }
 
-/// Reads the first frame on an accepted connection: who opened it, its name and its key.
+/// Decodes the first frame on an accepted connection: the party that opened it, its name and its key.
 ///
-/// Hello has the same field in every conversation, so the party is known before the conversation is.
+/// The Hello has the same field number in every conversation, so it can be decoded before the conversation is known.
 pub fn first(frame: &[u8]) -> Result<(Party, String, Bytes), Malformed> {
     let hello = decode(frame)?;
-    if hello.key.len() > MAX_KEY {
+    if hello.key.len() > MAX_KEY_LENGTH {
         return Err(Malformed::Range("key"));
     }
-    if hello.name.len() > MAX_NAME {
+    if hello.name.len() > MAX_NAME_LENGTH {
         return Err(Malformed::Range("name"));
     }
     Ok((decode_party(&hello)?, hello.name, hello.key))
 }
 
-/// The origin of the request ids on a connection, by the Hello with which its router began.
+/// Decodes the origin of the request ids on a connection from the router's Hello.
 pub fn origin_of(frame: &[u8]) -> Result<Origin, Malformed> {
     decode_origin(&decode(frame)?.origin)
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,19 +1,19 @@
-//! How workers, routers and requests are identified across processes.
+//! Identifiers of workers, routers and requests across processes.
 
-/// Four bytes of IPv4 and two of port, most significant first; the scheduler's worker ids are of the same form.
+/// Four bytes of IPv4 address and two of port, most significant first. The scheduler's worker ids have the same form.
 pub type Address = [u8; 6];
 
-/// What distinguishes one start of one core of one router from every other: 128 random bits of the machine.
+/// Identifies one start of one core of one router: 128 bits from the operating system's random number generator.
 ///
-/// No coordination and no clock is needed. Of a billion starts two agree with a probability of 1e-21; 24 bits of time
-/// and process number were seen to agree within one cluster.
+/// Random bits need neither coordination nor a clock. The probability that any two of a billion starts share an origin is
+/// 1e-21. An earlier form, 24 bits of time and process number, led to duplicates within one cluster.
 pub type Origin = u128;
 
-/// A request wherever requests of several routers meet: its router's origin, and the router's own id of it.
+/// Identifies a request where requests of several routers meet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct GlobalRequestId {
-    /// The core of a router that gave the id.
+    /// The origin of the router core that assigned `local_id`.
     pub origin: Origin,
-    /// The router's own id, which others may have given too.
+    /// The id that the router core assigned; unique only within one origin.
     pub local_id: u64,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! Each conversation has a module with
 //! - a trait for each side, whose methods are the messages that this side receives,
-//! - a function `receive_from_*` that decodes one frame, checks it and makes the one call that it stands for,
+//! - a function `receive_from_*` that decodes one frame, checks it and calls the method for its message,
 //! - a function for each message that a side sends, which returns the encoded frame.
 //!
-//! The generated message types stay inside this package, and so do the words of the protocol: `shot` is an attempt,
-//! `track` a request class, `reader` a prefill worker, `most_tokens` the token limit, `left_us` the remaining time,
-//! `mark` the idempotency key, `standing` a status and `listing` an endpoint entry.
+//! The generated message types are private to this package, and so are the terms of the `.proto` files: `shot` is an
+//! attempt, `track` a request class, `reader` a prefill worker, `most_tokens` the token limit, `left_us` the remaining
+//! time, `mark` the idempotency key, `standing` a status and `listing` an endpoint entry.
 //!
-//! [`frame`] cuts a stream of bytes into frames, [`event_loop`] is how a program sees its connections, whichever loop
-//! drives it, and [`capture`] is the file format of a traffic capture.
+//! [`frame`] splits a byte stream into frames, [`event_loop`] is the interface between a program and the event loop that
+//! drives it, and [`capture`] reads and writes the file format of traffic captures.
 
 #![warn(missing_docs)]
 
@@ -33,5 +33,5 @@
 pub use hello::{first, origin_of, say_hello, say_hello_with, say_router, Party, VERSION};
 pub use ids::{Address, GlobalRequestId, Origin};
 
-/// Microseconds: a moment since 1970, or a length of time.
+/// Microseconds, as a time since 1970 or as a duration.
 pub type Micros = u64;
--- a/crates/wire/src/tenant.rs
+++ b/crates/wire/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Messages between the cores of a router and its administration: changes of tenants, and what came of their requests.
+//! Messages between the cores of a router and its administration: changes of tenants, and statistics of their requests.
 
 use bytes::Bytes;
 use prost::Message;
@@ -9,16 +9,17 @@
 /// A rate limit, as a token bucket.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Rate {
-    /// Units a second.
+    /// Sustained rate in units per second.
     pub per_second: f64,
-    /// Units at once.
+    /// Largest number of units at once: the capacity of the bucket.
     pub burst: f64,
 }
 
-/// What a core receives about tenants.
+/// The messages that a core receives about tenants.
 pub trait Core {
-    /// A tenant was added or changed. `keys` are hashes of its keys; without a rate or an in-flight limit there is none
-    /// of that kind; at most `waiting` requests are queued.
+    /// A tenant was added or changed. `keys` are the BLAKE3 hashes of its keys. `requests` and `tokens` are its rate limits
+    /// and `max_in_flight` limits its requests in flight; `None` means no limit. At most `max_waiting` of its requests wait
+    /// in the queue.
     fn set(
         &mut self,
         name: &str,
@@ -27,14 +28,14 @@
         weight: f64,
         requests: Option<Rate>,
         tokens: Option<Rate>,
-        in_flight: Option<u32>,
-        waiting: u32,
+        max_in_flight: Option<u32>,
+        max_waiting: u32,
     ) -> Result<(), Malformed>;
     /// A tenant was removed.
     fn removed(&mut self, name: &str, version: u64) -> Result<(), Malformed>;
 }
 
-/// Decodes a message to a core and makes the call that it stands for.
+/// Decodes a message to a core and calls the method for its change.
 pub fn receive(message: &Bytes, core: &mut impl Core) -> Result<(), Malformed> {
     match TenantLetter::decode(message.clone())?.said.ok_or(Malformed::Empty)? {
         tenant_letter::Said::Set(set) => {
@@ -48,7 +49,7 @@
     }
 }
 
-/// The message that calls [`Core::set`].
+/// Encodes the message that calls [`Core::set`].
 pub fn set(
     name: &str,
     version: u64,
@@ -56,8 +57,8 @@
     weight: f64,
     requests: Option<Rate>,
     tokens: Option<Rate>,
-    in_flight: Option<u32>,
-    waiting: u32,
+    max_in_flight: Option<u32>,
+    max_waiting: u32,
 ) -> Bytes {
     to_core(tenant_letter::Said::Set(generated::TenantSet {
         name: name.to_string(),
@@ -68,12 +69,12 @@
         submissions_once: requests.map_or(0.0, |rate| rate.burst),
         tokens: tokens.map(|rate| rate.per_second),
         tokens_once: tokens.map_or(0.0, |rate| rate.burst),
-        in_flight,
-        waiting,
+        in_flight: max_in_flight,
+        waiting: max_waiting,
     }))
 }
 
-/// The message that calls [`Core::removed`].
+/// Encodes the message that calls [`Core::removed`].
 pub fn removed(name: &str, version: u64) -> Bytes {
     to_core(tenant_letter::Said::Gone(generated::TenantGone { name: name.to_string(), version }))
 }
@@ -82,7 +83,7 @@
     TenantLetter { said: Some(message) }.encode_to_vec().into()
 }
 
-/// What came of a tenant's requests at one core.
+/// Statistics of a tenant's requests at one core. The fields up to `queue_time` are cumulative.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct TenantStats {
     /// Requests received.
@@ -93,19 +94,19 @@
     pub rejected: u64,
     /// Requests that met their latency objective.
     pub in_time: u64,
-    /// Requests that missed it.
+    /// Requests that missed their latency objective.
     pub late: u64,
-    /// The time that all admitted requests waited in the queue.
+    /// Total time that admitted requests waited in the queue.
     pub queue_time: Micros,
-    /// Requests that wait now.
+    /// Requests that are waiting now.
     pub waiting: u32,
     /// Requests that are in flight now.
     pub in_flight: u32,
 }
 
-/// What the administration receives from cores.
+/// The messages that the administration receives from cores.
 pub trait Watcher {
-    /// The stats of a tenant at a core.
+    /// The statistics of a tenant at a core.
     fn stats(&mut self, core: &str, name: &str, stats: TenantStats) -> Result<(), Malformed>;
 }
 
@@ -128,7 +129,7 @@
     Ok(())
 }
 
-/// The message that calls [`Watcher::stats`] for some tenants at one core.
+/// Encodes the message that calls [`Watcher::stats`] for each of these tenants at one core.
 pub fn stats<'a>(core: &str, tenants: impl Iterator<Item = (&'a str, TenantStats)>) -> Bytes {
     let figure = |(name, stats): (&str, TenantStats)| generated::TenantFigure {
         name: name.to_string(),
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
-//! The conversation of a router with a worker.
+//! The conversation between a router and a worker.
 //!
-//! A request is identified by its router's id, an attempt by its number within the request.
+//! A request is identified by the id that the router assigned, an attempt by its number within the request.
 
 use bytes::Bytes;
 use prost::Message;
@@ -11,20 +11,20 @@
 use crate::generated::{self, ended, from_worker, to_worker, FromWorker, ToWorker};
 use crate::{Address, Malformed, Micros};
 
-/// Why an attempt ended without a response.
+/// The reason why an attempt ended without a response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AttemptFailure {
-    /// Slots and queue are full, or the worker drains: the attempt never ran.
+    /// All slots and the queue are full, or the worker is draining. The attempt never ran.
     Rejected,
-    /// There was no KV state to fetch: the attempt never ran.
+    /// The prefill worker had no KV state to fetch. The attempt never ran.
     StateMissing,
-    /// The attempt may have run.
+    /// The attempt failed at the worker; it may have run.
     ServerError,
 }
 
-/// What a worker receives from a router after its Hello.
+/// The messages that a worker receives from a router after its Hello.
 pub trait Worker {
-    /// Prefill the prompt and keep its KV state. `remaining` is the time until the deadline.
+    /// The worker is to prefill the prompt and keep its KV state. `remaining` is the time until the deadline.
     fn prefill(
         &mut self,
         id: u64,
@@ -37,7 +37,7 @@
         remaining: Micros,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    /// Reserve a decode slot for a request whose prefill runs at that prefill worker.
+    /// The worker is to reserve a decode slot for a request whose prefill runs at `prefill_worker`.
     fn reserve(
         &mut self,
         id: u64,
@@ -45,8 +45,9 @@
         max_tokens: u32,
         prefill_worker: Address,
     ) -> Result<(), Malformed>;
-    /// Decode: fetch the KV state from the prefill worker and generate tokens. A mixed worker without a prefill worker
-    /// prefills the prompt itself. At most `window` tokens are under way before [`grant_tokens`](Worker::grant_tokens).
+    /// The worker is to fetch the KV state from the prefill worker and generate tokens. If `prefill_worker` is `None`, a
+    /// mixed worker prefills the prompt itself. The worker sends at most `window` tokens before it receives
+    /// [`grant_tokens`](Worker::grant_tokens).
     fn decode(
         &mut self,
         id: u64,
@@ -63,21 +64,22 @@
         prefix_tokens: u32,
         prompt: Bytes,
     ) -> Result<(), Malformed>;
-    /// Release the KV state and the decode slot reserved for a request.
+    /// The worker is to release the KV state of a request and the decode slot reserved for it.
     fn release(&mut self, id: u64) -> Result<(), Malformed>;
-    /// Cancel an attempt; KV state that it has left behind is released.
+    /// The worker is to cancel an attempt and release the KV state that the attempt has left behind.
     fn cancel(&mut self, id: u64, attempt: u16) -> Result<(), Malformed>;
-    /// Answer a health check with the same nonce.
+    /// The worker is to answer a health check with the same nonce.
     fn check_health(&mut self, nonce: u64) -> Result<(), Malformed>;
-    /// Allow an attempt this many more tokens under way.
+    /// The worker may send this many more tokens of an attempt.
     fn grant_tokens(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed>;
 }
 
-/// What a router receives from a worker.
+/// The messages that a router receives from a worker.
 pub trait Router {
-    /// Whether a decode slot is reserved for the request.
+    /// The worker answered a decode reservation; `granted` is true if a decode slot is reserved for the request.
     fn reservation_answered(&mut self, id: u64, granted: bool) -> Result<(), Malformed>;
-    /// A prefill is complete: how many of its tokens were cached, and the size of its KV state.
+    /// A prefill is complete. `cached_tokens` of its prompt tokens were in the prefix cache; its KV state takes
+    /// `state_bytes` bytes.
     fn prefill_completed(
         &mut self,
         id: u64,
@@ -85,13 +87,13 @@
         cached_tokens: u32,
         state_bytes: u64,
     ) -> Result<(), Malformed>;
-    /// The attempt's token of that index.
+    /// A token of the attempt, with its index.
     fn token(&mut self, id: u64, attempt: u16, index: u32, text: Bytes) -> Result<(), Malformed>;
-    /// The attempt has generated all its tokens.
+    /// The attempt has generated all its tokens, `tokens` in number.
     fn completed(&mut self, id: u64, attempt: u16, tokens: u32) -> Result<(), Malformed>;
     /// The attempt ended without a response.
     fn attempt_ended(&mut self, id: u64, attempt: u16, failure: AttemptFailure) -> Result<(), Malformed>;
-    /// The answer to a health check: how many prefills and decode streams run, and how many attempts wait.
+    /// The worker answered a health check: `prefills` and `streams` are running, and `waiting` attempts are queued.
     fn health_reported(
         &mut self,
         nonce: u64,
@@ -101,7 +103,7 @@
     ) -> Result<(), Malformed>;
 }
 
-/// Decodes a frame from a router and makes the call that it stands for.
+/// Decodes a frame from a router and calls the method for its message.
 pub fn receive_from_router(frame: &Bytes, worker: &mut impl Worker) -> Result<(), Malformed> {
     match ToWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         to_worker::Said::Hello(_) => Err(Malformed::Hello),
@@ -150,7 +152,7 @@
     )
 }
 
-/// Decodes a frame from a worker and makes the call that it stands for.
+/// Decodes a frame from a worker and calls the method for its message.
 pub fn receive_from_worker(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     match FromWorker::decode(frame.clone())?.said.ok_or(Malformed::Empty)? {
         from_worker::Said::HoldAnswer(answer) => router.reservation_answered(answer.id, answer.held),
@@ -186,7 +188,7 @@
     }
 }
 
-/// The message that calls [`Worker::prefill`].
+/// Encodes the message that calls [`Worker::prefill`].
 pub fn prefill(
     id: u64,
     attempt: u16,
@@ -211,7 +213,7 @@
     }))
 }
 
-/// The message that calls [`Worker::reserve`].
+/// Encodes the message that calls [`Worker::reserve`].
 pub fn reserve(id: u64, prompt_tokens: u32, max_tokens: u32, prefill_worker: Address) -> Bytes {
     to_worker(to_worker::Said::Hold(generated::Hold {
         id,
@@ -221,7 +223,7 @@
     }))
 }
 
-/// The message that calls [`Worker::decode`].
+/// Encodes the message that calls [`Worker::decode`].
 pub fn decode(
     id: u64,
     attempt: u16,
@@ -254,32 +256,32 @@
     }))
 }
 
-/// The message that calls [`Worker::release`].
+/// Encodes the message that calls [`Worker::release`].
 pub fn release(id: u64) -> Bytes {
     to_worker(to_worker::Said::LetGo(generated::LetGo { id }))
 }
 
-/// The message that calls [`Worker::cancel`].
+/// Encodes the message that calls [`Worker::cancel`].
 pub fn cancel(id: u64, attempt: u16) -> Bytes {
     to_worker(to_worker::Said::Withdraw(generated::Withdraw { id, shot: attempt.into() }))
 }
 
-/// The message that calls [`Worker::check_health`].
+/// Encodes the message that calls [`Worker::check_health`].
 pub fn check_health(nonce: u64) -> Bytes {
     to_worker(to_worker::Said::Probe(generated::Probe { nonce }))
 }
 
-/// The message that calls [`Worker::grant_tokens`].
+/// Encodes the message that calls [`Worker::grant_tokens`].
 pub fn grant_tokens(id: u64, attempt: u16, tokens: u32) -> Bytes {
     to_worker(to_worker::Said::More(generated::More { id, shot: attempt.into(), tokens }))
 }
 
-/// The message that calls [`Router::reservation_answered`].
+/// Encodes the message that calls [`Router::reservation_answered`].
 pub fn reservation_answered(id: u64, granted: bool) -> Bytes {
     from_worker(from_worker::Said::HoldAnswer(generated::HoldAnswer { id, held: granted }))
 }
 
-/// The message that calls [`Router::prefill_completed`].
+/// Encodes the message that calls [`Router::prefill_completed`].
 pub fn prefill_completed(id: u64, attempt: u16, cached_tokens: u32, state_bytes: u64) -> Bytes {
     from_worker(from_worker::Said::ReadDone(generated::ReadDone {
         id,
@@ -289,17 +291,17 @@
     }))
 }
 
-/// The message that calls [`Router::token`].
+/// Encodes the message that calls [`Router::token`].
 pub fn token(id: u64, attempt: u16, index: u32, text: Bytes) -> Bytes {
     from_worker(from_worker::Said::Token(generated::ShotToken { id, shot: attempt.into(), index, text }))
 }
 
-/// The message that calls [`Router::completed`].
+/// Encodes the message that calls [`Router::completed`].
 pub fn completed(id: u64, attempt: u16, tokens: u32) -> Bytes {
     from_worker(from_worker::Said::Finished(generated::Finished { id, shot: attempt.into(), tokens }))
 }
 
-/// The message that calls [`Router::attempt_ended`].
+/// Encodes the message that calls [`Router::attempt_ended`].
 pub fn attempt_ended(id: u64, attempt: u16, failure: AttemptFailure) -> Bytes {
     let how = match failure {
         AttemptFailure::Rejected => ended::How::Full,
@@ -309,7 +311,7 @@
     from_worker(from_worker::Said::Ended(generated::Ended { id, shot: attempt.into(), how: how.into() }))
 }
 
-/// The message that calls [`Router::health_reported`].
+/// Encodes the message that calls [`Router::health_reported`].
 pub fn health_reported(nonce: u64, prefills: u32, streams: u32, waiting: u32) -> Bytes {
     from_worker(from_worker::Said::Probed(generated::Probed { nonce, reads: prefills, streams, waiting }))
 }
--- a/crates/wire/tests/exact_bytes/capture.rs
+++ b/crates/wire/tests/exact_bytes/capture.rs
@@ -1,11 +1,11 @@
-//! The file of a traffic capture.
+//! The file format of traffic captures.
 
 use bytes::Bytes;
 use tideroute_wire::capture::{self, counted, counts, CaptureEvent, CapturedFrame, CapturedProcess, Reader};
 
 use crate::{from_hex, to_hex};
 
-/// The events, in the order of the numbers that stand for them in the file.
+/// All kinds of events, in the order of their numbers in the file.
 const EVENTS: [CaptureEvent; 14] = [
     CaptureEvent::Connecting,
     CaptureEvent::Accepted,
@@ -36,15 +36,16 @@
 }
 
 #[test]
-fn a_capture_with_every_event() {
+fn a_capture_with_every_kind_of_event() {
     let address = Some([10, 0, 0, 7, 0x1f, 0x90]);
     let process = CapturedProcess { number: 3, name: "w1".into(), role: "worker".into(), address };
     let frames: Vec<_> =
         EVENTS.into_iter().enumerate().map(|(position, event)| captured(position, event)).collect();
     let mut file = Vec::new();
-    capture::write_head(&mut file, std::slice::from_ref(&process), "terms").expect("a vector takes all");
+    capture::write_head(&mut file, std::slice::from_ref(&process), "terms")
+        .expect("writing to a vector succeeds");
     for frame in &frames {
-        capture::write(&mut file, frame).expect("a vector takes all");
+        capture::write(&mut file, frame).expect("writing to a vector succeeds");
     }
     let expected =
         "1f0a160803120277311a06776f726b657222060a0000071f9012057465726d7312088080f9c0c1c48203100318052001\
--- a/crates/wire/tests/exact_bytes/client.rs
+++ b/crates/wire/tests/exact_bytes/client.rs
@@ -1,4 +1,4 @@
-//! A client and a router.
+//! Messages between a client and a router.
 
 use bytes::Bytes;
 use tideroute_wire::client::{self, receive_from_client, receive_from_router, Client, Router};
@@ -17,7 +17,7 @@
         prefix_tokens: u32,
         max_tokens: u32,
         remaining: Micros,
-        seed: u64,
+        idempotency_key: u64,
         prompt: Bytes,
     ) -> Result<(), Malformed> {
         record!(
@@ -31,7 +31,7 @@
             prefix_tokens,
             max_tokens,
             remaining,
-            seed,
+            idempotency_key,
             prompt
         );
         Ok(())
--- a/crates/wire/tests/exact_bytes/endpoint_list.rs
+++ b/crates/wire/tests/exact_bytes/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list with its workers and routers.
+//! Messages between the endpoint list and its workers and routers.
 
 use tideroute_wire::endpoint_list::{
     self, receive_from_caller, receive_from_list, EndpointStatus, List, Page, Router,
@@ -11,8 +11,8 @@
 const STARTED_AT: Micros = 1_700_000_000_000_000;
 
 impl List for Recorder {
-    fn watch(&mut self, have: u64) -> Result<(), Malformed> {
-        record!(self, "watch", have);
+    fn watch(&mut self, known_version: u64) -> Result<(), Malformed> {
+        record!(self, "watch", known_version);
         Ok(())
     }
 
@@ -32,8 +32,8 @@
 }
 
 impl Router for Recorder {
-    fn begin_update(&mut self, version: u64, full_snapshot: bool) -> Result<(), Malformed> {
-        record!(self, "begin_update", version, full_snapshot);
+    fn begin_update(&mut self, version: u64, is_full_snapshot: bool) -> Result<(), Malformed> {
+        record!(self, "begin_update", version, is_full_snapshot);
         Ok(())
     }
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn messages_to_the_list() {
+fn messages_to_the_endpoint_list() {
     check(endpoint_list::watch(41), "12020829", receive_from_caller, &["watch(41)"]);
     let register = endpoint_list::register(WORKER, 2, 1.5, EndpointStatus::Draining, 300, 3, STARTED_AT);
     let calls = ["register([10, 0, 0, 7, 31, 144], 2, 1.5, Draining, 300, 3, 1700000000000000)"];
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_update_of_the_list() {
+fn an_update_of_the_endpoint_list() {
     let mut page = Page::new(42, true);
     page.add(WORKER, 2, 1.0, EndpointStatus::Serving, 300, 3, STARTED_AT);
     page.add(WORKER, 0, 0.5, EndpointStatus::Removed, 0, 0, 0);
--- a/crates/wire/tests/exact_bytes/gossip.rs
+++ b/crates/wire/tests/exact_bytes/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the routers of one cluster.
+//! Datagrams between the members of a cluster.
 
 use bytes::Bytes;
 use tideroute_wire::gossip::{self, GossipHandler, GossipMessage, MemberStatus, PARTS};
@@ -10,20 +10,20 @@
 const SENDER: &str = "sender(\"r1\", [10, 0, 0, 7, 31, 144], 5, Alive)";
 
 impl GossipHandler for Recorder {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, status: MemberStatus) {
-        record!(self, "sender", name, at, incarnation, status);
+    fn sender(&mut self, name: &str, address: Address, incarnation: u64, status: MemberStatus) {
+        record!(self, "sender", name, address, incarnation, status);
     }
 
     fn claim(
         &mut self,
         name: &str,
-        at: Address,
+        address: Address,
         incarnation: u64,
         status: MemberStatus,
-        by: u32,
+        suspecter: u32,
         in_page: bool,
     ) {
-        record!(self, "claim", name, at, incarnation, status, by, in_page);
+        record!(self, "claim", name, address, incarnation, status, suspecter, in_page);
     }
 
     fn ping(&mut self, number: u32) {
@@ -38,8 +38,8 @@
         record!(self, "nack", number);
     }
 
-    fn ping_request(&mut self, number: u32, name: &str, at: Address) {
-        record!(self, "ping_request", number, name, at);
+    fn ping_request(&mut self, number: u32, name: &str, address: Address) {
+        record!(self, "ping_request", number, name, address);
     }
 
     fn digest(&mut self, number: u32, digests: &[u64]) {
@@ -62,11 +62,12 @@
 #[test]
 fn claims_of_every_status() {
     let mut message = message();
-    for (by, status) in [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Dead, MemberStatus::Left]
-        .into_iter()
-        .enumerate()
+    for (suspecter, status) in
+        [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Dead, MemberStatus::Left]
+            .into_iter()
+            .enumerate()
     {
-        assert!(message.claim("r2", ADDRESS, 9, status, by as u32));
+        assert!(message.claim("r2", ADDRESS, 9, status, suspecter as u32));
     }
     let calls = [
         SENDER,
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn health_checks_of_members() {
+fn pings_and_their_answers() {
     check(
         message().ping(300),
         "0a100a02723112060a0000071f90180520011a0308ac02",
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn full_exchanges() {
+fn digests_and_pages_of_full_exchanges() {
     let digest = message().digest(300, std::array::from_fn(|part| part as u64));
     check(
         digest,
@@ -136,9 +137,9 @@
         receive,
         &[SENDER, "page(300, 1, 2, 0, 3)"],
     );
-    let looking = GossipMessage::new(None, 40).page(1, 0, 1, Some([0xff; PARTS]), 0);
+    let page_of_an_observer = GossipMessage::new(None, 40).page(1, 0, 1, Some([0xff; PARTS]), 0);
     check(
-        looking,
+        page_of_an_observer,
         "42870208011801228002ff00000000000000ff00000000000000ff00000000000000ff00000000000000ff0000000000\
         0000ff00000000000000ff00000000000000ff00000000000000ff00000000000000ff00000000000000ff0000000000\
         0000ff00000000000000ff00000000000000ff00000000000000ff00000000000000ff00000000000000ff0000000000\
--- a/crates/wire/tests/exact_bytes/hello.rs
+++ b/crates/wire/tests/exact_bytes/hello.rs
@@ -1,4 +1,4 @@
-//! The first message of a connection.
+//! The Hello, the first message of a connection.
 
 use tideroute_wire::{first, origin_of, say_hello, say_hello_with, say_router, Origin, Party};
 
--- a/crates/wire/tests/exact_bytes/main.rs
+++ b/crates/wire/tests/exact_bytes/main.rs
@@ -1,6 +1,7 @@
-//! The exact bytes of messages: written by this version, and read back as the calls that they stand for.
+//! The exact bytes of every message, as this version encodes them and decodes them back into calls.
 //!
-//! The expected bytes are those of protocol version 2. A change here breaks routers, workers and files of other builds.
+//! The expected bytes are those of protocol version 2. If they change, this build can no longer exchange messages with other
+//! builds or read their captures.
 
 use bytes::Bytes;
 use tideroute_wire::Malformed;
@@ -15,7 +16,7 @@
 mod tenant;
 mod worker;
 
-/// The calls that a received message made.
+/// Records the calls that a received message leads to.
 #[derive(Default)]
 struct Recorder(Vec<String>);
 
@@ -33,19 +34,19 @@
 }
 
 fn from_hex(text: &str) -> Bytes {
-    let byte = |at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |offset| u8::from_str_radix(&text[offset..offset + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
-/// Holds that a message is written as these bytes, and that these bytes are read as these calls.
+/// Checks that a message was encoded as the expected bytes, and that these bytes are decoded as these calls.
 fn check(
-    written: Bytes,
+    encoded: Bytes,
     expected: &str,
     receive: impl FnOnce(&Bytes, &mut Recorder) -> Result<(), Malformed>,
     calls: &[&str],
 ) {
     let mut recorder = Recorder::default();
     receive(&from_hex(expected), &mut recorder).expect("the bytes are a message");
-    assert_eq!(to_hex(&written), expected, "{calls:?}");
+    assert_eq!(to_hex(&encoded), expected, "{calls:?}");
     assert_eq!(recorder.0, calls);
 }
--- a/crates/wire/tests/exact_bytes/state_transfer.rs
+++ b/crates/wire/tests/exact_bytes/state_transfer.rs
@@ -1,4 +1,4 @@
-//! A decode worker that fetches KV state, and the prefill worker that has it.
+//! Messages between a decode worker that fetches KV state and the prefill worker that has it.
 
 use bytes::Bytes;
 use tideroute_wire::state_transfer::{self, receive_from_fetcher, receive_from_source, Fetcher, Reader};
@@ -28,8 +28,8 @@
 }
 
 impl Fetcher for Recorder {
-    fn chunk(&mut self, id: GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
-        record!(self, "chunk", id, offset, part, crc);
+    fn chunk(&mut self, id: GlobalRequestId, offset: u64, data: Bytes, crc: u32) -> Result<(), Malformed> {
+        record!(self, "chunk", id, offset, data, crc);
         Ok(())
     }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn messages_of_the_fetcher() {
+fn messages_of_the_decode_worker() {
     let fetch = state_transfer::fetch(ID);
     check(
         fetch,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn messages_of_the_source() {
+fn messages_of_the_prefill_worker() {
     let chunk = state_transfer::chunk(ID, 65_536, Bytes::from_static(b"kv"), 0xdead_beef);
     let call = format!("chunk({ID_TEXT}, 65536, b\"kv\", 3735928559)");
     check(
--- a/crates/wire/tests/exact_bytes/tenant.rs
+++ b/crates/wire/tests/exact_bytes/tenant.rs
@@ -14,10 +14,10 @@
         weight: f64,
         requests: Option<Rate>,
         tokens: Option<Rate>,
-        in_flight: Option<u32>,
-        waiting: u32,
+        max_in_flight: Option<u32>,
+        max_waiting: u32,
     ) -> Result<(), Malformed> {
-        record!(self, "set", name, version, keys, weight, requests, tokens, in_flight, waiting);
+        record!(self, "set", name, version, keys, weight, requests, tokens, max_in_flight, max_waiting);
         Ok(())
     }
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn changes_of_tenants() {
+fn messages_of_the_administration() {
     let keys = [[0x5a; 32]];
     let rate = Rate { per_second: 10.0, burst: 20.0 };
     let set = tenant::set("acme", 7, &keys, 2.0, Some(rate), None, Some(64), 100);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn stats_of_tenants() {
+fn statistics_of_a_core() {
     let acme = TenantStats {
         received: 1,
         admitted: 2,
--- a/crates/wire/tests/exact_bytes/worker.rs
+++ b/crates/wire/tests/exact_bytes/worker.rs
@@ -1,4 +1,4 @@
-//! A router and a worker.
+//! Messages between a router and a worker.
 
 use bytes::Bytes;
 use tideroute_wire::worker::{
@@ -58,7 +58,7 @@
         prompt_tokens: u32,
         max_tokens: u32,
         remaining: Micros,
-        seed: u64,
+        idempotency_key: u64,
         prefill_worker: Option<Address>,
         window: u32,
         session: u64,
@@ -75,7 +75,7 @@
             prompt_tokens,
             max_tokens,
             remaining,
-            seed,
+            idempotency_key,
             prefill_worker,
             window,
             session,
@@ -152,13 +152,13 @@
 }
 
 #[test]
-fn prefill_and_decode() {
+fn prefill_and_decode_messages_of_a_router() {
     let text = Bytes::from_static(b"hi");
     let prefill = worker::prefill(300, 2, 3, 77, 8, 1000, 512, 2_500_000, text.clone());
     let calls = ["prefill(300, 2, 3, 77, 8, 1000, 512, 2500000, b\"hi\")"];
     check(prefill, "121a08ac0210021803204d280830e80738800440a0cb98014a026869", receive_from_router, &calls);
-    let from = Some(PREFILL_WORKER);
-    let decode = worker::decode(300, 2, 3, 1000, 256, 2_500_000, 9, from, 16, 77, 8, 512, text);
+    let prefill_worker = Some(PREFILL_WORKER);
+    let decode = worker::decode(300, 2, 3, 1000, 256, 2_500_000, 9, prefill_worker, 16, 77, 8, 512, text);
     let calls =
         ["decode(300, 2, 3, 1000, 256, 2500000, 9, Some([10, 0, 0, 7, 31, 144]), 16, 77, 8, 512, b\"hi\")"];
     check(
@@ -167,9 +167,9 @@
         receive_from_router,
         &calls,
     );
-    let alone = worker::decode(1, 0, 0, 0, 0, 0, 0, None, 0, 0, 0, 0, Bytes::new());
+    let without_prefill_worker = worker::decode(1, 0, 0, 0, 0, 0, 0, None, 0, 0, 0, 0, Bytes::new());
     let calls = ["decode(1, 0, 0, 0, 0, 0, 0, None, 0, 0, 0, 0, b\"\")"];
-    check(alone, "22020801", receive_from_router, &calls);
+    check(without_prefill_worker, "22020801", receive_from_router, &calls);
 }
 
 #[test]
@@ -194,9 +194,9 @@
     check(granted, "0a0508ac021001", receive_from_worker, &["reservation_answered(300, true)"]);
     let denied = worker::reservation_answered(300, false);
     check(denied, "0a0308ac02", receive_from_worker, &["reservation_answered(300, false)"]);
-    let prefilled = worker::prefill_completed(300, 2, 512, 1 << 30);
+    let prefill_completed = worker::prefill_completed(300, 2, 512, 1 << 30);
     check(
-        prefilled,
+        prefill_completed,
         "120e08ac021002188004208080808004",
         receive_from_worker,
         &["prefill_completed(300, 2, 512, 1073741824)"],
