--- a/crates/command/tests/cluster_membership.rs
+++ b/crates/command/tests/cluster_membership.rs
@@ -102,13 +102,19 @@
     let alone = seen(0, "1 dead, 1 left", 1);
     assert!(alone.contains("ALONE"), "{alone}");
     wait_for(|| {
-        std::fs::read_to_string(records[0].with_extension("log")).ok()?.contains("alone: ").then_some(())
+        std::fs::read_to_string(records[0].with_extension("log"))
+            .ok()?
+            .contains("no other cluster member reachable")
+            .then_some(())
     });
     // With another key it is of no fleet that it could see, says so, and hears no answer with the right one.
     let stranger = cluster.record(3, &KEY.replace('7', "8"));
     let _stranger = cluster.start(&stranger);
     wait_for(|| {
-        std::fs::read_to_string(stranger.with_extension("log")).ok()?.contains("alone: ").then_some(())
+        std::fs::read_to_string(stranger.with_extension("log"))
+            .ok()?
+            .contains("no other cluster member reachable")
+            .then_some(())
     });
     let wrong = cluster.record(3, KEY);
     let (code, said) = status(&wrong);
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -5,12 +5,12 @@
 /// Configuration of one member.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its name, unique in the fleet.
+    /// The member's name, unique in the cluster.
     pub name: String,
-    /// Where the other members reach it with datagrams.
+    /// The address at which it receives datagrams from the other members.
     pub address: Address,
-    /// Addresses of members to contact first. Its own address among them is ignored.
+    /// Addresses of members to contact first. The member ignores its own address among them.
     pub seeds: Vec<Address>,
-    /// Seed of its random numbers.
+    /// Seed of the member's random numbers.
     pub rng_seed: u64,
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector's state: whom to probe next, the current probe, and indirect probes for other members.
+//! The state of the failure detector: the order of probes, the current probe, and indirect probes for other members.
 
 use std::collections::BTreeMap;
 
@@ -9,60 +9,62 @@
 use crate::sampling::random_below;
 use crate::units::MILLISECOND;
 
-/// An indirect probe that is not answered within this time is reported as failed (a nack).
+/// If the target of an indirect probe does not answer within this time, the requester is sent a nack.
 const INDIRECT_PROBE_TIMEOUT: Micros = 75 * MILLISECOND;
 
-/// Indirect probes for other members at once.
+/// Largest number of concurrent indirect probes for other members.
 const MAX_INDIRECT_PROBES: usize = 256;
 
 /// A probe of one member by this router.
 pub(crate) struct Probe {
+    /// The target's slot in the member list.
     pub slot: usize,
+    /// The target's name. The slot may be reused by another member.
     pub name: String,
     pub number: u32,
-    /// When it is retried, directly and through helpers; `None` if it is answered or was retried often enough.
+    /// The time of the next retry, directly and through helpers; `None` if the probe was answered or has no retries left.
     pub retry_at: Option<Micros>,
     pub retries: u32,
-    /// Members asked for an indirect probe that have not reported its failure.
-    pub silent_helpers: u32,
+    /// Number of members that were asked for an indirect probe and have not sent a nack.
+    pub helpers_without_nack: u32,
     pub answered: bool,
 }
 
-/// A member that sent a datagram.
+/// The sender of a datagram, if it is a member.
 #[derive(Clone)]
 pub(crate) struct Peer {
     pub name: String,
     pub address: Address,
 }
 
-/// A probe on behalf of another member.
+/// A probe that this router sends on behalf of another member.
 pub(crate) struct IndirectProbe {
     pub requester: Peer,
-    /// The requester's number of the probe.
+    /// The number of the probe at the requester.
     pub number: u32,
     expires_at: Micros,
 }
 
-/// Whom to probe next, the current probe, and indirect probes for other members.
+/// The order of probes, the current probe, and indirect probes for other members.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// The rest of a round that probes each member once, in an order that is random anew in each round. It bounds the
-    /// time until a member is probed (SWIM).
+    /// The members that remain to be probed in this round. A round probes each member once, in a new random order, which
+    /// bounds the time until a member is probed (SWIM).
     round: Vec<usize>,
     pub current: Option<Probe>,
-    /// By this router's number of the probe.
+    /// Indirect probes for other members, by this router's number of the probe.
     indirect_probes: BTreeMap<u32, IndirectProbe>,
     last_number: u32,
 }
 
 impl FailureDetector {
-    /// A number for a new message.
+    /// Returns a number for a new message.
     pub fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1);
         self.last_number
     }
 
-    /// Inserts a new member somewhere into the current round.
+    /// Inserts a new member into the current round at a random position.
     pub fn insert(&mut self, slot: usize, rng: &mut Rng) {
         if self.round.len() < 2 * MAX_MEMBERS {
             let index = random_below(rng, self.round.len() + 1);
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The next member to probe, one that is in the fleet.
+    /// Returns the slot of the next member to probe; `None` if no other member is in the cluster.
     pub fn next_target(&mut self, members: &MemberList, rng: &mut Rng) -> Option<usize> {
         loop {
             while let Some(slot) = self.round.pop() {
@@ -93,12 +95,12 @@
         }
     }
 
-    /// The current probe, if it has this number.
+    /// Returns the current probe, if it has this number.
     pub fn current_with_number(&mut self, number: u32) -> Option<&mut Probe> {
         self.current.as_mut().filter(|probe| probe.number == number)
     }
 
-    /// Records an indirect probe; returns false if there are too many.
+    /// Records an indirect probe. Returns false, and records nothing, if there are too many.
     pub fn start_indirect_probe(
         &mut self,
         own_number: u32,
@@ -115,18 +117,19 @@
         true
     }
 
-    /// Ends the indirect probe that was answered.
+    /// Removes and returns the indirect probe that was answered.
     pub fn take_answered_indirect_probe(&mut self, own_number: u32) -> Option<IndirectProbe> {
         self.indirect_probes.remove(&own_number)
     }
 
-    /// Ends the first indirect probe that timed out. All have the same timeout, so the lowest number expires first.
+    /// Removes and returns the oldest indirect probe if it has timed out. All have the same timeout, so the lowest number
+    /// expires first.
     pub fn take_expired_indirect_probe(&mut self, now: Micros) -> Option<IndirectProbe> {
         let first = self.indirect_probes.first_entry().filter(|probe| probe.get().expires_at <= now)?;
         Some(first.remove())
     }
 
-    /// When the next indirect probe times out.
+    /// Returns the time at which the next indirect probe times out.
     pub fn next_indirect_timeout(&self) -> Option<Micros> {
         self.indirect_probes.first_key_value().map(|(_, probe)| probe.expires_at)
     }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,12 +1,12 @@
-//! Local health (Lifeguard): how far a router distrusts its own observations.
+//! Local health (Lifeguard): the degree to which a router distrusts its own observations.
 
 use tideroute_wire::Micros;
 
-/// Highest score. Probes are then so many times slower, and once more.
+/// Highest score. Probe intervals and timeouts are then `MAX_SCORE + 1` times as long.
 const MAX_SCORE: u32 = 8;
 
-/// A score from 0, healthy, to [`MAX_SCORE`]. The higher it is, the slower the router probes, and the longer it waits for
-/// answers.
+/// A score from 0 (healthy) to [`MAX_SCORE`]. The higher it is, the more slowly the router probes and the longer it waits
+/// for answers.
 #[derive(Default)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -17,17 +17,17 @@
         self.score
     }
 
-    /// Something happened that may be this router's own fault.
-    pub fn degrade(&mut self, by: u32) {
-        self.score = (self.score + by).min(MAX_SCORE);
+    /// Raises the score after an event that this router itself may have caused.
+    pub fn degrade(&mut self, amount: u32) {
+        self.score = (self.score + amount).min(MAX_SCORE);
     }
 
-    /// A probe was answered.
+    /// Lowers the score by one after a probe was answered.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A duration of the prober, stretched by the score.
+    /// Returns a probe interval or timeout, lengthened in proportion to the score.
     pub fn stretch(&self, duration: Micros) -> Micros {
         duration * Micros::from(1 + self.score)
     }
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The member list: what one router knows of the others.
+//! The member list: what one router knows about the other members.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -9,19 +9,19 @@
 use crate::member::{digest_part, Member, Precedence};
 use crate::rumor_queue::RumorQueue;
 
-/// Members known at once, the dead that are remembered among them.
+/// Largest number of entries in the member list, including the members that are dead or have left and are still remembered.
 pub(crate) const MAX_MEMBERS: usize = 10_000;
 
-/// What is known of one member.
+/// What this router knows about one other member.
 #[derive(Debug)]
 pub(crate) struct MemberEntry {
     pub member: Member,
     /// Name hashes of the members that suspect it.
     pub suspecters: Vec<u32>,
-    /// The suspecter that is passed on.
+    /// Name hash of the last member that was added to `suspecters`, which claims about this member name.
     pub last_suspecter: u32,
     pub suspected_since: Micros,
-    /// When its suspicion times out, or it is forgotten.
+    /// The time at which its suspicion times out or at which it is forgotten, depending on its status.
     expires_at: Option<Micros>,
     /// Its index in `MemberList::active`.
     active_index: Option<usize>,
@@ -29,13 +29,14 @@
     digest_part: usize,
 }
 
-/// All other members. A slot identifies a member until it is forgotten.
+/// All other members. A slot identifies a member until the member is forgotten.
 #[derive(Default)]
 pub(crate) struct MemberList {
     entries: Slab<MemberEntry>,
     slots_by_name: HashMap<String, usize>,
-    /// Members that are in the fleet, alive or suspected.
+    /// Slots of the members that are in the cluster, alive or suspected.
     active: Vec<usize>,
+    /// The expirations of all entries, with their slots.
     expirations: BTreeSet<(Micros, usize)>,
     digests: [u64; PARTS],
     pub rumors: RumorQueue,
@@ -46,7 +47,7 @@
         self.entries.get(slot)
     }
 
-    /// The slot of a member, by its name.
+    /// Returns the slot of the member with this name.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.slots_by_name.get(name).copied()
     }
@@ -63,24 +64,24 @@
         self.entries.iter()
     }
 
-    /// Slots of the members that are in the fleet.
+    /// Returns the slots of the members that are in the cluster.
     pub fn active(&self) -> &[usize] {
         &self.active
     }
 
-    /// Digests of all parts, with this router's own entry included.
+    /// Returns the digests of all parts, including this router's own entry.
     pub fn digests(&self, own: &Member) -> [u64; PARTS] {
         let mut digests = self.digests;
         digests[digest_part(&own.name)] ^= own.digest();
         digests
     }
 
-    /// All entries of the selected parts.
+    /// Returns all entries of the selected parts.
     pub fn entries_of_parts(&self, selected: [bool; PARTS]) -> impl Iterator<Item = &MemberEntry> {
         self.entries.iter().map(|(_, entry)| entry).filter(move |entry| selected[entry.digest_part])
     }
 
-    /// Adds a member, which must not be known yet.
+    /// Adds a member, which must not be in the list yet, and returns its slot.
     pub fn insert(&mut self, member: Member) -> usize {
         let name = member.name.clone();
         let entry = MemberEntry {
@@ -100,7 +101,7 @@
         slot
     }
 
-    /// Sets address, incarnation and status. The expiration is the caller's.
+    /// Sets the address, incarnation and status of a member. The caller sets its expiration.
     pub fn update(&mut self, slot: usize, address: Address, precedence: Precedence) {
         let Some(entry) = self.entries.get_mut(slot) else { return };
         entry.member.address = address;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Sets when a member's suspicion times out, or when it is forgotten.
+    /// Sets the time at which a member's suspicion times out or at which the member is forgotten.
     pub fn set_expiration(&mut self, slot: usize, expires_at: Option<Micros>) {
         let Some(entry) = self.entries.get_mut(slot) else { return };
         if let Some(old) = std::mem::replace(&mut entry.expires_at, expires_at) {
@@ -148,26 +149,26 @@
         }
     }
 
-    /// The next expiration, and whose it is.
+    /// Returns the next expiration and the slot of its member.
     pub fn next_expiration(&self) -> Option<(Micros, usize)> {
         self.expirations.first().copied()
     }
 
-    /// Expirations of all suspicions.
+    /// Returns the timeouts of all suspicions, with the slots of the suspected members.
     pub fn suspicion_timeouts(&self) -> Vec<(Micros, usize)> {
         let is_suspected =
             |slot: usize| self.get(slot).is_some_and(|entry| entry.member.status == MemberStatus::Suspected);
         self.expirations.iter().copied().filter(|(_, slot)| is_suspected(*slot)).collect()
     }
 
-    /// Records when a suspicion began.
-    pub fn suspected_since(&mut self, slot: usize, now: Micros) {
+    /// Records the time at which a suspicion began.
+    pub fn set_suspected_since(&mut self, slot: usize, now: Micros) {
         if let Some(entry) = self.entries.get_mut(slot) {
             entry.suspected_since = now;
         }
     }
 
-    /// Records a member that suspects this one; returns whether it is a new one.
+    /// Records a member that suspects this one. Returns false if it was already recorded.
     pub fn add_suspecter(&mut self, slot: usize, suspecter: u32) -> bool {
         let Some(entry) = self.entries.get_mut(slot) else { return false };
         if entry.suspecters.contains(&suspecter) {
@@ -178,7 +179,7 @@
         true
     }
 
-    /// Forgets a member.
+    /// Removes a member from the list.
     pub fn remove(&mut self, slot: usize) {
         self.set_expiration(slot, None);
         self.rumors.remove(slot);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,5 @@
-//! The protocol's state machine: its state, its public face, and what is done when. Each submodule is one concern.
+//! The protocol's state machine: its state, its public interface, and the scheduling of its tasks. Each submodule implements
+//! one aspect of the protocol.
 
 use std::collections::VecDeque;
 
@@ -25,19 +26,19 @@
 mod probing;
 mod suspicions;
 
-/// A wake-up that is later than this means that the event loop or the machine stood still: what was not received
-/// meanwhile is this router's own fault.
+/// A wake-up that is later than this means that the event loop or the machine was stalled. Missing answers are then this
+/// router's own fault.
 const MAX_WAKEUP_LAG: Micros = 60 * MILLISECOND;
 
-/// The membership of one router.
+/// The membership protocol of one router.
 ///
-/// Callers pass each datagram to [`handle_datagram`](Membership::handle_datagram), then pull
-/// [`next_output`](Membership::next_output) until it returns `None`, and again at
+/// The caller passes each datagram to [`handle_datagram`](Membership::handle_datagram), then calls
+/// [`next_output`](Membership::next_output) until it returns `None`, and does so again at
 /// [`wakeup_at`](Membership::wakeup_at).
 pub struct Membership {
     own: Member,
     own_name_hash: u32,
-    /// How often the rumor about this router itself was transmitted; `None` once that was often enough.
+    /// Transmissions of the rumor about this router itself; `None` after the last one.
     own_rumor_transmissions: Option<u32>,
     seeds: Vec<Address>,
     members: MemberList,
@@ -46,19 +47,19 @@
     schedule: Schedule,
     rng: Rng,
     outputs: VecDeque<Output>,
-    /// When a leaving router repeats its goodbye.
-    second_goodbye_at: Option<Micros>,
+    /// The time at which this router, if it is leaving, announces that a second time.
+    second_leave_at: Option<Micros>,
     has_left: bool,
-    /// Until then, no further name conflict is answered.
+    /// No further name conflict is answered before this time.
     name_conflict_muted_until: Micros,
     stats: MembershipStats,
 }
 
 impl Membership {
-    /// A router that starts now.
+    /// Creates the membership of a router that starts at `now`.
     ///
-    /// Its first incarnation is the time in milliseconds, so that a router that restarts under its name counts as new. If
-    /// its clock was set back, it hears of its former incarnation and refutes that.
+    /// Its first incarnation is the time in milliseconds, so that a router that restarts under the same name gets a higher
+    /// incarnation. If its clock was set back, it receives claims about its former incarnation and refutes them.
     pub fn new(config: MembershipConfig, now: Micros) -> Membership {
         let own = Member {
             name: config.name,
@@ -78,44 +79,45 @@
             schedule: Schedule::new(now, &mut rng),
             rng,
             outputs: VecDeque::new(),
-            second_goodbye_at: None,
+            second_leave_at: None,
             has_left: false,
             name_conflict_muted_until: 0,
             stats: MembershipStats::default(),
         }
     }
 
-    /// All other members that are known, the dead ones included.
+    /// Returns all other members that are known, including those that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().map(|(_, entry)| &entry.member)
     }
 
-    /// This router itself.
+    /// Returns this router's own entry.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Number of other members that are in the fleet, alive or suspected.
+    /// Returns the number of other members that are in the cluster, alive or suspected.
     pub fn active_count(&self) -> usize {
         self.members.active().len()
     }
 
-    /// Counters.
+    /// Returns the event counters.
     pub fn stats(&self) -> MembershipStats {
         self.stats
     }
 
-    /// How far this router distrusts its own observations: from 0, not at all, to 8.
+    /// Returns the local health score, from 0 (healthy) to 8: how far this router distrusts its own observations.
     pub fn local_health(&self) -> u32 {
         self.local_health.score()
     }
 
-    /// It has left the fleet and said goodbye.
+    /// Returns whether this router has left the cluster and announced it.
     pub fn has_left(&self) -> bool {
         self.has_left
     }
 
-    /// The next output; `None` until the next wake-up. All datagrams that have arrived must be handled before.
+    /// Returns the next output; `None` if there is none until the next wake-up. All datagrams that have arrived must be
+    /// handled before the call.
     pub fn next_output(&mut self, now: Micros) -> Option<Output> {
         if self.outputs.is_empty() && !self.has_left {
             self.run_due(now);
@@ -123,7 +125,7 @@
         self.outputs.pop_front()
     }
 
-    /// When [`next_output`](Membership::next_output) must be called again.
+    /// Returns the time at which [`next_output`](Membership::next_output) must be called again.
     pub fn wakeup_at(&self) -> Micros {
         if !self.outputs.is_empty() {
             return 0;
@@ -131,7 +133,7 @@
         if self.has_left {
             return Micros::MAX;
         }
-        if let Some(at) = self.second_goodbye_at {
+        if let Some(at) = self.second_leave_at {
             return at;
         }
         let probe_retry = self.failure_detector.current.as_ref().and_then(|probe| probe.retry_at);
@@ -144,17 +146,17 @@
         optional.into_iter().flatten().fold(first_periodic, Micros::min)
     }
 
-    /// Does all that is due.
+    /// Runs all tasks that are due.
     fn run_due(&mut self, now: Micros) {
         if self.wakeup_at() > now {
             return;
         }
-        if self.second_goodbye_at.take().is_some() {
-            self.send_goodbyes();
+        if self.second_leave_at.take().is_some() {
+            self.announce_leave();
             self.has_left = true;
             return;
         }
-        self.allow_for_lag(now);
+        self.compensate_for_lag(now);
         self.expire_indirect_probes(now);
         self.run_probes(now);
         self.run_expirations(now);
@@ -163,9 +165,9 @@
         self.run_gossip(now);
     }
 
-    /// After a late wake-up it was this router that stood still: the current probe proves nothing, and suspicions are
-    /// extended by the time in which it could not hear their refutations.
-    fn allow_for_lag(&mut self, now: Micros) {
+    /// Compensates for a late wake-up, during which this router was stalled. The current probe is dropped, as it proves
+    /// nothing, and suspicions are extended by the time in which their refutations could not be received.
+    fn compensate_for_lag(&mut self, now: Micros) {
         let lag = now.saturating_sub(self.wakeup_at());
         if lag < MAX_WAKEUP_LAG {
             return;
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Full exchanges: two routers compare digests of what they know, and send each other the parts that differ. They also
-//! bring routers together that do not know each other, or no longer.
+//! Full exchanges (anti-entropy): two routers compare digests of their member lists and send each other the parts that
+//! differ. This also connects routers that do not know each other yet, or no longer do.
 
 use tideroute_wire::gossip::{GossipMessage, MemberStatus, PARTS};
 use tideroute_wire::{Address, Micros};
@@ -9,10 +9,10 @@
 use crate::sampling::{random_below, sample};
 use crate::schedule::{EXCHANGE_INTERVAL, REJOIN_INTERVAL, SHORT_EXCHANGE_INTERVAL};
 
-/// Pages of one answer; what is left comes with the next exchange.
+/// Largest number of pages in one answer. Members that do not fit follow in later exchanges.
 pub const MAX_PAGES: usize = 32;
 
-/// Whether an answer holds this router's digests, so that the other side answers in turn.
+/// Whether an answer includes this router's digests, to which the other side then answers in turn.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReplyDigests {
     Include,
@@ -20,7 +20,7 @@
 }
 
 impl Membership {
-    /// Starts an exchange with a random member of the fleet, when one is due.
+    /// Starts a full exchange with a random member of the cluster if one is due.
     pub(super) fn run_exchange(&mut self, now: Micros) {
         if now < self.schedule.exchange_at {
             return;
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Contacts routers that are not in the fleet, when that is due: a random dead member, and a random seed that is not
-    /// known, or all such seeds while this router is alone.
+    /// Contacts routers that are not in the cluster, if that is due: a random dead member, and a random seed that is not
+    /// known. While no other member is known, contacts all seeds.
     pub(super) fn run_rejoin(&mut self, now: Micros) {
         if now < self.schedule.rejoin_at {
             return;
@@ -61,7 +61,7 @@
         dead.map(|(slot, _)| slot).collect()
     }
 
-    /// Seeds that are the address of no member of the fleet.
+    /// Returns the seeds that are not the address of a member of the cluster.
     fn unknown_seeds(&self) -> Vec<Address> {
         let is_active = |address: Address| {
             self.members.active().iter().any(|&slot| self.members.address(slot) == Some(address))
@@ -83,7 +83,7 @@
         self.send(to, message.digest(number, digests));
     }
 
-    /// Answers a sender's digests with pages of all members in the parts that differ; with rumors if none does.
+    /// Answers a sender's digests with pages of all members in the parts that differ, or with rumors if no part differs.
     pub(super) fn answer_digests(
         &mut self,
         to: Address,
@@ -96,8 +96,8 @@
         let differing: [bool; PARTS] =
             std::array::from_fn(|part| sender_digests.get(part) != Some(&digests[part]));
         let differs = differing.contains(&true);
-        // Composed also where pages are sent instead, and the rumors then count as transmitted: the pages hold whatever
-        // the sender lacks.
+        // The rumors count as transmitted even if pages are sent instead, because the pages hold everything that the sender
+        // lacks.
         let rumors = self.message_with_rumors(sender.filter(|_| !differs));
         let pages = if differs { self.pages_of_parts(differing) } else { vec![rumors] };
         let page_count = pages.len() as u32;
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Pages with all members of the selected parts, at least one page. The first member is random, so that over several
-    /// exchanges all members come that do not fit into one.
+    /// Returns pages with all members of the selected parts, up to [`MAX_PAGES`] and at least one. The first member is chosen
+    /// at random, so that members that do not fit are sent in later exchanges.
     fn pages_of_parts(&mut self, selected: [bool; PARTS]) -> Vec<GossipMessage> {
         let entries: Vec<_> = self.members.entries_of_parts(selected).collect();
         let first = random_below(&mut self.rng, entries.len().max(1));
         let mut pages = Vec::new();
-        // This router itself is the sender of every page.
+        // Each page names this router as its sender, so this router needs no claim of its own.
         let mut page = self.empty_message();
         for entry in entries.iter().cycle().skip(first).take(entries.len()) {
             if !add_claim(&mut page, &entry.member, entry.last_suspecter) {
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -1,4 +1,4 @@
-//! Claims about members, in rumors and in full exchanges, and the refutation of claims about this router itself.
+//! Handling of claims about members, from rumors and full exchanges, and refutation of claims about this router itself.
 
 use std::net::SocketAddrV4;
 
@@ -9,34 +9,34 @@
 use crate::member::{Member, Precedence};
 use crate::units::MILLISECOND;
 
-/// Milliseconds. An incarnation that is further ahead of this router's clock was given by no clock, and nobody could ever
-/// refute a claim about it.
+/// Largest lead, in milliseconds, of an incarnation over this router's clock. No valid clock gives a higher incarnation, and
+/// a claim about the highest incarnation could never be refuted.
 const MAX_INCARNATION_LEAD: u64 = 24 * 60 * 60 * 1_000;
 
-/// Shortest time between two answers to another process that uses this router's name.
+/// Minimum interval between two refutations sent to another process that uses this router's name.
 const NAME_CONFLICT_INTERVAL: Micros = 1_000 * MILLISECOND;
 
-/// How a claim arrived.
+/// The way in which a claim arrived.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimSource {
-    /// As a rumor: a recent change.
+    /// As a rumor, which is about a recent change.
     Rumor,
-    /// In a page of a full exchange: possibly old.
+    /// In a page of a full exchange. The claim may be old.
     FullExchange,
 }
 
 impl ClaimSource {
-    /// Claims of a full exchange are not disseminated: a thousand routers that meet at once would take half a minute to
-    /// disseminate them.
+    /// Returns whether claims from this source are disseminated as rumors. Claims from a full exchange are not: when a
+    /// thousand routers meet at once, their dissemination would take half a minute.
     fn disseminates(self) -> bool {
         self == ClaimSource::Rumor
     }
 }
 
-/// What one member says about another.
+/// A claim of one member about another.
 pub(super) struct Claim {
     pub member: Member,
-    /// Name hash of the member that suspects it, where it is suspected.
+    /// Name hash of the member that suspects it, if it is suspected.
     pub suspecter: u32,
     pub source: ClaimSource,
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Applies a claim about a member that is known.
+    /// Applies a claim about a member that is in the member list.
     fn apply_known_claim(&mut self, now: Micros, slot: usize, claim: &Claim) {
         let Some(entry) = self.members.get(slot) else { return };
         let known = entry.member.precedence();
@@ -74,8 +74,8 @@
                 self.suspect(now, slot, claim.suspecter, claim.source.disseminates());
             }
             _ if claimed == known => {}
-            // In a full exchange a death may be old, from before a partition healed: the member gets the claim,
-            // and may refute it.
+            // A death in a full exchange may date from before a network partition healed. The member is only suspected,
+            // and is sent the claim so that it can refute it.
             MemberStatus::Dead if claim.source == ClaimSource::FullExchange && known.status.is_in() => {
                 self.adopt_incarnation(slot, address, known, claimed);
                 self.suspect(now, slot, claim.suspecter, false);
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Takes a member for alive in a later incarnation than the known one; returns whether the claim has a later one.
+    /// If the claimed incarnation is higher than the known one, records the member as alive in it. Returns whether it is
+    /// higher.
     fn adopt_incarnation(
         &mut self,
         slot: usize,
@@ -94,12 +95,12 @@
         known: Precedence,
         claimed: Precedence,
     ) -> bool {
-        let is_later = claimed.incarnation > known.incarnation;
-        if is_later {
+        let is_higher = claimed.incarnation > known.incarnation;
+        if is_higher {
             let alive = Precedence { status: MemberStatus::Alive, ..claimed };
             self.members.update(slot, address, alive);
         }
-        is_later
+        is_higher
     }
 
     fn mark_alive(&mut self, slot: usize, known_status: MemberStatus, claim: &Claim) {
@@ -114,7 +115,7 @@
         self.report_status(slot);
     }
 
-    /// Adds a member that was not known. Nothing is kept of one that is dead or has left.
+    /// Adds a member that is not in the member list yet. Claims about members that are dead or have left are ignored.
     fn add_member(&mut self, now: Micros, claim: Claim) {
         let status = claim.member.status;
         if !status.is_in() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Refutes a claim about this router itself, unless it is its own claim come round.
+    /// Refutes a claim about this router itself, unless the claim agrees with this router's own state.
     fn apply_own_claim(&mut self, now: Micros, claimed: &Member) {
         if claimed.incarnation < self.own.incarnation || self.own.status == MemberStatus::Left {
             return;
@@ -152,7 +153,7 @@
             }
             self.name_conflict_muted_until = now + NAME_CONFLICT_INTERVAL;
             let other = socket_address(claimed.address);
-            tracing::warn!(name = self.own.name, %other, "another process uses, or used, this router's name");
+            tracing::warn!(name = self.own.name, %other, "claim received for this router's name at another address");
         }
         if !is_alive {
             self.stats.refutations += 1;
--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams received from other members.
+//! Handling of datagrams from other members.
 
 use bytes::Bytes;
 use tideroute_wire::gossip::{self, GossipHandler, MemberStatus};
@@ -13,7 +13,7 @@
 use crate::schedule::SHORT_EXCHANGE_INTERVAL;
 
 impl Membership {
-    /// Handles a message whose datagram was verified; `from` is the address that it came from. A malformed message
+    /// Handles the message of a verified datagram. `from` is the address that the datagram came from. A malformed message
     /// changes nothing.
     pub fn handle_datagram(&mut self, now: Micros, from: Address, message: &Bytes) -> Result<(), Malformed> {
         if self.has_left {
@@ -23,17 +23,17 @@
     }
 }
 
-/// Handles one datagram.
+/// Handles the contents of one datagram.
 struct DatagramHandler<'a> {
     membership: &'a mut Membership,
     now: Micros,
     from: Address,
-    /// Who sent it, if that is a member.
+    /// The sender, if it is a member.
     sender: Option<Peer>,
 }
 
 impl DatagramHandler<'_> {
-    /// Where to answer: the address that the sender gives, or the one that the datagram came from.
+    /// Returns the address to answer to: the one that the sender claims, or else the one that the datagram came from.
     fn reply_address(&self) -> Address {
         self.sender.as_ref().map_or(self.from, |sender| sender.address)
     }
@@ -49,7 +49,8 @@
         self.membership.answer_digests(to, sender, number, digests, reply_digests);
     }
 
-    /// A sender of which a later incarnation is known must hear of that before it is believed again.
+    /// Sends a sender whose incarnation is outdated the claim about its higher known incarnation. Until it refutes that, its
+    /// claims about itself are ignored.
     fn correct_stale_sender(&mut self, name: &str, address: Address, incarnation: u64) {
         let membership = &mut *self.membership;
         let Some(entry) = membership.members.find(name).and_then(|slot| membership.members.get(slot)) else {
@@ -65,25 +66,25 @@
 }
 
 impl GossipHandler for DatagramHandler<'_> {
-    fn sender(&mut self, name: &str, at: Address, incarnation: u64, status: MemberStatus) {
-        self.sender = Some(Peer { name: name.to_string(), address: at });
-        let member = Member { name: name.to_string(), address: at, incarnation, status };
+    fn sender(&mut self, name: &str, address: Address, incarnation: u64, status: MemberStatus) {
+        self.sender = Some(Peer { name: name.to_string(), address });
+        let member = Member { name: name.to_string(), address, incarnation, status };
         self.membership.apply_claim(self.now, Claim { member, suspecter: 0, source: ClaimSource::Rumor });
-        self.correct_stale_sender(name, at, incarnation);
+        self.correct_stale_sender(name, address, incarnation);
     }
 
     fn claim(
         &mut self,
         name: &str,
-        at: Address,
+        address: Address,
         incarnation: u64,
         status: MemberStatus,
-        by: u32,
+        suspecter: u32,
         in_page: bool,
     ) {
-        let member = Member { name: name.to_string(), address: at, incarnation, status };
+        let member = Member { name: name.to_string(), address, incarnation, status };
         let source = if in_page { ClaimSource::FullExchange } else { ClaimSource::Rumor };
-        self.membership.apply_claim(self.now, Claim { member, suspecter: by, source });
+        self.membership.apply_claim(self.now, Claim { member, suspecter, source });
     }
 
     fn ping(&mut self, number: u32) {
@@ -105,17 +106,17 @@
 
     fn nack(&mut self, number: u32) {
         if let Some(probe) = self.membership.failure_detector.current_with_number(number) {
-            probe.silent_helpers = probe.silent_helpers.saturating_sub(1);
+            probe.helpers_without_nack = probe.helpers_without_nack.saturating_sub(1);
         }
     }
 
-    fn ping_request(&mut self, number: u32, name: &str, at: Address) {
+    fn ping_request(&mut self, number: u32, name: &str, address: Address) {
         let Some(requester) = self.sender.clone() else { return };
         let membership = &mut *self.membership;
         let own_number = membership.failure_detector.next_number();
         if membership.failure_detector.start_indirect_probe(own_number, requester, number, self.now) {
             let message = membership.message_with_rumors(membership.members.find(name));
-            membership.send(at, message.ping(own_number));
+            membership.send(address, message.ping(own_number));
         }
     }
 
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Dissemination of rumors: in rounds of gossip, and within every other message.
+//! Dissemination of rumors, in rounds of gossip and in every other message.
 
 use tideroute_wire::gossip::{GossipMessage, MemberStatus};
 use tideroute_wire::Micros;
@@ -10,7 +10,7 @@
 use crate::sampling::sample;
 use crate::schedule::GOSSIP_INTERVAL;
 
-/// Members that get the rumors in one round of gossip.
+/// Number of random members that are sent rumors in one round of gossip.
 const GOSSIP_FANOUT: usize = 3;
 
 impl Membership {
@@ -28,22 +28,22 @@
         }
     }
 
-    /// Sends a member a message that holds rumors only.
+    /// Sends a member a datagram that holds only rumors.
     pub(super) fn send_rumors(&mut self, slot: usize) {
         let Some(address) = self.members.address(slot) else { return };
         let message = self.message_with_rumors(Some(slot));
         self.send(address, message.plain());
     }
 
-    /// A message that names its sender and nothing else.
+    /// Returns a message that holds only its sender.
     pub(super) fn empty_message(&self) -> GossipMessage {
         let own = &self.own;
         let sender = (own.name.as_str(), own.address, own.incarnation, own.status);
         GossipMessage::new(Some(sender), MessageAuthenticator::OVERHEAD)
     }
 
-    /// A message with as many rumors as it holds, which count as transmitted. A recipient that is not seen as alive gets
-    /// first what is claimed of it, so that it can refute that.
+    /// Returns a message with as many rumors as fit into it, and counts them as transmitted. If the recipient is not known as
+    /// alive, the message begins with the claim about the recipient, so that it can refute the claim.
     pub(super) fn message_with_rumors(&mut self, recipient: Option<usize>) -> GossipMessage {
         let mut message = self.empty_message();
         let entry = recipient.and_then(|slot| self.members.get(slot));
@@ -64,12 +64,12 @@
             transmitted.push(slot);
         }
         for slot in transmitted {
-            self.members.rumors.transmitted(slot, max_transmissions);
+            self.members.rumors.record_transmission(slot, max_transmissions);
         }
         message
     }
 
-    /// The sender of each message is the rumor about this router itself.
+    /// Counts a transmission of the rumor about this router itself, which is the sender field of each message.
     fn count_own_rumor(&mut self, max_transmissions: u32) {
         let transmissions = self.own_rumor_transmissions.map(|transmissions| transmissions + 1);
         self.own_rumor_transmissions =
@@ -77,7 +77,7 @@
     }
 }
 
-/// Adds a claim about a member; returns whether there was room for it.
+/// Adds a claim about a member. Returns false, and adds nothing, if there is no space for it.
 pub(super) fn add_claim(message: &mut GossipMessage, member: &Member, suspecter: u32) -> bool {
     message.claim(&member.name, member.address, member.incarnation, member.status, suspecter)
 }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Probing of other members, directly and through helpers.
+//! Probing of other members, directly and through other members (helpers).
 
 use tideroute_wire::Micros;
 
@@ -8,20 +8,20 @@
 use crate::schedule::PROBE_INTERVAL;
 use crate::units::MILLISECOND;
 
-/// How long an answer may take before the probe is retried: far longer than any round trip within a site, and than most
+/// Time after which an unanswered probe is retried. It is far longer than any round trip within a site, and longer than most
 /// pauses of a busy event loop.
 const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
 
-/// Retries of a probe, each direct and through helpers. With a tenth of all datagrams lost, a probe of a live member then
-/// fails once in some 80,000 times; with one retry it was once in 700, and 300 routers disseminated 1.7 false suspicions a
-/// second.
+/// Retries of a probe, each of them directly and through helpers. If a tenth of all datagrams is lost, about one in 80,000
+/// probes of a live member fails. With a single retry it is one in 700, and 300 routers disseminated 1.7 false suspicions
+/// per second.
 const MAX_RETRIES: u32 = 2;
 
-/// Members asked for an indirect probe with each retry.
+/// Number of members that are asked for an indirect probe with each retry.
 const HELPERS_PER_RETRY: usize = 3;
 
 impl Membership {
-    /// Tells the requesters of indirect probes that timed out.
+    /// Sends a nack to the requester of each indirect probe that timed out.
     pub(super) fn expire_indirect_probes(&mut self, now: Micros) {
         while let Some(probe) = self.failure_detector.take_expired_indirect_probe(now) {
             let message = self.message_with_rumors(self.members.find(&probe.requester.name));
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Retries the current probe, or ends it and starts the next one, as is due.
+    /// Retries the current probe if that is due, and ends it and starts the next one if that is due.
     pub(super) fn run_probes(&mut self, now: Micros) {
         let retry_at = self.failure_detector.current.as_ref().and_then(|probe| probe.retry_at);
         if retry_at.is_some_and(|at| at <= now) {
@@ -55,7 +55,7 @@
             number,
             retry_at: Some(now + self.local_health.stretch(ACK_TIMEOUT)),
             retries: 0,
-            silent_helpers: 0,
+            helpers_without_nack: 0,
             answered: false,
         });
         let message = self.message_with_rumors(Some(slot));
@@ -68,7 +68,7 @@
         let number = probe.number;
         let helpers = sample(self.members.active(), &mut self.rng, HELPERS_PER_RETRY, Some(slot));
         probe.retries += 1;
-        probe.silent_helpers += helpers.len() as u32;
+        probe.helpers_without_nack += helpers.len() as u32;
         probe.retry_at =
             (probe.retries < MAX_RETRIES).then_some(now + self.local_health.stretch(ACK_TIMEOUT));
         let Some(entry) = self.members.get(slot) else { return };
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Ends the current probe. A member that did not answer is suspected.
+    /// Ends the current probe. If the member did not answer, suspects it.
     fn finish_probe(&mut self, now: Micros) {
         let Some(probe) = self.failure_detector.current.take() else { return };
         if probe.answered {
@@ -91,8 +91,8 @@
             return;
         }
         self.stats.unanswered_probes += 1;
-        // Helpers that do not even report a failure hint that this router is cut off itself (Lifeguard).
-        self.local_health.degrade(probe.silent_helpers.max(1));
+        // Helpers that send no nack either are a sign that this router itself is cut off (Lifeguard).
+        self.local_health.degrade(probe.helpers_without_nack.max(1));
         if self.members.find(&probe.name) == Some(probe.slot) {
             self.stats.suspicions += 1;
             self.suspect(now, probe.slot, self.own_name_hash, true);
--- a/crates/membership/src/membership/suspicions.rs
+++ b/crates/membership/src/membership/suspicions.rs
@@ -1,4 +1,4 @@
-//! Suspicions, which become deaths when they time out, and the dead, which are forgotten.
+//! Suspicions, members that are declared dead when their suspicion times out, and removal of old entries.
 
 use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::{Address, Micros};
@@ -8,12 +8,12 @@
 use crate::suspicion::{suspicion_timeout, MAX_CONFIRMATIONS};
 use crate::units::MILLISECOND;
 
-/// How long dead members and those that left are remembered. The sides of a longer network partition meet again through
-/// the seeds.
+/// Time for which members that are dead or have left are remembered. After a longer network partition, its sides reconnect
+/// through the seeds.
 const FORGET_AFTER: Micros = 300_000 * MILLISECOND;
 
 impl Membership {
-    /// Suspects a member, or records one more member that does. `disseminate`: also as a rumor.
+    /// Suspects a member, or records one more member that suspects it. With `disseminate`, also starts a rumor.
     pub(super) fn suspect(&mut self, now: Micros, slot: usize, suspecter: u32, disseminate: bool) {
         let Some(entry) = self.members.get(slot) else { return };
         if !entry.member.status.is_in() {
@@ -23,7 +23,7 @@
         if entry.member.status == MemberStatus::Alive {
             let suspected = Precedence { incarnation, status: MemberStatus::Suspected };
             self.members.update(slot, entry.member.address, suspected);
-            self.members.suspected_since(slot, now);
+            self.members.set_suspected_since(slot, now);
             self.report_status(slot);
         } else if entry.suspecters.len() > MAX_CONFIRMATIONS {
             return;
@@ -40,12 +40,12 @@
     fn set_suspicion_timeout(&mut self, slot: usize) {
         let Some(entry) = self.members.get(slot) else { return };
         let confirmations = entry.suspecters.len() - 1;
-        let possible = self.members.active().len().saturating_sub(1);
-        let expires_at = entry.suspected_since + suspicion_timeout(confirmations, possible);
+        let possible_confirmations = self.members.active().len().saturating_sub(1);
+        let expires_at = entry.suspected_since + suspicion_timeout(confirmations, possible_confirmations);
         self.members.set_expiration(slot, Some(expires_at));
     }
 
-    /// Declares members dead whose suspicion timed out, and forgets the dead.
+    /// Declares members dead whose suspicion timed out, and forgets members that have been dead or gone for long enough.
     pub(super) fn run_expirations(&mut self, now: Micros) {
         while let Some((at, slot)) = self.members.next_expiration() {
             if at > now {
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,4 +1,4 @@
-//! Membership on an event loop: datagrams are authenticated, and changes are logged and counted.
+//! Runs the membership protocol on an event loop: authenticates datagrams, and logs and counts changes.
 
 use bytes::Bytes;
 use metrics::{counter, gauge};
@@ -13,29 +13,30 @@
 use crate::output::Output;
 use crate::stats::MembershipStats;
 
-/// Microseconds without any other member after which that is logged, each time again.
+/// Interval in microseconds between two warnings while no other member is known.
 const ALONE_WARNING_INTERVAL: Micros = 2_000_000;
 
-/// The socket of datagrams: a member has only one.
+/// Index of the datagram socket; a member has only one.
 const SOCKET: usize = 0;
 
-/// The only timer.
+/// Key of the only timer.
 const TIMER_KEY: u64 = 0;
 
-/// One member of a fleet on an event loop. It leaves the fleet when the loop shuts it down, and likewise on any message
-/// of another thread.
+/// A member of a cluster that runs on an event loop. It leaves the cluster when the loop shuts it down or when another thread
+/// sends it any message.
 pub struct MembershipNode {
     membership: Membership,
     authenticator: MessageAuthenticator,
-    /// When the loop's timer fires next.
+    /// The time at which the event loop's timer fires next.
     timer_at: Micros,
+    /// The time since which no other member is known, or of the last warning about that.
     alone_since: Option<Micros>,
-    /// The counters as they were last reported to the metrics.
+    /// The counters at the time of the last report to the metrics.
     reported: MembershipStats,
 }
 
 impl MembershipNode {
-    /// A member that starts now.
+    /// Creates a member that starts at `now`.
     pub fn new(config: MembershipConfig, authenticator: MessageAuthenticator, now: Micros) -> MembershipNode {
         MembershipNode {
             membership: Membership::new(config, now),
@@ -56,7 +57,7 @@
         gauge!("tideroute_membership_isolated").set(f64::from(u8::from(others == 0)));
     }
 
-    /// Warns again and again while no other member is known.
+    /// Logs a warning at intervals while no other member is known.
     fn warn_if_alone(&mut self, now: Micros) {
         if self.membership.active_count() > 0 {
             self.alone_since = None;
@@ -65,7 +66,7 @@
         let since = *self.alone_since.get_or_insert(now);
         if now >= since + ALONE_WARNING_INTERVAL {
             self.alone_since = Some(now);
-            tracing::warn!("alone: no other router of the fleet answers, nor does a seed");
+            tracing::warn!("no other cluster member reachable; retrying the seeds");
         }
     }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Handles a datagram; if it is dropped, returns why, as the metric's label.
+    /// Handles a datagram. If the datagram is dropped, returns the reason, as the value of the metric's label.
     fn receive(&mut self, now: Micros, from: Address, datagram: &Bytes) -> Result<(), &'static str> {
         if datagram.len() > LARGEST {
             return Err("oversized");
@@ -148,10 +149,10 @@
         _effects: &mut Effects,
     ) {
         counter!("tideroute_membership_bytes_total", "direction" => "in").increment(datagram.len() as u64);
-        // A datagram that is not authentic or malformed is dropped and counted, and never answered.
+        // A datagram that is malformed or not authentic is dropped and counted, and never answered.
         if let Err(why) = self.receive(now, from, datagram) {
             counter!("tideroute_membership_datagrams_dropped_total", "reason" => why).increment(1);
-            tracing::debug!(why, "a datagram was dropped");
+            tracing::debug!(why, "datagram dropped");
         }
     }
 
@@ -177,7 +178,7 @@
     }
 }
 
-/// Adds what was counted since the last report to the metric.
+/// Adds the increase of each counter since the last report to its metric.
 fn report_counters(stats: &MembershipStats, reported: &MembershipStats) {
     let counters = [
         ("probes", stats.probes, reported.probes),
@@ -190,14 +191,15 @@
         ("name-conflict", stats.name_conflicts, reported.name_conflicts),
         ("late-wakeup", stats.late_wakeups, reported.late_wakeups),
     ];
-    for (what, now, before) in counters {
-        if now > before {
-            counter!("tideroute_membership_events_total", "event" => what).increment(now - before);
+    for (event, current, last_reported) in counters {
+        if current > last_reported {
+            counter!("tideroute_membership_events_total", "event" => event)
+                .increment(current - last_reported);
         }
     }
 }
 
-/// Logs and counts a change, and notes it in the capture, where the membership checker reads it.
+/// Logs and counts a status change, and records it in the capture for the membership checker.
 fn report_status(member: &Member, effects: &mut Effects) {
     let status = match member.status {
         MemberStatus::Alive => "there",
@@ -205,7 +207,7 @@
         MemberStatus::Dead => "dead",
         MemberStatus::Left => "left",
     };
-    tracing::info!(name = member.name, incarnation = member.incarnation, status, "a member's status changed");
+    tracing::info!(name = member.name, incarnation = member.incarnation, status, "member status changed");
     counter!("tideroute_membership_status_changes_total", "status" => status).increment(1);
     effects.annotate_capture(format!("{status} {} {}", member.incarnation, member.name));
 }
--- a/crates/membership/src/output.rs
+++ b/crates/membership/src/output.rs
@@ -1,16 +1,16 @@
-//! What the protocol asks of its caller.
+//! The outputs of the protocol's state machine.
 
 use bytes::Bytes;
 use tideroute_wire::Address;
 
 use crate::member::Member;
 
-/// What the protocol asks of its caller.
+/// An output of the protocol's state machine, which its caller must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message as one datagram.
+    /// The caller must send a message as one datagram.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: Address,
         /// The message, not yet authenticated.
         message: Bytes,
--- a/crates/membership/src/rumor_queue.rs
+++ b/crates/membership/src/rumor_queue.rs
@@ -1,29 +1,30 @@
-//! Which members' changes are still disseminated, and in which order.
+//! The rumors that are still disseminated, and the order in which they are sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// Transmissions of a rumor, times the logarithm (base 2) of the number of members. In SWIM's proof all but a vanishing
-/// part of the members hear a rumor from 1 on; loss and speed need more.
-const TRANSMISSIONS: u32 = 3;
+/// A rumor is transmitted this many times the logarithm (base 2) of the number of members. By SWIM's analysis all but a
+/// vanishing part of the members receive a rumor from a factor of 1 on; packet loss and faster dissemination need more.
+const TRANSMISSION_FACTOR: u32 = 3;
 
-/// How often a rumor is transmitted in a fleet of so many members.
+/// Returns how often a rumor is transmitted in a cluster with this number of members.
 pub(crate) fn max_transmissions(members: usize) -> u32 {
-    TRANSMISSIONS * (usize::BITS - members.leading_zeros())
+    TRANSMISSION_FACTOR * (usize::BITS - members.leading_zeros())
 }
 
 #[derive(Clone, Copy)]
 struct Rumor {
     transmissions: u32,
-    /// Larger for a younger rumor.
+    /// Higher for a newer rumor.
     sequence: u64,
 }
 
-/// Rumors by the member, a slot of the member list, that they are about. The least transmitted goes first, and among those
-/// the youngest.
+/// The rumors, keyed by the slot of the member that they are about. Rumors with the fewest transmissions are sent first, and
+/// among those the newest.
 #[derive(Default)]
 pub(crate) struct RumorQueue {
     rumors: HashMap<usize, Rumor>,
+    /// Transmissions, sequence number and slot of each rumor, in the order in which they are sent.
     order: BTreeSet<(u32, Reverse<u64>, usize)>,
     last_sequence: u64,
 }
@@ -33,19 +34,19 @@
         self.order.is_empty()
     }
 
-    /// All rumors, in the order in which they are to be transmitted.
+    /// Returns the slots of all rumors, in the order in which they are to be sent.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         self.order.iter().map(|&(_, _, slot)| slot)
     }
 
-    /// Spreads what is known of a member now, in place of any older rumor about it.
+    /// Starts a rumor about a member's current state, in place of any older rumor about the member.
     pub fn start(&mut self, slot: usize) {
         self.last_sequence += 1;
         self.replace(slot, Some(Rumor { transmissions: 0, sequence: self.last_sequence }));
     }
 
-    /// Counts one more transmission of a rumor, and drops it once it was transmitted `max_transmissions` times.
-    pub fn transmitted(&mut self, slot: usize, max_transmissions: u32) {
+    /// Counts one more transmission of a rumor, and removes the rumor after `max_transmissions`.
+    pub fn record_transmission(&mut self, slot: usize, max_transmissions: u32) {
         let Some(rumor) = self.rumors.get(&slot).copied() else { return };
         let transmissions = rumor.transmissions + 1;
         let rumor = Rumor { transmissions, ..rumor };
--- a/crates/membership/tests/membership/claims.rs
+++ b/crates/membership/tests/membership/claims.rs
@@ -1,4 +1,4 @@
-//! Which claim about a member wins, compared with a plain model of the rules; refutation; name conflicts.
+//! Precedence of claims about a member, compared with a simple model of the rules; refutation; name conflicts.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     members.map(|member| (member.name.clone(), (member.incarnation, member.status))).collect()
 }
 
-/// The view after these claims, by the rules as the design note states them, one line each.
+/// Returns the view after these claims by a direct model of the precedence rules.
 fn expected_view(claims: &[TestClaim]) -> View {
     let mut view = View::new();
     for claim in claims {
@@ -25,7 +25,7 @@
             }
             continue;
         };
-        // In a page, the death of a member of the fleet is no more than a suspicion.
+        // In a page, a claim that a member of the cluster is dead counts only as a suspicion.
         let is_doubted = claim.in_page && claim.status == MemberStatus::Dead && known.1.is_in();
         let status = if is_doubted { MemberStatus::Suspected } else { claim.status };
         if (claim.incarnation, status) > known {
@@ -56,10 +56,10 @@
             .map(|_| TestClaim { in_page: false, ..TestClaim::random(&mut rng, 4) })
             .filter(|claim| claim.status.is_in() || claim.incarnation > 1)
             .collect();
-        // Nothing is kept of dead members that were never known, so all are known at first.
+        // Claims that an unknown member is dead are ignored, so all members are made known first.
         let first_claims: Vec<_> = (0..4)
-            .map(|n| TestClaim {
-                name: format!("r{n}"),
+            .map(|number| TestClaim {
+                name: format!("r{number}"),
                 incarnation: 0,
                 status: MemberStatus::Alive,
                 in_page: false,
@@ -74,8 +74,8 @@
             view(&membership)
         };
         let expected = view_after(&claims);
-        for n in (1..claims.len()).rev() {
-            claims.swap(n, random_below(&mut rng, n + 1));
+        for last in (1..claims.len()).rev() {
+            claims.swap(last, random_below(&mut rng, last + 1));
         }
         let repeated: Vec<_> = claims.iter().chain(claims.iter().step_by(3)).cloned().collect();
         assert_eq!(view_after(&repeated), expected, "seed {seed}");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_router_refutes_whatever_is_claimed_of_itself() {
+fn a_router_refutes_false_claims_about_itself() {
     let mut rng = Rng::new(3);
     let mut membership = membership(1);
     for _ in 0..1_000 {
@@ -96,7 +96,7 @@
         assert_eq!(membership.own().status, MemberStatus::Alive);
     }
     assert!(membership.stats().refutations > 100);
-    // An incarnation that no clock can have given is ignored: it could never be refuted.
+    // A claim with an incarnation that no clock can have given is ignored, because it could never be refuted.
     let before = membership.own().incarnation;
     let mut message = GossipMessage::new(None, 0);
     message.claim("own", OWN_ADDRESS, u64::MAX, MemberStatus::Dead, 7);
@@ -107,15 +107,17 @@
     assert_eq!(after, (before, 2, 0));
 }
 
+/// Two processes with one name refute each other. Without a limit they would raise the incarnation with every datagram.
 #[test]
-fn a_name_conflict_is_answered_once_a_second_at_most() {
+fn a_name_conflict_is_answered_at_most_once_a_second() {
     let mut membership = membership(1);
     let other_address = [127, 0, 0, 1, 9, 9];
     let first = membership.own().incarnation;
-    for n in 0..100u64 {
+    for number in 0..100u64 {
         let claimed = membership.own().incarnation + 1;
         let message = GossipMessage::new(Some(("own", other_address, claimed, MemberStatus::Alive)), 0);
-        let handled = membership.handle_datagram(NOW + n * 10_000, other_address, &message.ping(n as u32));
+        let handled =
+            membership.handle_datagram(NOW + number * 10_000, other_address, &message.ping(number as u32));
         handled.expect("a well-formed message");
     }
     assert_eq!(membership.stats().name_conflicts, 100);
--- a/crates/membership/tests/membership/main.rs
+++ b/crates/membership/tests/membership/main.rs
@@ -1,4 +1,4 @@
-//! The membership protocol, by its public interface.
+//! Tests of the membership protocol through its public interface.
 
 mod claims;
 mod malformed_datagrams;
--- a/crates/membership/tests/membership/malformed_datagrams.rs
+++ b/crates/membership/tests/membership/malformed_datagrams.rs
@@ -1,4 +1,4 @@
-//! Malformed messages are refused and do no harm.
+//! Malformed messages are refused, without a panic and without an excess of outputs.
 
 use crate::support::{membership, random_below, TestClaim, NOW, OWN_ADDRESS, STATUSES};
 use bytes::Bytes;
@@ -6,8 +6,8 @@
 use tideroute_membership::{Membership, Output};
 use tideroute_wire::gossip::{GossipMessage, PARTS};
 
-/// A random message of each kind in turn.
-fn random_message(rng: &mut Rng, n: u32) -> Bytes {
+/// Returns a random message; `number` selects its kind.
+fn random_message(rng: &mut Rng, number: u32) -> Bytes {
     let sender = format!("r{}", random_below(rng, 40));
     let status = STATUSES[random_below(rng, 4)];
     let mut message = GossipMessage::new(Some((&sender, OWN_ADDRESS, 5, status)), 0);
@@ -16,17 +16,17 @@
         message.claim(&claim.name, OWN_ADDRESS, claim.incarnation, claim.status, 3);
     }
     let digests = [rng.unit().to_bits(); PARTS];
-    match n % 6 {
-        0 => message.ping(n),
-        1 => message.ack(n),
-        2 => message.ping_request(n, "r3", OWN_ADDRESS),
-        3 => message.digest(n, digests),
-        4 => message.page(n, 0, 1, Some(digests), 0),
-        _ => message.nack(n),
+    match number % 6 {
+        0 => message.ping(number),
+        1 => message.ack(number),
+        2 => message.ping_request(number, "r3", OWN_ADDRESS),
+        3 => message.digest(number, digests),
+        4 => message.page(number, 0, 1, Some(digests), 0),
+        _ => message.nack(number),
     }
 }
 
-/// Cuts, changes or extends a message at random.
+/// Truncates, changes or extends a message at random, or leaves it as it is.
 fn corrupt(rng: &mut Rng, bytes: &mut Vec<u8>) {
     for _ in 0..random_below(rng, 4) {
         let index = random_below(rng, bytes.len().max(1));
@@ -38,8 +38,8 @@
     }
 }
 
-/// Pulls all outputs and returns how many there were.
-fn pull_outputs(membership: &mut Membership, now: u64) -> usize {
+/// Takes all outputs, checks the size of each message, and returns the number of outputs.
+fn take_outputs(membership: &mut Membership, now: u64) -> usize {
     let mut count = 0;
     while let Some(output) = membership.next_output(now) {
         count += 1;
@@ -51,21 +51,21 @@
 }
 
 #[test]
-fn malformed_messages_are_refused_or_handled_and_do_no_harm() {
+fn corrupted_messages_cause_no_panic_and_few_outputs() {
     let mut rng = Rng::new(9);
     let mut membership = membership(1);
     let mut handled = 0;
     let mut refused = 0;
     let mut max_outputs = 0;
-    for n in 0..30_000 {
-        let mut bytes = random_message(&mut rng, n).to_vec();
+    for number in 0..30_000 {
+        let mut bytes = random_message(&mut rng, number).to_vec();
         corrupt(&mut rng, &mut bytes);
-        let now = NOW + u64::from(n) * 1_000;
+        let now = NOW + u64::from(number) * 1_000;
         match membership.handle_datagram(now, OWN_ADDRESS, &bytes.into()) {
             Ok(()) => handled += 1,
             Err(_) => refused += 1,
         }
-        max_outputs = max_outputs.max(pull_outputs(&mut membership, now));
+        max_outputs = max_outputs.max(take_outputs(&mut membership, now));
     }
     assert!(handled > 5_000 && refused > 2_000, "{handled} handled, {refused} refused");
     assert!(max_outputs < 60, "{max_outputs} outputs after one datagram");
--- a/crates/membership/tests/membership/message_authentication.rs
+++ b/crates/membership/tests/membership/message_authentication.rs
@@ -1,14 +1,14 @@
-//! Only datagrams of the same fleet, unchanged, are accepted.
+//! Only unchanged datagrams of the same cluster are accepted.
 
 use tideroute_membership::{AuthError, MessageAuthenticator};
 
 #[test]
-fn only_unchanged_datagrams_of_the_same_fleet_are_verified() {
+fn only_unchanged_datagrams_of_the_same_cluster_are_accepted() {
     let key = [7; 32];
     let authenticator = MessageAuthenticator::new("harbour", &[7; 32]);
     let datagram = authenticator.sign(b"word");
     assert_eq!(authenticator.verify(&datagram).as_deref(), Ok(&b"word"[..]));
-    assert_eq!(MessageAuthenticator::new("other", &key).verify(&datagram), Err(AuthError::OtherFleet));
+    assert_eq!(MessageAuthenticator::new("other", &key).verify(&datagram), Err(AuthError::OtherCluster));
     let other_key = MessageAuthenticator::new("harbour", &[8; 32]);
     assert_eq!(other_key.verify(&datagram), Err(AuthError::WrongMac));
     for bit in 0..datagram.len() * 8 {
--- a/crates/membership/tests/membership/support.rs
+++ b/crates/membership/tests/membership/support.rs
@@ -1,4 +1,4 @@
-//! A membership under test, and random claims.
+//! The membership under test, and random claims.
 
 use bytes::Bytes;
 use tideroute::rng::Rng;
@@ -11,7 +11,7 @@
 pub const STATUSES: [MemberStatus; 4] =
     [MemberStatus::Alive, MemberStatus::Suspected, MemberStatus::Dead, MemberStatus::Left];
 
-/// A membership named `own` that knows nobody.
+/// Creates the membership of a router named `own` that knows no other member.
 pub fn membership(rng_seed: u64) -> Membership {
     let config = MembershipConfig { name: "own".into(), address: OWN_ADDRESS, seeds: vec![], rng_seed };
     Membership::new(config, NOW)
@@ -21,13 +21,13 @@
     (rng.unit() * bound as f64) as usize
 }
 
-/// A claim about a member, alone in its message.
+/// A claim about a member, sent as the only claim in a message.
 #[derive(Clone)]
 pub struct TestClaim {
     pub name: String,
     pub incarnation: u64,
     pub status: MemberStatus,
-    /// It comes in a page of a full exchange, not as a rumor.
+    /// True for a claim in a page of a full exchange, false for a rumor.
     pub in_page: bool,
 }
 
