--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -22,7 +22,8 @@
     /// The target's name. The slot may be reused by another member.
     pub name: String,
     pub number: u32,
-    /// The time of the next retry, directly and through helpers; `None` if the probe was answered or has no retries left.
+    /// The time of the next retry, directly and through helpers; `None` if the probe was answered or has no retries
+    /// left.
     pub retry_at: Option<Micros>,
     pub retries: u32,
     /// Number of members that were asked for an indirect probe and have not sent a nack.
@@ -48,8 +49,8 @@
 /// The order of probes, the current probe, and indirect probes for other members.
 #[derive(Default)]
 pub(crate) struct FailureDetector {
-    /// The members that remain to be probed in this round. A round probes each member once, in a new random order, which
-    /// bounds the time until a member is probed (SWIM).
+    /// The members that remain to be probed in this round. A round probes each member once, in a new random order,
+    /// which bounds the time until a member is probed (SWIM).
     round: Vec<usize>,
     pub current: Option<Probe>,
     /// Indirect probes for other members, by this router's number of the probe.
@@ -122,8 +123,8 @@
         self.indirect_probes.remove(&own_number)
     }
 
-    /// Removes and returns the oldest indirect probe if it has timed out. All have the same timeout, so the lowest number
-    /// expires first.
+    /// Removes and returns the oldest indirect probe if it has timed out. All have the same timeout, so the lowest
+    /// number expires first.
     pub fn take_expired_indirect_probe(&mut self, now: Micros) -> Option<IndirectProbe> {
         let first = self.indirect_probes.first_entry().filter(|probe| probe.get().expires_at <= now)?;
         Some(first.remove())
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
 //! Cluster membership: tracks which routers of a cluster are alive.
 //!
 //! [`Membership`] is the protocol's state machine, SWIM (Das, Gupta and Motivala, 2002) with incarnations, with
-//! suspicions that time out sooner the more members confirm them, and with the local health of Lifeguard (Dadgar, Phillips
-//! and Currey, 2018). It does no I/O: its caller passes datagrams and the time, and pulls outputs until there are none. It
-//! has no socket and no clock, and its random numbers come from a seed, so that equal inputs give equal outputs.
+//! suspicions that time out sooner the more members confirm them, and with the local health of Lifeguard (Dadgar,
+//! Phillips and Currey, 2018). It does no I/O: its caller passes datagrams and the time, and pulls outputs until there
+//! are none. It has no socket and no clock, and its random numbers come from a seed, so that equal inputs give equal
+//! outputs.
 //!
-//! [`MembershipNode`] runs it on an event loop, and [`MessageAuthenticator`] authenticates each datagram, so that datagrams
-//! of other clusters and of senders without the key are ignored. Nothing that a router must not lose depends on this
-//! package.
+//! [`MembershipNode`] runs it on an event loop, and [`MessageAuthenticator`] authenticates each datagram, so that
+//! datagrams of other clusters and of senders without the key are ignored. Nothing that a router must not lose depends
+//! on this package.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -5,8 +5,8 @@
 /// Highest score. Probe intervals and timeouts are then `MAX_SCORE + 1` times as long.
 const MAX_SCORE: u32 = 8;
 
-/// A score from 0 (healthy) to [`MAX_SCORE`]. The higher it is, the more slowly the router probes and the longer it waits
-/// for answers.
+/// A score from 0 (healthy) to [`MAX_SCORE`]. The higher it is, the more slowly the router probes and the longer it
+/// waits for answers.
 #[derive(Default)]
 pub(crate) struct LocalHealth {
     score: u32,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -10,8 +10,8 @@
     pub name: String,
     /// The address at which it receives datagrams.
     pub address: Address,
-    /// Its incarnation: the time of its start in milliseconds since 1970, raised above the refuted incarnation with each
-    /// refutation.
+    /// Its incarnation: the time of its start in milliseconds since 1970, raised above the refuted incarnation with
+    /// each refutation.
     pub incarnation: u64,
     /// Its status, as this router sees it.
     pub status: MemberStatus,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the hash of a member's name. Claims use it to identify the member that suspects another. Two names have the same
-/// hash in one of four billion pairs.
+/// Returns the hash of a member's name. Claims use it to identify the member that suspects another. Two names have the
+/// same hash in one of four billion pairs.
 pub(crate) fn name_hash(name: &str) -> u32 {
     let hash = *blake3::hash(name.as_bytes()).as_bytes();
     u32::from_le_bytes([hash[0], hash[1], hash[2], hash[3]])
--- a/crates/membership/src/member_list.rs
+++ b/crates/membership/src/member_list.rs
@@ -9,7 +9,8 @@
 use crate::member::{digest_part, Member, Precedence};
 use crate::rumor_queue::RumorQueue;
 
-/// Largest number of entries in the member list, including the members that are dead or have left and are still remembered.
+/// Largest number of entries in the member list, including the members that are dead or have left and are still
+/// remembered.
 pub(crate) const MAX_MEMBERS: usize = 10_000;
 
 /// What this router knows about one other member.
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! The protocol's state machine: its state, its public interface, and the scheduling of its tasks. Each submodule implements
-//! one aspect of the protocol.
+//! The protocol's state machine: its state, its public interface, and the scheduling of its tasks. Each submodule
+//! implements one aspect of the protocol.
 
 use std::collections::VecDeque;
 
@@ -26,8 +26,8 @@
 mod probing;
 mod suspicions;
 
-/// A wake-up that is later than this means that the event loop or the machine was stalled. Missing answers are then this
-/// router's own fault.
+/// A wake-up that is later than this means that the event loop or the machine was stalled. Missing answers are then
+/// this router's own fault.
 const MAX_WAKEUP_LAG: Micros = 60 * MILLISECOND;
 
 /// The membership protocol of one router.
@@ -58,8 +58,8 @@
 impl Membership {
     /// Creates the membership of a router that starts at `now`.
     ///
-    /// Its first incarnation is the time in milliseconds, so that a router that restarts under the same name gets a higher
-    /// incarnation. If its clock was set back, it receives claims about its former incarnation and refutes them.
+    /// Its first incarnation is the time in milliseconds, so that a router that restarts under the same name gets a
+    /// higher incarnation. If its clock was set back, it receives claims about its former incarnation and refutes them.
     pub fn new(config: MembershipConfig, now: Micros) -> Membership {
         let own = Member {
             name: config.name,
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Contacts routers that are not in the cluster, if that is due: a random dead member, and a random seed that is not
-    /// known. While no other member is known, contacts all seeds.
+    /// Contacts routers that are not in the cluster, if that is due: a random dead member, and a random seed that is
+    /// not known. While no other member is known, contacts all seeds.
     pub(super) fn run_rejoin(&mut self, now: Micros) {
         if now < self.schedule.rejoin_at {
             return;
@@ -83,7 +83,8 @@
         self.send(to, message.digest(number, digests));
     }
 
-    /// Answers a sender's digests with pages of all members in the parts that differ, or with rumors if no part differs.
+    /// Answers a sender's digests with pages of all members in the parts that differ, or with rumors if no part
+    /// differs.
     pub(super) fn answer_digests(
         &mut self,
         to: Address,
@@ -96,8 +97,8 @@
         let differing: [bool; PARTS] =
             std::array::from_fn(|part| sender_digests.get(part) != Some(&digests[part]));
         let differs = differing.contains(&true);
-        // The rumors count as transmitted even if pages are sent instead, because the pages hold everything that the sender
-        // lacks.
+        // The rumors count as transmitted even if pages are sent instead, because the pages hold everything that the
+        // sender lacks.
         let rumors = self.message_with_rumors(sender.filter(|_| !differs));
         let pages = if differs { self.pages_of_parts(differing) } else { vec![rumors] };
         let page_count = pages.len() as u32;
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Returns pages with all members of the selected parts, up to [`MAX_PAGES`] and at least one. The first member is chosen
-    /// at random, so that members that do not fit are sent in later exchanges.
+    /// Returns pages with all members of the selected parts, up to [`MAX_PAGES`] and at least one. The first member is
+    /// chosen at random, so that members that do not fit are sent in later exchanges.
     fn pages_of_parts(&mut self, selected: [bool; PARTS]) -> Vec<GossipMessage> {
         let entries: Vec<_> = self.members.entries_of_parts(selected).collect();
         let first = random_below(&mut self.rng, entries.len().max(1));
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -9,8 +9,8 @@
 use crate::member::{Member, Precedence};
 use crate::units::MILLISECOND;
 
-/// Largest lead, in milliseconds, of an incarnation over this router's clock. No valid clock gives a higher incarnation, and
-/// a claim about the highest incarnation could never be refuted.
+/// Largest lead, in milliseconds, of an incarnation over this router's clock. No valid clock gives a higher
+/// incarnation, and a claim about the highest incarnation could never be refuted.
 const MAX_INCARNATION_LEAD: u64 = 24 * 60 * 60 * 1_000;
 
 /// Minimum interval between two refutations sent to another process that uses this router's name.
@@ -86,8 +86,8 @@
         }
     }
 
-    /// If the claimed incarnation is higher than the known one, records the member as alive in it. Returns whether it is
-    /// higher.
+    /// If the claimed incarnation is higher than the known one, records the member as alive in it. Returns whether it
+    /// is higher.
     fn adopt_incarnation(
         &mut self,
         slot: usize,
--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -13,8 +13,8 @@
 use crate::schedule::SHORT_EXCHANGE_INTERVAL;
 
 impl Membership {
-    /// Handles the message of a verified datagram. `from` is the address that the datagram came from. A malformed message
-    /// changes nothing.
+    /// Handles the message of a verified datagram. `from` is the address that the datagram came from. A malformed
+    /// message changes nothing.
     pub fn handle_datagram(&mut self, now: Micros, from: Address, message: &Bytes) -> Result<(), Malformed> {
         if self.has_left {
             return Ok(());
@@ -49,8 +49,8 @@
         self.membership.answer_digests(to, sender, number, digests, reply_digests);
     }
 
-    /// Sends a sender whose incarnation is outdated the claim about its higher known incarnation. Until it refutes that, its
-    /// claims about itself are ignored.
+    /// Sends a sender whose incarnation is outdated the claim about its higher known incarnation. Until it refutes
+    /// that, its claims about itself are ignored.
     fn correct_stale_sender(&mut self, name: &str, address: Address, incarnation: u64) {
         let membership = &mut *self.membership;
         let Some(entry) = membership.members.find(name).and_then(|slot| membership.members.get(slot)) else {
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -42,8 +42,8 @@
         GossipMessage::new(Some(sender), MessageAuthenticator::OVERHEAD)
     }
 
-    /// Returns a message with as many rumors as fit into it, and counts them as transmitted. If the recipient is not known as
-    /// alive, the message begins with the claim about the recipient, so that it can refute the claim.
+    /// Returns a message with as many rumors as fit into it, and counts them as transmitted. If the recipient is not
+    /// known as alive, the message begins with the claim about the recipient, so that it can refute the claim.
     pub(super) fn message_with_rumors(&mut self, recipient: Option<usize>) -> GossipMessage {
         let mut message = self.empty_message();
         let entry = recipient.and_then(|slot| self.members.get(slot));
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -8,13 +8,13 @@
 use crate::schedule::PROBE_INTERVAL;
 use crate::units::MILLISECOND;
 
-/// Time after which an unanswered probe is retried. It is far longer than any round trip within a site, and longer than most
-/// pauses of a busy event loop.
+/// Time after which an unanswered probe is retried. It is far longer than any round trip within a site, and longer than
+/// most pauses of a busy event loop.
 const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
 
-/// Retries of a probe, each of them directly and through helpers. If a tenth of all datagrams is lost, about one in 80,000
-/// probes of a live member fails. With a single retry it is one in 700, and 300 routers disseminated 1.7 false suspicions
-/// per second.
+/// Retries of a probe, each of them directly and through helpers. If a tenth of all datagrams is lost, about one in
+/// 80,000 probes of a live member fails. With a single retry it is one in 700, and 300 routers disseminated 1.7 false
+/// suspicions per second.
 const MAX_RETRIES: u32 = 2;
 
 /// Number of members that are asked for an indirect probe with each retry.
--- a/crates/membership/src/membership/suspicions.rs
+++ b/crates/membership/src/membership/suspicions.rs
@@ -8,8 +8,8 @@
 use crate::suspicion::{suspicion_timeout, MAX_CONFIRMATIONS};
 use crate::units::MILLISECOND;
 
-/// Time for which members that are dead or have left are remembered. After a longer network partition, its sides reconnect
-/// through the seeds.
+/// Time for which members that are dead or have left are remembered. After a longer network partition, its sides
+/// reconnect through the seeds.
 const FORGET_AFTER: Micros = 300_000 * MILLISECOND;
 
 impl Membership {
@@ -45,7 +45,8 @@
         self.members.set_expiration(slot, Some(expires_at));
     }
 
-    /// Declares members dead whose suspicion timed out, and forgets members that have been dead or gone for long enough.
+    /// Declares members dead whose suspicion timed out, and forgets members that have been dead or gone for long
+    /// enough.
     pub(super) fn run_expirations(&mut self, now: Micros) {
         while let Some((at, slot)) = self.members.next_expiration() {
             if at > now {
--- a/crates/membership/src/message_authenticator.rs
+++ b/crates/membership/src/message_authenticator.rs
@@ -1,5 +1,5 @@
-//! Authentication of datagrams. Each begins with a format version, a tag of the cluster, and a MAC (keyed BLAKE3, 128 bits)
-//! of the message.
+//! Authentication of datagrams. Each begins with a format version, a tag of the cluster, and a MAC (keyed BLAKE3, 128
+//! bits) of the message.
 
 use bytes::Bytes;
 
@@ -12,11 +12,12 @@
 /// Length of the MAC in bytes.
 const MAC_LENGTH: usize = 16;
 
-/// Context string of the BLAKE3 key derivation. It is part of the wire format, as a different context gives different MACs.
+/// Context string of the BLAKE3 key derivation. It is part of the wire format, as a different context gives different
+/// MACs.
 const KEY_CONTEXT: &str = "tideroute 2026-12 datagrams within a fleet";
 
-/// Signs and verifies the datagrams of one cluster. Any holder of the cluster's key can send any message in the name of any
-/// member; nobody else can.
+/// Signs and verifies the datagrams of one cluster. Any holder of the cluster's key can send any message in the name of
+/// any member; nobody else can.
 #[derive(Clone)]
 pub struct MessageAuthenticator {
     key: [u8; 32],
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -22,8 +22,8 @@
 /// Key of the only timer.
 const TIMER_KEY: u64 = 0;
 
-/// A member of a cluster that runs on an event loop. It leaves the cluster when the loop shuts it down or when another thread
-/// sends it any message.
+/// A member of a cluster that runs on an event loop. It leaves the cluster when the loop shuts it down or when another
+/// thread sends it any message.
 pub struct MembershipNode {
     membership: Membership,
     authenticator: MessageAuthenticator,
--- a/crates/membership/src/rumor_queue.rs
+++ b/crates/membership/src/rumor_queue.rs
@@ -19,8 +19,8 @@
     sequence: u64,
 }
 
-/// The rumors, keyed by the slot of the member that they are about. Rumors with the fewest transmissions are sent first, and
-/// among those the newest.
+/// The rumors, keyed by the slot of the member that they are about. Rumors with the fewest transmissions are sent
+/// first, and among those the newest.
 #[derive(Default)]
 pub(crate) struct RumorQueue {
     rumors: HashMap<usize, Rumor>,
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -4,11 +4,12 @@
 
 use crate::units::MILLISECOND;
 
-/// Timeout of a suspicion that [`MAX_CONFIRMATIONS`] further members confirm. It is long enough for a process that pauses
-/// for one second to spread its refutation to all members.
+/// Timeout of a suspicion that [`MAX_CONFIRMATIONS`] further members confirm. It is long enough for a process that
+/// pauses for one second to spread its refutation to all members.
 const MIN_TIMEOUT: Micros = 1_900 * MILLISECOND;
 
-/// Timeout of a suspicion that no other member confirms. A member that is alone with its suspicion may itself be cut off.
+/// Timeout of a suspicion that no other member confirms. A member that is alone with its suspicion may itself be cut
+/// off.
 const MAX_TIMEOUT: Micros = 4_000 * MILLISECOND;
 
 /// Number of members besides the first whose suspicion reduces the timeout to [`MIN_TIMEOUT`].
--- a/crates/wire/src/capture.rs
+++ b/crates/wire/src/capture.rs
@@ -1,5 +1,5 @@
-//! The file format of a traffic capture: a head, then events, each in a frame. Each process writes its own file while it
-//! runs; the files are later merged by time into one capture of the whole scenario.
+//! The file format of a traffic capture: a head, then events, each in a frame. Each process writes its own file while
+//! it runs; the files are later merged by time into one capture of the whole scenario.
 
 mod event;
 mod reader;
--- a/crates/wire/src/capture/reader.rs
+++ b/crates/wire/src/capture/reader.rs
@@ -28,7 +28,8 @@
         Reader { file, buffered: BytesMut::new(), at: 0 }
     }
 
-    /// Reads the processes and the trace checker's settings from the head. Must be called once, before any event is read.
+    /// Reads the processes and the trace checker's settings from the head. Must be called once, before any event is
+    /// read.
     pub fn head(&mut self) -> Result<(Vec<CapturedProcess>, String), CaptureError> {
         let frame = self.frame()?.ok_or_else(|| self.malformed(Malformed::Empty))?;
         let head = Head::decode(frame).map_err(|error| self.malformed(error))?;
--- a/crates/wire/src/capture/truncation.rs
+++ b/crates/wire/src/capture/truncation.rs
@@ -4,14 +4,14 @@
 
 use crate::frame;
 
-/// Longest frame in bytes that the capture of a worker keeps complete. Longer ones are truncated because chunks of KV state
-/// are long and many; all frames of a worker that the trace checker decodes are shorter. Updates of the endpoint list are
-/// longer, so the captures of other roles keep them complete.
+/// Longest frame in bytes that the capture of a worker keeps complete. Longer ones are truncated because chunks of KV
+/// state are long and many; all frames of a worker that the trace checker decodes are shorter. Updates of the endpoint
+/// list are longer, so the captures of other roles keep them complete.
 pub(super) const MAX_WORKER_FRAME: usize = 1024;
 /// Number of bytes kept of a truncated frame.
 pub(super) const TRUNCATED_LENGTH: usize = 16;
-/// Longest frame in bytes that a capture of any role keeps complete. The event that holds the frame must itself fit into a
-/// frame.
+/// Longest frame in bytes that a capture of any role keeps complete. The event that holds the frame must itself fit
+/// into a frame.
 const MAX_KEPT_FRAME: usize = frame::MAX_LENGTH / 2;
 
 /// Returns what the capture of a process with this role keeps of a frame.
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -10,8 +10,8 @@
 /// The messages that a router receives from a client after its Hello.
 pub trait Router {
     /// The client sends a request. `number` is the client's number of the request, never used twice on a connection;
-    /// `prefix` identifies the text at the beginning of the prompt that other prompts share (0 for none); `remaining` is
-    /// the time until the client gives up; `idempotency_key` is the same in all retries of one request.
+    /// `prefix` identifies the text at the beginning of the prompt that other prompts share (0 for none); `remaining`
+    /// is the time until the client gives up; `idempotency_key` is the same in all retries of one request.
     fn submit(
         &mut self,
         number: u64,
@@ -29,8 +29,8 @@
     fn cancel(&mut self, number: u64) -> Result<(), Malformed>;
 }
 
-/// The messages that a client receives from a router: for each request `accepted`, then tokens, then one of `completed`,
-/// `rejected` and `failed`.
+/// The messages that a client receives from a router: for each request `accepted`, then tokens, then one of
+/// `completed`, `rejected` and `failed`.
 pub trait Client {
     /// The router has assigned an id to the request.
     fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed>;
--- a/crates/wire/src/endpoint_list.rs
+++ b/crates/wire/src/endpoint_list.rs
@@ -22,7 +22,7 @@
 pub trait List {
     /// A router watches for changes after `known_version`, the version of the list that it has; 0 if it has none.
     fn watch(&mut self, known_version: u64) -> Result<(), Malformed>;
-    /// A worker registers its endpoint. `size` is its capacity relative to other workers of its kind, `started_at` the start
+    /// A worker registers its endpoint. `size` is its relative capacity, `started_at` the start
     /// time of its process; 0 if it started long ago.
     fn register(
         &mut self,
@@ -125,8 +125,8 @@
     }
 }
 
-/// Decodes a frame from the endpoint list and calls the methods for it. All endpoints are validated before the first call,
-/// so that an update is applied completely or not at all.
+/// Decodes a frame from the endpoint list and calls the methods for it. All endpoints are validated before the first
+/// call, so that an update is applied completely or not at all.
 pub fn receive_from_list(frame: &Bytes, router: &mut impl Router) -> Result<(), Malformed> {
     let from_list::Said::Page(page) = FromList::decode(frame.clone())?.said.ok_or(Malformed::Empty)?;
     let mut entries = Vec::with_capacity(page.listings.len());
--- a/crates/wire/src/event_loop.rs
+++ b/crates/wire/src/event_loop.rs
@@ -100,8 +100,8 @@
         /// The two connections, the accepted one first.
         connections: [ConnectionId; 2],
     },
-    /// Sets a timer, which calls `on_timer` at the given time or soon after. A timer cannot be cancelled; the handler must
-    /// ignore a call that it no longer needs.
+    /// Sets a timer, which calls `on_timer` at the given time or soon after. A timer cannot be cancelled; the handler
+    /// must ignore a call that it no longer needs.
     SetTimer {
         /// The time at which the timer fires.
         at: Micros,
@@ -120,8 +120,8 @@
         /// The encoded state.
         bytes: Bytes,
     },
-    /// Sends a message to the mailbox that the loop was given to publish to. The message is lost if there is no mailbox or
-    /// the mailbox is full.
+    /// Sends a message to the mailbox that the loop was given to publish to. The message is lost if there is no mailbox
+    /// or the mailbox is full.
     Publish {
         /// The message.
         bytes: Bytes,
@@ -234,8 +234,8 @@
 
 /// A program that an event loop drives. It has no sockets and no clock of its own.
 ///
-/// The other calls only update the program's state or respond at once. [`on_iteration`](EventHandler::on_iteration) follows
-/// each batch of calls and is where a program makes its decisions.
+/// The other calls only update the program's state or respond at once. [`on_iteration`](EventHandler::on_iteration)
+/// follows each batch of calls and is where a program makes its decisions.
 pub trait EventHandler {
     /// Called once, before all other calls.
     fn on_start(&mut self, now: Micros, effects: &mut Effects);
@@ -253,8 +253,8 @@
         reason: DisconnectReason,
         effects: &mut Effects,
     );
-    /// The amount queued for sending on the connection rose above the high watermark (`backpressure` is true) or fell below
-    /// the low watermark (false).
+    /// The amount queued for sending on the connection rose above the high watermark (`backpressure` is true) or fell
+    /// below the low watermark (false).
     fn on_backpressure(
         &mut self,
         now: Micros,
@@ -278,8 +278,8 @@
         _effects: &mut Effects,
     ) {
     }
-    /// The configuration file was reloaded because of a signal. Returns whether the file is usable; if not, the loop reads it
-    /// again after a pause, a limited number of times.
+    /// The configuration file was reloaded because of a signal. Returns whether the file is usable; if not, the loop
+    /// reads it again after a pause, a limited number of times.
     fn on_config_reload(&mut self, _now: Micros, _file: &Bytes, _effects: &mut Effects) -> bool {
         true
     }
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -44,8 +44,8 @@
 pub trait GossipHandler {
     /// The sender's claim about itself. Not called if the sender only observes the cluster.
     fn sender(&mut self, name: &str, address: Address, incarnation: u64, status: MemberStatus);
-    /// A claim about a member in one of its incarnations. `suspecter` is the hash of the name of the member that suspects
-    /// it. A claim with `in_page` is part of a full exchange, not a rumor.
+    /// A claim about a member in one of its incarnations. `suspecter` is the hash of the name of the member that
+    /// suspects it. A claim with `in_page` is part of a full exchange, not a rumor.
     fn claim(
         &mut self,
         name: &str,
@@ -179,8 +179,8 @@
 }
 
 impl GossipMessage {
-    /// Creates a datagram from a member, given by its name, address, incarnation and status, or from a process that only
-    /// observes the cluster (`None`). `overhead` bytes are reserved for the authentication.
+    /// Creates a datagram from a member, given by its name, address, incarnation and status, or from a process that
+    /// only observes the cluster (`None`). `overhead` bytes are reserved for the authentication.
     pub fn new(from: Option<(&str, Address, u64, MemberStatus)>, overhead: usize) -> GossipMessage {
         let from = from.map(|(name, address, incarnation, status)| {
             CheckedClaim { name, address, incarnation, status, suspecter: 0 }.encode()
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -5,8 +5,8 @@
 
 /// Identifies one start of one core of one router: 128 bits from the operating system's random number generator.
 ///
-/// Random bits need neither coordination nor a clock. The probability that any two of a billion starts share an origin is
-/// 1e-21. An earlier form, 24 bits of time and process number, led to duplicates within one cluster.
+/// Random bits need neither coordination nor a clock. The probability that any two of a billion starts share an origin
+/// is 1e-21. An earlier form, 24 bits of time and process number, led to duplicates within one cluster.
 pub type Origin = u128;
 
 /// Identifies a request where requests of several routers meet.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,8 +9,8 @@
 //! attempt, `track` a request class, `reader` a prefill worker, `most_tokens` the token limit, `left_us` the remaining
 //! time, `mark` the idempotency key, `standing` a status and `listing` an endpoint entry.
 //!
-//! [`frame`] splits a byte stream into frames, [`event_loop`] is the interface between a program and the event loop that
-//! drives it, and [`capture`] reads and writes the file format of traffic captures.
+//! [`frame`] splits a byte stream into frames, [`event_loop`] is the interface between a program and the event loop
+//! that drives it, and [`capture`] reads and writes the file format of traffic captures.
 
 #![warn(missing_docs)]
 
--- a/crates/wire/src/state_transfer.rs
+++ b/crates/wire/src/state_transfer.rs
@@ -1,7 +1,7 @@
 //! The conversation between a decode worker, which fetches KV state, and the prefill worker that has it.
 //!
-//! KV state is sent in chunks, each with its own checksum (CRC-32). The transfer is complete when the checksum over all of
-//! the state matches, too.
+//! KV state is sent in chunks, each with its own checksum (CRC-32). The transfer is complete when the checksum over all
+//! of the state matches, too.
 
 use bytes::Bytes;
 use prost::Message;
--- a/crates/wire/src/tenant.rs
+++ b/crates/wire/src/tenant.rs
@@ -17,9 +17,9 @@
 
 /// The messages that a core receives about tenants.
 pub trait Core {
-    /// A tenant was added or changed. `keys` are the BLAKE3 hashes of its keys. `requests` and `tokens` are its rate limits
-    /// and `max_in_flight` limits its requests in flight; `None` means no limit. At most `max_waiting` of its requests wait
-    /// in the queue.
+    /// A tenant was added or changed. `keys` are the BLAKE3 hashes of its keys. `requests` and `tokens` are its rate
+    /// limits and `max_in_flight` limits its requests in flight; `None` means no limit. At most `max_waiting` of its
+    /// requests wait in the queue.
     fn set(
         &mut self,
         name: &str,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -45,8 +45,8 @@
         max_tokens: u32,
         prefill_worker: Address,
     ) -> Result<(), Malformed>;
-    /// The worker is to fetch the KV state from the prefill worker and generate tokens. If `prefill_worker` is `None`, a
-    /// mixed worker prefills the prompt itself. The worker sends at most `window` tokens before it receives
+    /// The worker is to fetch the KV state from the prefill worker and generate tokens. If `prefill_worker` is `None`,
+    /// a mixed worker prefills the prompt itself. The worker sends at most `window` tokens before it receives
     /// [`grant_tokens`](Worker::grant_tokens).
     fn decode(
         &mut self,
--- a/crates/wire/tests/exact_bytes/main.rs
+++ b/crates/wire/tests/exact_bytes/main.rs
@@ -1,7 +1,7 @@
 //! The exact bytes of every message, as this version encodes them and decodes them back into calls.
 //!
-//! The expected bytes are those of protocol version 2. If they change, this build can no longer exchange messages with other
-//! builds or read their captures.
+//! The expected bytes are those of protocol version 2. If they change, this build can no longer exchange messages with
+//! other builds or read their captures.
 
 use bytes::Bytes;
 use tideroute_wire::Malformed;
