--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -12,9 +12,9 @@
 /// most pauses of a busy event loop.
 const ACK_TIMEOUT: Micros = 80 * MILLISECOND;
 
-/// Retries of a probe, each of them directly and through helpers. If a tenth of all datagrams is lost, about one in
-/// 80,000 probes of a live member fails. With a single retry it is one in 700, and 300 routers disseminated 1.7 false
-/// suspicions per second.
+/// Number of retries of a probe, each of them directly and through helpers. If a tenth of all datagrams is lost, about
+/// one in 80,000 probes of a live member fails. With a single retry it is one in 700, and 300 routers disseminated 1.7
+/// false suspicions per second.
 const MAX_RETRIES: u32 = 2;
 
 /// Number of members that are asked for an indirect probe with each retry.
--- a/crates/wire/src/capture/event.rs
+++ b/crates/wire/src/capture/event.rs
@@ -43,8 +43,8 @@
     ProcessExited,
     /// The process was killed from outside.
     ProcessKilled,
-    /// A relay has joined two connections: the frame holds where the first was accepted and where it comes from, then
-    /// where the second went and where it goes out.
+    /// A relay joined two connections. The frame holds four addresses: the local and the peer address of the accepted
+    /// connection, then the peer and the local address of the outbound connection.
     Joined,
     /// The process was paused from outside.
     ProcessPaused,
