--- a/crates/gateway/tests/client_connections.rs
+++ b/crates/gateway/tests/client_connections.rs
@@ -1,19 +1,19 @@
-//! Untrusted clients, and the capacity limits of the process, on bytes in virtual time.
+//! Connections of untrusted clients, and the capacity limits of the process. The gateway runs in virtual time.
 
 mod common;
 
 use common::*;
 use tideroute_wire::event_loop::ConnectionId;
 
-/// How many attempts have gone to workers since the last call.
-fn attempts(harness: &mut Harness) -> usize {
-    harness.calls("POST /v1").len()
+/// Returns the number of attempts that went to workers since the previous call of this function.
+fn count_new_attempts(harness: &mut Harness) -> usize {
+    harness.new_calls("POST /v1").len()
 }
 
-/// Requests that are not valid, with the status of their rejection.
+/// Returns invalid requests, each with the status of its rejection.
 fn invalid_requests() -> Vec<(u16, String)> {
-    let sound = chat_request("id", "safe");
-    let with = |from: &str, to: &str| sound.replace(from, to);
+    let valid = chat_request("id", "safe");
+    let with = |from: &str, to: &str| valid.replace(from, to);
     vec![
         (400, "\u{16}\u{3}\u{1}\u{0} noise\r\n\r\n".to_string()),
         (400, "GET\r\n\r\n".into()),
@@ -50,15 +50,19 @@
 }
 
 #[test]
-fn an_invalid_request_is_rejected_and_goes_to_no_worker() {
+fn an_invalid_request_is_rejected_and_not_forwarded() {
     for (status, request) in invalid_requests() {
-        for split in [1, request.len()] {
+        for piece_length in [1, request.len()] {
             let mut harness = Harness::new();
             let client = harness.connect_client();
-            request.as_bytes().chunks(split).for_each(|piece| harness.deliver(client, piece));
+            request.as_bytes().chunks(piece_length).for_each(|piece| harness.deliver(client, piece));
             assert_eq!(harness.statuses(client), [status], "{}", request.get(..300).unwrap_or(&request));
-            assert_eq!(harness.ended.get(&client), Some(&false), "told, then closed in two steps");
-            assert_eq!(attempts(&mut harness), 0, "{request:?}");
+            assert_eq!(
+                harness.ended.get(&client),
+                Some(&false),
+                "the connection is closed gracefully after the response"
+            );
+            assert_eq!(count_new_attempts(&mut harness), 0, "{request:?}");
         }
     }
 }
@@ -73,7 +77,7 @@
         .replace("Host:", "Transfer-Encoding: chunked\r\nHost:");
     harness.deliver(client, outer);
     assert_eq!(harness.statuses(client), [400]);
-    assert_eq!(attempts(&mut harness), 0);
+    assert_eq!(count_new_attempts(&mut harness), 0);
 }
 
 #[test]
@@ -86,7 +90,7 @@
     harness.deliver(client, format!("{head}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"));
     assert_eq!(harness.statuses(client), [100]);
     harness.deliver(client, format!("{}{}0\r\n\r\n", chunk(&body[..5]), chunk(&body[5..])));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     assert!(
         harness.sent_text(prefill).ends_with(&format!("content-length: 13\r\n\r\n{body}")),
         "{}",
@@ -99,17 +103,17 @@
     let mut harness = Harness::new();
     let (first, second) = (harness.connect_client(), harness.connect_client());
     harness.deliver(first, chat_request("id", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     harness.deliver(second, chat_request("id", "safe"));
     assert_eq!(harness.statuses(second), [409]);
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
     assert_eq!(decode_chunked(&harness.sent_text(first)), (STREAM_EVENTS.concat(), true));
     // Once the request is closed, its trace id may be used again.
     let third = harness.connect_client();
     harness.deliver(third, chat_request("id", "safe"));
-    assert_eq!(attempts(&mut harness), 1);
+    assert_eq!(count_new_attempts(&mut harness), 1);
 }
 
 #[test]
@@ -120,10 +124,10 @@
     let request = ["a", "b", "c"].map(|id| chat_request(id, "safe")).concat();
     harness.deliver(client, format!("{request}GET /up HTTP/1.1\r\nHost: a\r\n\r\n"));
     for id in ["a", "b", "c"] {
-        let (prefill, _) = harness.attempt();
+        let (prefill, _) = harness.new_attempt();
         assert!(harness.sent_text(prefill).contains(&format!("x-trace-id: {id}\r\n")));
         harness.deliver(prefill, PREFILL_COMPLETE);
-        let (decode, _) = harness.attempt();
+        let (decode, _) = harness.new_attempt();
         harness.deliver(decode, streamed_response());
     }
     assert_eq!(harness.statuses(client), [200, 200, 200, 200]);
@@ -136,62 +140,66 @@
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("a", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     (0..60).for_each(|_| harness.deliver(client, vec![b'x'; 10_000]));
-    assert!(harness.paused.is_empty(), "its end could not be seen behind what is not read");
-    assert!(!harness.ended.contains_key(&prefill), "its request goes on");
+    assert!(harness.paused.is_empty(), "a paused connection would hide the client's disconnect");
+    assert!(!harness.ended.contains_key(&prefill), "the open request goes on");
     harness.reset(client);
     harness.advance(20 * MS);
-    assert!(harness.ended.contains_key(&prefill), "and ends with it");
-    // One that stays is answered, and its connection is closed: what was discarded can't be parsed.
+    assert!(harness.ended.contains_key(&prefill), "the disconnect cancels the attempt");
+    // A client that stays connected is answered, and its connection is closed: the discarded bytes can't be parsed.
     let waiting = harness.connect_client();
     harness.deliver(waiting, chat_request("b", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     (0..60).for_each(|_| harness.deliver(waiting, vec![b'x'; 10_000]));
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
     assert_eq!((harness.statuses(waiting), harness.ended.get(&waiting)), (vec![200], Some(&false)));
-    // One that sends without end is disconnected.
+    // A client that never stops sending is disconnected.
     let endless = harness.connect_client();
     harness.deliver(endless, chat_request("c", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     (0..140).for_each(|_| harness.deliver(endless, vec![b'x'; 10_000]));
     assert!(harness.ended.contains_key(&endless));
-    assert_eq!(harness.statuses(endless), [400], "its request was read, and is answered");
+    assert_eq!(harness.statuses(endless), [400], "the request is answered before its connection is closed");
     harness.advance(20 * MS);
     assert!(harness.ended.contains_key(&prefill));
 }
 
 #[test]
-fn a_large_pipelined_request_is_answered_in_its_turn() {
+fn a_large_pipelined_request_is_sent_after_the_one_before_it() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("a", "safe"));
-    let behind = chat_request_with("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
-    behind.as_bytes().chunks(10_000).for_each(|piece| harness.deliver(client, piece));
-    let (prefill, _) = harness.attempt();
+    let pipelined = chat_request_with("b", "safe", 4_000, &format!("\"{}\"", "x".repeat(100_000)));
+    pipelined.as_bytes().chunks(10_000).for_each(|piece| harness.deliver(client, piece));
+    let (prefill, _) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
-    assert_eq!(attempts(&mut harness), 1, "the second follows");
+    assert_eq!(count_new_attempts(&mut harness), 1, "the second request follows");
 }
 
 #[test]
 fn silent_clients_and_incomplete_requests_time_out() {
     let mut harness = Harness::new();
-    let (silent, half, body) = (harness.connect_client(), harness.connect_client(), harness.connect_client());
-    harness.deliver(half, "POST /v1/chat");
+    let (silent, incomplete_head, incomplete_body) =
+        (harness.connect_client(), harness.connect_client(), harness.connect_client());
+    harness.deliver(incomplete_head, "POST /v1/chat");
     let complete = chat_request("id", "safe");
-    harness.deliver(body, &complete[..complete.len() - 5]);
+    harness.deliver(incomplete_body, &complete[..complete.len() - 5]);
     for _ in 0..25 {
         harness.advance(100 * MS);
-        // One that sends byte by byte gets no more time for it.
-        harness.deliver(half, "x");
+        // A client that sends byte by byte gets no additional time.
+        harness.deliver(incomplete_head, "x");
     }
     assert_eq!((harness.statuses(silent), harness.ended.get(&silent)), (vec![], Some(&false)));
-    assert_eq!((harness.statuses(half), harness.statuses(body)), (vec![408], vec![408]));
-    assert_eq!(attempts(&mut harness), 0);
+    assert_eq!(
+        (harness.statuses(incomplete_head), harness.statuses(incomplete_body)),
+        (vec![408], vec![408])
+    );
+    assert_eq!(count_new_attempts(&mut harness), 0);
 }
 
 #[test]
@@ -205,10 +213,15 @@
         })
         .collect();
     let silent: Vec<_> = (0..400).map(|_| harness.connect_client()).collect();
-    assert!(open.iter().all(|c| !harness.ended.contains_key(c) || harness.statuses(*c) == [503]));
-    assert!(silent[..200].iter().all(|c| harness.ended.contains_key(c)), "the idle that came first");
-    assert!(!harness.ended.contains_key(&silent[399]), "one more is always taken");
-    // And still a new client is served.
+    assert!(open
+        .iter()
+        .all(|client| !harness.ended.contains_key(client) || harness.statuses(*client) == [503]));
+    assert!(
+        silent[..200].iter().all(|client| harness.ended.contains_key(client)),
+        "the oldest idle connections are closed"
+    );
+    assert!(!harness.ended.contains_key(&silent[399]), "a new connection is always accepted");
+    // A new client is still served.
     let client = harness.connect_client();
     harness.deliver(client, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(harness.statuses(client).len(), 1);
@@ -217,47 +230,47 @@
 #[test]
 fn requests_beyond_capacity_are_rejected_with_retry_after() {
     let mut harness = Harness::new();
-    let mut full = None;
+    let mut rejected = None;
     for n in 0..107 {
         let client = harness.connect_client();
         harness.deliver(client, chat_request_with(&format!("id{n}"), "safe", 4_000, "{}"));
         if harness.statuses(client) == [503] {
-            full = Some(client);
+            rejected = Some(client);
             break;
         }
     }
-    let client = full.expect("one that is turned back");
+    let client = rejected.expect("a request that is rejected");
     assert!(harness.sent_text(client).contains("retry-after: 0."), "{}", harness.sent_text(client));
-    assert!(!harness.ended.contains_key(&client), "the connection goes on");
+    assert!(!harness.ended.contains_key(&client), "the connection stays open");
 }
 
 #[test]
-fn incomplete_bodies_stay_within_their_part_of_memory() {
+fn incomplete_bodies_stay_within_their_share_of_memory() {
     let mut harness = Harness::new();
     let body = format!("\"{}\"", "x".repeat(250_000));
     let mut rejected = 0;
     for n in 0..60 {
         let client = harness.connect_client();
         let complete = chat_request_with(&format!("id{n}"), "safe", 4_000, &body);
-        // All but the last byte: it is buffered and can go nowhere.
+        // Without its last byte the request is buffered and can't be forwarded.
         harness.deliver(client, &complete[..complete.len() - 1]);
         rejected += usize::from(harness.statuses(client) == [503]);
     }
     assert!(
         (20..40).contains(&rejected),
-        "{rejected} of 60 bodies of 250 KB are told no where 8 MB may be held"
+        "{rejected} of 60 bodies of 250 KB are rejected, with 8 MB of memory for bodies"
     );
 }
 
 #[test]
 fn rejections_for_capacity_carry_retry_after_where_the_settings_allow() {
-    for (sends_retry_after, field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
+    for (sends_retry_after, expected_field) in [(true, "retry-after: 0.300\r\n"), (false, "")] {
         let mut config = router_config();
         config["settings"]["caps"]["retry_after"] = sends_retry_after.into();
         config["settings"]["caps"]["max_retry_after_ms"] = 300.0.into();
         let body = format!("\"{}\"", "x".repeat(250_000));
         let complete = chat_request_with("id", "safe", 4_000, &body);
-        // Open requests exhaust one limit, bodies without their last byte the other.
+        // Open requests exhaust one limit; bodies without their last byte exhaust the other.
         for (reason, request) in
             [("full", ""), ("no memory for one more request", &complete[..complete.len() - 1])]
         {
@@ -272,23 +285,26 @@
                 harness.deliver(client, sent);
                 (harness.statuses(client) == [503]).then(|| harness.sent_text(client))
             });
-            let response = response.expect("one that finds no room");
-            assert!(response.ends_with(&format!("{reason}\n")) && response.contains(field), "{response}");
+            let response = response.expect("a request that is rejected");
+            assert!(
+                response.ends_with(&format!("{reason}\n")) && response.contains(expected_field),
+                "{response}"
+            );
             assert_eq!(response.contains("retry-after"), sends_retry_after, "{response}");
         }
     }
 }
 
-/// A part of a request behind an open one, which is answered after so many milliseconds.
-fn incomplete_pipelined_request(part: &str, answered_after: u64) -> (Harness, ConnectionId) {
+/// Sends a request with a part of another one behind it, and answers the first after `answered_after_ms` milliseconds.
+fn incomplete_pipelined_request(part: &str, answered_after_ms: u64) -> (Harness, ConnectionId) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, format!("{}{part}", chat_request("first", "safe")));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
-    harness.advance(answered_after * MS);
+    harness.advance(answered_after_ms * MS);
     harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert_eq!(harness.statuses(client), [200]);
     (harness, client)
@@ -299,10 +315,14 @@
     let complete = chat_request("second", "safe");
     let (head, _) = complete.split_once("\r\n\r\n").expect("a head");
     for part in [&complete[..20], head, &complete[..complete.len() - 1]] {
-        for answered_after in [100, 1_999, 2_500, 4_000] {
-            let (mut harness, client) = incomplete_pipelined_request(part, answered_after);
+        for answered_after_ms in [100, 1_999, 2_500, 4_000] {
+            let (mut harness, client) = incomplete_pipelined_request(part, answered_after_ms);
             harness.advance(3_000 * MS);
-            assert_eq!(harness.statuses(client), [200, 408], "{part:?} behind {answered_after} ms");
+            assert_eq!(
+                harness.statuses(client),
+                [200, 408],
+                "{part:?} behind a request that is answered after {answered_after_ms} ms"
+            );
             assert_eq!(harness.ended.get(&client), Some(&false));
         }
     }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file and its reload, on bytes in virtual time.
+//! The configuration file and its reload. The gateway runs in virtual time.
 
 mod common;
 
@@ -7,30 +7,30 @@
 use tideroute_gateway::Config;
 
 #[test]
-fn a_config_reload_moves_the_watch_and_disturbs_no_request() {
+fn a_config_reload_moves_the_watch_and_keeps_open_requests() {
     let mut harness = Harness::new();
     harness.send_update(&endpoint_list(5));
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (prefill, _) = harness.attempt();
-    let (old, _) = harness.watch();
-    let mut fresh = router_config();
-    fresh["discovery"] = json!("127.0.8.8:85");
-    assert!(harness.reload_config(&fresh));
-    let (new, request) = harness.watch();
-    assert!(harness.ended.contains_key(&old) && request.contains("after=5 "));
-    assert_eq!(harness.outbound[&new], [127, 0, 8, 8, 0, 85]);
-    for bad in [json!({}), json!([]), json!({"name": "n1"})] {
-        assert!(!harness.reload_config(&bad));
-        assert_eq!(harness.watch().0, new, "a bad file changes nothing");
+    let (prefill, _) = harness.new_attempt();
+    let (old_watch, _) = harness.watch();
+    let mut changed = router_config();
+    changed["discovery"] = json!("127.0.8.8:85");
+    assert!(harness.reload_config(&changed));
+    let (new_watch, request) = harness.watch();
+    assert!(harness.ended.contains_key(&old_watch) && request.contains("after=5 "));
+    assert_eq!(harness.outbound[&new_watch], [127, 0, 8, 8, 0, 85]);
+    for invalid in [json!({}), json!([]), json!({"name": "n1"})] {
+        assert!(!harness.reload_config(&invalid));
+        assert_eq!(harness.watch().0, new_watch, "an invalid file changes nothing");
     }
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
     assert!(decode_chunked(&harness.sent_text(client)).1);
 }
 
-/// Values that a field can't have, by the field's path, with the message that names it.
+/// Returns invalid values: the path of the field, its value, and the expected message, which names the field.
 fn invalid_fields() -> Vec<(&'static str, Value, &'static str)> {
     vec![
         ("/listen", json!("here"), "listen: expected an IPv4 address with a port, found \"here\""),
@@ -75,10 +75,10 @@
 #[test]
 fn an_invalid_configuration_names_the_field() {
     for (path, value, message) in invalid_fields() {
-        let mut bad = router_config();
-        *bad.pointer_mut(path).expect("there") = value;
-        let problem = Config::parse(bad.to_string().as_bytes()).expect_err(path);
-        assert_eq!(problem.to_string(), message);
+        let mut invalid = router_config();
+        *invalid.pointer_mut(path).expect("a field of the configuration") = value;
+        let error = Config::parse(invalid.to_string().as_bytes()).expect_err(path);
+        assert_eq!(error.to_string(), message);
     }
-    assert!(Config::parse(b"{").expect_err("cut").to_string().starts_with("it is no JSON"));
+    assert!(Config::parse(b"{").expect_err("incomplete JSON").to_string().starts_with("it is no JSON"));
 }
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The discovery watch and the endpoint list, on bytes in virtual time.
+//! The discovery watch and the endpoint list. The gateway runs in virtual time.
 
 mod common;
 
@@ -6,21 +6,21 @@
 use serde_json::json;
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
-/// The worker that a request's prefill goes to.
-fn prefill_worker_of(harness: &mut Harness, trace: &str) -> usize {
+/// Sends a request, returns the worker that its prefill goes to, and cancels the request.
+fn prefill_worker_of(harness: &mut Harness, trace_id: &str) -> usize {
     let client = harness.connect_client();
-    harness.deliver(client, chat_request(trace, "safe"));
-    let (connection, at) = harness.attempt();
+    harness.deliver(client, chat_request(trace_id, "safe"));
+    let (connection, worker) = harness.new_attempt();
     harness.reset(client);
     assert!(harness.ended.contains_key(&connection));
     harness.advance(20 * MS);
-    for begin in ["POST /internal", "DELETE"] {
-        let calls = harness.calls(begin);
+    for prefix in ["POST /internal", "DELETE"] {
+        let calls = harness.new_calls(prefix);
         calls
             .into_iter()
             .for_each(|(connection, _)| harness.deliver(connection, "HTTP/1.1 204 No Content\r\n\r\n"));
     }
-    at
+    worker
 }
 
 #[test]
@@ -31,12 +31,12 @@
     assert_eq!(ready_status(&mut harness), 200);
     let mut harness = Harness::new();
     harness.advance(1_100 * MS);
-    assert_eq!(ready_status(&mut harness), 200, "a dead agent does not stop it");
-    let mut unknown = router_config();
-    unknown["known"] = json!({"version": 0, "full": true, "servers": []});
-    let mut harness = Harness::with_config(&unknown);
+    assert_eq!(ready_status(&mut harness), 200, "the router is ready although discovery does not answer");
+    let mut config = router_config();
+    config["known"] = json!({"version": 0, "full": true, "servers": []});
+    let mut harness = Harness::with_config(&config);
     harness.advance(1_100 * MS);
-    assert_eq!(ready_status(&mut harness), 503, "it knows nobody to send to");
+    assert_eq!(ready_status(&mut harness), 503, "the router knows no worker");
 }
 
 #[test]
@@ -44,14 +44,15 @@
     let mut harness = Harness::new();
     let (connection, request) = harness.watch();
     assert!(request.starts_with("GET /discovery/hosts?watch=1&after=4 HTTP/1.1\r\n"), "{request}");
-    let drain = |version, states: [&str; 3]| {
-        let servers: Vec<_> = [0, 1, 4].iter().zip(states).map(|(w, s)| endpoint_entry(*w, s, 0)).collect();
+    let update = |version, states: [&str; 3]| {
+        let servers: Vec<_> =
+            [0, 1, 4].iter().zip(states).map(|(worker, state)| endpoint_entry(*worker, state, 0)).collect();
         json!({"version": version, "full": false, "servers": servers})
     };
     let text = format!(
         "{}\n\n{}\n",
-        drain(5, ["DRAINING", "SERVING", "DELETED"]),
-        drain(6, ["DRAINING", "SERVING", "DELETED"])
+        update(5, ["DRAINING", "SERVING", "DELETED"]),
+        update(6, ["DRAINING", "SERVING", "DELETED"])
     );
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     harness.deliver(connection, head);
@@ -60,64 +61,73 @@
         chunk(piece).as_bytes().chunks(3).for_each(|bytes| harness.deliver(connection, bytes));
     }
     for n in 0..20 {
-        assert_eq!(prefill_worker_of(&mut harness, &format!("id{n}")), 1, "the one that is left");
+        assert_eq!(
+            prefill_worker_of(&mut harness, &format!("id{n}")),
+            1,
+            "the only prefill worker that is left"
+        );
     }
 }
 
 #[test]
 fn a_watch_that_ends_falls_silent_or_is_malformed_is_reopened() {
-    let ends: [fn(&mut Harness, ConnectionId); 6] = [
-        |s, l| s.reset(l),
-        |s, l| s.disconnect(l, DisconnectReason::ConnectFailed),
-        |s, _| s.advance(1_050 * MS),
-        |s, l| s.deliver(l, "HTTP/1.1 500 Oh\r\n\r\n"),
-        |s, l| {
-            s.deliver(
-                l,
+    let endings: [fn(&mut Harness, ConnectionId); 6] = [
+        |harness, connection| harness.reset(connection),
+        |harness, connection| harness.disconnect(connection, DisconnectReason::ConnectFailed),
+        |harness, _| harness.advance(1_050 * MS),
+        |harness, connection| harness.deliver(connection, "HTTP/1.1 500 Oh\r\n\r\n"),
+        |harness, connection| {
+            harness.deliver(
+                connection,
                 format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{}", chunk("{\"version\":]\n")),
             )
         },
-        |s, l| {
-            // Half an object, and empty lines behind it.
-            s.deliver(l, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        |harness, connection| {
+            // An incomplete object, followed by empty lines.
+            harness.deliver(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
             for _ in 0..6 {
-                s.deliver(l, chunk("{\"version\":\n"));
-                s.advance(500 * MS);
+                harness.deliver(connection, chunk("{\"version\":\n"));
+                harness.advance(500 * MS);
             }
         },
     ];
-    for (n, end) in ends.into_iter().enumerate() {
+    for (case, end_watch) in endings.into_iter().enumerate() {
         let mut harness = Harness::new();
         let (connection, _) = harness.watch();
-        end(&mut harness, connection);
+        end_watch(&mut harness, connection);
         harness.advance(250 * MS);
-        let (again, request) = harness.watch();
-        assert!(again != connection && request.contains("after=4 "), "case {n}");
-        let waited = matches!(n, 2 | 5);
+        let (reopened, request) = harness.watch();
+        assert!(reopened != connection && request.contains("after=4 "), "case {case}");
+        let timed_out = matches!(case, 2 | 5);
         assert_eq!(
             ready_status(&mut harness),
-            if waited { 200 } else { 503 },
-            "the old list stays, case {n}"
+            if timed_out { 200 } else { 503 },
+            "the former endpoint list is kept, case {case}"
         );
     }
 }
 
-/// A router counts as notified six seconds after discovery fell silent, or could be reached again, whatever failed.
+/// A router counts as notified of an update six seconds after its watch fell silent or discovery could be reached again,
+/// whatever failed in between. Guards against a backoff or a timeout that takes longer than that.
 #[test]
 fn updates_missed_by_a_silent_watch_arrive_within_six_seconds_despite_one_failed_reopening() {
-    type Fails = fn(&mut Harness, ConnectionId);
-    let fails: [(&str, Fails); 5] = [
-        ("nobody takes it", |s, l| {
-            s.advance(500 * MS);
-            s.disconnect(l, DisconnectReason::ConnectFailed);
+    type FailReopening = fn(&mut Harness, ConnectionId);
+    let failures: [(&str, FailReopening); 5] = [
+        ("the connect times out", |harness, connection| {
+            harness.advance(500 * MS);
+            harness.disconnect(connection, DisconnectReason::ConnectFailed);
+        }),
+        ("the connect is refused", |harness, connection| {
+            harness.disconnect(connection, DisconnectReason::ConnectFailed)
+        }),
+        ("the watch is not answered", |_, _| {}),
+        ("the response head is incomplete", |harness, connection| {
+            harness.deliver(connection, "HTTP/1.1 200 OK\r\n")
         }),
-        ("it is refused", |s, l| s.disconnect(l, DisconnectReason::ConnectFailed)),
-        ("nobody answers it", |_, _| {}),
-        ("its answer has no end of a head", |s, l| s.deliver(l, "HTTP/1.1 200 OK\r\n")),
-        ("it is reset", |s, l| s.reset(l)),
+        ("the connection is reset", |harness, connection| harness.reset(connection)),
     ];
-    for (what, fail) in fails {
-        // Failures before, as in a time without discovery, have raised the backoff to its maximum.
+    for (failure, fail_reopening) in failures {
+        // Earlier failures, as in an outage of discovery, have raised the backoff to its maximum.
         let mut harness = Harness::new();
         for _ in 0..8 {
             let (connection, _) = harness.watch();
@@ -126,19 +136,19 @@
         }
         let (connection, _) = harness.watch();
         harness.deliver(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-        let silent = harness.now;
-        let other = |harness: &mut Harness, than: ConnectionId| loop {
-            match harness.watch_connection().filter(|now| *now != than) {
-                Some(now) => return now,
+        let silent_since = harness.now;
+        let wait_for_other_watch = |harness: &mut Harness, former: ConnectionId| loop {
+            match harness.watch_connection().filter(|current| *current != former) {
+                Some(current) => return current,
                 None => harness.advance(10 * MS),
             }
         };
-        let next = other(&mut harness, connection);
-        fail(&mut harness, next);
-        other(&mut harness, next);
+        let next = wait_for_other_watch(&mut harness, connection);
+        fail_reopening(&mut harness, next);
+        wait_for_other_watch(&mut harness, next);
         harness.send_update(&endpoint_list(9));
-        let took = harness.now - silent;
-        assert!(took < 5_200 * MS, "{what}: {took} us");
+        let took = harness.now - silent_since;
+        assert!(took < 5_200 * MS, "{failure}: the update arrived after {took} us");
     }
 }
 
@@ -154,13 +164,18 @@
     for piece in text.as_bytes().chunks(100) {
         harness.deliver(connection, chunk(std::str::from_utf8(piece).expect("ASCII")));
     }
-    assert_eq!(harness.watch().0, connection, "nothing is wrong with it");
+    assert_eq!(harness.watch().0, connection, "the watch was not reopened");
     for n in 0..20 {
-        assert_eq!(prefill_worker_of(&mut harness, &format!("id{n}")), 1, "the one that is left");
+        assert_eq!(
+            prefill_worker_of(&mut harness, &format!("id{n}")),
+            1,
+            "the only prefill worker that is left"
+        );
     }
 }
 
-/// A list of the largest fleet in small pieces. Scanned anew with each piece, it took 4.5 s of processor time.
+/// Delivers an endpoint list of the maximum length in small pieces. Guards against a scan that starts anew with each
+/// piece, which took 4.5 s of processor time.
 #[test]
 fn a_long_list_in_small_pieces_is_scanned_once() {
     let mut harness = Harness::new();
@@ -174,14 +189,14 @@
     servers[4]["state"] = json!("DRAINING");
     let (connection, _) = harness.watch();
     harness.deliver(connection, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for piece in format!("{newer:#}\n").as_bytes().chunks(64) {
         harness.deliver(connection, chunk(std::str::from_utf8(piece).expect("ASCII")));
     }
-    assert!(began.elapsed().as_secs() < 2, "{:?}", began.elapsed());
-    assert_eq!(harness.watch().0, connection, "nothing is wrong with it");
+    assert!(started_at.elapsed().as_secs() < 2, "{:?}", started_at.elapsed());
+    assert_eq!(harness.watch().0, connection, "the watch was not reopened");
     for n in 0..20 {
-        assert_ne!(prefill_worker_of(&mut harness, &format!("id{n}")), 4, "it drains");
+        assert_ne!(prefill_worker_of(&mut harness, &format!("id{n}")), 4, "the worker drains");
     }
 }
 
@@ -193,14 +208,14 @@
     harness.send_update(&newer);
     harness.send_update(&endpoint_list(7));
     for n in 0..20 {
-        assert_ne!(prefill_worker_of(&mut harness, &format!("id{n}")), 0, "it drains still");
+        assert_ne!(prefill_worker_of(&mut harness, &format!("id{n}")), 0, "the worker still drains");
     }
     harness.advance(11_000 * MS);
     harness.send_update(&endpoint_list(7));
     let prefill_workers: Vec<_> =
         (0..40).map(|n| prefill_worker_of(&mut harness, &format!("x{n}"))).collect();
     assert!(
-        prefill_workers.contains(&0) || prefill_workers.iter().all(|r| *r == prefill_workers[0]),
+        prefill_workers.contains(&0) || prefill_workers.iter().all(|worker| *worker == prefill_workers[0]),
         "{prefill_workers:?}"
     );
 }
@@ -211,52 +226,58 @@
     for (n, server) in moved["known"]["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         server["addr"] = json!(format!("127.0.1.{}:80", 6 - n));
     }
-    let (mut here, mut there) = (Harness::new(), Harness::with_config(&moved));
+    let (mut original, mut relocated) = (Harness::new(), Harness::with_config(&moved));
     for n in 0..30 {
-        let (a, b) = (
-            prefill_worker_of(&mut here, &format!("id{n}")),
-            prefill_worker_of(&mut there, &format!("id{n}")),
+        let (original_worker, relocated_worker) = (
+            prefill_worker_of(&mut original, &format!("id{n}")),
+            prefill_worker_of(&mut relocated, &format!("id{n}")),
+        );
+        assert_eq!(
+            original_worker,
+            5 - relocated_worker,
+            "the same prefill worker is chosen at its other address"
         );
-        assert_eq!(a, 5 - b, "the same reader at another address");
     }
 }
 
 #[test]
-fn calls_not_yet_sent_to_a_draining_or_removed_worker_never_are() {
+fn unsent_calls_to_a_draining_or_removed_worker_are_cancelled() {
     let removed = |is_full: bool, worker: usize| {
-        let mut page = endpoint_list(5);
-        let servers = page["servers"].as_array_mut().expect("a list");
+        let mut update = endpoint_list(5);
+        let servers = update["servers"].as_array_mut().expect("a list");
         if is_full {
             servers.remove(worker);
         } else {
             *servers = vec![json!({"id": WORKERS[worker].id, "state": "DELETED"})];
-            page["full"] = false.into();
+            update["full"] = false.into();
         }
-        page
+        update
     };
     let draining = |worker: usize| json!({"version": 5, "full": false, "servers": [endpoint_entry(worker, "DRAINING", 0)]});
     for update in
-        [&draining as &dyn Fn(usize) -> serde_json::Value, &|w| removed(false, w), &|w| removed(true, w)]
+        [&draining as &dyn Fn(usize) -> serde_json::Value, &|worker| removed(false, worker), &|worker| {
+            removed(true, worker)
+        }]
     {
         let mut harness = Harness::new();
         let client = harness.connect_client();
-        harness.is_immediate = false;
+        harness.completes_io_immediately = false;
         harness.deliver(client, chat_request("id", "once"));
-        let (prefill, at) = harness.attempt();
-        harness.send_update(&update(at));
-        assert!(harness.ended.contains_key(&prefill), "its first byte might leave after the grace");
-        let (second, other) = harness.attempt();
-        assert_ne!(at, other);
-        // The same of a reservation call, once the prefill is at its worker.
+        let (prefill, first_worker) = harness.new_attempt();
+        harness.send_update(&update(first_worker));
+        assert!(harness.ended.contains_key(&prefill), "its first byte might be sent after the grace period");
+        let (second, second_worker) = harness.new_attempt();
+        assert_ne!(first_worker, second_worker);
+        // The same applies to a reservation call, which follows once the prefill request is written.
         harness.complete_write(second);
-        let (reservation, decode) = harness.call("POST /internal/reservations/id ");
-        let mut line = update(decode);
+        let (reservation, decode_worker) = harness.new_call("POST /internal/reservations/id ");
+        let mut line = update(decode_worker);
         line["version"] = 6.into();
         let (watch, _) = harness.watch();
         let line = format!("{line}\n");
         harness.deliver(watch, format!("{:x}\r\n{line}\r\n", line.len()));
         assert!(harness.ended.contains_key(&reservation));
-        // What has been sent runs to its end.
+        // An attempt that was sent runs to its end.
         assert!(!harness.ended.contains_key(&second));
     }
 }
@@ -266,11 +287,11 @@
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("a", "safe"));
-    let (prefill, at) = harness.attempt();
+    let (prefill, worker) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
-    let mut moved = endpoint_entry(at, "SERVING", 0);
+    let mut moved = endpoint_entry(worker, "SERVING", 0);
     moved["addr"] = "127.0.1.77:80".into();
     harness.send_update(&json!({"version": 5, "full": false, "servers": [moved]}));
     assert!(harness.ended.contains_key(&prefill));
--- a/crates/gateway/tests/generated_deployments/events.rs
+++ b/crates/gateway/tests/generated_deployments/events.rs
@@ -1,36 +1,37 @@
-//! The events of a generated deployment, but for what its workers do.
+//! Events of a generated deployment: clients, connections, faults, discovery and shutdown.
 
 use super::*;
 
-impl World {
-    /// Plays an event, unless its worker's process is not there to play it.
-    pub(super) fn step(&mut self, start: u64, event: Event) {
+impl Simulation {
+    /// Handles an event. An event of a worker is dropped if the process that it belongs to is gone, and postponed while the
+    /// process hangs.
+    pub(super) fn step(&mut self, restart_count: u64, event: Event) {
         if let Some(worker) = worker_of(&event, &self.routers) {
-            let server = &self.servers[worker];
-            if server.start != start || server.vanished {
+            let process = &self.processes[worker];
+            if process.restart_count != restart_count || process.is_unreachable {
                 return;
             }
-            if server.hangs_until > self.now {
-                // What it finds when it goes on it takes up in any order.
-                let waits = (server.hangs_until - self.now).div_ceil(MS) + self.random_range(0, 5);
-                return self.schedule(waits, event);
+            if process.hangs_until > self.now {
+                // After a hang the process handles the events that have queued up in any order.
+                let delay_ms = (process.hangs_until - self.now).div_ceil(MS) + self.random_range(0, 5);
+                return self.schedule(delay_ms, event);
             }
         }
         self.log(|| format!("{event:?}"));
         match event {
-            Event::SendRequest(n) => self.send_request(n),
-            Event::SendRest(n) => self.send_rest(n),
-            Event::ClientDisconnects(n) => self.client_disconnects(n),
-            Event::Connected(on) => self.connected(on),
+            Event::SendRequest(index) => self.send_request(index),
+            Event::SendRemainder(index) => self.send_remainder(index),
+            Event::ClientDisconnects(index) => self.client_disconnects(index),
+            Event::Connected(connection) => self.connected(connection),
             Event::ConnectFails((router, connection)) => self.connect_fails(router, connection),
-            Event::CallWritten(on) => self.call_written(on),
-            Event::DisconnectSeen(on) => self.connection_ends(on),
-            Event::StreamEnds(on) => self.stream_ends(on),
-            Event::HandleCall(on, text) => self.handle(on, &text),
-            Event::PrefillEnds(on, request) => self.prefill_ends(on, request),
-            Event::DecodeEnds(on, request) => self.decode_ends(on, request),
-            Event::ReservationAnswered(on, request, knows_prefill) => {
-                self.answer_reservation(on, request, knows_prefill)
+            Event::CallWritten(connection) => self.call_written(connection),
+            Event::DisconnectSeen(connection) => self.connection_ends(connection),
+            Event::StreamEnds(connection) => self.stream_ends(connection),
+            Event::HandleCall(connection, text) => self.handle_call(connection, &text),
+            Event::PrefillEnds(connection, request) => self.prefill_ends(connection, request),
+            Event::DecodeEnds(connection, request) => self.decode_ends(connection, request),
+            Event::ReservationAnswered(connection, request, knows_prefill) => {
+                self.answer_reservation(connection, request, knows_prefill)
             }
             Event::Vanish(worker) => self.vanish(worker),
             Event::Return(worker) => self.worker_returns(worker),
@@ -45,40 +46,53 @@
         }
     }
 
-    pub(super) fn send_request(&mut self, n: usize) {
-        let PlannedRequest { router, class, wait_ms, slow_ms, .. } = self.requests[n];
+    pub(super) fn send_request(&mut self, index: usize) {
+        let PlannedRequest { router, class, remaining_ms, send_duration_ms, .. } = self.requests[index];
         let under_test = &mut self.routers[router];
         if under_test.shut_down_at.is_some_and(|at| self.now > at + LAST_CLIENTS_AFTER) {
             return;
         }
         let connection = under_test.harness.connect_client();
-        let number = self.checker.request_sent(self.now, class, (wait_ms + slow_ms) * MS);
-        let text =
-            chat_request_with(&format!("t{number}"), &self.deployment.classes[class].name, wait_ms, "{}");
-        (self.requests[n].number, self.requests[n].connection) = (Some(number), Some(connection));
-        if slow_ms == 0 {
+        let request_number =
+            self.checker.request_sent(self.now, class, (remaining_ms + send_duration_ms) * MS);
+        let text = chat_request_with(
+            &format!("t{request_number}"),
+            &self.deployment.classes[class].name,
+            remaining_ms,
+            "{}",
+        );
+        (self.requests[index].request_number, self.requests[index].connection) =
+            (Some(request_number), Some(connection));
+        if send_duration_ms == 0 {
             under_test.harness.deliver(connection, text);
         } else {
             under_test.harness.deliver(connection, &text[..40]);
-            self.schedule(slow_ms, Event::SendRest(n));
+            self.schedule(send_duration_ms, Event::SendRemainder(index));
         }
     }
 
-    pub(super) fn send_rest(&mut self, n: usize) {
-        let PlannedRequest { router, class, wait_ms, connection, number, .. } = self.requests[n];
-        let (Some(connection), Some(number)) = (connection, number) else { return };
-        let text =
-            chat_request_with(&format!("t{number}"), &self.deployment.classes[class].name, wait_ms, "{}");
+    pub(super) fn send_remainder(&mut self, index: usize) {
+        let PlannedRequest { router, class, remaining_ms, connection, request_number, .. } =
+            self.requests[index];
+        let (Some(connection), Some(request_number)) = (connection, request_number) else { return };
+        let text = chat_request_with(
+            &format!("t{request_number}"),
+            &self.deployment.classes[class].name,
+            remaining_ms,
+            "{}",
+        );
         self.routers[router].harness.deliver(connection, &text[40..]);
     }
 
-    pub(super) fn client_disconnects(&mut self, n: usize) {
-        let (Some(connection), Some(number)) = (self.requests[n].connection, self.requests[n].number) else {
+    pub(super) fn client_disconnects(&mut self, index: usize) {
+        let (Some(connection), Some(request_number)) =
+            (self.requests[index].connection, self.requests[index].request_number)
+        else {
             return;
         };
-        let harness = &mut self.routers[self.requests[n].router].harness;
+        let harness = &mut self.routers[self.requests[index].router].harness;
         if !harness.ended.contains_key(&connection) {
-            self.checker.client_disconnected(self.now, number);
+            self.checker.client_disconnected(self.now, request_number);
             harness.reset(connection);
         }
     }
@@ -88,7 +102,7 @@
             return self
                 .schedule(self.deployment.connect_timeout / MS, Event::ConnectFails((router, connection)));
         }
-        // Some lead nowhere from here on, which nobody can see.
+        // Some connections are black-holed from here on: both ends see them as open, but nothing passes.
         if self.random_bool(0.02) {
             self.routers[router].blackholed.insert(connection);
         }
@@ -126,22 +140,22 @@
     }
 
     pub(super) fn vanish(&mut self, worker: usize) {
-        self.servers[worker].vanished = true;
-        self.servers[worker].vanished_at = self.now;
+        self.processes[worker].is_unreachable = true;
+        self.processes[worker].unreachable_since = self.now;
         self.checker.worker_died(self.now, worker);
     }
 
     pub(super) fn worker_returns(&mut self, worker: usize) {
-        let server = &self.servers[worker];
-        if server.vanished {
-            let resets = if self.now < server.vanished_at + MIN_ABSENCE { 1.0 } else { 0.5 };
-            self.restart(worker, resets);
+        let process = &self.processes[worker];
+        if process.is_unreachable {
+            let reset_share = if self.now < process.unreachable_since + MIN_ABSENCE { 1.0 } else { 0.5 };
+            self.restart(worker, reset_share);
         }
     }
 
     pub(super) fn hang(&mut self, worker: usize, until: Micros) {
-        let server = &mut self.servers[worker];
-        server.hangs_until = server.hangs_until.max(until);
+        let process = &mut self.processes[worker];
+        process.hangs_until = process.hangs_until.max(until);
     }
 
     pub(super) fn shut_down(&mut self, router: usize) {
@@ -150,17 +164,17 @@
         self.schedule(KILL_AFTER_MS, Event::Kill(router));
     }
 
-    /// The process is killed: what it has not done by then it is no longer responsible for.
+    /// Kills a router's process. From then on, the checker expects nothing of the router for its requests.
     pub(super) fn kill(&mut self, router: usize) {
-        let numbers = self
+        let request_numbers = self
             .requests
             .iter()
             .filter(|request| request.router == router)
-            .filter_map(|request| request.number);
-        numbers.for_each(|number| self.checker.router_killed(number));
+            .filter_map(|request| request.request_number);
+        request_numbers.for_each(|request_number| self.checker.router_killed(request_number));
     }
 
-    /// Discovery sends an empty line on each watch.
+    /// Sends an empty line of discovery on each watch.
     pub(super) fn heartbeat(&mut self) {
         for under_test in &mut self.routers {
             under_test
--- a/crates/gateway/tests/graceful_shutdown.rs
+++ b/crates/gateway/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, on bytes in virtual time.
+//! Graceful shutdown. The gateway runs in virtual time.
 
 mod common;
 
@@ -13,23 +13,23 @@
     harness.deliver(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     harness.deliver(open, chat_request("open", "safe"));
     complete_prefill(&mut harness);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.shut_down();
     harness.shut_down();
     assert!(harness.ended.contains_key(&idle) && !harness.ended.contains_key(&open));
     assert_eq!(ready_status(&mut harness), 503);
-    // Clients may not know of the shutdown yet: one that connects now is served.
+    // Clients may not know of the shutdown yet: a client that connects now is served.
     harness.advance(300 * MS);
     let late = harness.connect_client();
     harness.deliver(late, chat_request("late", "safe"));
     complete_prefill(&mut harness);
-    let (late_writer, _) = harness.attempt();
-    harness.deliver(late_writer, streamed_response());
+    let (late_decode, _) = harness.new_attempt();
+    harness.deliver(late_decode, streamed_response());
     assert!(
         decode_chunked(&harness.sent_text(late)).1 && harness.sent_text(late).contains("connection: close")
     );
-    assert!(harness.ended.contains_key(&late), "its connection ends between requests");
+    assert!(harness.ended.contains_key(&late), "its connection is closed after the response");
     harness.advance(500 * MS);
     let too_late = harness.connect_client();
     harness.deliver(too_late, chat_request("too-late", "safe"));
@@ -37,43 +37,47 @@
     assert!(!is_finished(&harness), "a stream is open");
     harness.deliver(decode, format!("{}0\r\n\r\n", chunk(STREAM_EVENTS[1])));
     assert!(decode_chunked(&harness.sent_text(open)).1);
-    assert!(!is_finished(&harness), "nobody has said what became of the places");
-    for (reservation, _) in harness.calls("POST /internal/reservations/") {
+    assert!(!is_finished(&harness), "the reservation calls are not answered yet");
+    for (reservation, _) in harness.new_calls("POST /internal/reservations/") {
         assert!(!is_finished(&harness));
         harness.deliver(reservation, response(409, "", ""));
     }
     assert!(is_finished(&harness));
 }
 
-/// A request may be on its way on a connection that was made a moment before the shutdown.
+/// A request may be in transit on a connection that was opened just before the shutdown.
 #[test]
-fn shutdown_serves_clients_that_just_connected_and_waits_for_no_silent_one() {
+fn shutdown_serves_clients_that_just_connected_and_does_not_wait_for_silent_ones() {
     let mut harness = Harness::without_reservations();
     harness.send_update(&endpoint_list(5));
-    let (old, asks, silent, half) = (
+    let (idle, requesting, silent, incomplete) = (
         harness.connect_client(),
         harness.connect_client(),
         harness.connect_client(),
         harness.connect_client(),
     );
-    harness.deliver(old, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
+    harness.deliver(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
     harness.shut_down();
-    assert!(harness.ended.contains_key(&old), "it rested between requests");
-    assert!(!harness.ended.contains_key(&asks));
-    harness.deliver(half, &chat_request("half", "safe")[..40]);
+    assert!(harness.ended.contains_key(&idle), "its connection was idle between requests");
+    assert!(!harness.ended.contains_key(&requesting));
+    harness.deliver(incomplete, &chat_request("half", "safe")[..40]);
     harness.advance(150 * MS);
-    harness.deliver(asks, chat_request("asks", "safe"));
+    harness.deliver(requesting, chat_request("asks", "safe"));
     complete_prefill(&mut harness);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
     assert!(
-        decode_chunked(&harness.sent_text(asks)).1 && harness.sent_text(asks).contains("connection: close")
+        decode_chunked(&harness.sent_text(requesting)).1
+            && harness.sent_text(requesting).contains("connection: close")
     );
     harness.advance(450 * MS);
     assert!(harness.ended.contains_key(&silent) && harness.statuses(silent).is_empty());
-    assert!(!harness.ended.contains_key(&half), "it has as long as ever to be whole");
+    assert!(
+        !harness.ended.contains_key(&incomplete),
+        "the timeout of an incomplete request is not shortened"
+    );
     harness.advance(1_500 * MS);
-    assert_eq!(harness.statuses(half), [408]);
+    assert_eq!(harness.statuses(incomplete), [408]);
     assert!(is_finished(&harness));
 }
 
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -1,6 +1,6 @@
-//! The router under generated events: valid input, mangled input, disconnects and time in any order. Nothing panics,
-//! no client gets more responses than it sent requests, a non-idempotent request runs at most once, and in the end
-//! nothing is left of any request.
+//! Feeds the router generated events: valid and mangled input, disconnects and the passing of time, in any order. The
+//! router does not panic, no client gets more responses than it sent requests, a non-idempotent request runs at most
+//! once, and in the end no state of any request is left.
 
 mod common;
 
@@ -11,21 +11,25 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, EventHandler};
 use tideroute_wire::Address;
 
-/// Sequences generated, and events of each at most.
+/// Number of generated event sequences.
 const RUNS: u64 = 1_500;
-const EVENTS_A_RUN: usize = 120;
+/// Maximum number of events of a sequence.
+const MAX_EVENTS_PER_RUN: usize = 120;
 
 struct MalformedInput {
     harness: Harness,
     clients: Vec<ConnectionId>,
+    /// Number of requests that a client may have sent, by its connection.
     requests: BTreeMap<ConnectionId, usize>,
-    count: usize,
-    /// By trace id of non-idempotent requests, how often a decode worker may have run it.
+    /// Number of valid requests sent by all clients.
+    request_count: usize,
+    /// Number of times that a decode worker may have run a non-idempotent request, by its trace id.
     executions: BTreeMap<String, usize>,
+    /// Number of attempts that were counted on a connection.
     seen_attempts: BTreeMap<ConnectionId, usize>,
 }
 
-/// The trace id of an attempt.
+/// Returns the trace id of an attempt.
 fn trace_id_in(attempt: &str) -> &str {
     attempt.split("x-trace-id: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap_or("")
 }
@@ -38,26 +42,33 @@
             harness,
             clients: vec![],
             requests: BTreeMap::new(),
-            count: 0,
+            request_count: 0,
             executions: BTreeMap::new(),
             seen_attempts: BTreeMap::new(),
         }
     }
 
-    fn pick<T: Copy>(from: &[T], which: u16) -> Option<T> {
-        (!from.is_empty()).then(|| from[usize::from(which) % from.len()])
+    fn pick<T: Copy>(items: &[T], selector: u16) -> Option<T> {
+        (!items.is_empty()).then(|| items[usize::from(selector) % items.len()])
     }
 
-    fn client(&mut self, which: u16) -> Option<ConnectionId> {
+    fn pick_client(&mut self, selector: u16) -> Option<ConnectionId> {
         let ended = &self.harness.ended;
-        let open: Vec<_> = self.clients.iter().filter(|c| !ended.contains_key(c)).copied().collect();
-        Self::pick(&open, which)
+        let open: Vec<_> =
+            self.clients.iter().filter(|connection| !ended.contains_key(connection)).copied().collect();
+        Self::pick(&open, selector)
     }
 
-    fn worker(&mut self, which: u16) -> Option<ConnectionId> {
+    fn pick_worker_connection(&mut self, selector: u16) -> Option<ConnectionId> {
         let ended = &self.harness.ended;
-        let open: Vec<_> = self.harness.outbound.keys().filter(|l| !ended.contains_key(l)).copied().collect();
-        Self::pick(&open, which)
+        let open: Vec<_> = self
+            .harness
+            .outbound
+            .keys()
+            .filter(|connection| !ended.contains_key(connection))
+            .copied()
+            .collect();
+        Self::pick(&open, selector)
     }
 
     fn mangle(text: &str, byte: u8, place: u16) -> Vec<u8> {
@@ -72,35 +83,39 @@
         bytes
     }
 
-    /// Counts attempts of non-idempotent requests that decode workers have received and did not prove not to have run.
+    /// Counts the new attempts of non-idempotent requests at decode workers. [`Self::never_ran`] takes back those that were
+    /// proved not to have run.
     fn count_executions(&mut self) {
-        for (&connection, to) in &self.harness.outbound {
-            let writing =
-                WORKERS.get(usize::from(to[3]) - 1).is_some_and(|w| w.kind == "writing" && to[2] == 1);
+        for (&connection, address) in &self.harness.outbound {
+            let is_decode_worker = WORKERS
+                .get(usize::from(address[3]) - 1)
+                .is_some_and(|worker| worker.kind == "writing" && address[2] == 1);
             let text = self.harness.sent_text(connection);
-            let seen = self.seen_attempts.entry(connection).or_default();
-            let parts: Vec<_> = text.split("POST /v1/chat/completions").skip(1 + *seen).collect();
-            *seen += parts.len();
-            for part in parts.iter().filter(|p| writing && p.contains("x-qos: once")) {
-                let trace = trace_id_in(part);
-                *self.executions.entry(trace.to_string()).or_default() += 1;
+            let seen_count = self.seen_attempts.entry(connection).or_default();
+            let attempts: Vec<_> = text.split("POST /v1/chat/completions").skip(1 + *seen_count).collect();
+            *seen_count += attempts.len();
+            for attempt in
+                attempts.iter().filter(|attempt| is_decode_worker && attempt.contains("x-qos: once"))
+            {
+                let trace_id = trace_id_in(attempt);
+                *self.executions.entry(trace_id.to_string()).or_default() += 1;
             }
         }
     }
 
-    /// Plays one generated event: of which kind, with a byte and a number that it may use.
-    fn step(&mut self, (kind, byte, which): (u8, u8, u16)) {
+    /// Handles one generated event: its kind, and two random numbers that select its details.
+    fn step(&mut self, (kind, byte, selector): (u8, u8, u16)) {
         match kind % 14 {
             0 => {
                 let client = self.harness.connect_client();
                 self.clients.push(client);
             }
-            1..=5 => self.client_event(kind % 14, byte, which),
-            6..=10 => self.worker_event(kind % 14, byte, which),
-            11 => self.harness.advance(u64::from(which) * 20),
-            12 => self.update_endpoint(byte, which),
+            1..=5 => self.client_event(kind % 14, byte, selector),
+            6..=10 => self.worker_event(kind % 14, byte, selector),
+            11 => self.harness.advance(u64::from(selector) * 20),
+            12 => self.update_endpoint(byte, selector),
             _ => {
-                let Some(client) = self.client(which) else { return };
+                let Some(client) = self.pick_client(selector) else { return };
                 self.harness.set_backpressure(client, byte % 2 == 0);
             }
         }
@@ -108,19 +123,19 @@
     }
 
     /// A client sends a request or mangled bytes, or disconnects.
-    fn client_event(&mut self, kind: u8, byte: u8, which: u16) {
+    fn client_event(&mut self, kind: u8, byte: u8, selector: u16) {
         let class = ["safe", "once", "keyed"][usize::from(byte) % 3];
-        let Some(client) = self.client(which) else { return };
+        let Some(client) = self.pick_client(selector) else { return };
         match kind {
             1..=3 => {
-                self.count += 1;
+                self.request_count += 1;
                 *self.requests.entry(client).or_default() += 1;
-                self.harness.deliver(client, chat_request(&format!("id{}", self.count), class));
+                self.harness.deliver(client, chat_request(&format!("id{}", self.request_count), class));
             }
             4 => {
-                // Mangled bytes may hold a request, and what follows them more.
+                // Mangled bytes may contain a request, and so may they together with the bytes that follow.
                 *self.requests.entry(client).or_default() += 2;
-                self.harness.deliver(client, Self::mangle(&chat_request("mangled", class), byte, which));
+                self.harness.deliver(client, Self::mangle(&chat_request("mangled", class), byte, selector));
             }
             _ => {
                 self.clients.retain(|open| *open != client);
@@ -129,9 +144,9 @@
         }
     }
 
-    /// A worker responds, sends mangled bytes, or closes a connection.
-    fn worker_event(&mut self, kind: u8, byte: u8, which: u16) {
-        let Some(connection) = self.worker(which) else { return };
+    /// A worker responds, sends mangled bytes, or disconnects.
+    fn worker_event(&mut self, kind: u8, byte: u8, selector: u16) {
+        let Some(connection) = self.pick_worker_connection(selector) else { return };
         match kind {
             6..=8 => {
                 let answers = [
@@ -148,7 +163,7 @@
                 }
                 self.harness.deliver(connection, answer);
             }
-            9 => self.harness.deliver(connection, Self::mangle(&streamed_response(), byte, which)),
+            9 => self.harness.deliver(connection, Self::mangle(&streamed_response(), byte, selector)),
             _ => {
                 let is_reset = byte.is_multiple_of(2);
                 let reason = if is_reset { DisconnectReason::Reset } else { DisconnectReason::ConnectFailed };
@@ -157,40 +172,44 @@
         }
     }
 
-    /// A proof that the last attempt on a connection has not run takes it off the count.
+    /// Takes back the count of the last attempt on a connection, which its worker proves not to have run.
     fn never_ran(&mut self, connection: ConnectionId) {
         let text = self.harness.sent_text(connection);
         let last = text.rsplit("POST /v1/chat/completions").next().unwrap_or("");
-        if let Some(ran) = self.executions.get_mut(trace_id_in(last)) {
-            *ran = ran.saturating_sub(1);
+        if let Some(count) = self.executions.get_mut(trace_id_in(last)) {
+            *count = count.saturating_sub(1);
         }
     }
 
-    fn update_endpoint(&mut self, byte: u8, which: u16) {
+    fn update_endpoint(&mut self, byte: u8, selector: u16) {
         let state = ["SERVING", "DRAINING", "DELETED"][usize::from(byte) % 3];
-        let started = if which.is_multiple_of(3) { self.harness.now / MS } else { 0 };
-        let changed = endpoint_entry(usize::from(which) % WORKERS.len(), state, started);
-        let version = 6 + self.count as u64;
+        let started_ms = if selector.is_multiple_of(3) { self.harness.now / MS } else { 0 };
+        let changed = endpoint_entry(usize::from(selector) % WORKERS.len(), state, started_ms);
+        let version = 6 + self.request_count as u64;
         let line = serde_json::json!({"version": version, "full": false, "servers": [changed]});
         let ended = &self.harness.ended;
-        let is_open_watch =
-            |(connection, to): (&ConnectionId, &Address)| to[2] == 9 && !ended.contains_key(connection);
+        let is_open_watch = |(connection, address): (&ConnectionId, &Address)| {
+            address[2] == 9 && !ended.contains_key(connection)
+        };
         if self.harness.outbound.iter().any(is_open_watch) {
             self.harness.send_update(&line);
         }
     }
 
-    fn holds(&mut self) -> bool {
+    /// Returns whether the rules hold: no surplus responses, and no second run of a non-idempotent request.
+    fn rules_hold(&mut self) -> bool {
         for (client, requests) in &self.requests {
-            let answers = self.harness.statuses(*client).into_iter().filter(|s| *s != 100).count();
-            if answers > requests + 1 {
+            let responses =
+                self.harness.statuses(*client).into_iter().filter(|status| *status != 100).count();
+            if responses > requests + 1 {
                 return false;
             }
         }
-        self.executions.values().all(|ran| *ran <= 1)
+        self.executions.values().all(|count| *count <= 1)
     }
 
-    /// All clients disconnect: nothing is left, and the router shuts down when it is told to.
+    /// Disconnects all clients and shuts the router down. Returns whether it finishes, which it does only once no state of
+    /// any request is left.
     fn finishes(&mut self) -> bool {
         for client in std::mem::take(&mut self.clients) {
             if !self.harness.ended.contains_key(&client) {
@@ -204,21 +223,21 @@
 }
 
 #[test]
-fn any_sequence_of_events_keeps_the_rules_and_ends_clean() {
-    fn sound(mut steps: Vec<(u8, u8, u16)>) -> bool {
-        steps.truncate(EVENTS_A_RUN);
+fn any_sequence_of_events_keeps_the_rules_and_leaves_no_state() {
+    fn keeps_rules(mut steps: Vec<(u8, u8, u16)>) -> bool {
+        steps.truncate(MAX_EVENTS_PER_RUN);
         let mut input = MalformedInput::new();
         for step in steps {
             input.step(step);
-            if !input.holds() {
+            if !input.rules_hold() {
                 return false;
             }
         }
         input.finishes()
     }
     QuickCheck::new()
-        .rng(Gen::new(EVENTS_A_RUN))
+        .rng(Gen::new(MAX_EVENTS_PER_RUN))
         .tests(RUNS)
         .max_tests(RUNS)
-        .quickcheck(sound as fn(Vec<(u8, u8, u16)>) -> bool);
+        .quickcheck(keeps_rules as fn(Vec<(u8, u8, u16)>) -> bool);
 }
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -1,5 +1,5 @@
-//! What is reserved for a request is released in time, however the attempts before it end, on bytes in virtual time.
-//! The settings allow 1 s, and the protocol 300 ms more.
+//! State that workers hold for a request is released within the release timeout, however the request's attempts end.
+//! The settings allow 1 s, and the protocol 300 ms more. The gateway runs in virtual time.
 
 mod common;
 
@@ -9,188 +9,212 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason};
 
 const RELEASE: &str = "DELETE /internal/reservations/id ";
-const FREED: &str = "HTTP/1.1 204 No Content\r\n\r\n";
+const NO_CONTENT: &str = "HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A request that has just been prefilled without a reservation, its client, and the connection and place of its
-/// prefill worker.
+/// Completes the prefill of a request without a reservation. Returns the harness, the client's connection, the
+/// connection of the prefill attempt and the index of the prefill worker.
 fn prefilled_request(class: &str) -> (Harness, ConnectionId, ConnectionId, usize) {
     let mut harness = Harness::without_reservations();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", class));
-    let (prefill, at) = harness.attempt();
+    let (prefill, prefill_worker) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
-    (harness, client, prefill, at)
+    (harness, client, prefill, prefill_worker)
 }
 
-/// Lets time pass while workers answer health checks: none is suspected for its silence alone.
-fn advance_answering_health_checks(harness: &mut Harness, time: u64) {
-    for _ in 0..time / 10 {
+/// Advances the clock by `milliseconds` while workers answer health checks, so that none is suspected for silence.
+fn advance_answering_health_checks(harness: &mut Harness, milliseconds: u64) {
+    for _ in 0..milliseconds / 10 {
         harness.advance(10 * MS);
         harness
-            .calls("GET /alive")
+            .new_calls("GET /alive")
             .into_iter()
             .for_each(|(connection, _)| harness.deliver(connection, response(200, "", "")));
     }
 }
 
 #[test]
-fn state_is_released_in_time_under_a_silent_attempt() {
+fn state_is_released_within_the_timeout_while_the_decode_attempt_is_silent() {
     for class in ["safe", "keyed", "once"] {
         let (mut harness, client, prefill, _) = prefilled_request(class);
-        let (decode, _) = harness.attempt();
+        let (decode, _) = harness.new_attempt();
         advance_answering_health_checks(&mut harness, 790);
-        assert!(harness.calls(RELEASE).is_empty(), "{class}: the attempt may take it yet");
-        // Guards against a connection that leads nowhere: the timeout runs on.
+        assert!(harness.new_calls(RELEASE).is_empty(), "{class}: the attempt may still take over the state");
+        // The connection may be black-holed, so that the attempt never reached its worker: the timeout goes on running.
         advance_answering_health_checks(&mut harness, 20);
-        assert_eq!(harness.call(RELEASE).0, prefill, "{class}: where it is held, and no handshake is needed");
-        harness.deliver(prefill, FREED);
-        // A worker that has the attempt after all may answer it.
+        assert_eq!(
+            harness.new_call(RELEASE).0,
+            prefill,
+            "{class}: the release goes to the worker that holds the state, on its open connection"
+        );
+        harness.deliver(prefill, NO_CONTENT);
+        // A worker that received the attempt may still answer it.
         harness.deliver(decode, streamed_response());
         assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true), "{class}");
         harness.advance(2_000 * MS);
-        assert!(harness.calls(RELEASE).is_empty(), "{class}: once is enough");
+        assert!(harness.new_calls(RELEASE).is_empty(), "{class}: the state is released only once");
     }
 }
 
 #[test]
-fn failed_connects_do_not_restart_the_release_timeout_and_a_workers_response_does() {
+fn failed_connects_do_not_restart_the_release_timeout_but_a_workers_response_does() {
     let (mut harness, _, _, _) = prefilled_request("once");
-    harness.is_immediate = false;
-    let mut waited = 0;
-    while let Some((decode, _)) = harness.attempts().first().copied().filter(|_| waited < 750) {
+    harness.completes_io_immediately = false;
+    let mut waited_ms = 0;
+    while let Some((decode, _)) = harness.new_attempts().first().copied().filter(|_| waited_ms < 750) {
         harness.advance(250 * MS);
-        waited += 250;
+        waited_ms += 250;
         harness.disconnect(decode, DisconnectReason::ConnectFailed);
     }
-    harness.advance((810 - waited) * MS);
-    assert!(!harness.calls(RELEASE).is_empty(), "after {waited} ms of dials");
+    harness.advance((810 - waited_ms) * MS);
+    assert!(
+        !harness.new_calls(RELEASE).is_empty(),
+        "nothing was released after {waited_ms} ms of failed connects"
+    );
 
     let (mut harness, _, _, _) = prefilled_request("safe");
     harness.advance(400 * MS);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, NEVER_RAN);
-    assert!(harness.calls(RELEASE).is_empty());
-    let (_second, _) = harness.attempt();
+    assert!(harness.new_calls(RELEASE).is_empty());
+    let (_second, _) = harness.new_attempt();
     harness.advance(790 * MS);
-    assert!(harness.calls(RELEASE).is_empty(), "a worker has spoken 790 ms ago");
+    assert!(harness.new_calls(RELEASE).is_empty(), "a worker responded 790 ms ago");
     harness.advance(20 * MS);
-    harness.call(RELEASE);
+    harness.new_call(RELEASE);
 }
 
 #[test]
-fn state_that_outlives_a_release_is_released_again() {
+fn state_that_a_release_did_not_free_is_released_again() {
     let (mut harness, client, prefill, _) = prefilled_request("safe");
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.advance(810 * MS);
-    harness.call(RELEASE);
-    harness.deliver(prefill, FREED);
-    // The attempt waited over there after all, with the state, which stays when the attempt is rejected.
+    harness.new_call(RELEASE);
+    harness.deliver(prefill, NO_CONTENT);
+    // The attempt was at its worker and kept the state in use, so that the release freed nothing; the state stays when
+    // the attempt is rejected.
     harness.deliver(decode, NEVER_RAN);
-    let (_second, _) = harness.attempt();
+    let (_second, _) = harness.new_attempt();
     harness.reset(client);
     harness.advance(MS);
-    harness.call(RELEASE);
+    harness.new_call(RELEASE);
 }
 
-/// A fleet that can't be reached is not dialled worker after worker for requests that were never sent.
+/// Guards against release calls to one worker after another while no worker can be reached: no state can exist for a
+/// request that was never sent.
 #[test]
 fn nothing_is_released_for_a_request_that_was_never_sent() {
     let mut harness = Harness::new();
-    harness.is_immediate = false;
+    harness.completes_io_immediately = false;
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
     for _ in 0..400 {
         harness
-            .attempts()
+            .new_attempts()
             .into_iter()
             .for_each(|(connection, _)| harness.disconnect(connection, DisconnectReason::ConnectFailed));
         harness.advance(10 * MS);
     }
     assert_eq!(harness.statuses(client), [503]);
     harness.advance(2_000 * MS);
-    let dials = harness
+    let releases = harness
         .outbound
         .keys()
         .filter(|connection| harness.sent_text(**connection).contains("DELETE"))
         .count();
-    assert_eq!((dials, harness.calls(RELEASE).len()), (0, 0));
+    assert_eq!((releases, harness.new_calls(RELEASE).len()), (0, 0));
 }
 
-/// Both ends see a reset by themselves: the release may be at the worker before that, and frees nothing under its
-/// attempt.
+/// Each end of a connection sees a reset at a time of its own. A release may reach the worker before the worker has seen
+/// the reset; the attempt is still running there then, and the release frees nothing.
 #[test]
-fn a_release_after_a_reset_is_repeated_once_the_worker_has_seen_it() {
+fn a_release_sent_after_a_reset_is_repeated_once_the_worker_has_seen_the_reset() {
     let (mut harness, client, _, _) = prefilled_request("once");
-    let (decode, at) = harness.attempt();
+    let (decode, decode_worker) = harness.new_attempt();
     harness.advance(100 * MS);
     harness.reset(decode);
     assert_eq!(harness.statuses(client), [502]);
-    let (first, _) = harness.call(RELEASE);
-    harness.deliver(first, FREED);
+    let (first, _) = harness.new_call(RELEASE);
+    harness.deliver(first, NO_CONTENT);
     harness.advance(60 * MS);
-    let (second, released_at) = harness.call(RELEASE);
-    assert_eq!(released_at, at, "the one that had the attempt is told first");
-    harness.deliver(second, FREED);
+    let (second, released_at) = harness.new_call(RELEASE);
+    assert_eq!(released_at, decode_worker, "the release goes to the worker of the broken attempt first");
+    harness.deliver(second, NO_CONTENT);
     harness.advance(2_000 * MS);
-    assert!(harness.calls(RELEASE).is_empty(), "a reset is seen soon, or its process is gone");
+    assert!(
+        harness.new_calls(RELEASE).is_empty(),
+        "the worker has seen the reset by now, or its process is gone"
+    );
 }
 
 #[test]
-fn state_of_a_failed_prefill_is_released_in_time_under_a_silent_retry() {
+fn state_of_a_failed_prefill_is_released_within_the_timeout_while_the_retry_is_silent() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (first, _) = harness.attempt();
-    harness.calls("POST /internal");
+    let (first, _) = harness.new_attempt();
+    harness.new_calls("POST /internal");
     harness.advance(100 * MS);
     harness.reset(first);
-    // The next attempt connects at once: what it makes takes the place of what was left.
-    let (_second, _) = harness.attempt();
+    // The next attempt connects at once, and its state would replace what the first one left.
+    let (_second, _) = harness.new_attempt();
     harness.advance(690 * MS);
-    assert!(harness.calls(RELEASE).is_empty());
+    assert!(harness.new_calls(RELEASE).is_empty());
     harness.advance(20 * MS);
-    assert!(!harness.calls(RELEASE).is_empty(), "nothing is heard of it, and the first may have ended well");
+    assert!(
+        !harness.new_calls(RELEASE).is_empty(),
+        "the retry is silent, and the first attempt may have completed and left state"
+    );
 }
 
 #[test]
-fn an_unconfirmed_reservation_is_released_in_time() {
-    // One that is known to be held is kept as long as its prefill worker is heard.
-    for (answer, alive, released) in
-        [(None, true, true), (Some(FREED), true, true), (Some(""), true, false), (Some(""), false, true)]
+fn an_unconfirmed_reservation_is_released_within_the_timeout() {
+    // A reservation that its worker has confirmed is kept as long as the prefill worker sends anything.
+    // Each case: the answer to the reservation call, whether the prefill worker sends anything, whether a release follows.
+    for (answer, prefill_worker_is_alive, is_released) in
+        [(None, true, true), (Some(NO_CONTENT), true, true), (Some(""), true, false), (Some(""), false, true)]
     {
-        let (mut harness, old) = with_an_older_connection_to_the_prefill_worker();
+        let (mut harness, older_prefill) = with_an_older_connection_to_the_prefill_worker();
         let client = harness.connect_client();
         harness.deliver(client, chat_request("id", "safe"));
-        let (_reader, _) = harness.attempt();
-        let (reservation, _) = harness.call("POST /internal/reservations/id ");
+        let (_prefill, _) = harness.new_attempt();
+        let (reservation, _) = harness.new_call("POST /internal/reservations/id ");
         match answer {
             Some("") => harness.deliver(reservation, response(200, "", "")),
-            Some(unknown) => harness.deliver(reservation, unknown),
+            Some(unknown_prefill) => harness.deliver(reservation, unknown_prefill),
             None => {}
         }
         harness.advance(400 * MS);
-        if alive {
-            harness.deliver(old, "HTTP/1.1 102 Processing\r\n\r\n");
+        if prefill_worker_is_alive {
+            harness.deliver(older_prefill, "HTTP/1.1 102 Processing\r\n\r\n");
         }
         harness.advance(610 * MS);
-        assert_eq!(!harness.calls(RELEASE).is_empty(), released, "{answer:?}, alive: {alive}");
+        assert_eq!(
+            !harness.new_calls(RELEASE).is_empty(),
+            is_released,
+            "{answer:?}, prefill worker is alive: {prefill_worker_is_alive}"
+        );
         harness.advance(400 * MS);
-        assert!(!harness.calls(RELEASE).is_empty() || released, "{answer:?}: silent again for its time");
+        assert!(
+            !harness.new_calls(RELEASE).is_empty() || is_released,
+            "{answer:?}: the prefill worker was silent for the whole timeout"
+        );
     }
 }
 
-/// A router with a prefill under way at its one prefill worker, on a connection that is older than what follows.
+/// Returns a router with a request in flight at its only prefill worker, and the connection of that attempt, which is
+/// older than those of later attempts.
 fn with_an_older_connection_to_the_prefill_worker() -> (Harness, ConnectionId) {
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
     harness.deliver(client, chat_request("older", "safe"));
-    let (old, _) = harness.attempt();
-    let (reservation, _) = harness.call("POST /internal/reservations/older ");
+    let (older_prefill, _) = harness.new_attempt();
+    let (reservation, _) = harness.new_call("POST /internal/reservations/older ");
     harness.deliver(reservation, response(200, "", ""));
-    (harness, old)
+    (harness, older_prefill)
 }
 
-/// A configuration with one prefill worker and one decode worker.
+/// Returns a configuration with one prefill worker and one decode worker.
 fn one_worker_of_each_role() -> serde_json::Value {
     let mut file = router_config();
     let mut known = endpoint_list(4);
@@ -203,18 +227,18 @@
 #[test]
 fn a_reservation_is_kept_while_the_prefill_worker_answers_health_checks() {
     let mut file = router_config();
-    // Guards against a cancellation that would hide what is tested.
+    // A long objective, so that the slow prefill attempt is not cancelled, which would hide what is tested.
     file["settings"]["classes"][0]["on_time_ms"] = 4_000.0.into();
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
     harness.deliver(client, chat_request_with("id", "safe", 5_000, "{}"));
-    let (_reader, _) = harness.attempt();
-    let (reservation, _) = harness.call("POST /internal/reservations/id ");
+    let (_prefill, _) = harness.new_attempt();
+    let (reservation, _) = harness.new_call("POST /internal/reservations/id ");
     harness.deliver(reservation, response(200, "", ""));
     advance_answering_health_checks(&mut harness, 2_500);
-    assert!(harness.calls(RELEASE).is_empty(), "its reader runs");
+    assert!(harness.new_calls(RELEASE).is_empty(), "the prefill worker answers health checks");
     harness.advance(1_300 * MS);
-    assert!(!harness.calls(RELEASE).is_empty(), "it is silent");
+    assert!(!harness.new_calls(RELEASE).is_empty(), "the prefill worker is silent");
 }
 
 #[test]
@@ -222,114 +246,119 @@
     let mut harness = Harness::with_config(&one_worker_of_each_role());
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (_reader, _) = harness.attempt();
-    let (mut reservation, _) = harness.call("POST /internal/reservations/id ");
+    let (_prefill, _) = harness.new_attempt();
+    let (mut reservation, _) = harness.new_call("POST /internal/reservations/id ");
     for _ in 0..3 {
         harness.deliver(reservation, response(200, "", ""));
         harness.advance(900 * MS);
-        (reservation, _) = harness.call("POST /internal/reservations/id ");
+        (reservation, _) = harness.new_call("POST /internal/reservations/id ");
     }
-    assert!(harness.calls(RELEASE).is_empty(), "the writer knows of the read");
-    // Nobody there knows of it any more.
-    harness.deliver(reservation, FREED);
+    assert!(harness.new_calls(RELEASE).is_empty(), "the decode worker has confirmed the reservation");
+    // The decode worker does not know the prefill any more.
+    harness.deliver(reservation, NO_CONTENT);
     harness.advance(1_300 * MS);
-    assert!(!harness.calls(RELEASE).is_empty());
+    assert!(!harness.new_calls(RELEASE).is_empty());
 }
 
-/// A request whose client has disconnected while the reservation call is out; the releases so far are answered.
-fn disconnected_while_a_reservation_call_is_out(written: bool) -> (Harness, ConnectionId) {
+/// Starts a request and disconnects its client while the reservation call is unanswered, and, if `is_written` is false,
+/// not yet written. Answers the releases so far. Returns the harness and the connection of the reservation call.
+fn client_disconnects_during_a_reservation_call(is_written: bool) -> (Harness, ConnectionId) {
     let mut harness = Harness::new();
-    harness.is_immediate = written;
+    harness.completes_io_immediately = is_written;
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     harness.complete_write(prefill);
-    let (reservation, _) = harness.call("POST /internal/reservations/id ");
-    harness.is_immediate = true;
+    let (reservation, _) = harness.new_call("POST /internal/reservations/id ");
+    harness.completes_io_immediately = true;
     harness.reset(client);
     harness.advance(MS);
-    let (release, _) = harness.call(RELEASE);
-    harness.deliver(release, FREED);
-    release_again_for_the_cancelled_attempt(&mut harness);
+    let (release, _) = harness.new_call(RELEASE);
+    harness.deliver(release, NO_CONTENT);
+    answer_repeated_releases_of_the_cancelled_attempt(&mut harness);
     (harness, reservation)
 }
 
-/// Answers the releases of the next 50 ms, and returns the workers that were told.
+/// Answers the release calls of the next 50 ms, and returns the workers that received them.
 fn answer_releases(harness: &mut Harness) -> Vec<usize> {
     harness.advance(50 * MS);
-    let calls = harness.calls(RELEASE);
-    calls.iter().for_each(|(connection, _)| harness.deliver(*connection, FREED));
+    let calls = harness.new_calls(RELEASE);
+    calls.iter().for_each(|(connection, _)| harness.deliver(*connection, NO_CONTENT));
     calls.into_iter().map(|(_, worker)| worker).collect()
 }
 
-/// A worker may see that its attempt was ended behind the release that followed: it is told once more, and again once
-/// it was heard, for it may have hung in between.
-fn release_again_for_the_cancelled_attempt(harness: &mut Harness) {
-    assert!(harness.calls(RELEASE).is_empty());
+/// Answers the two repeated releases that follow the first one. A worker may see the end of its attempt only after the
+/// release, so that the release is repeated; it is repeated once more after the worker has responded, because the
+/// worker may have hung in between.
+fn answer_repeated_releases_of_the_cancelled_attempt(harness: &mut Harness) {
+    assert!(harness.new_calls(RELEASE).is_empty());
     for _ in 0..2 {
         harness.advance(50 * MS);
-        let (again, _) = harness.call(RELEASE);
-        harness.deliver(again, FREED);
+        let (release, _) = harness.new_call(RELEASE);
+        harness.deliver(release, NO_CONTENT);
     }
 }
 
 #[test]
 fn a_reservation_granted_after_its_release_is_released_again() {
-    for answer in [response(200, "", ""), FREED.into()] {
-        let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
+    for answer in [response(200, "", ""), NO_CONTENT.into()] {
+        let (mut harness, reservation) = client_disconnects_during_a_reservation_call(true);
         harness.advance(50 * MS);
-        assert!(harness.calls(RELEASE).is_empty());
+        assert!(harness.new_calls(RELEASE).is_empty());
         harness.deliver(reservation, &answer);
-        harness.call(RELEASE);
+        harness.new_call(RELEASE);
     }
-    // What was refused, or never arrived, is not held.
-    let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(true);
+    // A reservation that was refused is not held.
+    let (mut harness, reservation) = client_disconnects_during_a_reservation_call(true);
     harness.deliver(reservation, response(409, "", ""));
     harness.advance(2_000 * MS);
-    assert!(harness.calls(RELEASE).is_empty());
-    // The call is not answered: it is released again in time.
-    let (mut harness, _) = disconnected_while_a_reservation_call_is_out(true);
+    assert!(harness.new_calls(RELEASE).is_empty());
+    // The call is not answered: the reservation is released again within the timeout.
+    let (mut harness, _) = client_disconnects_during_a_reservation_call(true);
     harness.advance(810 * MS);
-    assert!(!harness.calls(RELEASE).is_empty());
+    assert!(!harness.new_calls(RELEASE).is_empty());
 }
 
 #[test]
-fn an_unwritten_reservation_call_is_cancelled_when_no_longer_wanted() {
-    let (mut harness, reservation) = disconnected_while_a_reservation_call_is_out(false);
-    assert!(harness.ended.contains_key(&reservation), "it is taken back");
+fn an_unwritten_reservation_call_is_cancelled_when_no_longer_needed() {
+    let (mut harness, reservation) = client_disconnects_during_a_reservation_call(false);
+    assert!(harness.ended.contains_key(&reservation), "the call is cancelled");
     harness.advance(2_000 * MS);
-    assert!(harness.calls(RELEASE).is_empty(), "and nothing is held by it");
+    assert!(
+        harness.new_calls(RELEASE).is_empty(),
+        "no reservation can be held, because the call was never sent"
+    );
     use tideroute_wire::event_loop::EventHandler;
     harness.shut_down();
     harness.advance(700 * MS);
     assert!(harness.gateway.is_finished());
-    // The same when the decode attempt goes out.
+    // The call is also cancelled when the decode attempt starts.
     let mut harness = Harness::new();
-    harness.is_immediate = false;
+    harness.completes_io_immediately = false;
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (prefill, _) = harness.attempt();
+    let (prefill, _) = harness.new_attempt();
     harness.complete_write(prefill);
-    let (reservation, _) = harness.call("POST /internal/reservations/id ");
+    let (reservation, _) = harness.new_call("POST /internal/reservations/id ");
     harness.deliver(prefill, PREFILL_COMPLETE);
-    harness.attempt();
-    assert!(harness.ended.contains_key(&reservation), "it would come too late");
+    harness.new_attempt();
+    assert!(harness.ended.contains_key(&reservation), "the reservation would come too late");
 }
 
 #[test]
-fn a_reservation_that_may_be_held_during_the_stream_is_released() {
+fn a_reservation_answered_during_the_stream_is_released() {
     let mut harness = Harness::new();
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (prefill, _) = harness.attempt();
-    let (reservation, _) = harness.call("POST /internal/reservations/id ");
+    let (prefill, _) = harness.new_attempt();
+    let (reservation, _) = harness.new_call("POST /internal/reservations/id ");
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
-    assert!(harness.calls(RELEASE).is_empty());
-    harness.deliver(reservation, FREED);
-    let (release, _) = harness.call(RELEASE);
-    harness.deliver(release, FREED);
+    assert!(harness.new_calls(RELEASE).is_empty());
+    harness.deliver(reservation, NO_CONTENT);
+    let (release, _) = harness.new_call(RELEASE);
+    harness.deliver(release, NO_CONTENT);
     harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true));
 }
@@ -337,62 +366,76 @@
 #[test]
 fn a_release_without_answers_is_retried_within_bounds_until_it_expires() {
     let (mut harness, client, prefill, _) = prefilled_request("safe");
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.reset(client);
     harness.advance(MS);
     assert!(harness.ended.contains_key(&decode));
     let mut connections =
-        harness.calls(RELEASE).into_iter().map(|(connection, _)| connection).collect::<Vec<_>>();
+        harness.new_calls(RELEASE).into_iter().map(|(connection, _)| connection).collect::<Vec<_>>();
     assert_eq!(connections, [prefill]);
     for _ in 0..12 {
         harness.advance(100 * MS);
-        connections.extend(harness.calls(RELEASE).into_iter().map(|(connection, _)| connection));
-        let out = connections.iter().filter(|connection| !harness.ended.contains_key(connection)).count();
-        assert!(out <= 16, "{out} calls out");
+        connections.extend(harness.new_calls(RELEASE).into_iter().map(|(connection, _)| connection));
+        let open_calls =
+            connections.iter().filter(|connection| !harness.ended.contains_key(connection)).count();
+        assert!(open_calls <= 16, "{open_calls} release calls are open at the same time");
     }
-    assert!(connections.len() > 20, "tried {} times, each worker more than once", connections.len());
+    assert!(
+        connections.len() > 20,
+        "{} release calls, which is too few for each worker to be called more than once",
+        connections.len()
+    );
     harness.advance(500 * MS);
-    connections.extend(harness.calls(RELEASE).into_iter().map(|(connection, _)| connection));
-    assert!(connections.iter().all(|connection| harness.ended.contains_key(connection)), "its time is over");
+    connections.extend(harness.new_calls(RELEASE).into_iter().map(|(connection, _)| connection));
+    assert!(
+        connections.iter().all(|connection| harness.ended.contains_key(connection)),
+        "release calls are still open after the state has expired"
+    );
 }
 
 #[test]
-fn the_worker_seen_last_is_told_next_when_the_holder_is_silent() {
-    let (mut harness, client, prefill, at) = prefilled_request("safe");
-    let (decode, _) = harness.attempt();
-    // Another client's request is answered meanwhile, by others.
+fn the_worker_that_responded_last_is_called_next_when_the_holder_is_silent() {
+    let (mut harness, client, prefill, holder) = prefilled_request("safe");
+    let (decode, _) = harness.new_attempt();
+    // Another worker answers another client's request meanwhile.
     let other = harness.connect_client();
     harness.deliver(other, chat_request("other", "safe"));
-    let (second, heard) = harness.attempt();
+    let (second, responsive_worker) = harness.new_attempt();
     harness.deliver(second, PREFILL_COMPLETE);
     harness.reset(client);
     harness.advance(MS);
     assert!(harness.ended.contains_key(&decode));
-    let releases: Vec<_> = harness.calls(RELEASE);
-    assert_eq!(releases, [(prefill, at)]);
+    let releases: Vec<_> = harness.new_calls(RELEASE);
+    assert_eq!(releases, [(prefill, holder)]);
     harness.advance(101 * MS);
-    if heard != at {
-        assert_eq!(harness.call(RELEASE).1, heard);
+    if responsive_worker != holder {
+        assert_eq!(harness.new_call(RELEASE).1, responsive_worker);
     }
 }
 
 #[test]
 fn shutdown_waits_for_reserved_state() {
     let (mut harness, client, _, _) = prefilled_request("safe");
-    let (_, first) = harness.attempt();
+    let (_, first_worker) = harness.new_attempt();
     harness.shut_down();
     harness.advance(700 * MS);
-    // The first one is cancelled, for it has been silent for so long.
-    let (decode, second) = harness.attempt();
+    // The first decode attempt was cancelled because it was silent for too long.
+    let (decode, second_worker) = harness.new_attempt();
     harness.reset(client);
     harness.advance(MS);
     assert!(harness.ended.contains_key(&decode));
     use tideroute_wire::event_loop::EventHandler;
     assert!(!harness.gateway.is_finished(), "the state is still to be released");
-    let (release, _) = harness.call(RELEASE);
-    harness.deliver(release, FREED);
-    assert!(!harness.gateway.is_finished(), "its writers may not have seen the ends of their attempts");
+    let (release, _) = harness.new_call(RELEASE);
+    harness.deliver(release, NO_CONTENT);
+    assert!(
+        !harness.gateway.is_finished(),
+        "the decode workers may not have seen the end of their attempts yet"
+    );
     let released_at: BTreeSet<_> = (0..20).flat_map(|_| answer_releases(&mut harness)).collect();
     assert!(harness.gateway.is_finished());
-    assert!(released_at.contains(&first) && released_at.contains(&second), "each of them is told");
+    assert!(
+        released_at.contains(&first_worker) && released_at.contains(&second_worker),
+        "both decode workers receive a release"
+    );
 }
--- a/crates/gateway/tests/shutdown_obligations.rs
+++ b/crates/gateway/tests/shutdown_obligations.rs
@@ -1,32 +1,34 @@
-//! Ways in which requests end, generated at random, in any order and overlap, beside a plain model of workers, clients
-//! and connections that knows nothing of the router: what is reserved is released or taken in time, each client gets
-//! one response in time, nothing begins for one that has disconnected, and nothing new reaches a draining worker.
+//! Requests that end in every way, generated at random, in any order and overlap. A simple model of workers, clients and
+//! connections, independent of the router, checks that state and reservations are released or used within the timeout,
+//! that each client gets one response within its deadline, that no attempt starts for a client that has disconnected,
+//! and that no new call reaches a draining worker.
 
 mod common;
 
-#[path = "shutdown_obligations/world.rs"]
-mod world;
+#[path = "shutdown_obligations/simulation.rs"]
+mod simulation;
 
-use world::World;
+use simulation::Simulation;
 
-/// Worlds that are generated; the first of them that breaks a rule is named by its seed.
-const WORLDS: u64 = 12_000;
+/// Number of generated simulations. The failure message shows the seeds of the first ones that break a rule.
+const SIMULATIONS: u64 = 12_000;
 
 #[test]
-fn every_obligation_is_met_in_time_in_every_generated_world() {
+fn every_obligation_is_met_in_time_in_every_generated_simulation() {
     let threads: Vec<_> = (0..8)
         .map(|part| {
             std::thread::spawn(move || {
-                let seeds = (0..WORLDS).filter(|seed| seed % 8 == part);
-                seeds.filter_map(|seed| Some((seed, World::new(2 * seed).play()?))).collect::<Vec<_>>()
+                let seeds = (0..SIMULATIONS).filter(|seed| seed % 8 == part);
+                seeds.filter_map(|seed| Some((seed, Simulation::new(2 * seed).run()?))).collect::<Vec<_>>()
             })
         })
         .collect();
-    let broken: Vec<_> = threads.into_iter().flat_map(|t| t.join().expect("a part")).collect();
+    let violations: Vec<_> =
+        threads.into_iter().flat_map(|thread| thread.join().expect("a thread without a panic")).collect();
     assert!(
-        broken.is_empty(),
-        "{} of {WORLDS} worlds, first {:?}",
-        broken.len(),
-        &broken[..broken.len().min(5)]
+        violations.is_empty(),
+        "{} of {SIMULATIONS} simulations broke a rule, the first of them {:?}",
+        violations.len(),
+        &violations[..violations.len().min(5)]
     );
 }
--- a/crates/gateway/tests/shutdown_obligations/workers.rs
+++ b/crates/gateway/tests/shutdown_obligations/workers.rs
@@ -1,85 +1,88 @@
-//! What workers do in a generated world.
+//! Behaviour of workers in a generated simulation.
 
 use super::*;
 
-impl World {
-    /// A call arrives at its worker.
-    pub(super) fn arrives(&mut self, connection: ConnectionId, worker: usize, text: &str) {
-        let after =
-            |head: &str| text.split(head).nth(1).and_then(|t| t.split(['\r', ' ']).next()).unwrap_or("");
+impl Simulation {
+    /// Handles a call that has arrived at its worker.
+    pub(super) fn call_received(&mut self, connection: ConnectionId, worker: usize, text: &str) {
+        let word_after = |prefix: &str| {
+            text.split(prefix).nth(1).and_then(|rest| rest.split(['\r', ' ']).next()).unwrap_or("")
+        };
         if text.starts_with("GET ") {
             return self.schedule(1, Event::Response(connection, response(200, "", "")));
         }
         if text.starts_with("DELETE ") {
-            let request = self.requests.entry(after("/internal/reservations/").into()).or_default();
+            let request = self.requests.entry(word_after("/internal/reservations/").into()).or_default();
             (request.has_state, request.is_reserved) =
                 (request.has_state && !request.decodes.is_empty(), false);
             return self.schedule(1, Event::Response(connection, "HTTP/1.1 204 No Content\r\n\r\n".into()));
         }
         if text.starts_with("POST /internal") {
-            let trace = after("/internal/reservations/").to_string();
-            let knows = self.requests.get(&trace).is_some_and(|request| !request.prefills.is_empty());
-            let takes = if knows { self.random_range(1, 60) } else { 300 };
-            return self.schedule(takes, Event::ReservationAnswered(connection, trace, knows));
+            let trace_id = word_after("/internal/reservations/").to_string();
+            let knows_prefill =
+                self.requests.get(&trace_id).is_some_and(|request| !request.prefills.is_empty());
+            let duration_ms = if knows_prefill { self.random_range(1, 60) } else { 300 };
+            return self
+                .schedule(duration_ms, Event::ReservationAnswered(connection, trace_id, knows_prefill));
         }
-        let (trace, roll) = (after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
-        let request = self.requests.entry(trace.clone()).or_default();
+        let (trace_id, roll) = (word_after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
+        let request = self.requests.entry(trace_id.clone()).or_default();
         if WORKERS[worker].kind == "reading" {
             request.prefills.insert(connection);
-            let takes = self.random_range(2, 120);
-            self.schedule(takes, Event::PrefillEnds(connection, trace, roll));
+            let duration_ms = self.random_range(2, 120);
+            self.schedule(duration_ms, Event::PrefillEnds(connection, trace_id, roll));
         } else {
             request.decodes.insert(connection);
             request.is_reserved = false;
-            let takes = if roll < 40 { self.random_range(1, 900) } else { self.random_range(1, 30) };
-            self.schedule(takes, Event::DecodeEnds(connection, trace, roll));
+            let duration_ms = if roll < 40 { self.random_range(1, 900) } else { self.random_range(1, 30) };
+            self.schedule(duration_ms, Event::DecodeEnds(connection, trace_id, roll));
         }
     }
 
-    /// An attempt has ended at its worker.
-    pub(super) fn attempt_ended(&mut self, connection: ConnectionId, trace: &str) {
+    /// Ends an attempt at its worker.
+    pub(super) fn attempt_ended(&mut self, connection: ConnectionId, trace_id: &str) {
         let now = self.harness.now;
-        let request = self.requests.entry(trace.to_string()).or_default();
+        let request = self.requests.entry(trace_id.to_string()).or_default();
         request.prefills.remove(&connection);
         request.decodes.remove(&connection);
-        request.since = now;
+        request.timeout_start = now;
     }
 
-    pub(super) fn prefill_ends(&mut self, connection: ConnectionId, trace: String, roll: u8) {
+    pub(super) fn prefill_ends(&mut self, connection: ConnectionId, trace_id: String, roll: u8) {
         let is_in_flight =
-            self.requests.get(&trace).is_some_and(|request| request.prefills.contains(&connection));
+            self.requests.get(&trace_id).is_some_and(|request| request.prefills.contains(&connection));
         if !is_in_flight || !self.passes(connection) {
             return;
         }
-        self.attempt_ended(connection, &trace);
-        let request = self.requests.entry(trace).or_default();
+        self.attempt_ended(connection, &trace_id);
+        let request = self.requests.entry(trace_id).or_default();
         request.has_state |= roll < 90;
         match roll {
             0..85 => self.deliver(connection, PREFILL_COMPLETE),
-            // It completes just as its connection breaks.
+            // The prefill completes just as its connection breaks.
             85..90 => self.break_connection(connection),
             90..95 => self.deliver(connection, NEVER_RAN),
             _ => self.deliver(connection, &response(500, "", "")),
         }
     }
 
-    pub(super) fn decode_ends(&mut self, connection: ConnectionId, trace: String, roll: u8) {
+    pub(super) fn decode_ends(&mut self, connection: ConnectionId, trace_id: String, roll: u8) {
         let passes = self.passes(connection);
-        let request = self.requests.entry(trace.clone()).or_default();
+        let request = self.requests.entry(trace_id.clone()).or_default();
         if !request.decodes.contains(&connection) || !passes {
             return;
         }
         if !request.has_state {
-            self.attempt_ended(connection, &trace);
+            self.attempt_ended(connection, &trace_id);
             return self.deliver(connection, &NEVER_RAN.replace("503", "410"));
         }
         match roll {
             0..12 => {
-                self.attempt_ended(connection, &trace);
+                self.attempt_ended(connection, &trace_id);
                 self.deliver(connection, NEVER_RAN);
             }
             12..18 => {
-                self.attempt_ended(connection, &trace);
+                self.attempt_ended(connection, &trace_id);
                 self.break_connection(connection);
             }
             _ => {
@@ -87,9 +90,9 @@
                 request.is_reserved = false;
                 request.has_response = true;
                 self.deliver(connection, &format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
-                let takes = self.random_range(1, 300);
-                let rest = format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2]));
-                self.schedule(takes, Event::Response(connection, rest));
+                let duration_ms = self.random_range(1, 300);
+                let remainder = format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2]));
+                self.schedule(duration_ms, Event::Response(connection, remainder));
             }
         }
     }
@@ -97,20 +100,20 @@
     pub(super) fn answer_reservation(
         &mut self,
         connection: ConnectionId,
-        trace: String,
+        trace_id: String,
         knows_prefill: bool,
     ) {
         let now = self.harness.now;
         if !self.passes(connection) || self.harness.ended.contains_key(&connection) && knows_prefill {
             return;
         }
-        let held = self.random_bool(0.5);
-        let request = self.requests.entry(trace).or_default();
-        if held && (request.decodes.is_empty() || !knows_prefill) && !request.has_response {
+        let is_granted = self.random_bool(0.5);
+        let request = self.requests.entry(trace_id).or_default();
+        if is_granted && (request.decodes.is_empty() || !knows_prefill) && !request.has_response {
             request.is_reserved = true;
-            request.since = now;
+            request.timeout_start = now;
         }
-        let text = match (knows_prefill, held) {
+        let text = match (knows_prefill, is_granted) {
             (false, _) => "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
             (true, true) => response(200, "", ""),
             (true, false) => response(409, "", ""),
@@ -118,16 +121,20 @@
         self.deliver(connection, &text);
     }
 
-    /// A machine is back: what was open there is reset.
+    /// Makes a machine reachable again; its open connections are reset.
     pub(super) fn worker_returns(&mut self, worker: usize) {
         let now = self.harness.now;
         self.unreachable.remove(&worker);
-        let there: Vec<_> =
-            self.connections.keys().filter(|l| self.worker(**l) == Some(worker)).copied().collect();
-        for connection in there {
+        let connections: Vec<_> = self
+            .connections
+            .keys()
+            .filter(|connection| self.worker(**connection) == Some(worker))
+            .copied()
+            .collect();
+        for connection in connections {
             self.requests.values_mut().for_each(|request| {
                 let has_ended = request.prefills.remove(&connection) | request.decodes.remove(&connection);
-                request.since = if has_ended { now } else { request.since };
+                request.timeout_start = if has_ended { now } else { request.timeout_start };
             });
             self.break_connection(connection);
         }
--- a/crates/gateway/tests/streaming.rs
+++ b/crates/gateway/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Streams of decode workers to clients, on bytes in virtual time.
+//! Streams of decode workers to clients. The gateway runs in virtual time.
 
 mod common;
 
@@ -6,11 +6,11 @@
 
 #[test]
 fn a_broken_or_malformed_stream_ends_the_response_without_the_last_chunk() {
-    for (what, bytes) in [
-        ("a size that can't be read", "zz\r\n"),
-        ("a chunk that does not fit", "3\r\nabcdef\r\n"),
+    for (case, bytes) in [
+        ("a malformed chunk size", "zz\r\n"),
+        ("a chunk longer than its size", "3\r\nabcdef\r\n"),
         ("a chunk of 3 GB", "c0000000\r\nabc"),
-        ("its connection ends", ""),
+        ("the connection is reset", ""),
     ] {
         let (mut harness, client, decode) = decoding_request("safe");
         harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
@@ -19,10 +19,14 @@
         } else {
             harness.deliver(decode, bytes);
         }
-        assert_eq!(harness.ended.get(&client), Some(&false), "{what}: the client's connection ends at once");
-        let (body, whole) = decode_chunked(&harness.sent_text(client));
-        assert!(body.starts_with(STREAM_EVENTS[0]) && !whole, "{what}: {body}");
-        assert!(harness.calls("POST /v1/chat").is_empty(), "{what}: nothing more is sent");
+        assert_eq!(
+            harness.ended.get(&client),
+            Some(&false),
+            "{case}: the client's connection is closed at once"
+        );
+        let (body, is_complete) = decode_chunked(&harness.sent_text(client));
+        assert!(body.starts_with(STREAM_EVENTS[0]) && !is_complete, "{case}: {body}");
+        assert!(harness.new_calls("POST /v1/chat").is_empty(), "{case}: no further attempt is sent");
     }
 }
 
@@ -32,7 +36,11 @@
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk("data: {\"a\"")));
     assert_eq!(harness.sent_text(client), "");
     harness.reset(decode);
-    assert_eq!(harness.calls("POST /v1/chat").len(), 1, "the client has seen nothing: another shot goes out");
+    assert_eq!(
+        harness.new_calls("POST /v1/chat").len(),
+        1,
+        "the client has received nothing: the request is retried"
+    );
 }
 
 #[test]
@@ -41,14 +49,14 @@
     let (slow, other) = (harness.connect_client(), harness.connect_client());
     harness.deliver(slow, chat_request("a", "safe"));
     complete_prefill(&mut harness);
-    let (slow_writer, _) = harness.attempt();
+    let (slow_decode, _) = harness.new_attempt();
     harness.deliver(other, chat_request("b", "safe"));
     complete_prefill(&mut harness);
-    let (decode, _) = harness.attempt();
-    harness.deliver(slow_writer, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
+    let (decode, _) = harness.new_attempt();
+    harness.deliver(slow_decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(slow, true);
-    assert!(harness.paused.contains(&slow_writer) && !harness.paused.contains(&decode));
+    assert!(harness.paused.contains(&slow_decode) && !harness.paused.contains(&decode));
     harness.set_backpressure(slow, false);
     assert!(harness.paused.is_empty());
 }
@@ -59,12 +67,15 @@
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(client, true);
     harness.advance(6_000 * MS);
-    assert!(!harness.ended.contains_key(&decode), "nothing was read from it: that is no silence");
+    assert!(
+        !harness.ended.contains_key(&decode),
+        "the router did not read from the stream, so that it does not count as silent"
+    );
     harness.set_backpressure(client, false);
     harness.advance(4_000 * MS);
     harness.deliver(decode, format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert_eq!(decode_chunked(&harness.sent_text(client)), (STREAM_EVENTS.concat(), true));
-    // One that never reads again does not hold its worker for ever.
+    // A client that never reads again does not occupy its worker for ever.
     let (mut harness, client, decode) = decoding_request("once");
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     harness.set_backpressure(client, true);
@@ -76,7 +87,7 @@
 fn a_silent_stream_is_ended_within_five_seconds() {
     let (mut harness, client, decode) = decoding_request("safe");
     harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
-    // Slow events are no reason to end a stream.
+    // A stream with slow events is not ended.
     for _ in 0..3 {
         harness.advance(4_000 * MS);
         harness.deliver(decode, chunk(STREAM_EVENTS[1]));
@@ -84,25 +95,29 @@
     harness.advance(4_400 * MS);
     assert!(!harness.ended.contains_key(&client));
     harness.advance(200 * MS);
-    assert_eq!(harness.ended.get(&client), Some(&false), "within the five seconds that the platform allows");
+    assert_eq!(
+        harness.ended.get(&client),
+        Some(&false),
+        "the stream is ended within the five seconds that the platform allows"
+    );
     assert!(harness.ended.contains_key(&decode) && !decode_chunked(&harness.sent_text(client)).1);
 }
 
 #[test]
-fn a_stream_malformed_after_it_began_does_not_make_its_worker_suspect() {
-    // What a decode worker sends, and whether it is suspected for it.
-    for (bytes, suspected) in
+fn a_stream_malformed_after_its_start_does_not_make_its_worker_suspected() {
+    // Each case: what a decode worker sends, and whether it is suspected because of it.
+    for (bytes, is_suspected) in
         [(format!("{STREAM_HEAD}{}zz\r\n", chunk(STREAM_EVENTS[0])), false), ("noise\r\n\r\n".into(), true)]
     {
         let (mut harness, _, decode) = decoding_request("safe");
         harness.deliver(decode, bytes);
         harness.advance(100 * MS);
-        assert_eq!(!harness.calls("GET /alive").is_empty(), suspected);
+        assert_eq!(!harness.new_calls("GET /alive").is_empty(), is_suspected);
     }
 }
 
-/// A regression: the connection was ended and no outcome recorded, so that at the deadline the request passed for never
-/// sent, and its client, told that it had not run, retried it.
+/// Guards against a connection that is ended without an outcome of its attempt: at the deadline, the request would count
+/// as never sent, and its client would retry it because of the rejection.
 #[test]
 fn a_stream_that_stops_before_its_first_event_may_have_run() {
     for (class, statuses) in [("once", vec![502]), ("safe", vec![503])] {
@@ -110,15 +125,15 @@
         let client = harness.connect_client();
         harness.deliver(client, chat_request_with("id", class, 6_000, "{}"));
         complete_prefill(&mut harness);
-        let (decode, _) = harness.attempt();
+        let (decode, _) = harness.new_attempt();
         harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk("data: {\"a\"")));
         harness.advance(4_700 * MS);
-        assert!(harness.ended.contains_key(&decode), "it is not waited for any longer");
+        assert!(harness.ended.contains_key(&decode), "the attempt is cancelled");
         assert_eq!(harness.statuses(client), statuses, "{class}");
         harness.advance(2_000 * MS);
         assert!(
             class == "safe" || !harness.statuses(client).contains(&503),
-            "nothing shows that it never ran"
+            "a non-idempotent request that may have run is not rejected"
         );
     }
 }
--- a/crates/gateway/tests/worker_restarts.rs
+++ b/crates/gateway/tests/worker_restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of workers, as the endpoint list reports them by any clock, on bytes in virtual time.
+//! Restarts of workers that the endpoint list reports, by the workers' own clocks. The gateway runs in virtual time.
 
 mod common;
 
@@ -11,18 +11,22 @@
     harness.send_update(&endpoint_list(5));
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "safe"));
-    let (prefill, at) = harness.attempt();
+    let (prefill, worker) = harness.new_attempt();
     harness.advance(1_000 * MS);
-    let started = harness.now / MS - 100;
+    let started_ms = harness.now / MS - 100;
     harness.send_update(
-        &json!({"version": 6, "full": false, "servers": [endpoint_entry(at, "SERVING", started)]}),
+        &json!({"version": 6, "full": false, "servers": [endpoint_entry(worker, "SERVING", started_ms)]}),
     );
     assert!(harness.ended.contains_key(&prefill));
     harness.advance(20 * MS);
-    assert_ne!(harness.attempt().1, at, "it is read elsewhere: that one is cold");
+    assert_ne!(
+        harness.new_attempt().1,
+        worker,
+        "the prefill is retried elsewhere, because the restarted worker is cold"
+    );
 }
 
-/// Milliseconds in an hour, by which wall clocks may be stepped.
+/// Milliseconds in an hour, by which a wall clock may be wrong.
 const HOUR_MS: u64 = 3_600_000;
 
 /// The clock by which a worker reports its start.
@@ -33,7 +37,7 @@
     Behind,
 }
 
-/// A start that was a moment ago, as that clock reports it.
+/// Returns a start time of 10 ms ago, in milliseconds as that clock reports it.
 fn reported_start(harness: &Harness, clock: WorkerClock) -> u64 {
     let started_ms = harness.now / MS - 10;
     match clock {
@@ -43,20 +47,20 @@
     }
 }
 
-/// Serves a request whole and returns its prefill worker.
-fn served_by(harness: &mut Harness, trace: &str) -> usize {
+/// Serves a request completely and returns its prefill worker.
+fn served_by(harness: &mut Harness, trace_id: &str) -> usize {
     let client = harness.connect_client();
-    harness.deliver(client, chat_request(trace, "safe"));
-    let (prefill, at) = harness.attempt();
+    harness.deliver(client, chat_request(trace_id, "safe"));
+    let (prefill, prefill_worker) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
-    let (decode, _) = harness.attempt();
+    let (decode, _) = harness.new_attempt();
     harness.deliver(decode, streamed_response());
     assert_eq!(harness.statuses(client), [200]);
-    at
+    prefill_worker
 }
 
-/// A worker's entry reports another start, by a clock that was stepped, while discovery was heard all along. Returns
-/// the worker and its entry.
+/// Restarts a worker whose clock may be wrong, while updates of discovery keep arriving. Returns the worker and its new
+/// endpoint list entry.
 fn restart_with_clock(harness: &mut Harness, clock: WorkerClock) -> (usize, serde_json::Value) {
     harness.send_update(&endpoint_list(5));
     let worker = served_by(harness, "home");
@@ -70,30 +74,30 @@
 }
 
 #[test]
-fn a_restart_reported_by_a_stepped_clock_ends_streams_of_the_old_process() {
+fn a_restart_reported_by_a_wrong_clock_ends_streams_of_the_old_process() {
     for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
         let mut harness = Harness::without_reservations();
         harness.send_update(&endpoint_list(5));
         let client = harness.connect_client();
         harness.deliver(client, chat_request("id", "safe"));
-        let (prefill, _) = harness.attempt();
+        let (prefill, _) = harness.new_attempt();
         harness.deliver(prefill, PREFILL_COMPLETE);
-        let (decode, at) = harness.attempt();
+        let (decode, decode_worker) = harness.new_attempt();
         harness.deliver(decode, format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
-        // Longer than an update may be late: what was out then was out before the start.
+        // This takes longer than an update may be late, so that the stream must have begun before the restart.
         for version in 6..11 {
             harness.advance(2_000 * MS);
             harness.send_update(&endpoint_list(version));
             harness.deliver(decode, chunk(STREAM_EVENTS[1]));
         }
-        let restarted = endpoint_entry(at, "SERVING", reported_start(&harness, clock));
+        let restarted = endpoint_entry(decode_worker, "SERVING", reported_start(&harness, clock));
         harness.send_update(&json!({"version": 20, "full": false, "servers": [restarted]}));
-        assert!(harness.ended.contains_key(&decode), "{clock:?}; the process that had it is gone");
+        assert!(harness.ended.contains_key(&decode), "{clock:?}: the process that sent the stream is gone");
         assert!(harness.ended.contains_key(&client));
     }
 }
 
-/// The restarted worker, and the prefill workers of many requests just after the restart and once it is warm.
+/// Returns the restarted worker, and the prefill workers of many requests just after the restart and once it is warm.
 fn prefill_workers_after_a_start(clock: WorkerClock) -> (usize, Vec<usize>, Vec<usize>) {
     let mut harness = Harness::without_reservations();
     let (worker, _) = restart_with_clock(&mut harness, clock);
@@ -104,30 +108,33 @@
 }
 
 #[test]
-fn a_restart_reported_by_a_stepped_clock_warms_up_as_long_as_any() {
+fn a_restart_reported_by_a_wrong_clock_warms_up_as_long_as_any_other() {
     let (worker, cold, warm) = prefill_workers_after_a_start(WorkerClock::InStep);
-    assert!(cold.iter().filter(|prefill| **prefill == worker).count() < 20, "it is cold: {cold:?}");
+    assert!(
+        cold.iter().filter(|prefill| **prefill == worker).count() < 20,
+        "the restarted worker is cold and gets fewer requests: {cold:?}"
+    );
     for clock in [WorkerClock::Ahead, WorkerClock::Behind] {
         assert_eq!(prefill_workers_after_a_start(clock), (worker, cold.clone(), warm.clone()), "{clock:?}");
     }
 }
 
 #[test]
-fn a_restart_reported_by_a_stepped_clock_counts_once_however_often_listed() {
+fn a_restart_reported_by_a_wrong_clock_counts_once_however_often_it_is_listed() {
     for clock in [WorkerClock::InStep, WorkerClock::Ahead, WorkerClock::Behind] {
         let mut harness = Harness::without_reservations();
         let (worker, restarted) = restart_with_clock(&mut harness, clock);
         harness.advance(11_000 * MS);
         let client = harness.connect_client();
         harness.deliver(client, chat_request("out", "once"));
-        let (prefill, at) = harness.attempt();
-        assert_eq!(at, worker);
-        let mut whole = endpoint_list(30);
-        whole["servers"][worker] = restarted;
-        harness.send_update(&whole);
+        let (prefill, prefill_worker) = harness.new_attempt();
+        assert_eq!(prefill_worker, worker);
+        let mut snapshot = endpoint_list(30);
+        snapshot["servers"][worker] = restarted;
+        harness.send_update(&snapshot);
         assert!(
             !harness.ended.contains_key(&prefill),
-            "{clock:?}; it was listed again, and has not started again"
+            "{clock:?}: the worker was listed again, but did not restart"
         );
     }
 }
