--- a/crates/command/tests/gateway_signals.rs
+++ b/crates/command/tests/gateway_signals.rs
@@ -311,7 +311,7 @@
     let (code, told) = start(None);
     assert!(code == Some(2) && told.contains("EDGE_CONFIG"), "{told}");
     let (code, told) = start(Some("{"));
-    assert!(code == Some(2) && told.contains("no JSON") && told.contains("tideroute-bad"), "{told}");
+    assert!(code == Some(2) && told.contains("not valid JSON") && told.contains("tideroute-bad"), "{told}");
     let mut file = fixture::router_config();
     file["limits"] = json!({});
     let (code, told) = start(Some(&file.to_string()));
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// The file is not JSON.
-    #[error("it is no JSON: {0}")]
+    #[error("not valid JSON: {0}")]
     Json(String),
     /// A field is missing or of a wrong form.
     #[error("{field}: expected {expected}, found {found}")]
@@ -123,14 +123,14 @@
         })
     }
 
-    /// Returns a message for each setting that conflicts with others, with the effect of the conflict: what can't be
-    /// done in time is not done.
+    /// Returns a message for each setting that conflicts with others, with the effect of the conflict. The
+    /// gateway uses the settings all the same, and does not do what they leave no time for.
     pub fn infeasible_settings(&self) -> Vec<String> {
         let mut problems = vec![];
         if self.release_timeout < self.connect_timeout {
             problems.push(format!(
-                "family_info.pin_limit_ms, {} ms, is less than the {} ms that a connection may take: reserved state may be \
-                 released under an attempt that is still being connected",
+                "family_info.pin_limit_ms, {} ms, is less than the connect timeout of {} ms: reserved state may be \
+                 released while an attempt that needs it is still connecting",
                 self.release_timeout / 1_000,
                 self.connect_timeout / 1_000
             ));
@@ -138,8 +138,8 @@
         for (name, class) in self.lifecycle.classes.iter().zip(&self.lifecycle.scheduler.classes) {
             if matches!(class.idempotency, Idempotency::IdempotentWithKey { window: 0, .. }) {
                 problems.push(format!(
-                    "key_ttl_ms of class {name} leaves no time beside the {} ms that a connection may take: it is never \
-                     retried",
+                    "key_ttl_ms of class {name} leaves no time beside the connect timeout of {} ms: its requests are \
+                     never retried",
                     self.connect_timeout / 1_000
                 ));
             }
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,8 +1,8 @@
 //! The watch at discovery: one HTTP response that never ends, with a JSON object for each change of the endpoint list.
 //!
 //! Even if one call fails or is given up, a change is received well within the six seconds after which a router counts
-//! as notified: a watch that falls silent is ended after [`SILENCE_TIMEOUT`], the next call is made after [`MAX_BACKOFF`]
-//! at the latest, and a call that nobody accepts or answers is given up after [`CONNECT_TIMEOUT`] or
+//! as notified: a watch that falls silent is ended after [`SILENCE_TIMEOUT`], the next call is made after
+//! [`MAX_BACKOFF`] at the latest, and a call that nobody accepts or answers is given up after [`CONNECT_TIMEOUT`] or
 //! [`RESPONSE_TIMEOUT`]: 3 + 0.4 + 1 + 0.4 s with one failed call.
 
 use bytes::{Bytes, BytesMut};
@@ -71,12 +71,12 @@
         self.connection == Some(connection)
     }
 
-    /// Opens the watch for changes after a version of the list, unless it is open.
-    pub fn open(&mut self, now: Micros, to: Address, version: u64, effects: &mut Effects) {
+    /// Opens the watch at `address` for changes after a version of the list, unless it is open.
+    pub fn open(&mut self, now: Micros, address: Address, version: u64, effects: &mut Effects) {
         if self.connection.is_some() {
             return;
         }
-        let connection = effects.connect(to, CONNECT_TIMEOUT);
+        let connection = effects.connect(address, CONNECT_TIMEOUT);
         let target = format!("{}{version}", headers::WATCH_PATH);
         effects.send(connection, write::request("GET", &target, [("host", "discovery")], None));
         self.connection = Some(connection);
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -98,7 +98,7 @@
 
     /// Asks a worker for a decode reservation. Only called once the prefill worker has the whole request.
     pub fn request_reservation(&mut self, id: RequestId, trace_id: &Arc<str>, worker: WorkerId) {
-        // Guards against a worker that began to drain while the prefill worker's connection was dialled.
+        // The worker may have begun to drain while the connection to the prefill worker was being established.
         if !self.workers.is_serving(worker) {
             return;
         }
@@ -109,7 +109,7 @@
             return;
         };
         if let Some(call) = self.workers.get_mut(connection) {
-            request_trace::record(id, trace_id, TraceEvent::ReservationRequested(call.to));
+            request_trace::record(id, trace_id, TraceEvent::ReservationRequested(call.address));
             let expires_at = self.now + RESERVATION_TIMEOUT;
             call.timeout.set(expires_at, TimerKey::Worker(connection), self.effects);
         }
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether the last byte of an attempt may have been written; true also if its connection is unknown.
-    fn may_have_left(&self, connection: ConnectionId) -> bool {
+    fn may_be_written(&self, connection: ConnectionId) -> bool {
         self.workers.is_written(connection).unwrap_or(true)
     }
 
@@ -163,13 +163,13 @@
         retry_after: Micros,
         text: &str,
     ) {
-        let closes = self.closes_after_response(connection);
-        self.effects.send(connection, text_response(status, retry_after, text, closes));
-        self.response_completed(connection, closes);
+        let closes_connection = self.closes_after_response(connection);
+        self.effects.send(connection, text_response(status, retry_after, text, closes_connection));
+        self.response_completed(connection, closes_connection);
     }
 
-    fn response_completed(&mut self, connection: ConnectionId, closes: bool) {
-        if closes {
+    fn response_completed(&mut self, connection: ConnectionId, closes_connection: bool) {
+        if closes_connection {
             self.clients.remove(connection);
             self.effects.close(connection, "closed after its last response");
         } else {
@@ -244,8 +244,8 @@
             let ended = AttemptEnded { id, number, outcome: AttemptOutcome::NotSent };
             return self.deferred.attempt_outcomes.push(ended);
         };
-        if let Some(to) = self.workers.get_mut(connection).map(|connection| connection.to) {
-            let event = TraceEvent::AttemptChosen { number, to };
+        if let Some(address) = self.workers.get_mut(connection).map(|connection| connection.address) {
+            let event = TraceEvent::AttemptChosen { number, address };
             request_trace::record(id, &request.context.trace_id, event);
         }
         if self.workers.is_attempt_connected(id) {
@@ -290,14 +290,14 @@
 
     fn cancel(&mut self, id: RequestId, _attempt: &Attempt) -> bool {
         let Some(connection) = self.workers.attempt_connection(id) else { return true };
-        let may_have_left = self.may_have_left(connection);
+        let may_be_written = self.may_be_written(connection);
         self.workers.abort(connection, self.effects);
-        !may_have_left
+        !may_be_written
     }
 
     fn cancel_if_unsent(&mut self, id: RequestId, attempt: &Attempt) -> bool {
         let connection = self.workers.attempt_connection(id);
-        if connection.is_some_and(|connection| self.may_have_left(connection)) {
+        if connection.is_some_and(|connection| self.may_be_written(connection)) {
             return false;
         }
         self.cancel(id, attempt)
@@ -342,9 +342,9 @@
         let Some(is_streaming) = self.clients.is_streaming(connection, id) else { return };
         match response {
             Response::Completed(_) => {
-                let closes = self.closes_after_response(connection);
+                let closes_connection = self.closes_after_response(connection);
                 self.effects.send(connection, write::LAST_CHUNK.into());
-                self.response_completed(connection, closes);
+                self.response_completed(connection, closes_connection);
             }
             // The missing last chunk shows the client that the response is incomplete.
             Response::Failed if is_streaming => {
@@ -362,8 +362,8 @@
     }
 
     fn check_health(&mut self, nonce: u64, worker: WorkerId) {
-        let brings_report = self.config.load_report.is_some();
-        let path = if brings_report { headers::LOAD_REPORT_PATH } else { headers::HEALTH_PATH };
+        let requests_load_report = self.config.load_report.is_some();
+        let path = if requests_load_report { headers::LOAD_REPORT_PATH } else { headers::HEALTH_PATH };
         let bytes = write::request("GET", path, [("host", "worker")], None);
         self.workers.send_call(self.now, worker, Call::HealthCheck { nonce }, bytes, self.effects);
     }
@@ -377,7 +377,7 @@
         self.watch.open(self.now, self.config.discovery, version, self.effects);
     }
 
-    fn set_timer(&mut self, at: Micros, timer: Timer) {
-        TimerKey::from(timer).set(at, self.effects);
+    fn set_timer(&mut self, fires_at: Micros, timer: Timer) {
+        TimerKey::from(timer).set(fires_at, self.effects);
     }
 }
--- a/crates/gateway/src/endpoint_list.rs
+++ b/crates/gateway/src/endpoint_list.rs
@@ -10,10 +10,10 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum EndpointListError {
     /// The update is not JSON.
-    #[error("the line is no JSON object")]
+    #[error("the update is not valid JSON")]
     Json,
     /// A field is missing or has a wrong type or value.
-    #[error("{0} is missing or is not what it should be")]
+    #[error("{0} is missing or invalid")]
     Field(&'static str),
 }
 
@@ -49,8 +49,8 @@
 impl EndpointUpdate {
     /// Parses one JSON object. Entries whose kind or zone the settings do not name are left out, because their
     /// capabilities are unknown.
-    pub fn parse(line: &[u8], names: &ConfiguredNames) -> Result<EndpointUpdate, EndpointListError> {
-        let update = serde_json::from_slice(line).map_err(|_| EndpointListError::Json)?;
+    pub fn parse(text: &[u8], names: &ConfiguredNames) -> Result<EndpointUpdate, EndpointListError> {
+        let update = serde_json::from_slice(text).map_err(|_| EndpointListError::Json)?;
         EndpointUpdate::from_json(&update, names)
     }
 
--- a/crates/gateway/src/endpoint_updates.rs
+++ b/crates/gateway/src/endpoint_updates.rs
@@ -33,15 +33,15 @@
 
     /// Handles bytes of the discovery watch.
     pub fn watch_data(&mut self, now: Micros, bytes: &Bytes, effects: &mut Effects) {
-        let lines = match self.watch.on_data(now, bytes, effects) {
-            Ok(lines) => lines,
+        let objects = match self.watch.on_data(now, bytes, effects) {
+            Ok(objects) => objects,
             Err(problem) => {
                 tracing::warn!(%problem, "malformed discovery response received; reopening the watch");
                 return self.watch.end(now, effects);
             }
         };
-        for line in lines {
-            if let Err(problem) = self.update_endpoints(now, &line, effects) {
+        for object in objects {
+            if let Err(problem) = self.update_endpoints(now, &object, effects) {
                 tracing::warn!(%problem, "endpoint list update rejected; reopening the watch");
                 return self.watch.end(now, effects);
             }
@@ -52,13 +52,13 @@
     fn update_endpoints(
         &mut self,
         now: Micros,
-        line: &[u8],
+        object: &[u8],
         effects: &mut Effects,
     ) -> Result<(), EndpointListError> {
-        let update = EndpointUpdate::parse(line, &self.config.names)?;
+        let update = EndpointUpdate::parse(object, &self.config.names)?;
         self.apply_update(now, update, effects);
         self.lifecycle.finish_endpoint_update(now);
-        for connection in self.workers.dialling_unlisted_workers() {
+        for connection in self.workers.connecting_to_unlisted_workers() {
             self.drop_worker_connection(now, connection, effects);
         }
         self.is_discovery_synced = true;
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -50,7 +50,7 @@
                 counter!("tideroute_clients_rejected_total").increment(1);
                 return self.reject(connection, Rejection::new(503, "too many connections"), effects);
             };
-            self.close_for_others(idle, effects);
+            self.close_to_make_room(idle, effects);
         }
         let client = self.clients.insert(connection, now);
         client.timeout.set(now + REQUEST_TIMEOUT, TimerKey::Client(connection), effects);
@@ -58,7 +58,7 @@
 
     /// Closes an idle connection to make room for another. A client that has sent part of a request gets a response;
     /// one that has sent nothing does not.
-    fn close_for_others(&mut self, idle: ConnectionId, effects: &mut Effects) {
+    fn close_to_make_room(&mut self, idle: ConnectionId, effects: &mut Effects) {
         if self.clients.get(idle).is_some_and(|client| client.received.is_empty()) {
             self.clients.remove(idle);
             effects.close(idle, "idle; closed to make room for another client");
@@ -132,10 +132,10 @@
         let Some(client) = self.clients.get_mut(connection) else { return };
         client.closes_after_response = true;
         client.discarded_bytes += bytes + std::mem::take(&mut client.received).len();
-        let sends_without_end = client.discarded_bytes > MAX_DISCARDED_BYTES;
+        let exceeds_discard_limit = client.discarded_bytes > MAX_DISCARDED_BYTES;
         let is_streaming = client.is_streaming();
         self.clients.account(connection);
-        if !sends_without_end {
+        if !exceeds_discard_limit {
             return;
         }
         let reason = "sends without end while its request is open";
@@ -204,7 +204,8 @@
     /// Checks the head of a request whose body follows.
     fn begin_body(&mut self, connection: ConnectionId, request: Request, effects: &mut Effects) -> Progress {
         let decoder = Body::new(request.framing, MAX_BODY_BYTES as u64);
-        let expects_continue = request.fields.one("expect").map(|e| e.eq_ignore_ascii_case("100-continue"));
+        let expects_continue =
+            request.fields.one("expect").map(|expectation| expectation.eq_ignore_ascii_case("100-continue"));
         let head = match RequestHead::parse(request, &self.config.lifecycle.classes) {
             Ok(head) => head,
             Err(rejection) => return self.reject_and_wait(connection, rejection, effects),
--- a/crates/gateway/src/json_splitter.rs
+++ b/crates/gateway/src/json_splitter.rs
@@ -4,7 +4,7 @@
 
 /// The error for anything but white space between two objects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-#[error("what stands between two objects is no JSON")]
+#[error("unexpected byte outside of a JSON object")]
 pub struct NotJson;
 
 /// The received bytes that are not yet taken, and the scan state of the object at their start.
--- a/crates/gateway/src/release_calls.rs
+++ b/crates/gateway/src/release_calls.rs
@@ -23,8 +23,8 @@
         let target = format!("{}{trace_id}", headers::RESERVATION_PATH);
         let bytes = write::request("DELETE", &target, [("host", "worker")], None);
         let connection = self.send_call(now, worker, Call::Release { id }, bytes, effects)?;
-        if let Some(to) = self.get_mut(connection).map(|connection| connection.to) {
-            request_trace::record(id, trace_id, TraceEvent::ReleaseSent(to));
+        if let Some(address) = self.get_mut(connection).map(|connection| connection.address) {
+            request_trace::record(id, trace_id, TraceEvent::ReleaseSent(address));
         }
         Some(connection)
     }
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -21,14 +21,14 @@
         /// The attempt's number, counted within its request.
         number: u16,
         /// The worker's address.
-        to: Address,
+        address: Address,
     },
     /// The last byte of an attempt has been written.
     AttemptWritten {
         /// The attempt's number, counted within its request.
         number: u16,
         /// The worker's address.
-        to: Address,
+        address: Address,
     },
     /// An attempt has ended.
     AttemptEnded {
@@ -78,10 +78,10 @@
 
     fn worker(self) -> Option<Address> {
         match self {
-            TraceEvent::AttemptChosen { to, .. }
-            | TraceEvent::AttemptWritten { to, .. }
-            | TraceEvent::ReservationRequested(to)
-            | TraceEvent::ReleaseSent(to) => Some(to),
+            TraceEvent::AttemptChosen { address, .. }
+            | TraceEvent::AttemptWritten { address, .. }
+            | TraceEvent::ReservationRequested(address)
+            | TraceEvent::ReleaseSent(address) => Some(address),
             _ => None,
         }
     }
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -132,8 +132,8 @@
     /// Makes the entry's timer fire after `time` microseconds at the latest.
     fn check_again_after<W>(&mut self, id: RequestId, time: Micros, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        let at = (context.now + time).min(entry.timeout.expires_at());
-        entry.set_timeout(id, at, context.effects);
+        let check_at = (context.now + time).min(entry.timeout.expires_at());
+        entry.set_timeout(id, check_at, context.effects);
     }
 
     /// Records that a prefill is complete: its state replaces whatever was held before.
@@ -144,7 +144,7 @@
         worker: WorkerId,
         context: &mut Context<W>,
     ) {
-        self.entry(context.now, id, trace_id).located_at(worker);
+        self.entry(context.now, id, trace_id).record_state_at(worker);
         self.run_clock(id, context.now, context);
     }
 
@@ -159,7 +159,7 @@
         context: &mut Context<W>,
     ) {
         let running_since = self.entries.get(&id).and_then(Entry::running_since);
-        self.entry(sent_at, id, trace_id).located_at(worker);
+        self.entry(sent_at, id, trace_id).record_state_at(worker);
         self.failed_prefills.push(id);
         let since = running_since.map_or(sent_at, |since| since.min(sent_at));
         self.run_clock(id, since, context);
@@ -208,20 +208,21 @@
         // The answer to an earlier call may be about an earlier prefill.
         let is_latest = entry.reservation_calls.last() == Some(&connection);
         let is_answered = matches!(outcome, ReservationOutcome::Granted | ReservationOutcome::Refused);
-        let is_none = matches!(outcome, ReservationOutcome::Refused | ReservationOutcome::NotReserved);
+        let is_not_reserved =
+            matches!(outcome, ReservationOutcome::Refused | ReservationOutcome::NotReserved);
         entry.reservation_calls.retain(|call| *call != connection);
-        entry.is_reservation_only &= is_none;
+        entry.is_reservation_only &= is_not_reserved;
         if entry.holds_nothing() {
             entry.stop_release(None, context);
             self.entries.remove(&id);
-        } else if (entry.is_request_closed || entry.release.is_some()) && !is_none {
+        } else if (entry.is_request_closed || entry.release.is_some()) && !is_not_reserved {
             // The release call may have reached the worker before the reservation call.
             self.run_clock(id, context.now, context);
             self.release_now(id, context);
         } else if is_latest && is_answered && is_prefilling && entry.release.is_none() {
             // The prefill is in progress at a running worker.
             entry.suspend_clock(id, self.release_timeout, context);
-        } else if !is_none {
+        } else if !is_not_reserved {
             // The worker may hold the reservation from now on, and does not know of the prefill that was thought to be
             // in progress.
             entry.release_rounds = 0;
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -143,7 +143,7 @@
     }
 
     /// Records that a prefill has left state at `worker`, which replaces all that was known before.
-    pub fn located_at(&mut self, worker: WorkerId) {
+    pub fn record_state_at(&mut self, worker: WorkerId) {
         self.location = Some(worker);
         self.is_reservation_only = false;
         self.release_rounds = 0;
@@ -160,9 +160,9 @@
         self.disconnected_attempts.retain(|attempt| context.now < attempt.ended_at + hang_timeout);
     }
 
-    /// Sets the entry's timer to `at`.
-    pub fn set_timeout(&mut self, id: RequestId, at: Micros, effects: &mut Effects) {
-        self.timeout.set(at, TimerKey::ReservedState(id.into()), effects);
+    /// Sets the entry's timeout to expire at `expires_at`.
+    pub fn set_timeout(&mut self, id: RequestId, expires_at: Micros, effects: &mut Effects) {
+        self.timeout.set(expires_at, TimerKey::ReservedState(id.into()), effects);
     }
 
     /// Suspends the release clock until the next liveness check, because a prefill is known to be in progress now.
--- a/crates/gateway/src/reserved_state/release.rs
+++ b/crates/gateway/src/reserved_state/release.rs
@@ -30,14 +30,14 @@
         }
         let since = entry.running_since().unwrap_or(context.now);
         entry.clock = ReleaseClock::Running { since };
-        let lasts_until = (since + self.release_timeout).max(context.now + RELEASE_LEAD_TIME);
+        let timeout_at = (since + self.release_timeout).max(context.now + RELEASE_LEAD_TIME);
         tracing::debug!(id, worker = ?entry.location, reserved_for = context.now - since, "release of reserved state started");
         entry.release = Some(Release {
             began_at: context.now,
             remaining: release_order(entry.location, context.workers),
             calls: 0,
             in_flight: VecDeque::new(),
-            gives_up_at: lasts_until + GRACE_PERIOD,
+            gives_up_at: timeout_at + GRACE_PERIOD,
         });
         self.send_release_calls(id, 1, context);
     }
@@ -56,8 +56,8 @@
         self.release_now(id, context);
     }
 
-    /// Makes `more` further release calls, and sets the timer for the calls after them.
-    fn send_release_calls<W: Workers>(&mut self, id: RequestId, more: usize, context: &mut Context<W>) {
+    /// Makes `call_count` further release calls, and sets the timer for the calls after them.
+    fn send_release_calls<W: Workers>(&mut self, id: RequestId, call_count: usize, context: &mut Context<W>) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         let Some(release) = &mut entry.release else { return };
         if context.now >= release.gives_up_at {
@@ -69,7 +69,7 @@
             entry.forget_hung_workers(context);
             return self.mark_released(id, None, context);
         }
-        for _ in 0..more.min(MAX_CALLS_IN_FLIGHT) {
+        for _ in 0..call_count.min(MAX_CALLS_IN_FLIGHT) {
             let Some(connection) = release.send_call(id, &entry.trace_id, context) else { break };
             release.calls += 1;
             release.in_flight.push_back(connection);
@@ -90,8 +90,8 @@
         if release.remaining.is_empty() {
             release.remaining = release_order(entry.location, context.workers);
         }
-        let more = release.calls.max(1);
-        self.send_release_calls(id, more, context);
+        let call_count = release.calls.max(1);
+        self.send_release_calls(id, call_count, context);
     }
 
     /// Records that the connection of a release call has failed.
@@ -106,8 +106,8 @@
         release.in_flight.retain(|call| *call != connection);
         // After the first `MAX_CALLS_IN_FLIGHT` calls, and at the start of a round, only the timer makes further calls.
         // Otherwise calls would fail one after another without a pause while no worker can be reached.
-        let goes_on = release.in_flight.is_empty() && !release.remaining.is_empty();
-        if goes_on && release.calls < MAX_CALLS_IN_FLIGHT {
+        let continues = release.in_flight.is_empty() && !release.remaining.is_empty();
+        if continues && release.calls < MAX_CALLS_IN_FLIGHT {
             self.send_release_calls(id, 1, context);
         }
     }
--- a/crates/gateway/src/timers.rs
+++ b/crates/gateway/src/timers.rs
@@ -83,9 +83,9 @@
         })
     }
 
-    /// Sets the timer.
-    pub fn set(self, at: Micros, effects: &mut Effects) {
-        effects.set_timer(at, self.encode());
+    /// Sets the timer to fire at `fires_at`.
+    pub fn set(self, fires_at: Micros, effects: &mut Effects) {
+        effects.set_timer(fires_at, self.encode());
     }
 }
 
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -64,8 +64,8 @@
 pub struct WorkerConnection {
     /// The worker at the other end.
     pub worker: WorkerId,
-    /// The address that was dialled.
-    pub to: Address,
+    /// The worker's address that the connection leads to.
+    pub address: Address,
     /// The call that the connection carries; `None` while it is idle.
     pub call: Option<Call>,
     /// Whether the connection is established.
@@ -121,10 +121,10 @@
 
 impl WorkerConnection {
     /// Creates a connection that is being dialled and has no call yet.
-    pub fn new(worker: WorkerId, to: Address, now: Micros) -> WorkerConnection {
+    pub fn new(worker: WorkerId, address: Address, now: Micros) -> WorkerConnection {
         WorkerConnection {
             worker,
-            to,
+            address,
             call: None,
             is_connected: false,
             is_written: false,
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -24,10 +24,10 @@
 impl GatewayState {
     /// Handles an established connection to a worker: sends the attempt that waits for it.
     pub fn worker_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some(established) = self.workers.get_mut(connection) else { return };
-        established.is_connected = true;
-        let dispatch_deadline = established.dispatch_deadline;
-        let Some(call @ Call::Attempt { id, number, .. }) = established.call else { return };
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        worker_connection.is_connected = true;
+        let dispatch_deadline = worker_connection.dispatch_deadline;
+        let Some(call @ Call::Attempt { id, number, .. }) = worker_connection.call else { return };
         let is_current =
             self.lifecycle.requests.get(id).is_some_and(|request| request.is_current_attempt(number));
         if now > dispatch_deadline || !is_current {
@@ -48,17 +48,17 @@
 
     /// Handles a call that has been written completely: requests the reservation that waits for it.
     pub fn call_written(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some(written) = self.workers.get_mut(connection) else { return };
-        written.is_written = true;
-        let reservation = written.pending_reservation.take();
-        let to = written.to;
-        let Some(Call::Attempt { id, number, .. }) = written.call else { return };
-        if written.is_silent() {
-            written.timeout.clear();
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        worker_connection.is_written = true;
+        let reservation = worker_connection.pending_reservation.take();
+        let address = worker_connection.address;
+        let Some(Call::Attempt { id, number, .. }) = worker_connection.call else { return };
+        if worker_connection.is_silent() {
+            worker_connection.timeout.clear();
         }
         let Some(request) = self.lifecycle.requests.get(id) else { return };
         let trace_id = request.context.trace_id.clone();
-        request_trace::record(id, &trace_id, TraceEvent::AttemptWritten { number, to });
+        request_trace::record(id, &trace_id, TraceEvent::AttemptWritten { number, address });
         if let Some(worker) = reservation {
             self.egress(now, effects).request_reservation(id, &trace_id, worker);
         }
@@ -72,32 +72,32 @@
         bytes: &Bytes,
         effects: &mut Effects,
     ) {
-        let Some(receiving) = self.workers.on_data(now, connection) else { return };
-        if receiving.call.is_none() {
+        let Some(worker_connection) = self.workers.on_data(now, connection) else { return };
+        if worker_connection.call.is_none() {
             // No call is open on the connection, and these bytes could not be told from the next call's response.
             return self.workers.abort(connection, effects);
         }
-        receiving.on_data(bytes);
+        worker_connection.on_data(bytes);
         loop {
-            let Some(receiving) = self.workers.get_mut(connection) else { return };
-            match receiving.next_event() {
+            let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+            match worker_connection.next_event() {
                 Ok(ResponseEvent::Incomplete) => return,
-                Ok(ResponseEvent::Body(200, piece)) if receiving.is_decode_attempt() => {
+                Ok(ResponseEvent::Body(200, piece)) if worker_connection.is_decode_attempt() => {
                     if !self.stream_data(now, connection, piece, effects) {
                         return self.response_invalid(now, connection, effects);
                     }
                 }
                 Ok(ResponseEvent::Body(200, piece))
-                    if matches!(receiving.call, Some(Call::HealthCheck { .. })) =>
+                    if matches!(worker_connection.call, Some(Call::HealthCheck { .. })) =>
                 {
-                    receiving.buffered.extend_from_slice(&piece);
+                    worker_connection.buffered.extend_from_slice(&piece);
                 }
                 Ok(ResponseEvent::Body(..)) => {}
                 Ok(ResponseEvent::Complete(response)) => {
                     return self.response_complete(now, connection, response, effects)
                 }
                 Err(problem) => {
-                    tracing::debug!(worker = ?receiving.worker, %problem, "malformed response received; closing the connection");
+                    tracing::debug!(worker = ?worker_connection.worker, %problem, "malformed response received; closing the connection");
                     return self.response_invalid(now, connection, effects);
                 }
             }
@@ -112,10 +112,10 @@
         response: ResponseStatus,
         effects: &mut Effects,
     ) {
-        let Some(finished) = self.workers.get_mut(connection) else { return };
-        let worker = finished.worker;
-        let is_streaming = finished.is_streaming;
-        let report = std::mem::take(&mut finished.buffered);
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        let worker = worker_connection.worker;
+        let is_streaming = worker_connection.is_streaming;
+        let report = std::mem::take(&mut worker_connection.buffered);
         let Some(call) = self.workers.call_finished(now, connection, effects) else { return };
         match call {
             Call::Attempt { id, number, is_prefill, .. } => {
@@ -174,11 +174,11 @@
 
     /// Ends a call whose response is invalid or has stopped arriving. The request may have run.
     fn response_invalid(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some(failed) = self.workers.get_mut(connection) else { return };
-        let Some(call) = failed.call else { return };
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        let Some(call) = worker_connection.call else { return };
         // A stream that began correctly counts as cancelled by this router; only a response that never became a valid
         // stream counts against its worker.
-        let is_streaming = failed.is_streaming;
+        let is_streaming = worker_connection.is_streaming;
         let outcome = if is_streaming { AttemptOutcome::Cancelled } else { AttemptOutcome::ServerError };
         self.workers.abort(connection, effects);
         self.call_failed(now, connection, call, outcome, effects);
@@ -224,37 +224,39 @@
         reason: DisconnectReason,
         effects: &mut Effects,
     ) {
-        let Some(ended) = self.workers.get_mut(connection) else { return };
-        if ended.is_written {
-            if let Some(response) = ended.completed_by_close() {
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        if worker_connection.is_written {
+            if let Some(response) = worker_connection.completed_by_close() {
                 return self.response_complete(now, connection, response, effects);
             }
         }
-        let Some(ended) = self.workers.remove(connection) else { return };
-        let Some(call) = ended.call else {
-            tracing::debug!(worker = ?ended.worker, "idle worker connection ended");
+        let Some(worker_connection) = self.workers.remove(connection) else { return };
+        let Some(call) = worker_connection.call else {
+            tracing::debug!(worker = ?worker_connection.worker, "idle worker connection ended");
             return;
         };
         tracing::debug!(
-            worker = ?ended.worker,
+            worker = ?worker_connection.worker,
             ?call,
-            written = ended.is_written,
-            reused = ended.is_reused,
-            idle_time = ended.idle_time,
-            silent = ended.is_silent(),
+            written = worker_connection.is_written,
+            reused = worker_connection.is_reused,
+            idle_time = worker_connection.idle_time,
+            silent = worker_connection.is_silent(),
             "worker connection ended during its call"
         );
-        if ended.is_reused && ended.is_silent() {
-            self.workers.broke_after_idle(now, ended.idle_time);
+        if worker_connection.is_reused && worker_connection.is_silent() {
+            self.workers.failed_after_idle(now, worker_connection.idle_time);
         }
-        let outcome = disconnect_outcome(ended.is_written, ended.is_reused, reason);
+        let outcome = disconnect_outcome(worker_connection.is_written, worker_connection.is_reused, reason);
         self.call_failed(now, connection, call, outcome, effects);
     }
 
     /// Drops a connection whose call, according to the endpoint list, has failed or must never be sent.
     pub fn drop_worker_connection(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let dropped = self.workers.get_mut(connection).filter(|dropped| dropped.is_written);
-        let written_call = dropped.and_then(|dropped| Some((dropped.worker, dropped.call?)));
+        let worker_connection =
+            self.workers.get_mut(connection).filter(|worker_connection| worker_connection.is_written);
+        let written_call = worker_connection
+            .and_then(|worker_connection| Some((worker_connection.worker, worker_connection.call?)));
         self.worker_disconnected(now, connection, DisconnectReason::Reset, effects);
         effects.abort(connection);
         // The new process may have received the call, if the connection was established after that process started.
@@ -265,22 +267,24 @@
 
     /// Handles the timer of a connection to a worker.
     pub fn worker_timer_fired(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let Some(waiting) = self.workers.get_mut(connection) else { return };
-        if !waiting.timeout.has_expired(now, TimerKey::Worker(connection), effects) {
+        let Some(worker_connection) = self.workers.get_mut(connection) else { return };
+        if !worker_connection.timeout.has_expired(now, TimerKey::Worker(connection), effects) {
             return;
         }
-        match waiting.call {
-            Some(call @ Call::Attempt { .. }) if !waiting.is_written && waiting.is_silent() => {
-                tracing::debug!(worker = ?waiting.worker, "attempt not written in time; aborting its connection");
+        match worker_connection.call {
+            Some(call @ Call::Attempt { .. })
+                if !worker_connection.is_written && worker_connection.is_silent() =>
+            {
+                tracing::debug!(worker = ?worker_connection.worker, "attempt not written in time; aborting its connection");
                 self.workers.abort(connection, effects);
                 self.call_failed(now, connection, call, AttemptOutcome::Unreachable, effects);
             }
             // This includes a stream whose first event is incomplete: its request may have run.
             Some(Call::Attempt { .. }) => {
-                tracing::debug!(worker = ?waiting.worker, "worker stream timed out; aborting its connection");
+                tracing::debug!(worker = ?worker_connection.worker, "worker stream timed out; aborting its connection");
                 self.response_invalid(now, connection, effects);
             }
-            Some(call @ Call::Reservation { .. }) if !waiting.is_written => {
+            Some(call @ Call::Reservation { .. }) if !worker_connection.is_written => {
                 self.workers.abort(connection, effects);
                 self.call_failed(now, connection, call, AttemptOutcome::NotSent, effects);
             }
@@ -296,7 +300,7 @@
 
     /// Gives up a reservation call without an answer. The worker may hold the reservation.
     fn give_up_reservation_call(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
-        let call = self.workers.get_mut(connection).and_then(|waiting| waiting.call);
+        let call = self.workers.get_mut(connection).and_then(|worker_connection| worker_connection.call);
         if let Some(call @ Call::Reservation { .. }) = call {
             self.workers.abort(connection, effects);
             self.call_failed(now, connection, call, AttemptOutcome::ConnectionReset, effects);
@@ -342,11 +346,11 @@
 
     /// Releases at once what a failed prefill may have left, if no attempt follows it.
     pub fn release_failed_prefills(&mut self, now: Micros, effects: &mut Effects) {
-        let is_wanted = |request: &RequestState<RequestContext>| {
+        let is_state_needed = |request: &RequestState<RequestContext>| {
             request.attempt.is_some() || request.state_holder.is_some()
         };
         for id in self.reserved_state.take_failed_prefills() {
-            if !self.lifecycle.requests.get(id).is_some_and(is_wanted) {
+            if !self.lifecycle.requests.get(id).is_some_and(is_state_needed) {
                 let (reserved_state, mut context) = self.reserved_state(now, effects);
                 reserved_state.release_now(id, &mut context);
             }
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to workers. Each carries one call at a time. After a complete response it is kept idle for the next call,
-//! and is closed long before its worker would close it.
+//! Connections to workers. Each carries one call at a time. After a complete response it is kept idle for the next
+//! call, and is closed long before its worker would close it.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -28,9 +28,9 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-struct Dispatched {
+struct DispatchedAttempt {
     connection: ConnectionId,
-    at: Micros,
+    dispatched_at: Micros,
 }
 
 /// Numbers of connections and of the attempts that they carry.
@@ -50,7 +50,7 @@
     connections: BTreeMap<ConnectionId, WorkerConnection>,
     idle: IdleConnections,
     /// The attempt in flight for each request.
-    attempts: HashMap<RequestId, Dispatched>,
+    attempts: HashMap<RequestId, DispatchedAttempt>,
     /// When bytes last arrived from each worker.
     last_seen: HashMap<WorkerId, Micros>,
     /// The address of each listed worker.
@@ -141,9 +141,9 @@
         }
         let is_unusable = |connection: &WorkerConnection| {
             let is_replaced = replaced_before.is_some_and(|time| connection.opened_at < time);
-            let is_idle_elsewhere = connection.call.is_none() && connection.to != address;
-            let is_late_for_drain = !is_serving && !connection.is_connected && connection.is_new_work();
-            is_replaced || is_idle_elsewhere || is_late_for_drain
+            let is_idle_at_former_address = connection.call.is_none() && connection.address != address;
+            let is_unsent_to_draining = !is_serving && !connection.is_connected && connection.is_new_work();
+            is_replaced || is_idle_at_former_address || is_unsent_to_draining
         };
         self.connections
             .iter()
@@ -153,7 +153,7 @@
     }
 
     /// Returns the connections being established for new work to workers that are no longer listed.
-    pub fn dialling_unlisted_workers(&self) -> Vec<ConnectionId> {
+    pub fn connecting_to_unlisted_workers(&self) -> Vec<ConnectionId> {
         let is_affected = |connection: &WorkerConnection| {
             !connection.is_connected
                 && connection.is_new_work()
@@ -203,8 +203,8 @@
     }
 
     /// Records that a connection failed during a call, after it had been idle for `idle_time` before that call.
-    pub fn broke_after_idle(&mut self, now: Micros, idle_time: Micros) {
-        self.idle.broke_after(now, idle_time);
+    pub fn failed_after_idle(&mut self, now: Micros, idle_time: Micros) {
+        self.idle.failed_after(now, idle_time);
     }
 
     /// Handles a reservation call without an answer in time. Its worker may hang and grant the reservation later, so
@@ -281,7 +281,7 @@
         match call {
             Call::Attempt { id: request, .. } => {
                 connection.timeout.set(dispatch_deadline, TimerKey::Worker(id), effects);
-                self.attempts.insert(request, Dispatched { connection: id, at: now });
+                self.attempts.insert(request, DispatchedAttempt { connection: id, dispatched_at: now });
             }
             Call::HealthCheck { .. } => {
                 self.health_checks.insert(worker, id);
--- a/crates/gateway/src/worker_pool/attempts.rs
+++ b/crates/gateway/src/worker_pool/attempts.rs
@@ -47,13 +47,15 @@
     /// attempt; 0 for never. A process that has started since would only send on later connections.
     pub fn attempt_worker_last_seen(&self, id: RequestId) -> Micros {
         let Some(attempt) = self.attempts.get(&id) else { return 0 };
-        let Some(carrier) = self.connections.get(&attempt.connection) else { return 0 };
-        if !matches!(carrier.call, Some(Call::Attempt { .. })) {
+        let Some(attempt_connection) = self.connections.get(&attempt.connection) else { return 0 };
+        if !matches!(attempt_connection.call, Some(Call::Attempt { .. })) {
             return 0;
         }
         self.connections
             .values()
-            .filter(|other| other.worker == carrier.worker && other.opened_at <= attempt.at)
+            .filter(|other| {
+                other.worker == attempt_connection.worker && other.opened_at <= attempt.dispatched_at
+            })
             .map(|other| other.last_received_at)
             .max()
             .unwrap_or(0)
@@ -61,6 +63,6 @@
 
     /// Forgets a request's attempt, which has ended; returns when it was dispatched, if it was.
     pub fn attempt_finished(&mut self, id: RequestId) -> Option<Micros> {
-        self.attempts.remove(&id).map(|attempt| attempt.at)
+        self.attempts.remove(&id).map(|attempt| attempt.dispatched_at)
     }
 }
--- a/crates/gateway/src/worker_pool/idle_connections.rs
+++ b/crates/gateway/src/worker_pool/idle_connections.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug)]
 struct IdleConnection {
     connection: ConnectionId,
-    since: Micros,
+    idle_since: Micros,
     /// Before this time, a late response to the last call could be taken for the next call's response.
     reusable_at: Micros,
 }
@@ -68,14 +68,14 @@
 
     /// Adds a connection that becomes idle now and may be reused from `reusable_at`.
     pub fn insert(&mut self, now: Micros, worker: WorkerId, connection: ConnectionId, reusable_at: Micros) {
-        let idle = IdleConnection { connection, since: now, reusable_at };
+        let idle = IdleConnection { connection, idle_since: now, reusable_at };
         self.by_age.insert((now, connection));
         self.by_worker.entry(worker).or_default().push(idle);
     }
 
-    /// Removes a connection that has ended, if it was idle since `since`.
-    pub fn remove(&mut self, worker: WorkerId, connection: ConnectionId, since: Micros) {
-        if !self.by_age.remove(&(since, connection)) {
+    /// Removes a connection that has ended, if it was idle since `idle_since`.
+    pub fn remove(&mut self, worker: WorkerId, connection: ConnectionId, idle_since: Micros) {
+        if !self.by_age.remove(&(idle_since, connection)) {
             return;
         }
         let Some(idle) = self.by_worker.get_mut(&worker) else { return };
@@ -89,7 +89,7 @@
     pub fn take_all(&mut self, worker: WorkerId) -> Vec<ConnectionId> {
         let idle = self.by_worker.remove(&worker).unwrap_or_default();
         for idle in &idle {
-            self.by_age.remove(&(idle.since, idle.connection));
+            self.by_age.remove(&(idle.idle_since, idle.connection));
         }
         idle.into_iter().map(|idle| idle.connection).collect()
     }
@@ -98,12 +98,12 @@
     pub fn take(&mut self, now: Micros, worker: WorkerId) -> TakenIdle {
         let max_idle_time = self.max_idle_time(now);
         let Some(idle) = self.by_worker.get_mut(&worker) else { return TakenIdle::None };
-        let Some(place) = idle.iter().rposition(|idle| idle.reusable_at <= now) else {
+        let Some(index) = idle.iter().rposition(|idle| idle.reusable_at <= now) else {
             return TakenIdle::None;
         };
-        let last = idle.remove(place);
-        self.by_age.remove(&(last.since, last.connection));
-        if now.saturating_sub(last.since) <= max_idle_time {
+        let last = idle.remove(index);
+        self.by_age.remove(&(last.idle_since, last.connection));
+        if now.saturating_sub(last.idle_since) <= max_idle_time {
             return TakenIdle::Reusable(last.connection);
         }
         // The others have been idle for longer still.
@@ -115,7 +115,7 @@
     /// Records that a reused connection failed without a byte of a response, after it had been idle for `idle_time`.
     /// Something on the network path then drops connections sooner than the workers do, so only half of that idle time
     /// is allowed for a while.
-    pub fn broke_after(&mut self, now: Micros, idle_time: Micros) {
+    pub fn failed_after(&mut self, now: Micros, idle_time: Micros) {
         let max_idle_time = idle_time / 2;
         if max_idle_time <= self.max_idle_time(now) {
             self.reduced_trust = Some(ReducedTrust { max_idle_time, since: now });
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -351,8 +351,8 @@
     let mut file = router_config();
     file["settings"]["report"] = serde_json::json!({"how": "probe", "columns": ["recent_ms", "x0", "x1"]});
     file["settings"]["family_info"]["report_x1"] = "thousands of prompt tokens waiting to be read".into();
-    // Each case: the workers' reports in order of preference, the rank of the worker that gets the prefill of 500 tokens,
-    // and how many workers are asked for a report. A value that can't be a load counts as no load.
+    // Each case: the workers' reports in order of preference, the rank of the worker that gets the prefill of 500
+    // tokens, and how many workers are asked for a report. A value that can't be a load counts as no load.
     let cases = [
         (["0.6", "0", "0"], 1, 3),
         (["0.4", "0", "0"], 0, 1),
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -33,12 +33,13 @@
     unconnected: BTreeSet<ConnectionId>,
     /// Connections whose sent bytes are not yet reported to the gateway as written.
     unwritten: BTreeSet<ConnectionId>,
-    /// Whether outbound connections are established, and bytes sent on them are written, without the test asking for it.
+    /// Whether outbound connections are established, and bytes sent on them are written, without the test asking for
+    /// it.
     pub completes_io_immediately: bool,
     /// Number of bytes on each worker connection that [`Harness::new_calls`] has examined.
     matched_bytes: BTreeMap<ConnectionId, usize>,
-    /// Connections that [`Harness::new_attempts`] returned before they were established. The attempt itself is sent once
-    /// the connection is established, and is not returned a second time.
+    /// Connections that [`Harness::new_attempts`] returned before they were established. The attempt itself is sent
+    /// once the connection is established, and is not returned a second time.
     unsent_attempts: BTreeSet<ConnectionId>,
     /// Connections of discovery watches whose response has begun.
     answered_watches: BTreeSet<ConnectionId>,
@@ -227,8 +228,8 @@
         text.split("HTTP/1.1 ").skip(1).filter_map(|part| part.get(..3)?.parse().ok()).collect()
     }
 
-    /// Returns the calls to workers that begin with `prefix` and were not returned before: the connection and the worker's
-    /// index.
+    /// Returns the calls to workers that begin with `prefix` and were not returned before: the connection and the
+    /// worker's index.
     pub fn new_calls(&mut self, prefix: &str) -> Vec<(ConnectionId, usize)> {
         let mut found = vec![];
         for (&connection, address) in &self.outbound {
@@ -250,8 +251,8 @@
         calls[0]
     }
 
-    /// Returns the attempts that were not returned before: the connection and the worker's index. A worker connection that
-    /// is not yet established and on which nothing was sent counts as an attempt, too.
+    /// Returns the attempts that were not returned before: the connection and the worker's index. A worker connection
+    /// that is not yet established and on which nothing was sent counts as an attempt, too.
     pub fn new_attempts(&mut self) -> Vec<(ConnectionId, usize)> {
         let mut found = self.new_calls("POST /v1/chat");
         found.retain(|(connection, _)| !self.unsent_attempts.remove(connection));
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -68,7 +68,7 @@
             json!(0.0),
             "settings: classes[2].key_ttl_ms in the settings is 0.0: a number over 0 is needed",
         ),
-        ("/known/servers/0/addr", json!("x"), "known: addr is missing or is not what it should be"),
+        ("/known/servers/0/addr", json!("x"), "known: addr is missing or invalid"),
     ]
 }
 
@@ -80,5 +80,5 @@
         let error = Config::parse(invalid.to_string().as_bytes()).expect_err(path);
         assert_eq!(error.to_string(), message);
     }
-    assert!(Config::parse(b"{").expect_err("incomplete JSON").to_string().starts_with("it is no JSON"));
+    assert!(Config::parse(b"{").expect_err("incomplete JSON").to_string().starts_with("not valid JSON"));
 }
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// A router counts as notified of an update six seconds after its watch fell silent or discovery could be reached again,
-/// whatever failed in between. Guards against a backoff or a timeout that takes longer than that.
+/// A router counts as notified of an update six seconds after its watch fell silent or discovery could be reached
+/// again, whatever failed in between. Guards against a backoff or a timeout that takes longer than that.
 #[test]
 fn updates_missed_by_a_silent_watch_arrive_within_six_seconds_despite_one_failed_reopening() {
     type FailReopening = fn(&mut Harness, ConnectionId);
--- a/crates/gateway/tests/generated_deployments/events.rs
+++ b/crates/gateway/tests/generated_deployments/events.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Handles an event. An event of a worker is dropped if the process that it belongs to is gone, and postponed while the
-    /// process hangs.
+    /// Handles an event. An event of a worker is dropped if the process that it belongs to is gone, and postponed while
+    /// the process hangs.
     pub(super) fn step(&mut self, restart_count: u64, event: Event) {
         if let Some(worker) = worker_of(&event, &self.routers) {
             let process = &self.processes[worker];
--- a/crates/gateway/tests/generated_deployments/simulation.rs
+++ b/crates/gateway/tests/generated_deployments/simulation.rs
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Schedules faults of workers and a shutdown. The first two workers, or a single one with both roles, have no faults, so
-    /// that a release can always be answered.
+    /// Schedules faults of workers and a shutdown. The first two workers, or a single one with both roles, have no
+    /// faults, so that a release can always be answered.
     fn plan_faults(&mut self) {
         let worker_count = self.processes.len() as u64;
         for _ in 0..self.random_range(0, 5) {
--- a/crates/gateway/tests/generated_deployments/workers.rs
+++ b/crates/gateway/tests/generated_deployments/workers.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Simulation {
-    /// Ends the attempts on a connection at its worker. With a probability of 0.1, a prefill has completed in that moment.
+    /// Ends the attempts on a connection at its worker. With a probability of 0.1, a prefill has completed in that
+    /// moment.
     pub(super) fn connection_ends(&mut self, connection: Connection) {
         for ended in self.checker.attempts_ended(self.now, connection) {
             let prefills = !ended.is_decode
@@ -122,8 +123,8 @@
         self.deliver(connection, &text);
     }
 
-    /// Starts a new process at the worker's address. Each connection of the former process is reset with a probability of
-    /// `reset_share`, and black-holed otherwise.
+    /// Starts a new process at the worker's address. Each connection of the former process is reset with a probability
+    /// of `reset_share`, and black-holed otherwise.
     pub(super) fn restart(&mut self, worker: usize, reset_share: f64) {
         self.checker.worker_died(self.now, worker);
         self.processes[worker].is_unreachable = false;
--- a/crates/gateway/tests/malformed_input.rs
+++ b/crates/gateway/tests/malformed_input.rs
@@ -83,8 +83,8 @@
         bytes
     }
 
-    /// Counts the new attempts of non-idempotent requests at decode workers. [`Self::never_ran`] takes back those that were
-    /// proved not to have run.
+    /// Counts the new attempts of non-idempotent requests at decode workers. [`Self::never_ran`] takes back those that
+    /// were proved not to have run.
     fn count_executions(&mut self) {
         for (&connection, address) in &self.harness.outbound {
             let is_decode_worker = WORKERS
@@ -208,8 +208,8 @@
         self.executions.values().all(|count| *count <= 1)
     }
 
-    /// Disconnects all clients and shuts the router down. Returns whether it finishes, which it does only once no state of
-    /// any request is left.
+    /// Disconnects all clients and shuts the router down. Returns whether it finishes, which it does only once no state
+    /// of any request is left.
     fn finishes(&mut self) -> bool {
         for client in std::mem::take(&mut self.clients) {
             if !self.harness.ended.contains_key(&client) {
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn state_is_released_within_the_timeout_while_the_decode_attempt_is_silent() {
+fn state_is_released_in_time_under_a_silent_attempt() {
     for class in ["safe", "keyed", "once"] {
         let (mut harness, client, prefill, _) = prefilled_request(class);
         let (decode, _) = harness.new_attempt();
@@ -125,8 +125,8 @@
     assert_eq!((releases, harness.new_calls(RELEASE).len()), (0, 0));
 }
 
-/// Each end of a connection sees a reset at a time of its own. A release may reach the worker before the worker has seen
-/// the reset; the attempt is still running there then, and the release frees nothing.
+/// Each end of a connection sees a reset at a time of its own. A release may reach the worker before the worker has
+/// seen the reset; the attempt is still running there then, and the release frees nothing.
 #[test]
 fn a_release_sent_after_a_reset_is_repeated_once_the_worker_has_seen_the_reset() {
     let (mut harness, client, _, _) = prefilled_request("once");
@@ -169,8 +169,8 @@
 
 #[test]
 fn an_unconfirmed_reservation_is_released_within_the_timeout() {
-    // A reservation that its worker has confirmed is kept as long as the prefill worker sends anything.
-    // Each case: the answer to the reservation call, whether the prefill worker sends anything, whether a release follows.
+    // A reservation that its worker has confirmed is kept as long as the prefill worker sends anything. Each case: the
+    // answer to the reservation call, whether the prefill worker sends anything, whether a release follows.
     for (answer, prefill_worker_is_alive, is_released) in
         [(None, true, true), (Some(NO_CONTENT), true, true), (Some(""), true, false), (Some(""), false, true)]
     {
--- a/crates/gateway/tests/scheduling_settings.rs
+++ b/crates/gateway/tests/scheduling_settings.rs
@@ -81,8 +81,8 @@
     let (prefill, _) = harness.new_attempt();
     harness.deliver(prefill, PREFILL_COMPLETE);
     harness.new_attempt();
-    // A release frees nothing while a decode attempt uses the state. Guards against state that stays for ever because the
-    // decode worker becomes unreachable after the first release.
+    // A release frees nothing while a decode attempt uses the state. Guards against state that stays for ever because
+    // the decode worker becomes unreachable after the first release.
     for round in 0..4 {
         harness.advance(810 * MS);
         let release = harness.new_calls(RELEASE).first().copied();
--- a/crates/gateway/tests/shutdown_obligations.rs
+++ b/crates/gateway/tests/shutdown_obligations.rs
@@ -1,7 +1,7 @@
-//! Requests that end in every way, generated at random, in any order and overlap. A simple model of workers, clients and
-//! connections, independent of the router, checks that state and reservations are released or used within the timeout,
-//! that each client gets one response within its deadline, that no attempt starts for a client that has disconnected,
-//! and that no new call reaches a draining worker.
+//! Requests that end in every way, generated at random, in any order and overlap. A simple model of workers, clients
+//! and connections, independent of the router, checks that state and reservations are released or used within the
+//! timeout, that each client gets one response within its deadline, that no attempt starts for a client that has
+//! disconnected, and that no new call reaches a draining worker.
 
 mod common;
 
--- a/crates/gateway/tests/shutdown_obligations/simulation.rs
+++ b/crates/gateway/tests/shutdown_obligations/simulation.rs
@@ -222,8 +222,8 @@
         }
     }
 
-    /// Observes a call on a connection: it is written at once, and arrives unless the connection is black-holed. Returns
-    /// whether there was one.
+    /// Observes a call on a connection: it is written at once, and arrives unless the connection is black-holed.
+    /// Returns whether there was one.
     fn observe_call(&mut self, connection: ConnectionId) -> bool {
         let seen_bytes = self.connections.get(&connection).map_or(0, |entry| entry.1);
         let sent = self.harness.sent_text(connection);
--- a/crates/gateway/tests/streaming.rs
+++ b/crates/gateway/tests/streaming.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// Guards against a connection that is ended without an outcome of its attempt: at the deadline, the request would count
-/// as never sent, and its client would retry it because of the rejection.
+/// Guards against a connection that is ended without an outcome of its attempt: at the deadline, the request would
+/// count as never sent, and its client would retry it because of the rejection.
 #[test]
 fn a_stream_that_stops_before_its_first_event_may_have_run() {
     for (class, statuses) in [("once", vec![502]), ("safe", vec![503])] {
