--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -36,7 +36,7 @@
     /// Whether outbound connections are established, and bytes sent on them are written, without the test asking for
     /// it.
     pub completes_io_immediately: bool,
-    /// Number of bytes on each worker connection that [`Harness::new_calls`] has examined.
+    /// Number of bytes on each worker connection up to the end of the last call that [`Harness::new_calls`] returned.
     matched_bytes: BTreeMap<ConnectionId, usize>,
     /// Connections that [`Harness::new_attempts`] returned before they were established. The attempt itself is sent
     /// once the connection is established, and is not returned a second time.
@@ -187,7 +187,7 @@
         self.run_until_idle();
     }
 
-    /// Reloads the configuration and returns whether the gateway accepted_connections it.
+    /// Reloads the configuration and returns whether the gateway accepted it.
     pub fn reload_config(&mut self, file: &serde_json::Value) -> bool {
         let is_accepted =
             self.gateway.on_config_reload(self.now, &Bytes::from(file.to_string()), &mut self.effects);
--- a/crates/gateway/tests/endpoint_list.rs
+++ b/crates/gateway/tests/endpoint_list.rs
@@ -147,8 +147,8 @@
         fail_reopening(&mut harness, next);
         wait_for_other_watch(&mut harness, next);
         harness.send_update(&endpoint_list(9));
-        let took = harness.now - silent_since;
-        assert!(took < 5_200 * MS, "{failure}: the update arrived after {took} us");
+        let elapsed = harness.now - silent_since;
+        assert!(elapsed < 5_200 * MS, "{failure}: the update arrived after {elapsed} us");
     }
 }
 
--- a/crates/gateway/tests/reserved_state.rs
+++ b/crates/gateway/tests/reserved_state.rs
@@ -218,7 +218,10 @@
 fn one_worker_of_each_role() -> serde_json::Value {
     let mut file = router_config();
     let mut known = endpoint_list(4);
-    known["servers"].as_array_mut().expect("a list").retain(|s| s["id"] == "r1" || s["id"] == "w1");
+    known["servers"]
+        .as_array_mut()
+        .expect("a list")
+        .retain(|server| server["id"] == "r1" || server["id"] == "w1");
     file["known"] = known;
     file["settings"]["caps"]["probing"] = false.into();
     file
--- a/crates/gateway/tests/scheduling_settings.rs
+++ b/crates/gateway/tests/scheduling_settings.rs
@@ -260,7 +260,7 @@
         .infeasible_settings();
     assert!(problems.len() == 2 && problems[0].contains("pin_limit_ms, 200 ms"), "{problems:?}");
     assert!(problems[1].contains("key_ttl_ms of class keyed"), "{problems:?}");
-    // A retry might arrive after the deduplication window of the first attempt: there is none.
+    // A retry might arrive after the deduplication window of the first attempt, so that none is sent.
     let mut harness = Harness::with_config(&file);
     let client = harness.connect_client();
     harness.deliver(client, chat_request("id", "keyed"));
