--- a/crates/command/src/client_load.rs
+++ b/crates/command/src/client_load.rs
@@ -70,13 +70,13 @@
     finished.store(true, Ordering::Relaxed);
     progress.map(JoinHandle::join);
     match &options.table {
-        Some(path) => write(path, &load.tally.table())?,
-        None => println!("{}", load.tally.table()),
+        Some(path) => write(path, &load.statistics.table())?,
+        None => println!("{}", load.statistics.table()),
     }
     if let Some(path) = &options.json {
-        write(path, &load.tally.json().to_string())?;
+        write(path, &load.statistics.json().to_string())?;
     }
-    let all_answered = load.tally.unanswered == 0 && load.tally.wrong == 0;
+    let all_answered = load.statistics.unanswered == 0 && load.statistics.wrong == 0;
     Ok(CommandStatus::success_if(status == CommandStatus::Success && all_answered))
 }
 
--- a/crates/command/src/emulation.rs
+++ b/crates/command/src/emulation.rs
@@ -30,7 +30,10 @@
     let listen = convert::socket(&record.listen)?;
     let reactor = process::reactor(&[listen.into()], args, ProcessIdentity { name: "list", role: "list" })?;
     let now = reactor.clock().now();
-    process::run(reactor, &mut Discovery::new(convert::list(&record, args.script_start.unwrap_or(now), now)))
+    process::run(
+        reactor,
+        &mut Discovery::new(convert::discovery(&record, args.script_start.unwrap_or(now), now)),
+    )
 }
 
 /// Runs a relay between the processes of a scenario.
--- a/crates/command/src/measure/cores.rs
+++ b/crates/command/src/measure/cores.rs
@@ -51,8 +51,9 @@
 
 /// Prints the line of one run, and returns what the plot shows of it.
 fn report_run(played: &ScenarioOutcome, cores: u32, rate: f64, seconds: u64) -> MeasuredRun {
-    let figure = |name: &str| played.figures[name].as_f64().unwrap_or(f64::NAN);
-    let milliseconds = |name: &str| played.figures["first_token"][name].as_f64().unwrap_or(f64::NAN) / 1e3;
+    let figure = |name: &str| played.load_results[name].as_f64().unwrap_or(f64::NAN);
+    let milliseconds =
+        |name: &str| played.load_results["first_token"][name].as_f64().unwrap_or(f64::NAN) / 1e3;
     let per_second = |name: &str| figure(name) / seconds as f64;
     let cpu = played.cpu.get("router0").copied().unwrap_or(0.0) * 1e6 / figure("submissions");
     let memory = played.memory.get("router0").copied().unwrap_or(0) as f64 / 1048576.0;
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -73,11 +73,11 @@
                 &measured.folder,
                 &measured.interrupted,
             )?;
-            let service = 100.0 * played.figures["service"].as_f64().unwrap_or(f64::NAN);
+            let service = 100.0 * played.load_results["service"].as_f64().unwrap_or(f64::NAN);
             Ok(Run {
                 rules_kept: Some(played.report.is_clean()),
                 service: format!("{service:.1}%"),
-                capture: played.record,
+                capture: played.capture,
             })
         }
     }
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -1,6 +1,6 @@
 //! What cluster membership costs, and how soon the kill of a member is known, in virtual time.
 
-use tideroute_simulation::member_cluster::{name, MemberCluster, Network, Sighting, CALM};
+use tideroute_simulation::member_cluster::{member_name, MemberCluster, Network, Observation, LOCAL_NETWORK};
 use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::Micros;
 
@@ -19,7 +19,7 @@
 
 /// Measures each cluster size; a failure if a kill was missed or a live member declared dead.
 pub fn run(routers: &[u64], loss: f64, seed: u64) -> CommandResult {
-    let network = Network { loss, ..CALM };
+    let network = Network { loss, ..LOCAL_NETWORK };
     println!(
         "loss {loss}, seed {seed}; a router and second of quiet time; seconds until others know of a kill"
     );
@@ -34,7 +34,7 @@
         let converged = measure_convergence(&mut cluster);
         let quiet = measure_quiet(&mut cluster, count);
         let detection = measure_kills(&mut cluster, count);
-        let falsely_dead = cluster.falsely_dead(0).len();
+        let falsely_dead = cluster.false_death_declarations(0).len();
         well &= detection.complete && falsely_dead == 0;
         println!(
             "{count:>7}   {converged:>13.1}   {:>5.0}   {:>9.1}   {:>6.3}   {:>9}   {:.2}  {:.2}   {:.2}   {falsely_dead:>12}",
@@ -53,7 +53,7 @@
 /// Seconds until all members know each other; runs until the end of the time that they have for it.
 fn measure_convergence(cluster: &mut MemberCluster) -> f64 {
     let started = cluster.now();
-    while !cluster.wrong().is_empty() && cluster.now() < started + CONVERGENCE * SECOND {
+    while !cluster.wrong_views().is_empty() && cluster.now() < started + CONVERGENCE * SECOND {
         cluster.run_for(SECOND / 2);
     }
     let converged = (cluster.now() - started) as f64 / SECOND as f64;
@@ -73,20 +73,20 @@
 fn measure_quiet(cluster: &mut MemberCluster, count: usize) -> QuietCost {
     let sent = |cluster: &MemberCluster| {
         (0..count)
-            .map(|member| cluster.sent(member))
+            .map(|member| cluster.sent_traffic(member))
             .fold((0, 0), |sum, sent| (sum.0 + sent.0, sum.1 + sent.1))
     };
     let started = cluster.now();
     let (bytes_before, datagrams_before) = sent(cluster);
-    let cpu_before = cluster.spent;
+    let cpu_before = cluster.member_cpu_time;
     cluster.run_for(QUIET * SECOND);
     let (bytes, datagrams) = sent(cluster);
-    let cpu = cluster.spent - cpu_before;
+    let cpu = cluster.member_cpu_time - cpu_before;
     let suspicions = cluster
-        .sightings
+        .observations
         .iter()
         .filter(|sighting| sighting.at >= started)
-        .filter(|sighting| sighting.seen.status == MemberStatus::Suspected)
+        .filter(|sighting| sighting.observed.status == MemberStatus::Suspected)
         .count();
     let per_member_second = |sum: f64| sum / count as f64 / QUIET as f64;
     QuietCost {
@@ -122,13 +122,14 @@
         let killed_at = cluster.now();
         cluster.kill(killed);
         cluster.run_for(KILL_INTERVAL * SECOND);
-        let is_detection = |sighting: &&Sighting| {
+        let is_detection = |sighting: &&Observation| {
             sighting.at >= killed_at
-                && sighting.seen.status == MemberStatus::Dead
-                && sighting.seen.name == name(killed)
+                && sighting.observed.status == MemberStatus::Dead
+                && sighting.observed.name == member_name(killed)
         };
         let known_before = delays.len();
-        delays.extend(cluster.sightings.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
+        delays
+            .extend(cluster.observations.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
         complete &= delays.len() - known_before == killed;
     }
     delays.sort_unstable();
--- a/crates/command/src/membership_thread.rs
+++ b/crates/command/src/membership_thread.rs
@@ -10,7 +10,7 @@
 use tideroute_membership::MembershipNode;
 use tideroute_reactor::{Mailbox, Reactor};
 use tideroute_simulation::convert;
-use tideroute_simulation::processes::NUMBERS_A_CORE;
+use tideroute_simulation::processes::PROCESS_NUMBERS_PER_CORE;
 
 use crate::cli::ProcessArgs;
 use crate::error::CommandError;
@@ -31,7 +31,7 @@
         let seed = config.seed.unwrap_or(multi_core::random_origin()? as u64);
         let (terms, seal) = convert::member(&config.name, fleet, seed)?;
         let mut args = args.clone();
-        args.process_number += config.cores * NUMBERS_A_CORE;
+        args.process_number += config.cores * PROCESS_NUMBERS_PER_CORE;
         args.capture = args.capture.map(|path| capture_path(&path));
         let mut reactor = Reactor::new(&[])?;
         let listen = convert::socket(&fleet.listen)?.into();
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -15,7 +15,7 @@
 use tideroute_lifecycle::ProtobufRouter;
 use tideroute_reactor::{Reactor, ReactorError, RunOutcome};
 use tideroute_simulation::convert;
-use tideroute_simulation::processes::NUMBERS_A_CORE;
+use tideroute_simulation::processes::PROCESS_NUMBERS_PER_CORE;
 use tideroute_wire::Origin;
 
 use crate::admin_thread::AdminThread;
@@ -140,7 +140,7 @@
         let mut args = self.args.clone();
         // A restarted core writes no capture: that of its first run stays as it was.
         args.capture = args.capture.filter(|_| restarts == 0).map(|path| core_path(&path, index));
-        args.process_number += index * NUMBERS_A_CORE;
+        args.process_number += index * PROCESS_NUMBERS_PER_CORE;
         let core = Core {
             config: self.config.clone(),
             index,
--- a/crates/command/src/scenario.rs
+++ b/crates/command/src/scenario.rs
@@ -52,7 +52,7 @@
         shrink_faults(&scenario, &program, &folder, &interrupted, max_runs)?;
     }
     if keep_folder || !played.passed() {
-        eprintln!("record: {}", played.record.display());
+        eprintln!("record: {}", played.capture.display());
     } else {
         let _ = std::fs::remove_dir_all(&folder);
     }
@@ -80,13 +80,13 @@
 }
 
 fn print_outcome(scenario: &Scenario, played: &ScenarioOutcome) {
-    println!("{}", played.table);
+    println!("{}", played.load_table);
     for (wanted, seen, held) in &played.expected {
         println!("  {} {wanted}: {seen}", if *held { "yes" } else { " NO" });
     }
     print_resource_usage(scenario, played);
     trace_report::print(&played.report);
-    played.views.iter().for_each(trace_report::print_views);
+    played.membership.iter().for_each(trace_report::print_views);
 }
 
 /// Prints what the processes of each kind used of the machine.
@@ -114,7 +114,10 @@
             highest(&played.descriptors)
         );
     }
-    println!("  {:.1} s in all, {:.1} of them until all listened", played.took[1], played.took[0]);
+    println!(
+        "  {:.1} s in all, {:.1} of them until all listened",
+        played.elapsed_seconds[1], played.elapsed_seconds[0]
+    );
 }
 
 /// Plays a failed scenario again without parts of its faults, and writes the fewest with which it still fails.
@@ -155,21 +158,21 @@
     let started = std::time::Instant::now();
     let played = virtual_scenario::play(&scenario)?;
     let elapsed = started.elapsed().as_secs_f64();
-    println!("{}", played.tally.table());
+    println!("{}", played.statistics.table());
     trace_report::print(&played.report);
-    if !played.fallen.is_empty() {
-        println!("fell over: {}", played.fallen.join(", "));
+    if !played.crashed.is_empty() {
+        println!("fell over: {}", played.crashed.join(", "));
     }
-    let lasted = played.lasted as f64 / 1e6;
+    let lasted = played.virtual_duration as f64 / 1e6;
     println!("{lasted:.1} virtual seconds in {elapsed:.1} s, {} events", played.events);
     if let Some(folder) = out {
         let path = folder.join("day.record.zst");
         std::fs::create_dir_all(&folder).map_err(CommandError::in_file(&path))?;
-        let bytes = zstd::encode_all(played.record.as_slice(), COMPRESSION_LEVEL)
+        let bytes = zstd::encode_all(played.capture.as_slice(), COMPRESSION_LEVEL)
             .map_err(CommandError::in_file(&path))?;
         std::fs::write(&path, bytes).map_err(CommandError::in_file(&path))?;
         eprintln!("record: {}", path.display());
     }
-    let all_answered = played.tally.wrong + played.tally.unanswered == 0;
-    Ok(CommandStatus::success_if(played.report.is_clean() && played.fallen.is_empty() && all_answered))
+    let all_answered = played.statistics.wrong + played.statistics.unanswered == 0;
+    Ok(CommandStatus::success_if(played.report.is_clean() && played.crashed.is_empty() && all_answered))
 }
--- a/crates/command/src/trace_report.rs
+++ b/crates/command/src/trace_report.rs
@@ -14,7 +14,7 @@
 /// The command `check-trace`: checks a capture and prints what it finds.
 pub fn check(capture: &Path) -> CommandResult {
     let report = scenario::check(capture).map_err(CommandError::in_file(capture))?;
-    let views = scenario::views(capture).map_err(CommandError::in_file(capture))?;
+    let views = scenario::check_membership(capture).map_err(CommandError::in_file(capture))?;
     print(&report);
     views.iter().for_each(print_views);
     let views_kept = views.is_none_or(|views| views.is_clean());
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -83,7 +83,7 @@
     clients: Vec<Client>,
     by_connection: HashMap<ConnectionId, usize>,
     /// What came of the requests so far.
-    pub tally: LoadStatistics,
+    pub statistics: LoadStatistics,
     progress: Arc<Progress>,
     stopped: bool,
 }
@@ -104,7 +104,7 @@
         progress.planned.store(planned.len() as u64, Ordering::Relaxed);
         Load {
             clients: (0..terms.clients).map(client).collect(),
-            tally: LoadStatistics::new(&terms.classes, terms.keys.iter().map(|k| k.tenant.clone())),
+            statistics: LoadStatistics::new(&terms.classes, terms.keys.iter().map(|k| k.tenant.clone())),
             terms,
             routers,
             planned,
@@ -131,7 +131,12 @@
         while let Some(p) = self.planned.get(self.next).filter(|p| self.began + p.at <= now) {
             let (request_index, remaining) = (self.next, p.left);
             let priority_weight = self.terms.classes[usize::from(p.track)].priority_weight;
-            self.tally.record_request(p.track, p.tenant, priority_weight, self.arrival_second(request_index));
+            self.statistics.record_request(
+                p.track,
+                p.tenant,
+                priority_weight,
+                self.arrival_second(request_index),
+            );
             let began = self.began + self.planned[request_index].at;
             let request = RequestProgress {
                 began,
@@ -202,7 +207,7 @@
                 p.prompt.clone(),
             ),
         );
-        self.tally.attempts += 1;
+        self.statistics.attempts += 1;
         self.progress.sent.store(self.next as u64, Ordering::Relaxed);
         effects.set_timer(request.deadline + RESPONSE_GRACE, timer_key(GIVE_UP, request_index));
         if p.leaves_after == Some(0) {
@@ -226,7 +231,7 @@
     fn finish(&mut self, request_index: usize, count: impl Fn(&mut LoadStatistics) -> &mut u64) {
         if let Some(request) = self.requests.get_mut(&request_index).filter(|c| !c.finished) {
             (request.finished, request.in_flight) = (true, None);
-            *count(&mut self.tally) += 1;
+            *count(&mut self.statistics) += 1;
         }
     }
 
@@ -275,7 +280,7 @@
             .state_checksum
             .map(|state_checksum| kv_state::response_tokens(state_checksum, p.most_tokens));
         if request.wrong || expected != Some(tokens) || request.tokens != tokens {
-            self.tally.wrong += 1;
+            self.statistics.wrong += 1;
             tracing::error!(request_index, tokens, ?expected, "an answer is not that of its prompt");
         }
         let elapsed = request.first_token.map_or(now - request.began, |at| at - request.began);
@@ -285,8 +290,8 @@
         let (number, priority_weight, arrival_second) =
             (p.track, track.priority_weight, self.arrival_second(request_index));
         let tenant = p.tenant;
-        self.tally.record_response(number, tenant, priority_weight, late, arrival_second);
-        self.tally.record_first_token(elapsed);
+        self.statistics.record_response(number, tenant, priority_weight, late, arrival_second);
+        self.statistics.record_first_token(elapsed);
         if let Some(request) = self.requests.get_mut(&request_index) {
             (request.finished, request.in_flight) = (true, None);
         }
@@ -308,7 +313,7 @@
             crc32fast::hash(&kv_state::generate(&p.prompt, p.prompt_tokens, bytes))
         });
         if request.tokens > 0 {
-            self.tally.gaps.saturating_record(now - request.last_token);
+            self.statistics.gaps.saturating_record(now - request.last_token);
         }
         request.wrong |= index != request.tokens || text[..] != kv_state::token_text(state_checksum, index);
         (request.tokens, request.last_token) = (request.tokens + 1, now);
--- a/crates/simulation/src/client_load/responses.rs
+++ b/crates/simulation/src/client_load/responses.rs
@@ -70,7 +70,7 @@
 
     fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
         tracing::error!(client = self.n, why, "a router does not take this client");
-        self.load.tally.unauthorized += 1;
+        self.load.statistics.unauthorized += 1;
         Ok(())
     }
 }
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -261,7 +261,7 @@
 }
 
 /// The settings of an endpoint list whose script began at a time and that starts now.
-pub fn list(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
+pub fn discovery(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
     let late =
         config.delays.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.duration, config.lag)]);
     DiscoveryConfig { notification_delay: config.lag, script: remaining_steps(from, now, late.collect()) }
--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -23,17 +23,17 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
     /// The shortest delay.
-    pub least: Micros,
+    pub min_delay: Micros,
     /// The longest delay.
-    pub most: Micros,
+    pub max_delay: Micros,
     /// The fraction of datagrams that is lost.
     pub loss: f64,
     /// The fraction of datagrams that is duplicated.
-    pub twice: f64,
+    pub duplication: f64,
 }
 
 /// A network within one site.
-pub const CALM: Network = Network { least: 50, most: 500, loss: 0.0, twice: 0.0 };
+pub const LOCAL_NETWORK: Network = Network { min_delay: 50, max_delay: 500, loss: 0.0, duplication: 0.0 };
 
 enum Event {
     Wake,
@@ -57,13 +57,13 @@
 
 /// What one member observed of another.
 #[derive(Clone, Debug)]
-pub struct Sighting {
+pub struct Observation {
     /// When.
     pub at: Micros,
     /// The member that observed it.
-    pub viewer: usize,
+    pub observer: usize,
     /// What it observed.
-    pub seen: Member,
+    pub observed: Member,
 }
 
 /// Members and the network between them, in virtual time.
@@ -79,9 +79,9 @@
     rng: Pcg64,
     seal: MessageAuthenticator,
     /// All that members observed of others, in order.
-    pub sightings: Vec<Sighting>,
+    pub observations: Vec<Observation>,
     /// Time spent in the code of members.
-    pub spent: std::time::Duration,
+    pub member_cpu_time: std::time::Duration,
 }
 
 fn address(n: usize) -> Address {
@@ -93,7 +93,7 @@
 }
 
 /// The name of a member.
-pub fn name(n: usize) -> String {
+pub fn member_name(n: usize) -> String {
     format!("router{n}")
 }
 
@@ -121,8 +121,8 @@
             partitions: vec![],
             rng: Pcg64::seed_from_u64(seed),
             seal: MessageAuthenticator::new("crowd", &[7; 32]),
-            sightings: vec![],
-            spent: Default::default(),
+            observations: vec![],
+            member_cpu_time: Default::default(),
         }
     }
 
@@ -143,7 +143,7 @@
     /// Starts or restarts a member.
     pub fn start(&mut self, n: usize) {
         let terms = MembershipConfig {
-            name: name(n),
+            name: member_name(n),
             address: address(n),
             seeds: (0..SEEDS).map(address).collect(),
             rng_seed: self.rng.random(),
@@ -217,12 +217,12 @@
     }
 
     /// Bytes and datagrams that a member has sent so far.
-    pub fn sent(&self, n: usize) -> (u64, u64) {
+    pub fn sent_traffic(&self, n: usize) -> (u64, u64) {
         (self.nodes[n].bytes, self.nodes[n].datagrams_sent)
     }
 
     /// Pairs of a running member and a member that it sees wrongly: present though it is down, or the reverse.
-    pub fn wrong(&self) -> Vec<(usize, usize)> {
+    pub fn wrong_views(&self) -> Vec<(usize, usize)> {
         let up: Vec<bool> = (0..self.nodes.len()).map(|n| self.is_up(n)).collect();
         let mut wrong = vec![];
         for (viewer, node) in self.nodes.iter().enumerate() {
@@ -236,9 +236,9 @@
     }
 
     /// Declarations of death of members that are up, from a moment on.
-    pub fn falsely_dead(&self, since: Micros) -> Vec<&Sighting> {
-        let dead = |s: &&Sighting| s.at >= since && s.seen.status == MemberStatus::Dead;
-        self.sightings.iter().filter(dead).filter(|s| self.is_up(number(s.seen.address))).collect()
+    pub fn false_death_declarations(&self, since: Micros) -> Vec<&Observation> {
+        let dead = |o: &&Observation| o.at >= since && o.observed.status == MemberStatus::Dead;
+        self.observations.iter().filter(dead).filter(|o| self.is_up(number(o.observed.address))).collect()
     }
 
     fn schedule(&mut self, at: Micros, n: usize, event: Event) {
@@ -299,7 +299,7 @@
         if let (Ok(message), Some(group)) = (message, &mut self.nodes[n].group) {
             group.handle_datagram(now, from, &message).expect("what members say can be read");
         }
-        self.spent += began.elapsed();
+        self.member_cpu_time += began.elapsed();
     }
 
     /// Executes the actions of a member until it has no more.
@@ -312,9 +312,13 @@
                 Output::Send { to, message } => (Some((to, self.seal.sign(&message))), None),
                 Output::StatusChanged(seen) => (None, Some(seen)),
             });
-            self.spent += began.elapsed();
-            let Some((message, sighting)) = act else { break };
-            self.sightings.extend(sighting.map(|seen| Sighting { at: self.now, viewer: n, seen }));
+            self.member_cpu_time += began.elapsed();
+            let Some((message, observation)) = act else { break };
+            self.observations.extend(observation.map(|observed| Observation {
+                at: self.now,
+                observer: n,
+                observed,
+            }));
             if let Some((to, datagram)) = message {
                 self.send(n, to, &datagram);
             }
@@ -339,12 +343,12 @@
         if cut || target >= self.nodes.len() || !self.is_up(target) {
             return;
         }
-        let times = 1 + usize::from(self.rng.random::<f64>() < self.network.twice);
+        let times = 1 + usize::from(self.rng.random::<f64>() < self.network.duplication);
         for _ in 0..times {
             if self.rng.random::<f64>() < self.network.loss {
                 continue;
             }
-            let at = self.now + self.rng.random_range(self.network.least..=self.network.most);
+            let at = self.now + self.rng.random_range(self.network.min_delay..=self.network.max_delay);
             self.schedule(at, target, Event::Datagram { from: address(n), datagram: datagram.clone() });
         }
     }
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -44,7 +44,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The distance between the numbers of a process's cores in a capture.
-pub const NUMBERS_A_CORE: u32 = 100_000;
+pub const PROCESS_NUMBERS_PER_CORE: u32 = 100_000;
 
 /// The running processes, their captures and what they used of the machine.
 pub struct Processes {
@@ -95,14 +95,14 @@
         for core in 0..recipe.cores {
             let name = if core > 0 { format!("{}/{core}", recipe.name) } else { recipe.name.clone() };
             let path = if core > 0 { path.with_extension(format!("part.{core}")) } else { path.clone() };
-            let number = number + core * NUMBERS_A_CORE;
+            let number = number + core * PROCESS_NUMBERS_PER_CORE;
             let process_info =
                 CapturedProcess { number, name, role: recipe.role.clone(), address: recipe.address };
             self.parts.push(CapturePart { process_info, path, killed: None, pauses: vec![] });
         }
         if recipe.member {
             let (name, path) = (recipe.name.clone(), path.with_extension("part.member"));
-            let number = number + recipe.cores * NUMBERS_A_CORE;
+            let number = number + recipe.cores * PROCESS_NUMBERS_PER_CORE;
             let process_info = CapturedProcess { number, name, role: "member".into(), address: None };
             self.parts.push(CapturePart { process_info, path, killed: None, pauses: vec![] });
         }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -72,11 +72,11 @@
     /// The rules on its capture.
     pub report: Report,
     /// How its routers saw each other, where they knew each other.
-    pub views: Option<MembershipReport>,
+    pub membership: Option<MembershipReport>,
     /// The load's figures, as `tideroute load --json` writes them.
-    pub figures: serde_json::Value,
+    pub load_results: serde_json::Value,
     /// The table of the client load.
-    pub table: String,
+    pub load_table: String,
     /// Expectations of the scenario, each with what was seen and whether it held.
     pub expected: Vec<(String, String, bool)>,
     /// The most memory of each process, in bytes.
@@ -86,16 +86,16 @@
     /// The most descriptors of each process.
     pub descriptors: BTreeMap<String, u64>,
     /// Seconds until all listened, and in all.
-    pub took: [f64; 2],
+    pub elapsed_seconds: [f64; 2],
     /// Where its capture is.
-    pub record: PathBuf,
+    pub capture: PathBuf,
 }
 
 impl ScenarioOutcome {
     /// Whether all rules and expectations held.
     pub fn passed(&self) -> bool {
         self.report.is_clean()
-            && self.views.as_ref().is_none_or(MembershipReport::is_clean)
+            && self.membership.as_ref().is_none_or(MembershipReport::is_clean)
             && self.expected.iter().all(|(.., held)| *held)
     }
 }
@@ -112,19 +112,31 @@
     }
     let day = &faults::with_generated_faults(day);
     let (player, ports) = play_processes(day, program, folder, interrupted, None)?;
-    let (table, exits, fallen) = (player.table.clone(), player.exits.clone(), player.fallen.clone());
+    let (load_table, exits, fallen) = (player.table.clone(), player.exits.clone(), player.fallen.clone());
     let (memory, all) = (player.processes.memory.clone(), &player.processes.parts);
-    let record = folder.join("day.record.zst");
+    let capture = folder.join("day.record.zst");
     let mut terms = serde_json::to_value(process_configs::rules(day, &ports)).unwrap_or_default();
     terms["members"] = serde_json::to_value(process_configs::members(day, player.begins)).unwrap_or_default();
-    capture_merge::merge(all, &terms.to_string(), &record)?;
-    let (report, views) = (check(&record)?, views(&record)?);
-    let figures = std::fs::read(folder.join("load.json")).map_err(|_| ScenarioError::NoFigures)?;
-    let figures = serde_json::from_slice(&figures).map_err(|_| ScenarioError::NoFigures)?;
-    let expected = expectations::expectations(day, &figures, &memory, &exits, &fallen, &report);
+    capture_merge::merge(all, &terms.to_string(), &capture)?;
+    let (report, membership) = (check(&capture)?, check_membership(&capture)?);
+    let load_results = std::fs::read(folder.join("load.json")).map_err(|_| ScenarioError::NoFigures)?;
+    let load_results = serde_json::from_slice(&load_results).map_err(|_| ScenarioError::NoFigures)?;
+    let expected = expectations::expectations(day, &load_results, &memory, &exits, &fallen, &report);
     let (cpu, descriptors) = (player.processes.cpu.clone(), player.processes.descriptors.clone());
-    let took = [player.listened, player.processes.now()].map(|at| (at - player.started) as f64 / 1e6);
-    Ok(ScenarioOutcome { report, views, figures, table, expected, memory, cpu, descriptors, took, record })
+    let elapsed_seconds =
+        [player.listened, player.processes.now()].map(|at| (at - player.started) as f64 / 1e6);
+    Ok(ScenarioOutcome {
+        report,
+        membership,
+        load_results,
+        load_table,
+        expected,
+        memory,
+        cpu,
+        descriptors,
+        elapsed_seconds,
+        capture,
+    })
 }
 
 /// Plays a scenario only to measure the network hops of requests, through its routers or directly to workers.
@@ -135,8 +147,8 @@
     interrupted: &AtomicBool,
     direct: bool,
 ) -> Result<HopLatencies, ScenarioError> {
-    let record = play_and_merge(day, program, folder, interrupted, direct.then_some("next"))?;
-    Ok(measure_hops(open(&record)?, !direct)?)
+    let capture = play_and_merge(day, program, folder, interrupted, direct.then_some("next"))?;
+    Ok(measure_hops(open(&capture)?, !direct)?)
 }
 
 /// Plays a scenario without routers: its load goes directly to workers, with that policy to choose prefill workers
@@ -159,10 +171,10 @@
     direct_policy: Option<&str>,
 ) -> Result<PathBuf, ScenarioError> {
     let (player, ports) = play_processes(day, program, folder, interrupted, direct_policy)?;
-    let record = folder.join("day.record.zst");
+    let capture = folder.join("day.record.zst");
     let terms = serde_json::to_string(&process_configs::rules(day, &ports)).unwrap_or_default();
-    capture_merge::merge(&player.processes.parts, &terms, &record)?;
-    Ok(record)
+    capture_merge::merge(&player.processes.parts, &terms, &capture)?;
+    Ok(capture)
 }
 
 /// Plays a scenario from the start of the first process to the end of the last.
@@ -201,20 +213,20 @@
 }
 
 /// Opens a compressed capture.
-pub fn open(record: &Path) -> Result<impl Read, ScenarioError> {
-    let named = |e| ScenarioError::File(record.display().to_string(), e);
-    let file = std::fs::File::open(record).map_err(named)?;
+pub fn open(capture: &Path) -> Result<impl Read, ScenarioError> {
+    let named = |e| ScenarioError::File(capture.display().to_string(), e);
+    let file = std::fs::File::open(capture).map_err(named)?;
     zstd::Decoder::new(file).map_err(named)
 }
 
 /// Checks the rules on a capture.
-pub fn check(record: &Path) -> Result<Report, ScenarioError> {
-    Ok(tideroute_trace_checker::check(open(record)?)?)
+pub fn check(capture: &Path) -> Result<Report, ScenarioError> {
+    Ok(tideroute_trace_checker::check(open(capture)?)?)
 }
 
 /// Checks on a capture how routers saw each other; None if they did not know each other.
-pub fn views(record: &Path) -> Result<Option<MembershipReport>, ScenarioError> {
-    Ok(tideroute_membership_checker::check(open(record)?)?)
+pub fn check_membership(capture: &Path) -> Result<Option<MembershipReport>, ScenarioError> {
+    Ok(tideroute_membership_checker::check(open(capture)?)?)
 }
 
 /// How many processes a scenario has.
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -49,19 +49,19 @@
 /// The outcome of a scenario in virtual time.
 pub struct VirtualOutcome {
     /// When the load began.
-    pub began: Micros,
+    pub load_started_at: Micros,
     /// The rules on the capture.
     pub report: Report,
     /// What came of the load.
-    pub tally: LoadStatistics,
+    pub statistics: LoadStatistics,
     /// The capture of all traffic.
-    pub record: Vec<u8>,
+    pub capture: Vec<u8>,
     /// Events that were dispatched.
     pub events: u64,
     /// Virtual time that passed, microseconds.
-    pub lasted: Micros,
+    pub virtual_duration: Micros,
     /// Workers that ended without being killed.
-    pub fallen: Vec<String>,
+    pub crashed: Vec<String>,
 }
 
 /// Plays a scenario. The same scenario gives the same capture, byte for byte.
@@ -124,14 +124,14 @@
         while self.simulator.runs(client) && self.simulator.now() < deadline {
             self.run_for(START_TIME);
         }
-        let has_fallen = |name: &&String| !self.simulator.runs(self.nodes[*name]) && !killed.contains(name);
-        let fallen = names.iter().filter(has_fallen).cloned().collect();
+        let has_crashed = |name: &&String| !self.simulator.runs(self.nodes[*name]) && !killed.contains(name);
+        let crashed = names.iter().filter(has_crashed).cloned().collect();
         // Routers first, then the programs that they need.
         for name in names.iter().rev() {
             self.simulator.stop(self.nodes[name]);
             self.run_for(START_TIME);
         }
-        self.outcome(fallen)
+        self.outcome(crashed)
     }
 
     fn run_for(&mut self, span: Micros) {
@@ -172,15 +172,23 @@
     }
 
     /// Checks the rules on the capture.
-    fn outcome(mut self, fallen: Vec<String>) -> Result<VirtualOutcome, VirtualScenarioError> {
+    fn outcome(mut self, crashed: Vec<String>) -> Result<VirtualOutcome, VirtualScenarioError> {
         let terms = serde_json::to_string(&process_configs::rules(self.day, &self.ports)).unwrap_or_default();
-        let record = self.simulator.capture(&terms)?;
-        let report = tideroute_trace_checker::check(record.as_slice())?;
+        let capture = self.simulator.capture(&terms)?;
+        let report = tideroute_trace_checker::check(capture.as_slice())?;
         let events = self.simulator.events();
-        let lasted = self.simulator.now() - EPOCH;
+        let virtual_duration = self.simulator.now() - EPOCH;
         let mut load = self.load.0.lock().unwrap_or_else(|e| e.into_inner());
-        let tally = std::mem::replace(&mut load.tally, LoadStatistics::new(&self.day.classes, []));
-        Ok(VirtualOutcome { began: self.begins, report, tally, record, events, lasted, fallen })
+        let statistics = std::mem::replace(&mut load.statistics, LoadStatistics::new(&self.day.classes, []));
+        Ok(VirtualOutcome {
+            load_started_at: self.begins,
+            report,
+            statistics,
+            capture,
+            events,
+            virtual_duration,
+            crashed,
+        })
     }
 
     fn start(&mut self, name: &str, cold: bool) -> Result<(), VirtualScenarioError> {
@@ -189,7 +197,7 @@
         self.starts += 1;
         let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
             let list = process_configs::list(day, ports).list.ok_or_else(missing)?;
-            ("list", &ports.list, Box::new(Discovery::new(convert::list(&list, self.begins, now))))
+            ("list", &ports.list, Box::new(Discovery::new(convert::discovery(&list, self.begins, now))))
         } else if let Some(n) = day.router_names().position(|r| r == name) {
             let mut router =
                 process_configs::router(day, ports, n, String::new()).router.ok_or_else(missing)?;
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -44,20 +44,20 @@
         "{:#?}",
         &outcome.report.violations[..outcome.report.violations.len().min(5)]
     );
-    assert_eq!((outcome.tally.wrong, outcome.tally.unanswered), (0, 0));
+    assert_eq!((outcome.statistics.wrong, outcome.statistics.unanswered), (0, 0));
     assert!(outcome.report.counts.completed > 50, "{:?}", outcome.report.counts);
-    assert!(outcome.fallen.is_empty(), "{:?}", outcome.fallen);
+    assert!(outcome.crashed.is_empty(), "{:?}", outcome.crashed);
 }
 
 fn captured_frames(outcome: &VirtualOutcome) -> Vec<CapturedFrame> {
-    let mut reader = Reader::new(outcome.record.as_slice());
+    let mut reader = Reader::new(outcome.capture.as_slice());
     reader.head().expect("a head");
     std::iter::from_fn(|| reader.next_passed().expect("a whole record")).collect()
 }
 
 /// How many frames of a kind were heard: of a conversation's field number, the first byte's upper bits.
 fn count_received(outcome: &VirtualOutcome, role: &str, field: u8) -> usize {
-    let mut reader = Reader::new(outcome.record.as_slice());
+    let mut reader = Reader::new(outcome.capture.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let of: Vec<_> = processes.iter().filter(|p| p.role == role).map(|p| p.number).collect();
     let is = |p: &&CapturedFrame| {
@@ -76,7 +76,7 @@
 fn an_ordinary_scenario_is_served_completely() {
     let outcome = play(&scenario("", 60, "")).expect("it plays");
     assert_rules_kept(&outcome);
-    assert!(outcome.tally.service() > 0.98, "{}", outcome.tally.table());
+    assert!(outcome.statistics.service() > 0.98, "{}", outcome.statistics.table());
     assert!(outcome.report.counts.reservations > 200);
 }
 
@@ -152,7 +152,7 @@
             Ok(())
         }
     }
-    let mut reader = Reader::new(outcome.record.as_slice());
+    let mut reader = Reader::new(outcome.capture.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let routers: Vec<_> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let mut ear = LateAnswers::default();
@@ -186,7 +186,7 @@
     let faults = r#"{at: 1s, do: "silent", who: ["writer0", "reader1"], for: 3s}"#;
     let outcome = play(&scenario(faults, 60, "")).expect("it plays");
     assert_rules_kept(&outcome);
-    assert!(outcome.tally.service() > 0.6, "{}", outcome.tally.table());
+    assert!(outcome.statistics.service() > 0.6, "{}", outcome.statistics.table());
 }
 
 #[test]
@@ -206,7 +206,7 @@
     let outcome = play(&scenario(faults, 60, "retries: 3")).expect("it plays");
     assert_rules_kept(&outcome);
     assert!(outcome.report.counts.disconnected > 0, "nothing was held by the router that was killed");
-    assert!(outcome.tally.service() > 0.8, "{}", outcome.tally.table());
+    assert!(outcome.statistics.service() > 0.8, "{}", outcome.statistics.table());
 }
 
 #[test]
@@ -214,10 +214,10 @@
     let faults = r#"{at: 1s, do: "kill", who: ["writer1"], back: 1s}"#;
     let (mut one, other) = (scenario(faults, 40, ""), scenario(faults, 40, "leaves: 5%"));
     let (first, again) = (play(&one).expect("it plays"), play(&one).expect("it plays"));
-    assert!(first.record == again.record, "two runs of one day differ");
-    assert!(play(&other).expect("it plays").record != first.record);
+    assert!(first.capture == again.capture, "two runs of one day differ");
+    assert!(play(&other).expect("it plays").capture != first.capture);
     one.seed = 6;
-    assert!(play(&one).expect("it plays").record != first.record);
+    assert!(play(&one).expect("it plays").capture != first.capture);
 }
 
 #[test]
@@ -252,6 +252,6 @@
         let outcome = play(&scenario).expect("it plays");
         let broken = &outcome.report.violations;
         assert!(broken.is_empty(), "seed {seed}: {:#?}\n{faults}", &broken[..broken.len().min(3)]);
-        assert_eq!(outcome.tally.unanswered + outcome.tally.wrong, 0, "seed {seed}\n{faults}");
+        assert_eq!(outcome.statistics.unanswered + outcome.statistics.wrong, 0, "seed {seed}\n{faults}");
     }
 }
--- a/crates/simulation/tests/router_cores.rs
+++ b/crates/simulation/tests/router_cores.rs
@@ -45,8 +45,8 @@
         "{:#?}",
         &outcome.report.violations[..outcome.report.violations.len().min(5)]
     );
-    assert_eq!((outcome.tally.wrong, outcome.tally.unanswered), (0, 0));
-    assert!(outcome.fallen.is_empty(), "{:?}", outcome.fallen);
+    assert_eq!((outcome.statistics.wrong, outcome.statistics.unanswered), (0, 0));
+    assert!(outcome.crashed.is_empty(), "{:?}", outcome.crashed);
 }
 
 #[test]
@@ -93,8 +93,8 @@
 	"#;
     let outcome = play(&day(4, 150, traffic, "")).expect("it plays");
     assert_rules_kept(&outcome);
-    assert!(outcome.tally.service() > 0.9, "{}", outcome.tally.table());
-    let mut reader = Reader::new(outcome.record.as_slice());
+    assert!(outcome.statistics.service() > 0.9, "{}", outcome.statistics.table());
+    let mut reader = Reader::new(outcome.capture.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let readers: BTreeMap<u32, String> =
         processes.into_iter().filter(|p| p.name.starts_with("reader")).map(|p| (p.number, p.name)).collect();
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -18,13 +18,13 @@
         "{:#?}",
         &outcome.report.violations[..outcome.report.violations.len().min(5)]
     );
-    let t = &outcome.tally;
+    let t = &outcome.statistics;
     assert_eq!((t.wrong, t.unanswered, t.unauthorized), (0, 0, 0));
 }
 
 /// What of each tenant's earnings was answered in time.
 fn service_by_tenant(outcome: &VirtualOutcome) -> Vec<f64> {
-    outcome.tally.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
+    outcome.statistics.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
 }
 
 #[test]
@@ -83,9 +83,9 @@
     let counts = &outcome.report.counts;
     assert!(counts.rejected > 100 && counts.completed > 100 && counts.disconnected == 0, "{counts:?}");
     // What its clients ask after the removal never comes to a worker.
-    let gone =
-        outcome.began + removed.scheduled_faults.iter().find(|t| t.kind == "remove").expect("a removal").at;
-    let mut reader = Reader::new(outcome.record.as_slice());
+    let gone = outcome.load_started_at
+        + removed.scheduled_faults.iter().find(|t| t.kind == "remove").expect("a removal").at;
+    let mut reader = Reader::new(outcome.capture.as_slice());
     let (processes, _) = reader.head().expect("a head");
     let routers: BTreeSet<u32> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
     let (mut of_it, mut too_late, mut before) = (BTreeSet::new(), BTreeSet::new(), 0);
