--- a/crates/simulation/src/capture_merge.rs
+++ b/crates/simulation/src/capture_merge.rs
@@ -10,16 +10,16 @@
 use tideroute_wire::capture::{self, CaptureError, CaptureEvent, CapturedFrame, CapturedProcess, Reader};
 use tideroute_wire::Micros;
 
-/// Compression level of captures: zstd's default.
+/// Compression level of captures: the default of zstd.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// The capture of one process.
 pub struct CapturePart {
     pub process_info: CapturedProcess,
     pub path: PathBuf,
-    /// When it was killed from outside; its capture may end in the middle of a frame.
+    /// When the process was killed; its capture may end in the middle of a frame then.
     pub killed: Option<Micros>,
-    /// When it was paused from outside and resumed.
+    /// When the process was paused and resumed.
     pub pauses: Vec<(Micros, CaptureEvent)>,
 }
 
@@ -28,7 +28,7 @@
     reader: Reader<BufReader<File>>,
     /// The next event that the process captured itself, read ahead.
     next_event: Option<CapturedFrame>,
-    /// The capture has no more events.
+    /// Whether the capture has no more events.
     ended: bool,
     pauses: VecDeque<(Micros, CaptureEvent)>,
     killed: Option<Micros>,
@@ -39,44 +39,46 @@
     fn next(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
         if self.next_event.is_none() && !self.ended {
             self.next_event = match self.reader.next_passed() {
-                // Killed while it wrote: the events before that count.
+                // The process was killed while it wrote; the events before the incomplete one are used.
                 Err(CaptureError::CutOff { .. }) if self.killed.is_some() => None,
                 next => next?,
             };
             self.ended = self.next_event.is_none();
         }
         let process = self.process;
-        let outside = |(at, what)| CapturedFrame {
+        let external_event = |(at, event)| CapturedFrame {
             at,
             process,
             connection: 0,
-            event: what,
+            event,
             position: 0,
             frame: Bytes::new(),
         };
-        let own = self.next_event.as_ref().map(|p| p.at);
-        if let Some(halt) = self.pauses.pop_front_if(|(at, _)| own.is_none_or(|own| *at <= own)) {
-            return Ok(Some(outside(halt)));
+        let own_event_at = self.next_event.as_ref().map(|frame| frame.at);
+        if let Some(pause) =
+            self.pauses.pop_front_if(|(at, _)| own_event_at.is_none_or(|own_event_at| *at <= own_event_at))
+        {
+            return Ok(Some(external_event(pause)));
         }
         Ok(self
             .next_event
             .take()
-            .or_else(|| self.killed.take().map(|at| outside((at, CaptureEvent::ProcessKilled)))))
+            .or_else(|| self.killed.take().map(|at| external_event((at, CaptureEvent::ProcessKilled)))))
     }
 }
 
-/// Writes the compressed capture of a whole scenario; returns the number of its events.
-pub fn merge(parts: &[CapturePart], terms: &str, to: &Path) -> Result<u64, CaptureError> {
+/// Writes the compressed capture of a whole scenario to the path `to`; returns the number of its events.
+pub fn merge(parts: &[CapturePart], checker_config: &str, to: &Path) -> Result<u64, CaptureError> {
     let file = BufWriter::new(File::create(to)?);
     let mut output = zstd::Encoder::new(file, COMPRESSION_LEVEL)?;
-    let processes: Vec<CapturedProcess> = parts.iter().map(|p| p.process_info.clone()).collect();
-    capture::write_head(&mut output, &processes, terms)?;
+    let processes: Vec<CapturedProcess> = parts.iter().map(|part| part.process_info.clone()).collect();
+    capture::write_head(&mut output, &processes, checker_config)?;
     let (mut streams, mut heap) = (Vec::new(), BinaryHeap::new());
     let mut pending: Vec<Option<CapturedFrame>> = Vec::new();
     for part in parts {
         let file = match File::open(&part.path) {
             Ok(file) => file,
-            // Killed before it had begun to write.
+            // The process was killed before it had created its capture.
             Err(e) if e.kind() == ErrorKind::NotFound && part.killed.is_some() => continue,
             Err(problem) => return Err(problem.into()),
         };
@@ -86,20 +88,20 @@
         let mut stream =
             Stream { reader, next_event: None, ended: false, pauses, killed: part.killed, process };
         let first = stream.next()?;
-        heap.extend(first.iter().map(|p| Reverse((p.at, streams.len()))));
+        heap.extend(first.iter().map(|frame| Reverse((frame.at, streams.len()))));
         pending.push(first);
         streams.push(stream);
     }
     let (mut events, mut last) = (0, 0);
-    while let Some(Reverse((_, n))) = heap.pop() {
-        let Some(mut event) = pending[n].take() else { continue };
-        // A kill is captured by the killer, whose clock may be a moment behind the killed process's last event.
+    while let Some(Reverse((_, index))) = heap.pop() {
+        let Some(mut event) = pending[index].take() else { continue };
+        // This process records the time of a kill, and its clock may be slightly behind the last event of the killed process.
         event.at = event.at.max(last);
         last = event.at;
         capture::write(&mut output, &event)?;
         events += 1;
-        pending[n] = streams[n].next()?;
-        heap.extend(pending[n].iter().map(|p| Reverse((p.at.max(last), n))));
+        pending[index] = streams[index].next()?;
+        heap.extend(pending[index].iter().map(|frame| Reverse((frame.at.max(last), index))));
     }
     output.finish().and_then(|mut file| file.flush())?;
     Ok(events)
--- a/crates/simulation/src/client_load/responses.rs
+++ b/crates/simulation/src/client_load/responses.rs
@@ -13,22 +13,22 @@
 pub struct ResponseHandler<'a> {
     pub load: &'a mut Load,
     pub now: Micros,
-    pub n: usize,
+    pub client_index: usize,
     pub effects: &'a mut Effects,
 }
 
 impl ResponseHandler<'_> {
-    /// The request that a number stands for; None if the client has cancelled it or given it up.
+    /// Returns the index of the request with this number; `None` if the client has cancelled it or counted it as unanswered.
     fn request_index(&self, number: u64) -> Option<usize> {
-        self.load.clients[self.n].in_flight.get(&number).copied()
+        self.load.clients[self.client_index].in_flight.get(&number).copied()
     }
 
     fn take_request(&mut self, number: u64) -> Option<usize> {
-        self.load.clients[self.n].in_flight.remove(&number)
+        self.load.clients[self.client_index].in_flight.remove(&number)
     }
 
-    fn add_progress(&self, of: impl Fn(&Progress) -> &AtomicU64) {
-        of(&self.load.progress).fetch_add(1, Ordering::Relaxed);
+    fn add_progress(&self, counter: impl Fn(&Progress) -> &AtomicU64) {
+        counter(&self.load.progress).fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -46,30 +46,34 @@
 
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed> {
         if let Some(request_index) = self.take_request(number) {
-            self.add_progress(|p| &p.completed);
+            self.add_progress(|progress| &progress.completed);
             self.load.on_completed(self.now, request_index, tokens);
         }
         Ok(())
     }
 
-    fn rejected(&mut self, number: u64, after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, number: u64, retry_after: Micros) -> Result<(), Malformed> {
         if let Some(request_index) = self.take_request(number) {
-            self.add_progress(|p| &p.rejected);
-            self.load.retry_or_end(self.now, request_index, true, after, self.effects, |t| &mut t.rejected);
+            self.add_progress(|progress| &progress.rejected);
+            self.load.retry_or_end(self.now, request_index, true, retry_after, self.effects, |statistics| {
+                &mut statistics.rejected
+            });
         }
         Ok(())
     }
 
     fn failed(&mut self, number: u64) -> Result<(), Malformed> {
         if let Some(request_index) = self.take_request(number) {
-            self.add_progress(|p| &p.failed);
-            self.load.retry_or_end(self.now, request_index, false, 0, self.effects, |t| &mut t.failed);
+            self.add_progress(|progress| &progress.failed);
+            self.load.retry_or_end(self.now, request_index, false, 0, self.effects, |statistics| {
+                &mut statistics.failed
+            });
         }
         Ok(())
     }
 
-    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
-        tracing::error!(client = self.n, why, "a router does not take this client");
+    fn unauthorized(&mut self, reason: &str) -> Result<(), Malformed> {
+        tracing::error!(client = self.client_index, why = reason, "router did not authorize this client");
         self.load.statistics.unauthorized += 1;
         Ok(())
     }
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -19,33 +19,33 @@
 /// Why a value of a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConvertError {
-    /// The text is no IPv4 address with a port.
-    #[error("{0:?} is no address")]
+    /// The text is not an IPv4 address with a port.
+    #[error("{0:?} is not an IPv4 address with a port")]
     InvalidAddress(String),
-    /// The text is no hash of 64 hexadecimal digits.
+    /// The text is not a hash of 64 hexadecimal digits.
     #[error(transparent)]
     InvalidHash(blake3::HexError),
-    /// The key of a tenant or of a cluster is no hash.
+    /// The key of a tenant or of a cluster is not a hash.
     #[error("the key of {owner}: {source}")]
     Key {
-        /// Whose key it is.
+        /// The tenant or the cluster whose key it is.
         owner: String,
-        /// What is wrong with it.
+        /// The error of the key.
         source: Box<ConvertError>,
     },
 }
 
-/// An IPv4 address with a port.
+/// Parses an IPv4 address with a port.
 pub fn socket(text: &str) -> Result<SocketAddrV4, ConvertError> {
     text.parse().map_err(|_| ConvertError::InvalidAddress(text.to_string()))
 }
 
-/// A hash as 64 hexadecimal digits.
+/// Parses a hash of 64 hexadecimal digits.
 pub fn hash(text: &str) -> Result<[u8; 32], ConvertError> {
     blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(ConvertError::InvalidHash)
 }
 
-/// The address in the form of the wire protocol.
+/// Parses an IPv4 address with a port into the form of the wire protocol.
 pub fn address(text: &str) -> Result<Address, ConvertError> {
     let parsed = socket(text)?;
     let ([a, b, c, d], [high, low]) = (parsed.ip().octets(), parsed.port().to_be_bytes());
@@ -56,58 +56,59 @@
     (micros / MICROS_PER_TENTH_MILLI) as types::TenthMillis
 }
 
-fn request_class(t: &RequestClass) -> types::RequestClass {
-    let scope = match t.deduplication_scope.as_str() {
+fn request_class(class: &RequestClass) -> types::RequestClass {
+    let scope = match class.deduplication_scope.as_str() {
         "zone" => DeduplicationScope::Zone,
         "cell" => DeduplicationScope::Cell,
         _ => DeduplicationScope::All,
     };
-    let idempotency = match t.idempotency.as_str() {
+    let idempotency = match class.idempotency.as_str() {
         "replayable" => Idempotency::Idempotent,
         "referenced" => {
-            Idempotency::IdempotentWithKey { scope, window: tenth_millis(t.deduplication_window) }
+            Idempotency::IdempotentWithKey { scope, window: tenth_millis(class.deduplication_window) }
         }
         _ => Idempotency::NonIdempotent,
     };
     types::RequestClass {
         idempotency,
-        ttft_objective: tenth_millis(t.ttft_objective),
-        ttft_objective_per_1000_tokens: tenth_millis(t.ttft_objective_per_1000_tokens),
-        priority_weight: t.priority_weight,
+        ttft_objective: tenth_millis(class.ttft_objective),
+        ttft_objective_per_1000_tokens: tenth_millis(class.ttft_objective_per_1000_tokens),
+        priority_weight: class.priority_weight,
     }
 }
 
-fn scheduler_config(terms: &SchedulerSettings, config: &Router) -> types::SchedulerConfig {
+fn scheduler_config(settings: &SchedulerSettings, config: &Router) -> types::SchedulerConfig {
     let role = |role: &Role| match role {
         Role::Reader => types::Role::Prefill,
         Role::Writer => types::Role::Decode,
         Role::Mixed => types::Role::Mixed,
     };
     types::SchedulerConfig {
-        router_count: terms.routers,
+        router_count: settings.routers,
         classes: config.classes.iter().map(request_class).collect(),
-        role_by_kind: config.kinds.iter().map(|k| role(&k.role)).collect(),
-        reservations_enabled: terms.reservations,
-        decode_workers_prefill: terms.decode_workers_prefill,
-        state_release_timeout: tenth_millis(terms.state_release_timeout),
-        cold_capacity_share: terms.slow_start_share,
-        warm_up_time: tenth_millis(terms.warm_up),
-        overload_multiple: terms.overload_multiple,
-        overload_window: tenth_millis(terms.overload_window),
-        max_attempts: terms.max_attempts,
-        cancellation_enabled: terms.cancellations,
-        health_checks_enabled: terms.health_checks,
-        load_reports_enabled: terms.load_reports,
+        role_by_kind: config.kinds.iter().map(|kind| role(&kind.role)).collect(),
+        reservations_enabled: settings.reservations,
+        decode_workers_prefill: settings.decode_workers_prefill,
+        state_release_timeout: tenth_millis(settings.state_release_timeout),
+        cold_capacity_share: settings.slow_start_share,
+        warm_up_time: tenth_millis(settings.warm_up),
+        overload_multiple: settings.overload_multiple,
+        overload_window: tenth_millis(settings.overload_window),
+        max_attempts: settings.max_attempts,
+        cancellation_enabled: settings.cancellations,
+        health_checks_enabled: settings.health_checks,
+        load_reports_enabled: settings.load_reports,
         load_in_tokens: false,
-        // The list is asked for once, and again whenever it was lost.
+        // The router watches the endpoint list, and opens the watch again whenever it was lost.
         endpoint_watch_enabled: true,
-        retry_after_enabled: terms.retry_after,
-        max_retry_after: tenth_millis(terms.max_retry_after),
+        retry_after_enabled: settings.retry_after,
+        max_retry_after: tenth_millis(settings.max_retry_after),
     }
 }
 
-/// The settings of one core of a router. To the scheduler each core is a router of its own, so that all of them
-/// together stay within the slow-start budget of a worker without communicating; limits are divided evenly.
+/// Returns the settings of one core of a router. The scheduler treats each core as a separate router, so that all cores
+/// together stay within the slow-start budget of a worker without communicating. Limits are divided evenly among the
+/// cores.
 pub fn router(
     config: &Router,
     core: u32,
@@ -120,7 +121,7 @@
     let lifecycle_config = tideroute_lifecycle::LifecycleConfig {
         name: if config.cores > 1 { format!("{}/{core}", config.name) } else { config.name.clone() },
         scheduler: scheduler_config,
-        classes: config.classes.iter().map(|t| t.name.clone()).collect(),
+        classes: config.classes.iter().map(|class| class.name.clone()).collect(),
         connect_timeout: config.settings.connect_timeout,
         max_open_requests: config.settings.max_open_requests.div_ceil(cores),
         tenants: tenants(config)?,
@@ -139,114 +140,125 @@
     })
 }
 
-/// The settings of a cluster member, and the key that authenticates messages of the cluster.
+/// Returns the settings of a cluster member, and the authenticator for the messages of the cluster.
 pub fn member(
     name: &str,
-    f: &MembershipConfig,
+    membership: &MembershipConfig,
     seed: u64,
 ) -> Result<(tideroute_membership::MembershipConfig, MessageAuthenticator), ConvertError> {
-    let key = hash(&f.key)
-        .map_err(|e| ConvertError::Key { owner: format!("the fleet {}", f.name), source: Box::new(e) })?;
-    let seeds = f.seeds.iter().map(|s| address(s)).collect::<Result<_, _>>()?;
-    let terms = tideroute_membership::MembershipConfig {
+    let key = hash(&membership.key).map_err(|e| ConvertError::Key {
+        owner: format!("the fleet {}", membership.name),
+        source: Box::new(e),
+    })?;
+    let seeds =
+        membership.seeds.iter().map(|seed_address| address(seed_address)).collect::<Result<_, _>>()?;
+    let config = tideroute_membership::MembershipConfig {
         name: name.to_string(),
-        address: address(&f.listen)?,
+        address: address(&membership.listen)?,
         seeds,
         rng_seed: seed,
     };
-    Ok((terms, MessageAuthenticator::new(&f.name, &key)))
+    Ok((config, MessageAuthenticator::new(&membership.name, &key)))
 }
 
-/// The tenants of a router; None if clients need no key. Those of a store come from the administration API.
+/// Returns the tenants that the configuration names; `None` if clients need no key. The administration API provides the
+/// tenants of a store.
 fn tenants(config: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
     let named = config.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
     Ok((config.admin.is_some() || !named.is_empty()).then_some(named))
 }
 
-fn tenant(t: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
-    let rate =
-        |a_second: Option<f64>, burst| a_second.map(|a_second| RateLimit { per_second: a_second, burst });
-    let key = hash(&t.key).map_err(|e| ConvertError::Key { owner: t.name.clone(), source: Box::new(e) })?;
+fn tenant(tenant: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
+    let rate = |per_second: Option<f64>, burst| per_second.map(|per_second| RateLimit { per_second, burst });
+    let key = hash(&tenant.key)
+        .map_err(|e| ConvertError::Key { owner: tenant.name.clone(), source: Box::new(e) })?;
     let limits = Limits {
-        requests: rate(t.requests_per_second, t.request_burst),
-        tokens: rate(t.tokens_per_second, t.token_burst),
-        in_flight: t.max_in_flight,
-        weight: t.weight,
-        waiting: t.max_waiting,
+        requests: rate(tenant.requests_per_second, tenant.request_burst),
+        tokens: rate(tenant.tokens_per_second, tenant.token_burst),
+        in_flight: tenant.max_in_flight,
+        weight: tenant.weight,
+        waiting: tenant.max_waiting,
     };
-    Ok(tideroute_lifecycle::TenantConfig { name: t.name.clone(), version: 0, keys: vec![key], limits })
+    Ok(tideroute_lifecycle::TenantConfig { name: tenant.name.clone(), version: 0, keys: vec![key], limits })
 }
 
-/// The steps of a script that are still ahead at `now`.
-fn remaining_steps<T>(from: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
-    let later = steps.into_iter().map(|(at, what)| (from + at, what)).filter(|(at, _)| *at >= now);
-    later.map(|(at, what)| (at - now, what)).collect()
+/// Returns the steps of a script that are due at `now` or later, with their times from `now`.
+fn remaining_steps<T>(script_start: Micros, now: Micros, steps: Vec<(u64, T)>) -> Vec<(Micros, T)> {
+    let remaining =
+        steps.into_iter().map(|(at, action)| (script_start + at, action)).filter(|(at, _)| *at >= now);
+    remaining.map(|(at, action)| (at - now, action)).collect()
 }
 
-fn steps(step: &WorkerFault) -> Vec<(u64, ScriptedFault)> {
-    let (begin, end) = match step.kind.as_str() {
+fn steps(fault: &WorkerFault) -> Vec<(u64, ScriptedFault)> {
+    let (begin, end) = match fault.kind.as_str() {
         "refuse" => (ScriptedFault::Reject(true), Some(ScriptedFault::Reject(false))),
         "fault" => (ScriptedFault::ServerError(true), Some(ScriptedFault::ServerError(false))),
-        "slow" => (ScriptedFault::Slow(step.factor), Some(ScriptedFault::Slow(1.0))),
+        "slow" => (ScriptedFault::Slow(fault.factor), Some(ScriptedFault::Slow(1.0))),
         "corrupt" => (ScriptedFault::CorruptState(true), Some(ScriptedFault::CorruptState(false))),
         "silent" => (ScriptedFault::Silent, Some(ScriptedFault::Crash)),
         "drain" => (ScriptedFault::Drain, None),
         _ => (ScriptedFault::Crash, None),
     };
-    let end = end.zip(step.duration).map(|(end, lasts)| (step.at + lasts, end));
-    [(step.at, begin)].into_iter().chain(end).collect()
+    let end = end.zip(fault.duration).map(|(end, duration)| (fault.at + duration, end));
+    [(fault.at, begin)].into_iter().chain(end).collect()
 }
 
-/// The settings of an emulated worker whose script began at a time and that starts now.
-pub fn worker(config: &Worker, cold: bool, from: Micros, now: Micros) -> Result<WorkerConfig, ConvertError> {
-    let capabilities: &WorkerCapacity = &config.capacity;
+/// Returns the settings of an emulated worker that starts at `now` and whose script began at `script_start`.
+pub fn worker(
+    config: &Worker,
+    cold: bool,
+    script_start: Micros,
+    now: Micros,
+) -> Result<WorkerConfig, ConvertError> {
+    let capacity: &WorkerCapacity = &config.capacity;
     Ok(WorkerConfig {
         name: config.name.clone(),
         address: address(&config.listen)?,
         discovery: address(&config.discovery)?,
-        role: match capabilities.role {
+        role: match capacity.role {
             Role::Reader => WorkerRole::Prefill,
             Role::Writer => WorkerRole::Decode,
             Role::Mixed => WorkerRole::Mixed,
         },
         kind: config.kind,
-        size: capabilities.size,
+        size: capacity.size,
         cell: config.cell,
         zone: config.zone,
         is_warm: config.warm && !cold,
-        prefill_slots: capabilities.prefill_slots,
-        max_queued_prefills: capabilities.prefill_queue,
-        prefill_tokens_per_second: capabilities.prefill_tokens_per_second,
-        decode_slots: capabilities.decode_slots,
-        max_queued_streams: capabilities.decode_queue,
-        token_interval: capabilities.token_interval,
-        state_bytes_per_token: capabilities.state_bytes_per_token,
+        prefill_slots: capacity.prefill_slots,
+        max_queued_prefills: capacity.prefill_queue,
+        prefill_tokens_per_second: capacity.prefill_tokens_per_second,
+        decode_slots: capacity.decode_slots,
+        max_queued_streams: capacity.decode_queue,
+        token_interval: capacity.token_interval,
+        state_bytes_per_token: capacity.state_bytes_per_token,
         cold_capacity_share: config.settings.slow_start_share,
         warm_up: config.settings.warm_up,
         overload_multiple: config.settings.overload_multiple,
         overload_window: config.settings.overload_window,
-        max_cached_prefixes: capabilities.max_cached_prefixes,
-        script: remaining_steps(from, now, config.script.iter().flat_map(steps).collect()),
+        max_cached_prefixes: capacity.max_cached_prefixes,
+        script: remaining_steps(script_start, now, config.script.iter().flat_map(steps).collect()),
     })
 }
 
-/// A relay whose script began at a time and that starts now.
+/// Returns the settings of a relay that starts at `now` and whose script began at `from`.
 pub fn relay(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
-    let route = |d: &RelayListener| Ok(Route { to: address(&d.to)?, faults: d.faults.clone() });
-    let since = now.saturating_sub(from);
-    let ahead = from.saturating_sub(now);
-    let fault = |f: &RelayFault| tideroute_relay::Fault {
-        from: (ahead + f.at).saturating_sub(since),
-        until: (ahead + f.at + f.duration).saturating_sub(since),
-        direction: match f.direction.as_str() {
+    let route =
+        |listener: &RelayListener| Ok(Route { to: address(&listener.to)?, faults: listener.faults.clone() });
+    let elapsed = now.saturating_sub(from);
+    let until_start = from.saturating_sub(now);
+    let fault = |fault: &RelayFault| tideroute_relay::Fault {
+        from: (until_start + fault.at).saturating_sub(elapsed),
+        until: (until_start + fault.at + fault.duration).saturating_sub(elapsed),
+        direction: match fault.direction.as_str() {
             "there" => FaultDirection::Forward,
             "back" => FaultDirection::Backward,
             _ => FaultDirection::Both,
         },
-        kind: match f.kind.as_str() {
+        kind: match fault.kind.as_str() {
             "silent" => FaultKind::Blackhole,
             "reset" => FaultKind::Reset,
-            _ => FaultKind::Delay { delay: f.delay, jitter: f.jitter, loss: f.loss },
+            _ => FaultKind::Delay { delay: fault.delay, jitter: fault.jitter, loss: fault.loss },
         },
     };
     let routes =
@@ -260,9 +272,11 @@
     })
 }
 
-/// The settings of an endpoint list whose script began at a time and that starts now.
+/// Returns the settings of an endpoint list that starts at `now` and whose script began at `from`.
 pub fn discovery(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
-    let late =
-        config.delays.iter().flat_map(|late| [(late.at, late.lag), (late.at + late.duration, config.lag)]);
-    DiscoveryConfig { notification_delay: config.lag, script: remaining_steps(from, now, late.collect()) }
+    let delays = config
+        .delays
+        .iter()
+        .flat_map(|delays| [(delays.at, delays.lag), (delays.at + delays.duration, config.lag)]);
+    DiscoveryConfig { notification_delay: config.lag, script: remaining_steps(from, now, delays.collect()) }
 }
--- a/crates/simulation/src/hop_latencies.rs
+++ b/crates/simulation/src/hop_latencies.rs
@@ -1,6 +1,6 @@
-//! The network hops of requests, measured on the capture of a scenario: from the client to the prefill worker, from
-//! the end of prefill to the decode worker, and from each of its tokens to the client. Work at the workers is left out,
-//! so that a scenario with routers and one of direct requests can be compared.
+//! Measures the latencies of the network hops of requests on the capture of a scenario: from the client to the prefill
+//! worker, from the end of prefill to the decode worker, and from the sending of each token to the client. The time at the
+//! workers is left out, so that a scenario with routers can be compared with one of direct requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::Read;
@@ -11,18 +11,18 @@
 use tideroute_wire::worker::{self, AttemptFailure};
 use tideroute_wire::{client, Address, Malformed, Micros};
 
-/// Microseconds: the longest latency that the histograms tell apart.
+/// Longest latency, in microseconds, that the histograms can represent; longer ones are recorded as this value.
 const MAX_LATENCY: u64 = 60_000_000;
 
 /// Latencies of network hops, in microseconds.
 pub struct HopLatencies {
-    /// All three hops up to the first token, summed for each request.
+    /// The sum of the three hops up to the first token, of each request.
     pub first_token: Histogram<u64>,
-    /// From the decode worker to the client, of each token.
+    /// The hop from the decode worker to the client, of each token.
     pub token: Histogram<u64>,
 }
 
-/// When the messages of one request passed.
+/// When the messages of one request were sent or received.
 #[derive(Default)]
 struct RequestTimes {
     sent_at: Option<Micros>,
@@ -33,9 +33,9 @@
     attempts: u16,
 }
 
-/// A message that a hop begins or ends with.
+/// A message with which a hop begins or ends.
 enum RelevantMessage {
-    Submit(u64),
+    Request(u64),
     Accepted(u64, u64),
     Prefill(u64, u16),
     Decode(u64),
@@ -44,11 +44,12 @@
     ClientToken(u64, u32),
 }
 
-/// Measures the hops on a capture; `routed` says whether a router stands between client and workers.
-pub fn measure_hops(record: impl Read, routed: bool) -> Result<HopLatencies, CaptureError> {
-    let mut reader = Reader::new(record);
+/// Measures the hops on a capture; `routed` tells whether the requests went through routers.
+pub fn measure_hops(capture: impl Read, routed: bool) -> Result<HopLatencies, CaptureError> {
+    let mut reader = Reader::new(capture);
     let (processes, _) = reader.head()?;
-    let roles: BTreeMap<u32, String> = processes.into_iter().map(|p| (p.number, p.role)).collect();
+    let roles: BTreeMap<u32, String> =
+        processes.into_iter().map(|frame| (frame.number, frame.role)).collect();
     let mut collector = HopCollector::new(routed);
     while let Some(frame) = reader.next_passed()? {
         let role = roles.get(&frame.process).map_or("", String::as_str);
@@ -59,17 +60,17 @@
     Ok(collector.hops)
 }
 
-/// A request as its client numbers it: the client's process, its connection, and the number there.
+/// A request as its client numbers it: the process of the client, its connection, and the number of the request on it.
 type ClientRequest = (u32, u64, u64);
 
-/// Collects when the messages of each request passed.
+/// Collects the times of the messages of each request.
 struct HopCollector {
-    /// Whether a router stands between client and workers.
+    /// Whether the requests went through routers.
     routed: bool,
     hops: HopLatencies,
-    /// By request id.
+    /// The times of each request, by request id.
     requests: HashMap<u64, RequestTimes>,
-    /// Of routed requests: when they were sent, until the router's acceptance tells their id.
+    /// When routed requests were sent, until the acceptance by the router tells their ids.
     sent_at: HashMap<ClientRequest, Micros>,
     ids: HashMap<ClientRequest, u64>,
 }
@@ -84,7 +85,7 @@
         let is_received = frame.event == CaptureEvent::Received;
         let client_request = |number: u64| (frame.process, frame.connection, number);
         match (message, role, is_received) {
-            (RelevantMessage::Submit(number), "client", false) => {
+            (RelevantMessage::Request(number), "client", false) => {
                 self.sent_at.insert(client_request(number), frame.at);
             }
             (RelevantMessage::Accepted(number, id), "client", true) => {
@@ -125,7 +126,7 @@
         self.requests.entry(id).or_default()
     }
 
-    /// A token arrived at its client.
+    /// Records the hops that end with the arrival of a token at its client.
     fn record_token(&mut self, id: u64, index: u32, at: Micros) {
         let Some(times) = self.requests.get_mut(&id) else { return };
         let Some(sent) = times.token_sent.remove(&index) else { return };
@@ -139,7 +140,7 @@
             times.prefill_completed_at,
             times.decode_received,
         ) {
-            // Waits that the router chooses (a prefill held back) count as its own.
+            // Time for which the router holds a prefill back counts as latency that the router adds.
             let hops = prefill.saturating_sub(sent_at) + decode.saturating_sub(prefilled) + last_hop;
             self.hops.first_token.saturating_record(hops);
         }
@@ -150,24 +151,24 @@
     Histogram::new_with_max(MAX_LATENCY, 3).unwrap_or_else(|_| unreachable!("constant bounds are valid"))
 }
 
-fn relevant_message(p: &CapturedFrame, role: &str) -> Option<RelevantMessage> {
-    if !matches!(p.event, CaptureEvent::Sent | CaptureEvent::Received) || p.position == 0 {
+fn relevant_message(frame: &CapturedFrame, role: &str) -> Option<RelevantMessage> {
+    if !matches!(frame.event, CaptureEvent::Sent | CaptureEvent::Received) || frame.position == 0 {
         return None;
     }
     let mut handler = MessageHandler(None);
-    // A client of direct requests speaks to workers as a router does.
-    let sent = p.event == CaptureEvent::Sent;
+    // A client that sends direct requests uses the protocol between routers and workers.
+    let sent = frame.event == CaptureEvent::Sent;
     let _ = match (role, sent) {
-        ("client", true) => client::receive_from_client(&p.frame, &mut handler)
+        ("client", true) => client::receive_from_client(&frame.frame, &mut handler)
             .ok()
             .filter(|()| handler.0.is_some())
-            .map_or_else(|| worker::receive_from_router(&p.frame, &mut handler), Ok),
-        ("client", false) => match client::receive_from_router(&p.frame, &mut handler) {
+            .map_or_else(|| worker::receive_from_router(&frame.frame, &mut handler), Ok),
+        ("client", false) => match client::receive_from_router(&frame.frame, &mut handler) {
             Ok(()) if handler.0.is_some() => Ok(()),
-            _ => worker::receive_from_worker(&p.frame, &mut handler),
+            _ => worker::receive_from_worker(&frame.frame, &mut handler),
         },
-        ("worker", true) => worker::receive_from_worker(&p.frame, &mut handler),
-        ("worker", false) => worker::receive_from_router(&p.frame, &mut handler),
+        ("worker", true) => worker::receive_from_worker(&frame.frame, &mut handler),
+        ("worker", false) => worker::receive_from_router(&frame.frame, &mut handler),
         _ => Ok(()),
     };
     handler.0
@@ -176,7 +177,7 @@
 struct MessageHandler(Option<RelevantMessage>);
 
 impl MessageHandler {
-    fn note(&mut self, relevant_message: RelevantMessage) -> Result<(), Malformed> {
+    fn set_message(&mut self, relevant_message: RelevantMessage) -> Result<(), Malformed> {
         self.0 = Some(relevant_message);
         Ok(())
     }
@@ -186,17 +187,17 @@
     fn submit(
         &mut self,
         number: u64,
-        _track: u8,
+        _class: u8,
         _session: u64,
         _prefix: u64,
         _prompt_tokens: u32,
         _prefix_tokens: u32,
-        _most_tokens: u32,
-        _left: Micros,
-        _mark: u64,
+        _max_tokens: u32,
+        _remaining: Micros,
+        _idempotency_key: u64,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
-        self.note(RelevantMessage::Submit(number))
+        self.set_message(RelevantMessage::Request(number))
     }
 
     fn cancel(&mut self, _number: u64) -> Result<(), Malformed> {
@@ -206,18 +207,18 @@
 
 impl client::Client for MessageHandler {
     fn accepted(&mut self, number: u64, id: u64) -> Result<(), Malformed> {
-        self.note(RelevantMessage::Accepted(number, id))
+        self.set_message(RelevantMessage::Accepted(number, id))
     }
 
     fn token(&mut self, number: u64, index: u32, _text: Bytes) -> Result<(), Malformed> {
-        self.note(RelevantMessage::ClientToken(number, index))
+        self.set_message(RelevantMessage::ClientToken(number, index))
     }
 
     fn completed(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn rejected(&mut self, _number: u64, _after: Micros) -> Result<(), Malformed> {
+    fn rejected(&mut self, _number: u64, _retry_after: Micros) -> Result<(), Malformed> {
         Ok(())
     }
 
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    fn unauthorized(&mut self, _why: &str) -> Result<(), Malformed> {
+    fn unauthorized(&mut self, _reason: &str) -> Result<(), Malformed> {
         Ok(())
     }
 }
@@ -234,46 +235,52 @@
     fn prefill(
         &mut self,
         id: u64,
-        shot: u16,
-        _track: u8,
+        attempt: u16,
+        _class: u8,
         _session: u64,
         _prefix: u64,
         _prompt_tokens: u32,
         _prefix_tokens: u32,
-        _left: Micros,
+        _remaining: Micros,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
-        self.note(RelevantMessage::Prefill(id, shot))
+        self.set_message(RelevantMessage::Prefill(id, attempt))
     }
 
-    fn reserve(&mut self, _id: u64, _prompt: u32, _most: u32, _reader: Address) -> Result<(), Malformed> {
+    fn reserve(
+        &mut self,
+        _id: u64,
+        _prompt_tokens: u32,
+        _max_tokens: u32,
+        _prefill_worker: Address,
+    ) -> Result<(), Malformed> {
         Ok(())
     }
 
     fn decode(
         &mut self,
         id: u64,
-        _shot: u16,
-        _track: u8,
+        _attempt: u16,
+        _class: u8,
         _prompt_tokens: u32,
-        _most_tokens: u32,
-        _left: Micros,
-        _mark: u64,
-        _reader: Option<Address>,
-        _window: u32,
+        _max_tokens: u32,
+        _remaining: Micros,
+        _idempotency_key: u64,
+        _prefill_worker: Option<Address>,
+        _window_tokens: u32,
         _session: u64,
         _prefix: u64,
         _prefix_tokens: u32,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
-        self.note(RelevantMessage::Decode(id))
+        self.set_message(RelevantMessage::Decode(id))
     }
 
     fn release(&mut self, _id: u64) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn cancel(&mut self, _id: u64, _shot: u16) -> Result<(), Malformed> {
+    fn cancel(&mut self, _id: u64, _attempt: u16) -> Result<(), Malformed> {
         Ok(())
     }
 
@@ -281,36 +288,42 @@
         Ok(())
     }
 
-    fn grant_tokens(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn grant_tokens(&mut self, _id: u64, _attempt: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 }
 
 impl worker::Router for MessageHandler {
-    fn reservation_answered(&mut self, _id: u64, _held: bool) -> Result<(), Malformed> {
+    fn reservation_answered(&mut self, _id: u64, _reserved: bool) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn prefill_completed(&mut self, id: u64, _shot: u16, _kept: u32, _bytes: u64) -> Result<(), Malformed> {
-        self.note(RelevantMessage::PrefillCompleted(id))
+    fn prefill_completed(
+        &mut self,
+        id: u64,
+        _attempt: u16,
+        _kept_tokens: u32,
+        _bytes: u64,
+    ) -> Result<(), Malformed> {
+        self.set_message(RelevantMessage::PrefillCompleted(id))
     }
 
-    fn token(&mut self, id: u64, _shot: u16, index: u32, _text: Bytes) -> Result<(), Malformed> {
-        self.note(RelevantMessage::WorkerToken(id, index))
+    fn token(&mut self, id: u64, _attempt: u16, index: u32, _text: Bytes) -> Result<(), Malformed> {
+        self.set_message(RelevantMessage::WorkerToken(id, index))
     }
 
-    fn completed(&mut self, _id: u64, _shot: u16, _tokens: u32) -> Result<(), Malformed> {
+    fn completed(&mut self, _id: u64, _attempt: u16, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
 
-    fn attempt_ended(&mut self, _id: u64, _shot: u16, _how: AttemptFailure) -> Result<(), Malformed> {
+    fn attempt_ended(&mut self, _id: u64, _attempt: u16, _failure: AttemptFailure) -> Result<(), Malformed> {
         Ok(())
     }
 
     fn health_reported(
         &mut self,
         _nonce: u64,
-        _reads: u32,
+        _prefills: u32,
         _streams: u32,
         _waiting: u32,
     ) -> Result<(), Malformed> {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,10 +1,10 @@
 //! Client load, and scenarios on real processes or in virtual time.
 //!
 //! [`client_load::Load`] is an [`EventHandler`](tideroute_wire::event_loop::EventHandler) that sends the requests of
-//! clients in open loop: when each request is sent is planned ahead and never waits for a response.
+//! clients in open loop: the time of each request is planned in advance and never depends on a response.
 //! [`scenario::play`] starts the processes of a scenario on free loopback ports, injects its faults, collects the
-//! capture of their traffic, and has the rules checked. [`simulator::Simulator`] runs the same programs in virtual
-//! time, in one process and from one seed, and [`virtual_scenario::play`] a whole scenario in it.
+//! capture of their traffic, and checks the rules on it. [`simulator::Simulator`] runs the same programs in virtual
+//! time, in one process and from one seed; [`virtual_scenario::play`] plays a whole scenario in it.
 
 #![warn(missing_docs)]
 
--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster of members in virtual time: the real membership protocol over a network that delays, loses, duplicates and
-//! partitions, in one process and from one seed.
+//! A cluster of members in virtual time: the real membership protocol over a simulated network that delays, loses and
+//! duplicates datagrams and can be partitioned, in one process and from one seed.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -12,19 +12,19 @@
 use tideroute_wire::gossip::MemberStatus;
 use tideroute_wire::{Address, Micros};
 
-/// When a cluster begins, in microseconds since 1970: any time will do that leaves room for clocks that are behind.
+/// When a cluster begins, in microseconds since 1970. The time is arbitrary, but large enough for clocks that are behind.
 pub const EPOCH: Micros = 1_800_000_000_000_000;
-/// Members that all others know from the beginning.
+/// Number of members that all others know from the beginning.
 const SEEDS: usize = 3;
-/// Datagrams that wait at a paused process; further ones are lost, as at a socket whose buffer is full.
+/// Number of datagrams that can wait at a paused process; further ones are lost, as at a socket with a full buffer.
 const SOCKET_BUFFER: usize = 300;
 
 /// What the network does to each datagram.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// The shortest delay.
+    /// The shortest delay of a datagram.
     pub min_delay: Micros,
-    /// The longest delay.
+    /// The longest delay of a datagram.
     pub max_delay: Micros,
     /// The fraction of datagrams that is lost.
     pub loss: f64,
@@ -42,8 +42,8 @@
 }
 
 struct Node {
-    group: Option<Membership>,
-    /// How often it was started or killed; events for an earlier incarnation are void.
+    membership: Option<Membership>,
+    /// Number of times that it was started or killed; events for an earlier incarnation are discarded.
     incarnation: u32,
     wakes_at: Micros,
     paused: bool,
@@ -58,11 +58,11 @@
 /// What one member observed of another.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// When.
+    /// The virtual time of the observation.
     pub at: Micros,
-    /// The member that observed it.
+    /// The index of the member that observed it.
     pub observer: usize,
-    /// What it observed.
+    /// The state of the observed member, as the observer saw it.
     pub observed: Member,
 }
 
@@ -72,15 +72,15 @@
     nodes: Vec<Node>,
     events: BinaryHeap<Reverse<(Micros, u64, usize, u32)>>,
     scheduled: std::collections::HashMap<u64, Event>,
-    count: u64,
+    event_count: u64,
     network: Network,
-    /// Sets of members between which nothing passes, from the one to the other.
+    /// Pairs of sets of members; no datagram passes from the first set of a pair to the second.
     partitions: Vec<(HashSet<usize>, HashSet<usize>)>,
     rng: Pcg64,
-    seal: MessageAuthenticator,
-    /// All that members observed of others, in order.
+    authenticator: MessageAuthenticator,
+    /// All changes of status that members observed of others, in order of time.
     pub observations: Vec<Observation>,
-    /// Time spent in the code of members.
+    /// Real time spent in the code of the members.
     pub member_cpu_time: std::time::Duration,
 }
 
@@ -92,16 +92,16 @@
     usize::from(at[2]) << 8 | usize::from(at[3])
 }
 
-/// The name of a member.
+/// Returns the name of a member.
 pub fn member_name(n: usize) -> String {
     format!("router{n}")
 }
 
 impl MemberCluster {
-    /// A cluster of `count` members, none of them started.
+    /// Creates a cluster of `count` members, none of them started.
     pub fn new(count: usize, seed: u64, network: Network) -> MemberCluster {
         let node = || Node {
-            group: None,
+            membership: None,
             incarnation: 0,
             wakes_at: Micros::MAX,
             paused: false,
@@ -116,23 +116,23 @@
             nodes: (0..count).map(|_| node()).collect(),
             events: BinaryHeap::new(),
             scheduled: Default::default(),
-            count: 0,
+            event_count: 0,
             network,
             partitions: vec![],
             rng: Pcg64::seed_from_u64(seed),
-            seal: MessageAuthenticator::new("crowd", &[7; 32]),
+            authenticator: MessageAuthenticator::new("crowd", &[7; 32]),
             observations: vec![],
             member_cpu_time: Default::default(),
         }
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Changes what the network does.
-    pub fn network(&mut self, network: Network) {
+    /// Changes the delay, loss and duplication of the network.
+    pub fn set_network(&mut self, network: Network) {
         self.network = network;
     }
 
@@ -142,7 +142,7 @@
 
     /// Starts or restarts a member.
     pub fn start(&mut self, n: usize) {
-        let terms = MembershipConfig {
+        let config = MembershipConfig {
             name: member_name(n),
             address: address(n),
             seeds: (0..SEEDS).map(address).collect(),
@@ -153,12 +153,12 @@
         node.incarnation += 1;
         (node.started, node.paused) = (at, false);
         node.waiting.clear();
-        node.group = Some(Membership::new(terms, now));
+        node.membership = Some(Membership::new(config, now));
         node.wakes_at = Micros::MAX;
         self.execute_actions(n);
     }
 
-    /// Starts these members within a second.
+    /// Starts these members one after the other, within a second.
     pub fn start_all(&mut self, range: Range<usize>) {
         let count = range.len().max(1) as u64;
         for n in range {
@@ -168,10 +168,10 @@
         }
     }
 
-    /// Kills a member; it does not tell the others.
+    /// Kills a member; the others are not notified.
     pub fn kill(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.group, node.paused, node.wakes_at) = (None, false, Micros::MAX);
+        (node.membership, node.paused, node.wakes_at) = (None, false, Micros::MAX);
         node.incarnation += 1;
         node.waiting.clear();
     }
@@ -179,25 +179,25 @@
     /// Has a member leave the cluster.
     pub fn leave(&mut self, n: usize) {
         let now = self.clock(n);
-        self.nodes[n].group.iter_mut().for_each(|g| g.leave(now));
+        self.nodes[n].membership.iter_mut().for_each(|g| g.leave(now));
         self.execute_actions(n);
     }
 
-    /// Pauses a member.
-    pub fn halt(&mut self, n: usize, lasts: Micros) {
-        if self.nodes[n].group.is_some() && !self.nodes[n].paused {
+    /// Pauses a member for a span of time.
+    pub fn pause(&mut self, n: usize, duration: Micros) {
+        if self.nodes[n].membership.is_some() && !self.nodes[n].paused {
             self.nodes[n].paused = true;
-            self.schedule(self.now + lasts, n, Event::Resume);
+            self.schedule(self.now + duration, n, Event::Resume);
         }
     }
 
-    /// Sets by how much the clock of a member is off from its next start.
-    pub fn clock_off(&mut self, n: usize, clock_offset: i64) {
+    /// Sets by how many microseconds the clock of a member is ahead; a negative offset sets it back.
+    pub fn set_clock_offset(&mut self, n: usize, clock_offset: i64) {
         self.nodes[n].clock_offset = clock_offset;
     }
 
-    /// Partitions the network: nothing passes any more from the one set to the other.
-    pub fn cut(&mut self, from: impl IntoIterator<Item = usize>, to: impl IntoIterator<Item = usize>) {
+    /// Partitions the network: no datagram passes any more from the set `from` to the set `to`.
+    pub fn partition(&mut self, from: impl IntoIterator<Item = usize>, to: impl IntoIterator<Item = usize>) {
         self.partitions.push((from.into_iter().collect(), to.into_iter().collect()));
     }
 
@@ -206,55 +206,59 @@
         self.partitions.clear();
     }
 
-    /// Whether a member runs.
+    /// Returns whether a member runs.
     pub fn is_up(&self, n: usize) -> bool {
-        self.nodes[n].group.is_some()
+        self.nodes[n].membership.is_some()
     }
 
-    /// When a member was last started.
+    /// Returns when a member was last started.
     pub fn started(&self, n: usize) -> Micros {
         self.nodes[n].started
     }
 
-    /// Bytes and datagrams that a member has sent so far.
+    /// Returns the bytes and the number of datagrams that a member has sent so far.
     pub fn sent_traffic(&self, n: usize) -> (u64, u64) {
         (self.nodes[n].bytes, self.nodes[n].datagrams_sent)
     }
 
-    /// Pairs of a running member and a member that it sees wrongly: present though it is down, or the reverse.
+    /// Returns the pairs of a running member and a member whose state it sees wrongly: as present though it is down, or the
+    /// reverse.
     pub fn wrong_views(&self) -> Vec<(usize, usize)> {
         let up: Vec<bool> = (0..self.nodes.len()).map(|n| self.is_up(n)).collect();
         let mut wrong = vec![];
         for (viewer, node) in self.nodes.iter().enumerate() {
-            let Some(group) = &node.group else { continue };
+            let Some(membership) = &node.membership else { continue };
             let mut seen_present = vec![false; self.nodes.len()];
-            group.members().filter(|s| s.status.is_in()).for_each(|s| seen_present[number(s.address)] = true);
+            membership
+                .members()
+                .filter(|o| o.status.is_in())
+                .for_each(|o| seen_present[number(o.address)] = true);
             seen_present[viewer] = true;
             wrong.extend((0..seen_present.len()).filter(|&n| seen_present[n] != up[n]).map(|n| (viewer, n)));
         }
         wrong
     }
 
-    /// Declarations of death of members that are up, from a moment on.
+    /// Returns the observations since a moment in which a member that runs now was declared dead.
     pub fn false_death_declarations(&self, since: Micros) -> Vec<&Observation> {
         let dead = |o: &&Observation| o.at >= since && o.observed.status == MemberStatus::Dead;
         self.observations.iter().filter(dead).filter(|o| self.is_up(number(o.observed.address))).collect()
     }
 
     fn schedule(&mut self, at: Micros, n: usize, event: Event) {
-        self.count += 1;
-        self.scheduled.insert(self.count, event);
-        self.events.push(Reverse((at, self.count, n, self.nodes[n].incarnation)));
+        self.event_count += 1;
+        self.scheduled.insert(self.event_count, event);
+        self.events.push(Reverse((at, self.event_count, n, self.nodes[n].incarnation)));
     }
 
-    /// Runs until a moment.
+    /// Runs until a point in virtual time.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(Reverse((at, count, n, incarnation))) = self.events.peek().copied() {
+        while let Some(Reverse((at, event_count, n, incarnation))) = self.events.peek().copied() {
             if at > until {
                 break;
             }
             self.events.pop();
-            let Some(event) = self.scheduled.remove(&count) else { continue };
+            let Some(event) = self.scheduled.remove(&event_count) else { continue };
             if self.nodes[n].incarnation != incarnation {
                 continue;
             }
@@ -276,7 +280,7 @@
                 }
                 Event::Resume => {
                     self.nodes[n].paused = false;
-                    // Datagrams that waited are read before timers fire, as on the event loop.
+                    // Datagrams that waited are read before timers fire, as in the event loop.
                     for (from, datagram) in std::mem::take(&mut self.nodes[n].waiting) {
                         self.deliver(n, from, &datagram);
                     }
@@ -287,7 +291,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Runs for a span of time.
+    /// Runs for a span of virtual time.
     pub fn run_for(&mut self, span: Micros) {
         self.run_until(self.now + span);
     }
@@ -295,9 +299,9 @@
     fn deliver(&mut self, n: usize, from: Address, datagram: &Bytes) {
         let now = self.clock(n);
         let began = std::time::Instant::now();
-        let message = self.seal.verify(datagram);
-        if let (Ok(message), Some(group)) = (message, &mut self.nodes[n].group) {
-            group.handle_datagram(now, from, &message).expect("what members say can be read");
+        let message = self.authenticator.verify(datagram);
+        if let (Ok(message), Some(membership)) = (message, &mut self.nodes[n].membership) {
+            membership.handle_datagram(now, from, &message).expect("messages of members are well formed");
         }
         self.member_cpu_time += began.elapsed();
     }
@@ -307,13 +311,13 @@
         let now = self.clock(n);
         loop {
             let began = std::time::Instant::now();
-            let Some(group) = &mut self.nodes[n].group else { return };
-            let act = group.next_output(now).map(|act| match act {
-                Output::Send { to, message } => (Some((to, self.seal.sign(&message))), None),
+            let Some(membership) = &mut self.nodes[n].membership else { return };
+            let action = membership.next_output(now).map(|action| match action {
+                Output::Send { to, message } => (Some((to, self.authenticator.sign(&message))), None),
                 Output::StatusChanged(seen) => (None, Some(seen)),
             });
             self.member_cpu_time += began.elapsed();
-            let Some((message, observation)) = act else { break };
+            let Some((message, observation)) = action else { break };
             self.observations.extend(observation.map(|observed| Observation {
                 at: self.now,
                 observer: n,
@@ -323,11 +327,11 @@
                 self.send(n, to, &datagram);
             }
         }
-        let Some(group) = &self.nodes[n].group else { return };
-        if group.has_left() {
+        let Some(membership) = &self.nodes[n].membership else { return };
+        if membership.has_left() {
             return self.kill(n);
         }
-        let due = group.wakeup_at().saturating_add_signed(-self.nodes[n].clock_offset).max(self.now);
+        let due = membership.wakeup_at().saturating_add_signed(-self.nodes[n].clock_offset).max(self.now);
         if due != self.nodes[n].wakes_at {
             self.nodes[n].wakes_at = due;
             self.schedule(due, n, Event::Wake);
@@ -339,12 +343,13 @@
         self.nodes[n].bytes += datagram.len() as u64;
         self.nodes[n].datagrams_sent += 1;
         let target = number(to);
-        let cut = self.partitions.iter().any(|(from, to)| from.contains(&n) && to.contains(&target));
-        if cut || target >= self.nodes.len() || !self.is_up(target) {
+        let is_partitioned =
+            self.partitions.iter().any(|(from, to)| from.contains(&n) && to.contains(&target));
+        if is_partitioned || target >= self.nodes.len() || !self.is_up(target) {
             return;
         }
-        let times = 1 + usize::from(self.rng.random::<f64>() < self.network.duplication);
-        for _ in 0..times {
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.network.duplication);
+        for _ in 0..copies {
             if self.rng.random::<f64>() < self.network.loss {
                 continue;
             }
--- a/crates/simulation/src/prefill_policies.rs
+++ b/crates/simulation/src/prefill_policies.rs
@@ -1,5 +1,5 @@
-//! Simple policies to choose a prefill worker, as baselines for the router: each gets the load information that it may
-//! have, and no more.
+//! Simple policies to choose a prefill worker, as baselines for the router. Each policy sees only the load information
+//! that it would have in practice.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::str::FromStr;
@@ -8,21 +8,21 @@
 use rand_pcg::Pcg64;
 use tideroute_wire::{Address, Micros};
 
-/// Microseconds that the begin or end of a prefill takes to be known to all routers by gossip: some rounds.
+/// Microseconds, some rounds of gossip, until all routers know that a prefill has begun or ended.
 const GOSSIP_DELAY: Micros = 500_000;
 
-/// How a prefill worker is chosen.
+/// A policy to choose a prefill worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PrefillPolicy {
-    /// The next worker by session, as a client does that balances nothing.
+    /// The worker at the index of the session modulo the number of workers, as a client without load balancing chooses.
     Next,
     /// A random worker.
     Random,
-    /// The worker with the fewest prefills of the client's own router.
+    /// The worker with the fewest prefills among those that the router of the client has sent.
     FewestOwn,
-    /// Of two random workers the one with fewer prefills, by current load.
+    /// The one of two random workers with fewer prefills, by current load.
     TwoChoices,
-    /// The worker with the fewest prefills, by load information of some rounds of gossip ago.
+    /// The worker with the fewest prefills, by load information that is some rounds of gossip old.
     Greedy,
     /// The worker with the fewest prefills, by current load.
     Perfect,
@@ -40,9 +40,9 @@
     ];
 }
 
-/// No policy has that name.
+/// The name is not that of a policy.
 #[derive(Debug, thiserror::Error)]
-#[error("{name:?} is no way; expected one of {expected}")]
+#[error("{name:?} is not a policy; expected one of {expected}")]
 pub struct UnknownPolicy {
     name: String,
     expected: String,
@@ -60,23 +60,24 @@
     }
 }
 
-/// Prefills in progress, by worker.
+/// Number of prefills in progress, by worker.
 type InFlight = BTreeMap<Address, i64>;
 
-/// Chooses prefill workers by a policy, and keeps the load information that it may use.
+/// Chooses prefill workers by a policy, and keeps the load information that the policy may use.
 pub struct PrefillChooser {
     policy: PrefillPolicy,
     routers: usize,
     by_router: Vec<InFlight>,
     current: InFlight,
     known: InFlight,
-    /// Changes on their way to all routers: when they arrive, the worker, and one more or one less.
+    /// Changes that are on their way to all routers: when they arrive, the worker, and `1` or `-1` for a prefill that began
+    /// or ended.
     updates: VecDeque<(Micros, Address, i64)>,
     rng: Pcg64,
 }
 
 impl PrefillChooser {
-    /// A chooser for clients of so many routers.
+    /// Creates a chooser for the clients of this number of routers.
     pub fn new(policy: PrefillPolicy, routers: usize, seed: u64) -> PrefillChooser {
         let by_router = vec![InFlight::new(); routers.max(1)];
         let (current, known, updates) = (InFlight::new(), InFlight::new(), VecDeque::new());
@@ -91,7 +92,8 @@
         }
     }
 
-    /// The index of the worker for a client's request among `workers`, each with its size.
+    /// Returns the index of the worker for a request of a client; `workers` are addresses, each with its relative capacity.
+    /// `None` if there are no workers.
     pub fn choose(
         &mut self,
         now: Micros,
@@ -106,14 +108,14 @@
             *self.known.entry(worker).or_default() += change;
         }
         let count = workers.len();
-        let one = |rng: &mut Pcg64| rng.random_range(0..count);
+        let random_index = |rng: &mut Pcg64| rng.random_range(0..count);
         match self.policy {
             PrefillPolicy::Next => Some((session % count as u64) as usize),
-            PrefillPolicy::Random => Some(one(&mut self.rng)),
+            PrefillPolicy::Random => Some(random_index(&mut self.rng)),
             PrefillPolicy::TwoChoices => {
-                let two = [one(&mut self.rng), one(&mut self.rng)];
-                let by = |n: &usize| relative_load(&self.current, workers[*n]);
-                two.into_iter().min_by(|a, b| by(a).total_cmp(&by(b)))
+                let candidates = [random_index(&mut self.rng), random_index(&mut self.rng)];
+                let load = |index: &usize| relative_load(&self.current, workers[*index]);
+                candidates.into_iter().min_by(|a, b| load(a).total_cmp(&load(b)))
             }
             PrefillPolicy::FewestOwn => {
                 let by_router = self.by_router[client % self.routers].clone();
@@ -130,15 +132,17 @@
         }
     }
 
-    /// The least loaded worker for its size; ties are broken at random.
+    /// Returns the index of a worker with the lowest load in relation to its size; ties are broken at random.
     fn least_loaded(&mut self, workers: &[(Address, f64)], in_flight: &InFlight) -> Option<usize> {
-        let least = workers.iter().map(|r| relative_load(in_flight, *r)).fold(f64::INFINITY, f64::min);
-        let all: Vec<_> =
-            (0..workers.len()).filter(|&n| relative_load(in_flight, workers[n]) <= least).collect();
-        all.get(self.rng.random_range(0..all.len())).copied()
+        let min_load =
+            workers.iter().map(|worker| relative_load(in_flight, *worker)).fold(f64::INFINITY, f64::min);
+        let least_loaded: Vec<_> = (0..workers.len())
+            .filter(|&index| relative_load(in_flight, workers[index]) <= min_load)
+            .collect();
+        least_loaded.get(self.rng.random_range(0..least_loaded.len())).copied()
     }
 
-    /// A prefill has begun at a worker, or ended.
+    /// Records that a prefill has begun or ended at a worker.
     pub fn record(&mut self, now: Micros, client: usize, worker: Address, began: bool) {
         let change = if began { 1 } else { -1 };
         *self.current.entry(worker).or_default() += change;
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -1,4 +1,4 @@
-//! Which connections of a scenario go through the relay: those that a network fault names, and no others.
+//! Decides which connections of a scenario go through the relay: only those that a network fault affects.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -6,13 +6,14 @@
 
 use crate::process_configs::Ports;
 
-/// Listeners of the relay of one kind (connections or datagrams), and who uses which of them in place of whom.
+/// The listeners of the relay of one kind (connections or datagrams), and which client uses which of them in place of
+/// which target.
 #[derive(Default)]
 struct RelayListeners {
-    /// The target of each listener, and the faults on the way.
-    doors: Vec<(String, Vec<usize>)>,
+    /// The target of each listener, and the indices of the faults that affect it.
+    listeners: Vec<(String, Vec<usize>)>,
     indices: BTreeMap<(String, Vec<usize>), usize>,
-    /// By client: the listener in place of each target, by the target's name.
+    /// By client: the names of targets, each with the index of the listener that the client uses in its place.
     address_overrides: BTreeMap<String, Vec<(String, usize)>>,
 }
 
@@ -22,19 +23,19 @@
             return;
         }
         let key = (target.to_string(), faults);
-        let door = *self.indices.entry(key.clone()).or_insert(self.doors.len());
-        if door == self.doors.len() {
-            self.doors.push(key);
+        let listener = *self.indices.entry(key.clone()).or_insert(self.listeners.len());
+        if listener == self.listeners.len() {
+            self.listeners.push(key);
         }
-        self.address_overrides.entry(client.to_string()).or_default().push((target.to_string(), door));
+        self.address_overrides.entry(client.to_string()).or_default().push((target.to_string(), listener));
     }
 
-    /// Their configuration, in order, at these addresses.
-    fn records(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<RelayListener> {
-        let door = |((to, faults), listen): (&(String, Vec<usize>), &String)| {
+    /// Returns the configuration of the listeners, in order, at the addresses `ports`.
+    fn configs(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<RelayListener> {
+        let config = |((to, faults), listen): (&(String, Vec<usize>), &String)| {
             Some(RelayListener { listen: listen.clone(), to: address(to)?, faults: faults.clone() })
         };
-        self.doors.iter().zip(ports).filter_map(door).collect()
+        self.listeners.iter().zip(ports).filter_map(config).collect()
     }
 
     fn address_overrides(
@@ -43,13 +44,14 @@
         ports: &[String],
         address: impl Fn(&str) -> Option<String>,
     ) -> String {
-        let line =
-            |(target, door): &(String, usize)| Some(format!("{} {}\n", address(target)?, ports.get(*door)?));
+        let line = |(target, listener): &(String, usize)| {
+            Some(format!("{} {}\n", address(target)?, ports.get(*listener)?))
+        };
         self.address_overrides.get(client).into_iter().flatten().filter_map(line).collect()
     }
 }
 
-/// Listeners of the relay for connections, and those for datagrams between routers.
+/// The listeners of the relay for connections, and those for datagrams between routers.
 #[derive(Default)]
 pub struct Relays {
     connections: RelayListeners,
@@ -61,131 +63,136 @@
 /// The processes on the two sides of a network fault.
 type FaultSets = (HashSet<String>, HashSet<String>);
 
-/// The same fault as those see it who connect from its first set, and from its second.
-fn both_directions(t: &ScenarioFault) -> [RelayFault; 2] {
-    let way = t.direction.as_deref().unwrap_or("both");
-    let back = match way {
+/// Returns a network fault twice: as it affects connections from its first set of processes to its second, and as it
+/// affects those in the other direction.
+fn both_directions(fault: &ScenarioFault) -> [RelayFault; 2] {
+    let direction = fault.direction.as_deref().unwrap_or("both");
+    let back = match direction {
         "there" => "back",
         "back" => "there",
         both => both,
     };
-    [way, back].map(|way| RelayFault {
-        at: t.at,
-        duration: t.duration.unwrap_or(0),
-        direction: way.into(),
-        kind: if t.kind == "delay" { "late".into() } else { t.cut_kind.clone().unwrap_or_default() },
-        delay: t.delay.unwrap_or(0),
-        jitter: t.jitter.unwrap_or(0),
-        loss: t.loss.unwrap_or(0.0),
+    [direction, back].map(|direction| RelayFault {
+        at: fault.at,
+        duration: fault.duration.unwrap_or(0),
+        direction: direction.into(),
+        kind: if fault.kind == "delay" { "late".into() } else { fault.cut_kind.clone().unwrap_or_default() },
+        delay: fault.delay.unwrap_or(0),
+        jitter: fault.jitter.unwrap_or(0),
+        loss: fault.loss.unwrap_or(0.0),
     })
 }
 
-/// Whether a fault concerns the network between two sets of processes.
-fn is_network_fault(t: &&ScenarioFault) -> bool {
-    t.kind == "cut" || t.kind == "delay"
+/// Returns whether a fault affects the network between two sets of processes.
+fn is_network_fault(fault: &&ScenarioFault) -> bool {
+    fault.kind == "cut" || fault.kind == "delay"
 }
 
 impl Relays {
     /// Plans the listeners that the network faults of a scenario need.
-    pub fn plan(day: &Scenario) -> Relays {
-        let mut relays = Relays { seed: day.seed, ..Relays::default() };
-        let troubles: Vec<_> = day.scheduled_faults.iter().filter(is_network_fault).collect();
-        relays.faults = troubles.iter().flat_map(|t| both_directions(t)).collect();
-        if troubles.is_empty() {
+    pub fn plan(scenario: &Scenario) -> Relays {
+        let mut relays = Relays { seed: scenario.seed, ..Relays::default() };
+        let network_faults: Vec<_> = scenario.scheduled_faults.iter().filter(is_network_fault).collect();
+        relays.faults = network_faults.iter().flat_map(|fault| both_directions(fault)).collect();
+        if network_faults.is_empty() {
             return relays;
         }
-        let all = |names: &[String]| names.iter().flat_map(|n| day.named(n)).collect::<HashSet<_>>();
-        let sets: Vec<_> = troubles.iter().map(|t| (all(&t.side), all(&t.other_side))).collect();
-        let routers: Vec<_> = day.router_names().collect();
-        let workers: Vec<_> = day.workers().map(|(name, ..)| name).collect();
+        let expand =
+            |names: &[String]| names.iter().flat_map(|name| scenario.named(name)).collect::<HashSet<_>>();
+        let fault_sets: Vec<_> =
+            network_faults.iter().map(|fault| (expand(&fault.side), expand(&fault.other_side))).collect();
+        let routers: Vec<_> = scenario.router_names().collect();
+        let workers: Vec<_> = scenario.workers().map(|(name, ..)| name).collect();
         let list = ["list".to_string()];
         let load = "load".to_string();
         for router in &routers {
-            relays.add_connection(&sets, &load, router);
+            relays.add_connection(&fault_sets, &load, router);
         }
         for client in routers.iter().chain(&workers) {
             for target in workers.iter().chain(&list) {
-                relays.add_connection(&sets, client, target);
+                relays.add_connection(&fault_sets, client, target);
             }
         }
-        for router in routers.iter().filter(|_| day.membership) {
+        for router in routers.iter().filter(|_| scenario.membership) {
             for target in &routers {
-                let faults = relays.faults_between(&sets, router, target);
+                let faults = relays.faults_between(&fault_sets, router, target);
                 relays.datagrams.add(router, target, faults);
             }
         }
         relays
     }
 
-    fn add_connection(&mut self, sets: &[FaultSets], client: &str, target: &str) {
-        let faults = self.faults_between(sets, client, target);
+    fn add_connection(&mut self, fault_sets: &[FaultSets], client: &str, target: &str) {
+        let faults = self.faults_between(fault_sets, client, target);
         self.connections.add(client, target, faults);
     }
 
-    /// The indices of the faults on the way from a client to a target.
-    fn faults_between(&self, sets: &[FaultSets], client: &str, target: &str) -> Vec<usize> {
+    /// Returns the indices of the faults that affect connections from a client to a target.
+    fn faults_between(&self, fault_sets: &[FaultSets], client: &str, target: &str) -> Vec<usize> {
         let mut indices = vec![];
-        for (n, (a, b)) in sets.iter().enumerate() {
+        for (index, (a, b)) in fault_sets.iter().enumerate() {
             let there = a.contains(client) && b.contains(target);
             let back = b.contains(client) && a.contains(target);
             if there {
-                indices.push(2 * n);
+                indices.push(2 * index);
             }
-            // A fault in both directions meets a connection within both sets once.
-            if back && (!there || self.faults[2 * n].direction != "both") {
-                indices.push(2 * n + 1);
+            // If both processes are in both sets, a fault in both directions is applied only once.
+            if back && (!there || self.faults[2 * index].direction != "both") {
+                indices.push(2 * index + 1);
             }
         }
         indices
     }
 
-    pub fn doors(&self) -> usize {
-        self.connections.doors.len() + self.datagrams.doors.len()
+    /// Returns the number of addresses at which the relay listens.
+    pub fn listener_count(&self) -> usize {
+        self.connections.listeners.len() + self.datagrams.listeners.len()
     }
 
-    /// The relay's addresses: first those for connections, then those for datagrams.
+    /// Splits the addresses of the relay into those for connections and those for datagrams.
     fn ports<'a>(&self, ports: &'a Ports) -> [&'a [String]; 2] {
         let (connections, datagrams) =
-            ports.doors.split_at(self.connections.doors.len().min(ports.doors.len()));
+            ports.relay_listeners.split_at(self.connections.listeners.len().min(ports.relay_listeners.len()));
         [connections, datagrams]
     }
 
-    /// A listener at which it can be checked that the relay runs, if it has one for connections.
-    pub fn door<'a>(&self, ports: &'a Ports) -> Option<&'a String> {
+    /// Returns the address of a listener for connections, at which it can be checked that the relay runs; `None` if it has
+    /// none.
+    pub fn first_listener<'a>(&self, ports: &'a Ports) -> Option<&'a String> {
         self.ports(ports)[0].first()
     }
 
-    /// The relay's configuration; None if no fault needs one.
-    pub fn file(&self, day: &Scenario, ports: &Ports) -> Option<File> {
+    /// Returns the configuration of the relay; `None` if no fault needs one.
+    pub fn config_file(&self, scenario: &Scenario, ports: &Ports) -> Option<File> {
         let [connections, datagrams] = self.ports(ports);
-        let doors = self.connections.records(connections, |name| address_of(day, ports, name));
-        let datagrams = self.datagrams.records(datagrams, |name| membership_address(day, ports, name));
-        let relay = Relay { listeners: doors, datagrams, faults: self.faults.clone(), seed: self.seed };
-        (self.doors() > 0).then(|| File { relay: Some(relay), ..File::default() })
+        let listeners = self.connections.configs(connections, |name| address_of(scenario, ports, name));
+        let datagrams = self.datagrams.configs(datagrams, |name| membership_address(scenario, ports, name));
+        let relay = Relay { listeners, datagrams, faults: self.faults.clone(), seed: self.seed };
+        (self.listener_count() > 0).then(|| File { relay: Some(relay), ..File::default() })
     }
 
-    /// The address overrides of a process, a line each; None if it connects directly.
-    pub fn address_overrides(&self, day: &Scenario, ports: &Ports, client: &str) -> Option<String> {
+    /// Returns the address overrides of a process, one per line; `None` if it connects directly to all its targets.
+    pub fn address_overrides(&self, scenario: &Scenario, ports: &Ports, client: &str) -> Option<String> {
         let [connections, datagrams] = self.ports(ports);
         let address_overrides =
-            self.connections.address_overrides(client, connections, |name| address_of(day, ports, name))
+            self.connections.address_overrides(client, connections, |name| address_of(scenario, ports, name))
                 + &self
                     .datagrams
-                    .address_overrides(client, datagrams, |name| membership_address(day, ports, name));
+                    .address_overrides(client, datagrams, |name| membership_address(scenario, ports, name));
         (!address_overrides.is_empty()).then_some(address_overrides)
     }
 }
 
-/// The membership address of a router.
-fn membership_address(day: &Scenario, ports: &Ports, name: &str) -> Option<String> {
-    ports.members.get(day.router_names().position(|r| r == name)?).cloned()
+/// Returns the membership address of a router.
+fn membership_address(scenario: &Scenario, ports: &Ports, name: &str) -> Option<String> {
+    ports.members.get(scenario.router_names().position(|router| router == name)?).cloned()
 }
 
-fn address_of(day: &Scenario, ports: &Ports, name: &str) -> Option<String> {
+fn address_of(scenario: &Scenario, ports: &Ports, name: &str) -> Option<String> {
     if name == "list" {
-        return Some(ports.list.clone());
+        return Some(ports.discovery.clone());
     }
-    let router = day.router_names().position(|r| r == name);
-    let worker = || day.workers().position(|(w, ..)| w == name);
-    router.and_then(|n| ports.routers.get(n)).or_else(|| ports.workers.get(worker()?)).cloned()
+    let router = scenario.router_names().position(|router| router == name);
+    let worker = || scenario.workers().position(|(worker, ..)| worker == name);
+    router.and_then(|index| ports.routers.get(index)).or_else(|| ports.workers.get(worker()?)).cloned()
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario on real processes and judges it.
+//! Plays a scenario on real processes, and checks the captured traffic and the expectations of the scenario.
 
 mod expectations;
 mod player;
@@ -27,9 +27,9 @@
 use player::ScenarioPlayer;
 pub(crate) use timeline::{fault_timeline, FaultAction};
 
-/// Microseconds: how long all processes have to start before the load begins, beyond the endpoint list's lag.
+/// Microseconds that all processes have to start before the load begins, in addition to the lag of the endpoint list.
 const START_TIME: Micros = 1_500_000;
-/// Microseconds more for each process.
+/// Microseconds by which `START_TIME` is extended for each process.
 const START_TIME_PER_PROCESS: Micros = 15_000;
 
 /// Why a scenario could not be played or its capture not be read.
@@ -42,25 +42,25 @@
     #[error("a process could not be started: {0}")]
     Start(io::Error),
     /// A process did not listen in time.
-    #[error("{0} does not listen")]
+    #[error("{0} did not listen in time")]
     NotListening(String),
     /// A configuration file could not be written.
     #[error("{0}")]
     Config(#[from] ConfigErrors),
     /// The captures of the processes could not be merged.
-    #[error("the record could not be merged: {0}")]
-    Record(#[from] CaptureError),
+    #[error("the captures could not be merged: {0}")]
+    MergeCaptures(#[from] CaptureError),
     /// The capture could not be checked.
     #[error(transparent)]
-    Check(#[from] CheckError),
-    /// The views of members could not be checked.
+    CheckRules(#[from] CheckError),
+    /// The membership events of the capture could not be checked.
     #[error(transparent)]
-    Views(#[from] tideroute_membership_checker::CheckError),
-    /// The client load ended without its figures.
-    #[error("the load ended without its figures")]
-    NoFigures,
+    CheckMembership(#[from] tideroute_membership_checker::CheckError),
+    /// The client load ended without results.
+    #[error("the client load ended without results")]
+    NoLoadResults,
     /// The scenario has a fault that only virtual time can play.
-    #[error("a day in which tenants are removed is played with --in-virtual-time only")]
+    #[error("a scenario that removes tenants can only be played with --in-virtual-time")]
     VirtualOnly,
     /// A signal ended the scenario early.
     #[error("interrupted")]
@@ -69,62 +69,68 @@
 
 /// The outcome of a scenario.
 pub struct ScenarioOutcome {
-    /// The rules on its capture.
+    /// The result of checking the rules on its capture.
     pub report: Report,
-    /// How its routers saw each other, where they knew each other.
+    /// The result of checking how its routers saw each other; `None` if they did not form a cluster.
     pub membership: Option<MembershipReport>,
-    /// The load's figures, as `tideroute load --json` writes them.
+    /// The statistics of the client load, as `tideroute load --json` writes them.
     pub load_results: serde_json::Value,
-    /// The table of the client load.
+    /// The statistics of the client load as a table.
     pub load_table: String,
-    /// Expectations of the scenario, each with what was seen and whether it held.
+    /// The expectations of the scenario: each with the observed value and whether it was met.
     pub expected: Vec<(String, String, bool)>,
-    /// The most memory of each process, in bytes.
+    /// The peak memory of each process, in bytes.
     pub memory: BTreeMap<String, u64>,
-    /// Seconds of CPU of each process.
+    /// The CPU time of each process, in seconds.
     pub cpu: BTreeMap<String, f64>,
-    /// The most descriptors of each process.
+    /// The largest number of open descriptors of each process.
     pub descriptors: BTreeMap<String, u64>,
-    /// Seconds until all listened, and in all.
+    /// Seconds until all processes listened, and seconds of the whole scenario.
     pub elapsed_seconds: [f64; 2],
-    /// Where its capture is.
+    /// The path of its capture.
     pub capture: PathBuf,
 }
 
 impl ScenarioOutcome {
-    /// Whether all rules and expectations held.
+    /// Returns whether all rules were kept and all expectations met.
     pub fn passed(&self) -> bool {
         self.report.is_clean()
             && self.membership.as_ref().is_none_or(MembershipReport::is_clean)
-            && self.expected.iter().all(|(.., held)| *held)
+            && self.expected.iter().all(|(.., met)| *met)
     }
 }
 
-/// Plays a scenario in a folder of its own. `program` is the program itself; `interrupted` ends it early.
+/// Plays a scenario, with all its files in `folder`. `program` is the path of the tideroute binary, which all processes
+/// run; `interrupted` ends the scenario early when it is set.
 pub fn play(
-    day: &Scenario,
+    scenario: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
 ) -> Result<ScenarioOutcome, ScenarioError> {
-    if day.scheduled_faults.iter().any(|t| t.kind == "remove") {
+    if scenario.scheduled_faults.iter().any(|fault| fault.kind == "remove") {
         return Err(ScenarioError::VirtualOnly);
     }
-    let day = &faults::with_generated_faults(day);
-    let (player, ports) = play_processes(day, program, folder, interrupted, None)?;
-    let (load_table, exits, fallen) = (player.table.clone(), player.exits.clone(), player.fallen.clone());
-    let (memory, all) = (player.processes.memory.clone(), &player.processes.parts);
+    let scenario = &faults::with_generated_faults(scenario);
+    let (player, ports) = play_processes(scenario, program, folder, interrupted, None)?;
+    let (load_table, clean_exits, crashed) =
+        (player.table.clone(), player.clean_exits.clone(), player.crashed.clone());
+    let (memory, capture_parts) = (player.processes.memory.clone(), &player.processes.parts);
     let capture = folder.join("day.record.zst");
-    let mut terms = serde_json::to_value(process_configs::rules(day, &ports)).unwrap_or_default();
-    terms["members"] = serde_json::to_value(process_configs::members(day, player.begins)).unwrap_or_default();
-    capture_merge::merge(all, &terms.to_string(), &capture)?;
+    let mut checker_config =
+        serde_json::to_value(process_configs::checker_config(scenario, &ports)).unwrap_or_default();
+    checker_config["members"] =
+        serde_json::to_value(process_configs::fleet_members(scenario, player.load_starts_at))
+            .unwrap_or_default();
+    capture_merge::merge(capture_parts, &checker_config.to_string(), &capture)?;
     let (report, membership) = (check(&capture)?, check_membership(&capture)?);
-    let load_results = std::fs::read(folder.join("load.json")).map_err(|_| ScenarioError::NoFigures)?;
-    let load_results = serde_json::from_slice(&load_results).map_err(|_| ScenarioError::NoFigures)?;
-    let expected = expectations::expectations(day, &load_results, &memory, &exits, &fallen, &report);
+    let load_results = std::fs::read(folder.join("load.json")).map_err(|_| ScenarioError::NoLoadResults)?;
+    let load_results = serde_json::from_slice(&load_results).map_err(|_| ScenarioError::NoLoadResults)?;
+    let expected =
+        expectations::expectations(scenario, &load_results, &memory, &clean_exits, &crashed, &report);
     let (cpu, descriptors) = (player.processes.cpu.clone(), player.processes.descriptors.clone());
     let elapsed_seconds =
-        [player.listened, player.processes.now()].map(|at| (at - player.started) as f64 / 1e6);
+        [player.listening_at, player.processes.now()].map(|moment| (moment - player.started_at) as f64 / 1e6);
     Ok(ScenarioOutcome {
         report,
         membership,
@@ -139,84 +145,88 @@
     })
 }
 
-/// Plays a scenario only to measure the network hops of requests, through its routers or directly to workers.
+/// Plays a scenario to measure the latency of the network hops of its requests. The requests go through the routers, or
+/// directly to the workers if `direct` is set.
 pub fn measure(
-    day: &Scenario,
+    scenario: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
     direct: bool,
 ) -> Result<HopLatencies, ScenarioError> {
-    let capture = play_and_merge(day, program, folder, interrupted, direct.then_some("next"))?;
+    let capture = play_and_merge(scenario, program, folder, interrupted, direct.then_some("next"))?;
     Ok(measure_hops(open(&capture)?, !direct)?)
 }
 
-/// Plays a scenario without routers: its load goes directly to workers, with that policy to choose prefill workers
-/// ([`PrefillPolicy`](crate::prefill_policies::PrefillPolicy)). Returns where the capture is.
+/// Plays a scenario without routers: its load goes directly to workers. `policy` names the
+/// [`PrefillPolicy`](crate::prefill_policies::PrefillPolicy) that chooses prefill workers. Returns the path of the
+/// capture.
 pub fn play_direct(
-    day: &Scenario,
+    scenario: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
     policy: &str,
 ) -> Result<PathBuf, ScenarioError> {
-    play_and_merge(day, program, folder, interrupted, Some(policy))
+    play_and_merge(scenario, program, folder, interrupted, Some(policy))
 }
 
 fn play_and_merge(
-    day: &Scenario,
+    scenario: &Scenario,
     program: &Path,
     folder: &Path,
     interrupted: &AtomicBool,
     direct_policy: Option<&str>,
 ) -> Result<PathBuf, ScenarioError> {
-    let (player, ports) = play_processes(day, program, folder, interrupted, direct_policy)?;
+    let (player, ports) = play_processes(scenario, program, folder, interrupted, direct_policy)?;
     let capture = folder.join("day.record.zst");
-    let terms = serde_json::to_string(&process_configs::rules(day, &ports)).unwrap_or_default();
-    capture_merge::merge(&player.processes.parts, &terms, &capture)?;
+    let checker_config =
+        serde_json::to_string(&process_configs::checker_config(scenario, &ports)).unwrap_or_default();
+    capture_merge::merge(&player.processes.parts, &checker_config, &capture)?;
     Ok(capture)
 }
 
-/// Plays a scenario from the start of the first process to the end of the last.
+/// Plays a scenario from the start of the first process to the end of the last one.
 fn play_processes<'a>(
-    day: &'a Scenario,
+    scenario: &'a Scenario,
     program: &Path,
     folder: &'a Path,
     interrupted: &'a AtomicBool,
     direct_policy: Option<&'a str>,
 ) -> Result<(ScenarioPlayer<'a>, Ports), ScenarioError> {
     std::fs::create_dir_all(folder).map_err(|e| ScenarioError::File(folder.display().to_string(), e))?;
-    let relays = Relays::plan(day);
-    let ports = ports::free_ports(day, relays.doors()).map_err(ScenarioError::Start)?;
+    let relays = Relays::plan(scenario);
+    let ports = ports::free_ports(scenario, relays.listener_count()).map_err(ScenarioError::Start)?;
     let clock = Clock::start();
-    let begins = clock.now() + START_TIME + START_TIME_PER_PROCESS * processes(day) as u64 + day.lag;
+    let load_starts_at =
+        clock.now() + START_TIME + START_TIME_PER_PROCESS * process_count(scenario) as u64 + scenario.lag;
     let mut player = ScenarioPlayer {
-        day,
+        scenario,
         folder,
-        begins,
-        started: clock.now(),
-        listened: 0,
+        load_starts_at,
+        started_at: clock.now(),
+        listening_at: 0,
         processes: Processes::new(program, folder, clock),
-        recipes: BTreeMap::new(),
-        fallen: vec![],
-        exits: BTreeMap::new(),
+        process_specs: BTreeMap::new(),
+        crashed: vec![],
+        clean_exits: BTreeMap::new(),
         table: String::new(),
         direct_policy,
         interrupted,
     };
     player.write_files(&ports, &relays)?;
     player.start_all()?;
-    player.listened = player.processes.now();
+    player.listening_at = player.processes.now();
     player.run()?;
     player.stop_all()?;
     Ok((player, ports))
 }
 
-/// Opens a compressed capture.
+/// Opens a compressed capture, to be read uncompressed.
 pub fn open(capture: &Path) -> Result<impl Read, ScenarioError> {
-    let named = |e| ScenarioError::File(capture.display().to_string(), e);
-    let file = std::fs::File::open(capture).map_err(named)?;
-    zstd::Decoder::new(file).map_err(named)
+    let with_path = |e| ScenarioError::File(capture.display().to_string(), e);
+    let file = std::fs::File::open(capture).map_err(with_path)?;
+    zstd::Decoder::new(file).map_err(with_path)
 }
 
 /// Checks the rules on a capture.
@@ -224,12 +234,12 @@
     Ok(tideroute_trace_checker::check(open(capture)?)?)
 }
 
-/// Checks on a capture how routers saw each other; None if they did not know each other.
+/// Checks on a capture how routers saw each other. Returns `None` if they did not form a cluster.
 pub fn check_membership(capture: &Path) -> Result<Option<MembershipReport>, ScenarioError> {
     Ok(tideroute_membership_checker::check(open(capture)?)?)
 }
 
-/// How many processes a scenario has.
-fn processes(day: &Scenario) -> usize {
-    day.routers + day.workers().count() + 2
+/// Returns the number of processes of a scenario: routers, workers, the endpoint list and the client load.
+fn process_count(scenario: &Scenario) -> usize {
+    scenario.routers + scenario.workers().count() + 2
 }
--- a/crates/simulation/src/scenario/ports.rs
+++ b/crates/simulation/src/scenario/ports.rs
@@ -1,4 +1,4 @@
-//! Free addresses for the processes of a scenario.
+//! Finds free addresses for the processes of a scenario.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, UdpSocket};
@@ -7,32 +7,33 @@
 
 use crate::process_configs::Ports;
 
-/// Ports from here on are tried; below those that a machine gives to outgoing connections.
+/// Lowest port that is tried; it lies below the ports that the operating system gives to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
 
-/// Addresses for all processes, on a loopback address of this process's own: a worker that was killed finds its port
-/// free when it comes back, as no connection and no other scenario can have taken it meanwhile.
-pub fn free_ports(day: &Scenario, doors: usize) -> io::Result<Ports> {
-    let (workers, process) = (day.workers().count(), std::process::id());
-    let members = if day.membership { day.routers } else { 0 };
-    let own = Ipv4Addr::new(127, 1 + (process >> 8) as u8 % 250, 1 + process as u8 % 250, 1);
-    let count = 1 + day.routers + workers + members + doors;
-    let mut names = Vec::new();
+/// Returns addresses for all processes, on a loopback address that only this process uses: the port of a killed worker is
+/// still free when the worker restarts, because no connection and no other scenario can have taken it.
+pub fn free_ports(scenario: &Scenario, relay_listeners: usize) -> io::Result<Ports> {
+    let (workers, process_id) = (scenario.workers().count(), std::process::id());
+    let members = if scenario.membership { scenario.routers } else { 0 };
+    let loopback_address =
+        Ipv4Addr::new(127, 1 + (process_id >> 8) as u8 % 250, 1 + process_id as u8 % 250, 1);
+    let count = 1 + scenario.routers + workers + members + relay_listeners;
+    let mut addresses = Vec::new();
     for port in FIRST_PORT..u16::MAX {
-        let at = SocketAddrV4::new(own, port);
-        if TcpListener::bind(at).is_ok() && UdpSocket::bind(at).is_ok() {
-            names.push(at.to_string());
+        let address = SocketAddrV4::new(loopback_address, port);
+        if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
+            addresses.push(address.to_string());
         }
-        if names.len() == count {
+        if addresses.len() == count {
             break;
         }
     }
-    if names.len() < count {
+    if addresses.len() < count {
         return Err(io::ErrorKind::AddrNotAvailable.into());
     }
-    let doors = names.split_off(1 + day.routers + workers + members);
-    let members = names.split_off(1 + day.routers + workers);
-    let workers = names.split_off(1 + day.routers);
-    let routers = names.split_off(1);
-    Ok(Ports { list: names.remove(0), routers, workers, members, doors })
+    let relay_listeners = addresses.split_off(1 + scenario.routers + workers + members);
+    let members = addresses.split_off(1 + scenario.routers + workers);
+    let workers = addresses.split_off(1 + scenario.routers);
+    let routers = addresses.split_off(1);
+    Ok(Ports { discovery: addresses.remove(0), routers, workers, members, relay_listeners })
 }
--- a/crates/simulation/src/scenario/timeline.rs
+++ b/crates/simulation/src/scenario/timeline.rs
@@ -1,47 +1,50 @@
-//! The faults of a scenario that are injected from outside a process, as actions in time.
+//! The faults of a scenario that are injected from outside a process, as actions with their times.
 
 use tideroute_config_language::records::ScenarioFault;
 use tideroute_wire::Micros;
 
-/// Microseconds from the end of a silence or a drain to the restart.
+/// Microseconds between the kill of a worker after its silence or draining and its restart.
 const RESTART_DELAY: Micros = 500_000;
 
-/// What is done to a process at a time of the scenario.
+/// An action on a process or a tenant.
 pub(crate) enum FaultAction<'a> {
-    /// Ends a process without warning.
+    /// Kills a process.
     Kill(&'a str),
-    /// Restarts a process, with or without its persisted state.
+    /// Restarts a process that was killed; `true` if it keeps its cached endpoint list.
     Start(&'a str, bool),
     /// Pauses a process.
-    Halt(&'a str),
+    Pause(&'a str),
     /// Resumes a paused process.
-    GoOn(&'a str),
-    /// Removes a tenant.
-    Remove(&'a str),
+    Resume(&'a str),
+    /// Removes a tenant from all routers.
+    RemoveTenant(&'a str),
 }
 
-/// The actions of all faults, each with its time after the begin of the load; not sorted.
-pub(crate) fn fault_timeline(troubles: &[ScenarioFault]) -> Vec<(Micros, FaultAction<'_>)> {
+/// Returns the actions of all faults, not sorted, each with its time in microseconds after the begin of the load.
+pub(crate) fn fault_timeline(faults: &[ScenarioFault]) -> Vec<(Micros, FaultAction<'_>)> {
     let mut actions = Vec::new();
-    for t in troubles {
-        for who in &t.targets {
-            match t.kind.as_str() {
+    for fault in faults {
+        for target in &fault.targets {
+            match fault.kind.as_str() {
                 "kill" => {
-                    actions.push((t.at, FaultAction::Kill(who)));
-                    actions.extend(t.restart_after.map(|back| {
-                        (t.at + back, FaultAction::Start(who, t.keeps_endpoint_cache.unwrap_or(true)))
+                    actions.push((fault.at, FaultAction::Kill(target)));
+                    actions.extend(fault.restart_after.map(|restart_after| {
+                        (
+                            fault.at + restart_after,
+                            FaultAction::Start(target, fault.keeps_endpoint_cache.unwrap_or(true)),
+                        )
                     }));
                 }
                 "halt" => {
-                    actions.push((t.at, FaultAction::Halt(who)));
-                    actions.push((t.at + t.duration.unwrap_or(0), FaultAction::GoOn(who)));
+                    actions.push((fault.at, FaultAction::Pause(target)));
+                    actions.push((fault.at + fault.duration.unwrap_or(0), FaultAction::Resume(target)));
                 }
-                "remove" => actions.push((t.at, FaultAction::Remove(who))),
-                // What was silent or has drained is started anew.
+                "remove" => actions.push((fault.at, FaultAction::RemoveTenant(target))),
+                // A worker that was silent or draining is killed at the end of the fault and started again.
                 "silent" | "drain" => {
-                    let Some(lasts) = t.duration else { continue };
-                    actions.push((t.at + lasts, FaultAction::Kill(who)));
-                    actions.push((t.at + lasts + RESTART_DELAY, FaultAction::Start(who, true)));
+                    let Some(duration) = fault.duration else { continue };
+                    actions.push((fault.at + duration, FaultAction::Kill(target)));
+                    actions.push((fault.at + duration + RESTART_DELAY, FaultAction::Start(target, true)));
                 }
                 _ => {}
             }
--- a/crates/simulation/src/simulator/connections.rs
+++ b/crates/simulation/src/simulator/connections.rs
@@ -15,7 +15,7 @@
     pub(super) incarnation: u32,
     pub(super) peer: Option<(NodeId, ConnectionId)>,
     pub(super) open: bool,
-    /// Its program knows that it is established.
+    /// Whether its program has been notified that it is established.
     pub(super) established: bool,
     pub(super) sent: u64,
     pub(super) received: u64,
@@ -26,11 +26,11 @@
 }
 
 impl Simulator {
-    /// Connects a node to the one that listens at an address.
+    /// Connects a node to the node that listens at an address.
     pub(super) fn connect(&mut self, id: NodeId, connection: ConnectionId, to: Address, timeout: Micros) {
         self.capture_event(id, connection, CaptureEvent::Connecting, 0, &Bytes::copy_from_slice(&to));
         let target = self.listens.get(&to).copied();
-        let partitioned = |n: NodeId| self.nodes[n.0].partitioned;
+        let is_partitioned = |node: NodeId| self.nodes[node.0].partitioned;
         let incarnation = self.nodes[id.0].incarnation;
         let now = self.now;
         let end = |incarnation, peer| ConnectionEnd {
@@ -45,8 +45,8 @@
             last_arrival: now,
         };
         let fails_after = match target {
-            Some(n) if partitioned(n) || partitioned(id) => Some(timeout),
-            Some(n) if self.nodes[n.0].program.is_some() => None,
+            Some(node) if is_partitioned(node) || is_partitioned(id) => Some(timeout),
+            Some(node) if self.nodes[node.0].program.is_some() => None,
             _ => Some(self.delay.min(timeout)),
         };
         if let Some(after) = fails_after {
@@ -69,9 +69,9 @@
         self.schedule(self.now + 2 * self.delay, id, incarnation, Event::Connected(connection));
     }
 
-    /// Sends a frame: it arrives after the network's delay, in order, unless one of the nodes is partitioned.
+    /// Sends a frame, which arrives after the network delay and in order; it is lost if one of the nodes is partitioned.
     pub(super) fn send(&mut self, id: NodeId, connection: ConnectionId, frame: Bytes) {
-        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else {
+        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|end| end.open) else {
             return;
         };
         let position = end.sent;
@@ -84,7 +84,7 @@
         if self.nodes[id.0].partitioned || self.nodes[node.0].partitioned {
             return;
         }
-        let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
+        let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |end| end.incarnation);
         self.schedule(arrival, node, incarnation, Event::Frame(peer_connection, frame));
     }
 
@@ -97,9 +97,9 @@
         self.call(node, |program, now, effects| program.on_data(now, connection, frame, effects));
     }
 
-    /// A program finds out that its connection has ended.
+    /// Notifies a program that its connection has ended.
     pub(super) fn lose(&mut self, node: NodeId, connection: ConnectionId, reason: DisconnectReason) {
-        let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open) else {
+        let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|end| end.open) else {
             return;
         };
         end.open = false;
@@ -112,13 +112,16 @@
         self.call(node, |program, now, effects| program.on_disconnect(now, connection, reason, effects));
     }
 
-    /// Closes one end of a connection; the other finds out after all that was sent before.
+    /// Closes one end of a connection; the peer is notified after all frames that were sent before have arrived.
     pub(super) fn disconnect(&mut self, id: NodeId, connection: ConnectionId) {
-        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|e| e.open) else { return };
+        let Some(end) = self.connection_ends.get_mut(&(id, connection)).filter(|end| end.open) else {
+            return;
+        };
         end.open = false;
         let at = end.last_arrival.max(self.now + self.delay);
         if let Some((node, peer_connection)) = end.peer {
-            let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |e| e.incarnation);
+            let incarnation =
+                self.connection_ends.get(&(node, peer_connection)).map_or(0, |end| end.incarnation);
             self.schedule(
                 at,
                 node,
--- a/crates/simulation/src/simulator/event_queue.rs
+++ b/crates/simulation/src/simulator/event_queue.rs
@@ -6,12 +6,12 @@
 
 use super::NodeId;
 
-/// Something that happens at a node.
+/// An event at a node.
 pub enum Event {
     Accepted(ConnectionId),
     Connected(ConnectionId),
     Frame(ConnectionId, Bytes),
-    /// The program reads from the connection again: the frames that waited are delivered.
+    /// The program reads from the connection again, and the frames that waited are delivered.
     ReadResumed(ConnectionId),
     Disconnected(ConnectionId, DisconnectReason),
     Timer(u64),
@@ -22,7 +22,7 @@
     pub at: Micros,
     pub sequence: u64,
     pub node: NodeId,
-    /// Of the node when it was scheduled; void for a later one.
+    /// The incarnation of the node for which the event was scheduled; a later incarnation discards it.
     pub incarnation: u32,
     pub event: Event,
 }
--- a/crates/simulation/src/simulator/mod.rs
+++ b/crates/simulation/src/simulator/mod.rs
@@ -1,6 +1,6 @@
-//! Programs in virtual time: one process, one thread, one order of events. What a program sends arrives after the
-//! network's delay, in order on each connection; nothing depends on the machine, so that a run is the same every time.
-//! All traffic is captured in the form that real processes write, and checked by the same rules.
+//! Runs programs in virtual time, in one process and one thread. What a program sends arrives after the delay of the
+//! network, in order on each connection. Nothing depends on the machine, so that every run has the same events in the same
+//! order. All traffic is captured in the form that real processes write, and can be checked by the same rules.
 
 mod captures;
 mod connections;
@@ -26,16 +26,17 @@
     address: Option<Address>,
     program: Option<Box<dyn EventHandler>>,
     effects: Effects,
-    /// How often a program was started here; events for an earlier incarnation are void.
+    /// Number of times that a program was started here; events for an earlier incarnation are discarded.
     incarnation: u32,
     process: u32,
-    /// Connections accepted so far, by all incarnations: no two have the same number.
+    /// Connections accepted so far by all incarnations, so that no two have the same number.
     accepted: u64,
     persisted: Option<Bytes>,
-    /// The process is paused: events are deferred.
-    halted: bool,
+    /// Whether the node is paused; its events are deferred.
+    paused: bool,
     deferred: Vec<ScheduledEvent>,
-    /// Partitioned: nothing that it sends arrives, and nothing arrives here, though connections stay open.
+    /// Whether the node is partitioned from the network: frames that it sends and frames for it are lost, but its
+    /// connections stay open.
     partitioned: bool,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Simulator {
-    /// A simulator whose time begins at `now`, with that network delay between any two nodes.
+    /// Creates a simulator whose time begins at `now`. `delay` is the network delay between any two nodes, one way.
     pub fn new(now: Micros, delay: Micros) -> Simulator {
         Simulator {
             now,
@@ -70,12 +71,12 @@
         }
     }
 
-    /// The virtual time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Events that were dispatched.
+    /// Returns the number of events that were dispatched.
     pub fn events(&self) -> u64 {
         self.events
     }
@@ -93,11 +94,11 @@
             process: 0,
             accepted: 0,
             persisted: None,
-            halted: false,
+            paused: false,
             deferred: vec![],
             partitioned: false,
         });
-        self.listens.extend(address.map(|a| (a, id)));
+        self.listens.extend(address.map(|address| (address, id)));
         id
     }
 
@@ -106,12 +107,12 @@
         self.nodes[id.0].persisted = None;
     }
 
-    /// What the program at a node has persisted last.
+    /// Returns what the program at a node has persisted last.
     pub fn persisted(&self, id: NodeId) -> Option<Bytes> {
         self.nodes[id.0].persisted.clone()
     }
 
-    /// Whether a program runs at a node.
+    /// Returns whether a program runs at a node.
     pub fn runs(&self, id: NodeId) -> bool {
         self.nodes[id.0].program.is_some()
     }
@@ -122,18 +123,18 @@
         let node = &mut self.nodes[id.0];
         (node.incarnation, node.process) = (node.incarnation + 1, number);
         node.program = Some(program);
-        let who = CapturedProcess {
+        let process_info = CapturedProcess {
             number,
             name: node.name.clone(),
             role: node.role.clone(),
             address: node.address,
         };
-        self.processes.push(who);
+        self.processes.push(process_info);
         self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessStarted, 0, &Bytes::new());
         self.call(id, |program, now, effects| program.on_start(now, effects));
     }
 
-    /// Kills a program; its peers find their connections reset.
+    /// Kills the program at a node; its peers find their connections reset.
     pub fn kill(&mut self, id: NodeId) {
         if self.nodes[id.0].program.take().is_none() {
             return;
@@ -152,18 +153,18 @@
     }
 
     /// Pauses a node; events are deferred until it is resumed.
-    pub fn halt(&mut self, id: NodeId) {
-        self.nodes[id.0].halted = true;
+    pub fn pause(&mut self, id: NodeId) {
+        self.nodes[id.0].paused = true;
         self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessPaused, 0, &Bytes::new());
     }
 
     /// Resumes a paused node.
     pub fn resume(&mut self, id: NodeId) {
-        self.nodes[id.0].halted = false;
+        self.nodes[id.0].paused = false;
         self.capture_event(id, ConnectionId(0), CaptureEvent::ProcessResumed, 0, &Bytes::new());
-        for mut queue in std::mem::take(&mut self.nodes[id.0].deferred) {
-            queue.at = self.now;
-            self.queue.push(queue);
+        for mut event in std::mem::take(&mut self.nodes[id.0].deferred) {
+            event.at = self.now;
+            self.queue.push(event);
         }
     }
 
@@ -172,22 +173,22 @@
         self.nodes[id.0].partitioned = partitioned;
     }
 
-    /// Sends a program a message of another thread of its process.
+    /// Delivers a message to the program at a node, as another thread of its process would.
     pub fn send_message(&mut self, id: NodeId, message: &Bytes) {
         self.call(id, |program, now, effects| program.on_message(now, message, effects));
     }
 
-    /// Asks a program to shut down.
+    /// Asks the program at a node to shut down.
     pub fn stop(&mut self, id: NodeId) {
         self.call(id, |program, now, effects| program.on_shutdown(now, effects));
     }
 
-    /// Runs until a moment.
+    /// Runs until a point in virtual time.
     pub fn run_until(&mut self, until: Micros) {
-        while self.queue.peek().is_some_and(|queue| queue.at <= until) {
-            let Some(queue) = self.queue.pop() else { break };
-            self.now = self.now.max(queue.at);
-            self.dispatch(queue);
+        while self.queue.peek().is_some_and(|scheduled| scheduled.at <= until) {
+            let Some(scheduled) = self.queue.pop() else { break };
+            self.now = self.now.max(scheduled.at);
+            self.dispatch(scheduled);
         }
         self.now = self.now.max(until);
     }
@@ -198,13 +199,13 @@
         self.queue.push(ScheduledEvent { at, sequence: self.sequence, node, incarnation, event });
     }
 
-    /// Lets an event happen, unless its incarnation has ended.
+    /// Delivers an event to its node; discards it if the incarnation has ended, and defers it if the node is paused.
     fn dispatch(&mut self, scheduled: ScheduledEvent) {
         let state = &mut self.nodes[scheduled.node.0];
         if state.incarnation != scheduled.incarnation || state.program.is_none() {
             return;
         }
-        if state.halted {
+        if state.paused {
             return state.deferred.push(scheduled);
         }
         let ScheduledEvent { node, event, .. } = scheduled;
@@ -260,8 +261,8 @@
             let mut open: Vec<_> = self
                 .connection_ends
                 .iter()
-                .filter(|((n, _), e)| *n == id && e.open)
-                .map(|((_, l), _)| *l)
+                .filter(|((node, _), end)| *node == id && end.open)
+                .map(|((_, connection), _)| *connection)
                 .collect();
             open.sort_unstable();
             for connection in open {
@@ -278,7 +279,7 @@
         match effect {
             Effect::Connect { connection, to, timeout } => self.connect(id, connection, to, timeout),
             Effect::Send { connection, frame } => self.send(id, connection, frame),
-            // All that was sent is on its way already, so that closing and aborting are the same.
+            // Everything that was sent is already on its way, so that closing, aborting and resetting are the same.
             Effect::Close { connection, .. }
             | Effect::Abort { connection }
             | Effect::Reset { connection } => {
@@ -287,7 +288,7 @@
                     self.disconnect(id, connection);
                 }
             }
-            // Relays run as processes only, and nothing here annotates captures or receives datagrams.
+            // Relays run only as processes, and no program here annotates captures or receives datagrams.
             Effect::SetListenerState { .. }
             | Effect::Joined { .. }
             | Effect::Datagram { .. }
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -1,4 +1,5 @@
-//! A whole scenario in virtual time: the same scenario file and programs, without processes and without waiting.
+//! Plays a whole scenario in virtual time: the same scenario file and programs as on real processes, but in one process
+//! and without waiting.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,11 +21,12 @@
 use crate::scenario::{fault_timeline, FaultAction};
 use crate::simulator::{NodeId, Simulator};
 
-/// Microseconds since 1970 at which a scenario begins; an arbitrary moment.
+/// Microseconds since 1970 at which a scenario begins; the moment is arbitrary.
 const EPOCH: Micros = 1_700_000_000_000_000;
-/// Microseconds that the programs have to connect to each other before the load, and to shut down.
+/// Microseconds that the programs have to connect to each other before the load. Also the time between two checks for
+/// the end of the load, and the time that each program has to shut down.
 const START_TIME: Micros = 1_000_000;
-/// Microseconds after the load in which all requests must have ended.
+/// Microseconds after the last request within which all requests must have ended.
 const DRAIN_TIME: Micros = 120_000_000;
 /// Microseconds of network delay, one way, between any two nodes.
 const NETWORK_DELAY: Micros = 200;
@@ -33,100 +35,114 @@
 #[derive(Debug, thiserror::Error)]
 pub enum VirtualScenarioError {
     /// The scenario contradicts itself, or needs real processes.
-    #[error("the day's own terms contradict each other: {0}")]
-    Terms(String),
+    #[error("the scenario is invalid: {0}")]
+    InvalidScenario(String),
     /// A value of the scenario cannot be used.
-    #[error("the day's own terms contradict each other: {0}")]
+    #[error("the scenario is invalid: {0}")]
     Convert(#[from] convert::ConvertError),
     /// The capture could not be written.
-    #[error("the record could not be written: {0}")]
-    Record(#[from] io::Error),
+    #[error("the capture could not be written: {0}")]
+    WriteCapture(#[from] io::Error),
     /// The capture could not be checked.
     #[error(transparent)]
-    Check(#[from] CheckError),
+    CheckRules(#[from] CheckError),
 }
 
 /// The outcome of a scenario in virtual time.
 pub struct VirtualOutcome {
-    /// When the load began.
+    /// When the client load began.
     pub load_started_at: Micros,
-    /// The rules on the capture.
+    /// The result of checking the rules on the capture.
     pub report: Report,
-    /// What came of the load.
+    /// The statistics of the client load.
     pub statistics: LoadStatistics,
     /// The capture of all traffic.
     pub capture: Vec<u8>,
-    /// Events that were dispatched.
+    /// Number of events that were dispatched.
     pub events: u64,
     /// Virtual time that passed, microseconds.
     pub virtual_duration: Micros,
-    /// Workers that ended without being killed.
+    /// Nodes whose program ended before the end of the load without being killed.
     pub crashed: Vec<String>,
 }
 
-/// Plays a scenario. The same scenario gives the same capture, byte for byte.
-pub fn play(day: &Scenario) -> Result<VirtualOutcome, VirtualScenarioError> {
-    let day = faults::with_generated_faults(day);
-    let real = day.scheduled_faults.iter().find(|t| ["cut", "delay", "clock"].contains(&t.kind.as_str()));
-    if let Some(t) = real {
-        return Err(VirtualScenarioError::Terms(format!("a {} is played on real processes only", t.kind)));
+/// Plays a scenario. The same scenario always gives the same capture, byte for byte.
+pub fn play(scenario: &Scenario) -> Result<VirtualOutcome, VirtualScenarioError> {
+    let scenario = faults::with_generated_faults(scenario);
+    let needs_processes = scenario
+        .scheduled_faults
+        .iter()
+        .find(|fault| ["cut", "delay", "clock"].contains(&fault.kind.as_str()));
+    if let Some(fault) = needs_processes {
+        return Err(VirtualScenarioError::InvalidScenario(format!(
+            "a fault of the kind {} can only be played on real processes",
+            fault.kind
+        )));
     }
-    VirtualScenario::new(&day)?.run()
+    VirtualScenario::new(&scenario)?.run()
 }
 
 struct VirtualScenario<'a> {
-    day: &'a Scenario,
+    scenario: &'a Scenario,
     ports: Ports,
     simulator: Simulator,
     nodes: BTreeMap<String, NodeId>,
-    begins: Micros,
-    starts: u64,
+    load_starts_at: Micros,
+    start_count: u64,
     load: SharedLoad,
 }
 
 impl<'a> VirtualScenario<'a> {
-    fn new(day: &'a Scenario) -> Result<VirtualScenario<'a>, VirtualScenarioError> {
+    fn new(scenario: &'a Scenario) -> Result<VirtualScenario<'a>, VirtualScenarioError> {
         let at = |kind: u16, n: usize| format!("10.{kind}.{}.{}:7000", n / 250, n % 250 + 1);
-        let workers = day.workers().count();
+        let workers = scenario.workers().count();
         let ports = Ports {
-            list: at(0, 0),
-            routers: (0..day.routers).map(|n| at(1, n)).collect(),
+            discovery: at(0, 0),
+            routers: (0..scenario.routers).map(|n| at(1, n)).collect(),
             workers: (0..workers).map(|n| at(2, n)).collect(),
             members: vec![],
-            doors: vec![],
+            relay_listeners: vec![],
         };
-        let begins = EPOCH + START_TIME + day.lag;
-        let record = process_configs::load(day, &ports)
+        let load_starts_at = EPOCH + START_TIME + scenario.lag;
+        let load_config = process_configs::load(scenario, &ports)
             .load
-            .ok_or_else(|| VirtualScenarioError::Terms("no load".into()))?;
-        let routers = ports.routers.iter().map(|r| convert::address(r));
+            .ok_or_else(|| VirtualScenarioError::InvalidScenario("it has no client load".into()))?;
+        let routers = ports.routers.iter().map(|router| convert::address(router));
         let routers = routers.collect::<Result<_, _>>()?;
-        let load = SharedLoad(Arc::new(Mutex::new(Load::new(record, routers))));
+        let load = SharedLoad(Arc::new(Mutex::new(Load::new(load_config, routers))));
         let simulator = Simulator::new(EPOCH, NETWORK_DELAY);
-        Ok(VirtualScenario { day, ports, simulator, nodes: BTreeMap::new(), begins, starts: 0, load })
+        Ok(VirtualScenario {
+            scenario,
+            ports,
+            simulator,
+            nodes: BTreeMap::new(),
+            load_starts_at,
+            start_count: 0,
+            load,
+        })
     }
 
     fn run(mut self) -> Result<VirtualOutcome, VirtualScenarioError> {
         let names: Vec<_> = ["list".to_string()]
             .into_iter()
-            .chain(self.day.workers().map(|(name, ..)| name))
-            .chain(self.day.router_names())
+            .chain(self.scenario.workers().map(|(name, ..)| name))
+            .chain(self.scenario.router_names())
             .collect();
         for name in &names {
             self.start(name, false)?;
         }
-        self.simulator.run_until(self.begins);
+        self.simulator.run_until(self.load_starts_at);
         let client = self.simulator.add_node("load", "client", None);
         self.simulator.start(client, Box::new(self.load.clone()));
         let killed = self.inject_faults()?;
-        self.simulator.run_until(self.begins + self.day.load.duration);
-        let deadline = self.begins + self.day.load.duration + DRAIN_TIME;
+        self.simulator.run_until(self.load_starts_at + self.scenario.load.duration);
+        let deadline = self.load_starts_at + self.scenario.load.duration + DRAIN_TIME;
         while self.simulator.runs(client) && self.simulator.now() < deadline {
             self.run_for(START_TIME);
         }
         let has_crashed = |name: &&String| !self.simulator.runs(self.nodes[*name]) && !killed.contains(name);
         let crashed = names.iter().filter(has_crashed).cloned().collect();
-        // Routers first, then the programs that they need.
+        // Routers stop first, then the programs to which they connect.
         for name in names.iter().rev() {
             self.simulator.stop(self.nodes[name]);
             self.run_for(START_TIME);
@@ -139,30 +155,30 @@
         self.simulator.run_until(until);
     }
 
-    /// Injects the faults in time; returns the names of all nodes that were killed.
+    /// Injects the faults when they are due; returns the names of all nodes that were killed.
     fn inject_faults(&mut self) -> Result<Vec<String>, VirtualScenarioError> {
-        let mut actions = fault_timeline(&self.day.scheduled_faults);
+        let mut actions = fault_timeline(&self.scenario.scheduled_faults);
         actions.sort_by_key(|(at, _)| *at);
         let mut killed = vec![];
         for (at, action) in actions {
-            self.simulator.run_until(self.begins + at);
+            self.simulator.run_until(self.load_starts_at + at);
             match action {
-                FaultAction::Kill(who) => {
-                    killed.push(who.to_string());
-                    self.simulator.kill(self.nodes[who]);
+                FaultAction::Kill(target) => {
+                    killed.push(target.to_string());
+                    self.simulator.kill(self.nodes[target]);
                 }
-                FaultAction::Start(who, keeps) if !self.simulator.runs(self.nodes[who]) => {
-                    if !keeps {
-                        self.simulator.forget(self.nodes[who]);
+                FaultAction::Start(target, keeps_cache) if !self.simulator.runs(self.nodes[target]) => {
+                    if !keeps_cache {
+                        self.simulator.forget(self.nodes[target]);
                     }
-                    self.start(who, true)?;
+                    self.start(target, true)?;
                 }
                 FaultAction::Start(..) => {}
-                FaultAction::Halt(who) => self.simulator.halt(self.nodes[who]),
-                FaultAction::GoOn(who) => self.simulator.resume(self.nodes[who]),
-                FaultAction::Remove(tenant) => {
+                FaultAction::Pause(target) => self.simulator.pause(self.nodes[target]),
+                FaultAction::Resume(target) => self.simulator.resume(self.nodes[target]),
+                FaultAction::RemoveTenant(tenant) => {
                     let message = tideroute_wire::tenant::removed(tenant, 1);
-                    for router in self.day.router_names() {
+                    for router in self.scenario.router_names() {
                         self.simulator.send_message(self.nodes[&router], &message);
                     }
                 }
@@ -171,17 +187,20 @@
         Ok(killed)
     }
 
-    /// Checks the rules on the capture.
+    /// Checks the rules on the capture and returns the outcome.
     fn outcome(mut self, crashed: Vec<String>) -> Result<VirtualOutcome, VirtualScenarioError> {
-        let terms = serde_json::to_string(&process_configs::rules(self.day, &self.ports)).unwrap_or_default();
-        let capture = self.simulator.capture(&terms)?;
+        let checker_config =
+            serde_json::to_string(&process_configs::checker_config(self.scenario, &self.ports))
+                .unwrap_or_default();
+        let capture = self.simulator.capture(&checker_config)?;
         let report = tideroute_trace_checker::check(capture.as_slice())?;
         let events = self.simulator.events();
         let virtual_duration = self.simulator.now() - EPOCH;
         let mut load = self.load.0.lock().unwrap_or_else(|e| e.into_inner());
-        let statistics = std::mem::replace(&mut load.statistics, LoadStatistics::new(&self.day.classes, []));
+        let statistics =
+            std::mem::replace(&mut load.statistics, LoadStatistics::new(&self.scenario.classes, []));
         Ok(VirtualOutcome {
-            load_started_at: self.begins,
+            load_started_at: self.load_starts_at,
             report,
             statistics,
             capture,
@@ -192,19 +211,23 @@
     }
 
     fn start(&mut self, name: &str, cold: bool) -> Result<(), VirtualScenarioError> {
-        let (day, ports, now) = (self.day, &self.ports, self.simulator.now());
-        let missing = || VirtualScenarioError::Terms(format!("{name} is nobody"));
-        self.starts += 1;
+        let (scenario, ports, now) = (self.scenario, &self.ports, self.simulator.now());
+        let missing = || VirtualScenarioError::InvalidScenario(format!("no process is named {name}"));
+        self.start_count += 1;
         let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
-            let list = process_configs::list(day, ports).list.ok_or_else(missing)?;
-            ("list", &ports.list, Box::new(Discovery::new(convert::discovery(&list, self.begins, now))))
-        } else if let Some(n) = day.router_names().position(|r| r == name) {
+            let discovery = process_configs::discovery(scenario, ports).list.ok_or_else(missing)?;
+            (
+                "list",
+                &ports.discovery,
+                Box::new(Discovery::new(convert::discovery(&discovery, self.load_starts_at, now))),
+            )
+        } else if let Some(n) = scenario.router_names().position(|router| router == name) {
             let mut router =
-                process_configs::router(day, ports, n, String::new()).router.ok_or_else(missing)?;
-            // Here a router is one program; cores belong to the process.
+                process_configs::router(scenario, ports, n, String::new()).router.ok_or_else(missing)?;
+            // In virtual time a router is one program, so that its number of cores has no meaning.
             router.cores = 1;
-            let seed = day.seed << 16 | self.starts;
-            let persisted_endpoints = self.nodes.get(name).and_then(|&place| self.simulator.persisted(place));
+            let seed = scenario.seed << 16 | self.start_count;
+            let persisted_endpoints = self.nodes.get(name).and_then(|&node| self.simulator.persisted(node));
             let router = ProtobufRouter::new(
                 convert::router(&router, 0, seed, u128::from(seed))?,
                 persisted_endpoints,
@@ -212,25 +235,26 @@
             );
             ("router", &ports.routers[n], Box::new(router))
         } else {
-            let mut all = day.workers().enumerate();
-            let (place, (_, group, n)) = all.find(|(_, (w, ..))| w == name).ok_or_else(missing)?;
+            let mut workers = scenario.workers().enumerate();
+            let (index, (_, group, n)) =
+                workers.find(|(_, (worker, ..))| worker == name).ok_or_else(missing)?;
             let worker =
-                process_configs::worker(day, ports, place, name, group, n).worker.ok_or_else(missing)?;
-            let terms = convert::worker(&worker, cold, self.begins, now)?;
-            ("worker", &ports.workers[place], Box::new(EmulatedWorker::new(terms, now)))
+                process_configs::worker(scenario, ports, index, name, group, n).worker.ok_or_else(missing)?;
+            let worker_config = convert::worker(&worker, cold, self.load_starts_at, now)?;
+            ("worker", &ports.workers[index], Box::new(EmulatedWorker::new(worker_config, now)))
         };
         let address = convert::address(address)?;
         let simulator = &mut self.simulator;
-        let place = *self
+        let node = *self
             .nodes
             .entry(name.to_string())
             .or_insert_with(|| simulator.add_node(name, role, Some(address)));
-        simulator.start(place, program);
+        simulator.start(node, program);
         Ok(())
     }
 }
 
-/// The load, whose statistics are read after its program has ended.
+/// The client load. It is shared so that its statistics can be read after its program has ended.
 #[derive(Clone)]
 struct SharedLoad(Arc<Mutex<Load>>);
 
@@ -245,8 +269,8 @@
         self.with(|load| load.on_start(now, effects));
     }
 
-    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, door: usize, effects: &mut Effects) {
-        self.with(|load| load.on_accepted(now, connection, door, effects));
+    fn on_accepted(&mut self, now: Micros, connection: ConnectionId, listener: usize, effects: &mut Effects) {
+        self.with(|load| load.on_accepted(now, connection, listener, effects));
     }
 
     fn on_connected(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
@@ -261,20 +285,20 @@
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        loss: DisconnectReason,
+        reason: DisconnectReason,
         effects: &mut Effects,
     ) {
-        self.with(|load| load.on_disconnect(now, connection, loss, effects));
+        self.with(|load| load.on_disconnect(now, connection, reason, effects));
     }
 
     fn on_backpressure(
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        crowded: bool,
+        congested: bool,
         effects: &mut Effects,
     ) {
-        self.with(|load| load.on_backpressure(now, connection, crowded, effects));
+        self.with(|load| load.on_backpressure(now, connection, congested, effects));
     }
 
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
--- a/crates/simulation/tests/generated_faults.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -4,7 +4,7 @@
 
 use tideroute_config_language::records::Scenario;
 use tideroute_simulation::faults::with_generated_faults;
-use tideroute_simulation::traffic::routers_of;
+use tideroute_simulation::traffic::router_by_client;
 
 fn scenario(more: &str) -> Scenario {
     let text = format!(
@@ -77,7 +77,7 @@
     .expect("a load");
     let of = |load: &tideroute_config_language::records::Load| {
         let mut counts = vec![0; 60];
-        routers_of(load, 60).into_iter().for_each(|n| counts[n] += 1);
+        router_by_client(load, 60).into_iter().for_each(|n| counts[n] += 1);
         counts
     };
     let counts = of(&load);
--- a/crates/simulation/tests/member_cluster.rs
+++ b/crates/simulation/tests/member_cluster.rs
@@ -53,7 +53,7 @@
         let mut c = converged_cluster(100, seed, network);
         let mut chance = Pcg64::seed_from_u64(seed);
         for _ in 0..20 {
-            (0..2).for_each(|_| c.halt(chance.random_range(0..100), SECOND));
+            (0..2).for_each(|_| c.pause(chance.random_range(0..100), SECOND));
             c.run_for(1_100 * MS);
         }
         c.run_for(3 * SECOND);
@@ -67,8 +67,8 @@
 fn two_halves_partitioned_for_ten_seconds_merge_within_five_of_the_heal() {
     for seed in 1..=3 {
         let mut c = converged_cluster(100, seed, if seed == 1 { LOCAL_NETWORK } else { LOSSY });
-        c.cut(0..50, 50..100);
-        c.cut(50..100, 0..50);
+        c.partition(0..50, 50..100);
+        c.partition(50..100, 0..50);
         c.run_for(10 * SECOND);
         assert!(
             c.wrong_views().len() > 2_000,
@@ -85,7 +85,7 @@
 #[test]
 fn a_one_way_partition_is_tolerated() {
     let mut c = converged_cluster(40, 7, LOCAL_NETWORK);
-    c.cut(0..4, 4..40);
+    c.partition(0..4, 4..40);
     c.run_for(8 * SECOND);
     c.heal();
     c.run_for(5 * SECOND);
@@ -111,7 +111,7 @@
         let mut c = converged_cluster(20, 3, LOCAL_NETWORK);
         c.kill(9);
         c.run_for(away);
-        c.clock_off(9, -3_600 * SECOND as i64);
+        c.set_clock_offset(9, -3_600 * SECOND as i64);
         c.start(9);
         c.run_for(5 * SECOND);
         assert_eq!(c.wrong_views(), []);
@@ -167,12 +167,12 @@
             match chance.random_range(0..6) {
                 0 => c.kill(n),
                 1 if !c.is_up(n) => c.start(n),
-                2 => c.halt(n, chance.random_range(10..3_000) * MS),
+                2 => c.pause(n, chance.random_range(10..3_000) * MS),
                 3 => {
                     let edge = chance.random_range(0..count);
-                    c.cut(0..edge, edge..count);
+                    c.partition(0..edge, edge..count);
                     if chance.random::<bool>() {
-                        c.cut(edge..count, 0..edge);
+                        c.partition(edge..count, 0..edge);
                     }
                 }
                 4 => c.heal(),
@@ -184,7 +184,7 @@
         // Whom all could begin with is there, and all that is wrong is over.
         (0..3.min(count)).filter(|&n| !c.is_up(n)).collect::<Vec<_>>().into_iter().for_each(|n| c.start(n));
         c.heal();
-        c.network(LOCAL_NETWORK);
+        c.set_network(LOCAL_NETWORK);
         // A halt, the worst of health, a suspicion at its longest, and its word.
         c.run_for(20 * SECOND);
         assert_eq!(c.wrong_views(), [], "seed {seed}, {count} routers, loss {loss}");
