--- a/crates/simulation/src/capture_merge.rs
+++ b/crates/simulation/src/capture_merge.rs
@@ -36,6 +36,7 @@
 }
 
 impl Stream {
+    /// Returns the next event: one that the process captured itself, or a pause, resumption or kill from outside.
     fn next(&mut self) -> Result<Option<CapturedFrame>, CaptureError> {
         if self.next_event.is_none() && !self.ended {
             self.next_event = match self.reader.next_passed() {
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -53,12 +53,14 @@
     attempts: u32,
     /// The attempt in flight: the index of its client, and its number on the connection.
     in_flight: Option<(usize, u64)>,
+    /// Number of tokens of the current attempt that have arrived.
     tokens: u32,
     last_token: Micros,
     first_token: Option<Micros>,
+    /// Whether a token was not the expected one.
     wrong: bool,
     finished: bool,
-    /// The checksum of the KV state that its response must be made from.
+    /// The checksum of the KV state from which its response must be generated; set at the first token.
     state_checksum: Option<u32>,
 }
 
@@ -77,6 +79,7 @@
     config: LoadConfig,
     routers: Vec<Address>,
     planned: Vec<PlannedRequest>,
+    /// The index of the next planned request that is not sent yet.
     next_request: usize,
     load_started_at: Micros,
     requests: BTreeMap<usize, RequestProgress>,
@@ -125,6 +128,7 @@
         self.progress.clone()
     }
 
+    /// Returns the second of the load for which a request was planned.
     fn arrival_second(&self, request_index: usize) -> usize {
         (self.planned[request_index].at / 1_000_000) as usize
     }
--- a/crates/simulation/src/client_load/responses.rs
+++ b/crates/simulation/src/client_load/responses.rs
@@ -23,6 +23,7 @@
         self.load.clients[self.client_index].in_flight.get(&number).copied()
     }
 
+    /// Removes the attempt with this number from those in flight, and returns the index of its request.
     fn take_request(&mut self, number: u64) -> Option<usize> {
         self.load.clients[self.client_index].in_flight.remove(&number)
     }
--- a/crates/simulation/src/direct_load.rs
+++ b/crates/simulation/src/direct_load.rs
@@ -250,7 +250,8 @@
         _reason: DisconnectReason,
         _effects: &mut Effects,
     ) {
-        let lost = self.connections.iter().find(|(_, open)| **open == connection).map(|(at, _)| *at);
+        let lost =
+            self.connections.iter().find(|(_, open)| **open == connection).map(|(address, _)| *address);
         let is_affected = |request: &DirectRequest| {
             Some(request.prefill_worker) == lost || Some(request.decode_worker) == lost
         };
--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -45,11 +45,13 @@
     membership: Option<Membership>,
     /// Number of times that it was started or killed; events for an earlier incarnation are discarded.
     incarnation: u32,
+    /// When its timer fires; `Micros::MAX` if none is set.
     wakes_at: Micros,
     paused: bool,
+    /// Datagrams that arrived while it was paused.
     waiting: Vec<(Address, Bytes)>,
     started: Micros,
-    /// Microseconds by which its clock is off.
+    /// Microseconds by which its clock is ahead; negative if it is behind.
     clock_offset: i64,
     bytes: u64,
     datagrams_sent: u64,
@@ -70,9 +72,11 @@
 pub struct MemberCluster {
     now: Micros,
     nodes: Vec<Node>,
+    /// The time, sequence number, member and incarnation of each scheduled event.
     events: BinaryHeap<Reverse<(Micros, u64, usize, u32)>>,
+    /// The scheduled events by sequence number.
     scheduled: std::collections::HashMap<u64, Event>,
-    event_count: u64,
+    last_sequence: u64,
     network: Network,
     /// Pairs of sets of members; no datagram passes from the first set of a pair to the second.
     partitions: Vec<(HashSet<usize>, HashSet<usize>)>,
@@ -84,17 +88,19 @@
     pub member_cpu_time: std::time::Duration,
 }
 
-fn address(n: usize) -> Address {
-    [10, 0, (n >> 8) as u8, n as u8, 0x1b, 0x58]
+/// Returns the address of a member, which contains its index.
+fn address(member: usize) -> Address {
+    [10, 0, (member >> 8) as u8, member as u8, 0x1b, 0x58]
 }
 
-fn number(at: Address) -> usize {
-    usize::from(at[2]) << 8 | usize::from(at[3])
+/// Returns the index of the member with this address.
+fn index(address: Address) -> usize {
+    usize::from(address[2]) << 8 | usize::from(address[3])
 }
 
-/// Returns the name of a member.
-pub fn member_name(n: usize) -> String {
-    format!("router{n}")
+/// Returns the name of the member with this index.
+pub fn member_name(member: usize) -> String {
+    format!("router{member}")
 }
 
 impl MemberCluster {
@@ -116,7 +122,7 @@
             nodes: (0..count).map(|_| node()).collect(),
             events: BinaryHeap::new(),
             scheduled: Default::default(),
-            event_count: 0,
+            last_sequence: 0,
             network,
             partitions: vec![],
             rng: Pcg64::seed_from_u64(seed),
@@ -136,64 +142,65 @@
         self.network = network;
     }
 
-    fn clock(&self, n: usize) -> Micros {
-        self.now.saturating_add_signed(self.nodes[n].clock_offset)
+    /// Returns the time that the clock of a member shows.
+    fn clock(&self, member: usize) -> Micros {
+        self.now.saturating_add_signed(self.nodes[member].clock_offset)
     }
 
     /// Starts or restarts a member.
-    pub fn start(&mut self, n: usize) {
+    pub fn start(&mut self, member: usize) {
         let config = MembershipConfig {
-            name: member_name(n),
-            address: address(n),
+            name: member_name(member),
+            address: address(member),
             seeds: (0..SEEDS).map(address).collect(),
             rng_seed: self.rng.random(),
         };
-        let (now, at) = (self.clock(n), self.now);
-        let node = &mut self.nodes[n];
+        let (now, started) = (self.clock(member), self.now);
+        let node = &mut self.nodes[member];
         node.incarnation += 1;
-        (node.started, node.paused) = (at, false);
+        (node.started, node.paused) = (started, false);
         node.waiting.clear();
         node.membership = Some(Membership::new(config, now));
         node.wakes_at = Micros::MAX;
-        self.execute_actions(n);
+        self.execute_actions(member);
     }
 
     /// Starts these members one after the other, within a second.
     pub fn start_all(&mut self, range: Range<usize>) {
         let count = range.len().max(1) as u64;
-        for n in range {
-            let after = self.now + 1_000_000 / count;
-            self.start(n);
-            self.run_until(after);
+        for member in range {
+            let next_start = self.now + 1_000_000 / count;
+            self.start(member);
+            self.run_until(next_start);
         }
     }
 
     /// Kills a member; the others are not notified.
-    pub fn kill(&mut self, n: usize) {
-        let node = &mut self.nodes[n];
+    pub fn kill(&mut self, member: usize) {
+        let node = &mut self.nodes[member];
         (node.membership, node.paused, node.wakes_at) = (None, false, Micros::MAX);
         node.incarnation += 1;
         node.waiting.clear();
     }
 
     /// Has a member leave the cluster.
-    pub fn leave(&mut self, n: usize) {
-        let now = self.clock(n);
-        self.nodes[n].membership.iter_mut().for_each(|g| g.leave(now));
-        self.execute_actions(n);
+    pub fn leave(&mut self, member: usize) {
+        let now = self.clock(member);
+        self.nodes[member].membership.iter_mut().for_each(|membership| membership.leave(now));
+        self.execute_actions(member);
     }
 
     /// Pauses a member for a span of time.
-    pub fn pause(&mut self, n: usize, duration: Micros) {
-        if self.nodes[n].membership.is_some() && !self.nodes[n].paused {
-            self.nodes[n].paused = true;
-            self.schedule(self.now + duration, n, Event::Resume);
+    pub fn pause(&mut self, member: usize, duration: Micros) {
+        if self.nodes[member].membership.is_some() && !self.nodes[member].paused {
+            self.nodes[member].paused = true;
+            self.schedule(self.now + duration, member, Event::Resume);
         }
     }
 
     /// Sets by how many microseconds the clock of a member is ahead; a negative offset sets it back.
-    pub fn set_clock_offset(&mut self, n: usize, clock_offset: i64) {
-        self.nodes[n].clock_offset = clock_offset;
+    pub fn set_clock_offset(&mut self, member: usize, clock_offset: i64) {
+        self.nodes[member].clock_offset = clock_offset;
     }
 
     /// Partitions the network: no datagram passes any more from the set `from` to the set `to`.
@@ -207,84 +214,94 @@
     }
 
     /// Returns whether a member runs.
-    pub fn is_up(&self, n: usize) -> bool {
-        self.nodes[n].membership.is_some()
+    pub fn is_up(&self, member: usize) -> bool {
+        self.nodes[member].membership.is_some()
     }
 
     /// Returns when a member was last started.
-    pub fn started(&self, n: usize) -> Micros {
-        self.nodes[n].started
+    pub fn started(&self, member: usize) -> Micros {
+        self.nodes[member].started
     }
 
     /// Returns the bytes and the number of datagrams that a member has sent so far.
-    pub fn sent_traffic(&self, n: usize) -> (u64, u64) {
-        (self.nodes[n].bytes, self.nodes[n].datagrams_sent)
+    pub fn sent_traffic(&self, member: usize) -> (u64, u64) {
+        (self.nodes[member].bytes, self.nodes[member].datagrams_sent)
     }
 
     /// Returns the pairs of a running member and a member whose state it sees wrongly: as present though it is down, or the
     /// reverse.
     pub fn wrong_views(&self) -> Vec<(usize, usize)> {
-        let up: Vec<bool> = (0..self.nodes.len()).map(|n| self.is_up(n)).collect();
+        let up: Vec<bool> = (0..self.nodes.len()).map(|member| self.is_up(member)).collect();
         let mut wrong = vec![];
-        for (viewer, node) in self.nodes.iter().enumerate() {
+        for (observer, node) in self.nodes.iter().enumerate() {
             let Some(membership) = &node.membership else { continue };
-            let mut seen_present = vec![false; self.nodes.len()];
+            let mut is_seen_present = vec![false; self.nodes.len()];
             membership
                 .members()
-                .filter(|o| o.status.is_in())
-                .for_each(|o| seen_present[number(o.address)] = true);
-            seen_present[viewer] = true;
-            wrong.extend((0..seen_present.len()).filter(|&n| seen_present[n] != up[n]).map(|n| (viewer, n)));
+                .filter(|member| member.status.is_in())
+                .for_each(|member| is_seen_present[index(member.address)] = true);
+            is_seen_present[observer] = true;
+            wrong.extend(
+                (0..is_seen_present.len())
+                    .filter(|&member| is_seen_present[member] != up[member])
+                    .map(|member| (observer, member)),
+            );
         }
         wrong
     }
 
     /// Returns the observations since a moment in which a member that runs now was declared dead.
     pub fn false_death_declarations(&self, since: Micros) -> Vec<&Observation> {
-        let dead = |o: &&Observation| o.at >= since && o.observed.status == MemberStatus::Dead;
-        self.observations.iter().filter(dead).filter(|o| self.is_up(number(o.observed.address))).collect()
+        let is_death = |observation: &&Observation| {
+            observation.at >= since && observation.observed.status == MemberStatus::Dead
+        };
+        self.observations
+            .iter()
+            .filter(is_death)
+            .filter(|observation| self.is_up(index(observation.observed.address)))
+            .collect()
     }
 
-    fn schedule(&mut self, at: Micros, n: usize, event: Event) {
-        self.event_count += 1;
-        self.scheduled.insert(self.event_count, event);
-        self.events.push(Reverse((at, self.event_count, n, self.nodes[n].incarnation)));
+    fn schedule(&mut self, at: Micros, member: usize, event: Event) {
+        self.last_sequence += 1;
+        self.scheduled.insert(self.last_sequence, event);
+        self.events.push(Reverse((at, self.last_sequence, member, self.nodes[member].incarnation)));
     }
 
     /// Runs until a point in virtual time.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(Reverse((at, event_count, n, incarnation))) = self.events.peek().copied() {
+        while let Some(Reverse((at, sequence, member, incarnation))) = self.events.peek().copied() {
             if at > until {
                 break;
             }
             self.events.pop();
-            let Some(event) = self.scheduled.remove(&event_count) else { continue };
-            if self.nodes[n].incarnation != incarnation {
+            let Some(event) = self.scheduled.remove(&sequence) else { continue };
+            if self.nodes[member].incarnation != incarnation {
                 continue;
             }
             self.now = self.now.max(at);
             match event {
-                Event::Wake if self.nodes[n].paused || self.nodes[n].wakes_at != at => {}
+                Event::Wake if self.nodes[member].paused || self.nodes[member].wakes_at != at => {}
                 Event::Wake => {
-                    self.nodes[n].wakes_at = Micros::MAX;
-                    self.execute_actions(n);
+                    self.nodes[member].wakes_at = Micros::MAX;
+                    self.execute_actions(member);
                 }
-                Event::Datagram { from, datagram } if self.nodes[n].paused => {
-                    if self.nodes[n].waiting.len() < SOCKET_BUFFER {
-                        self.nodes[n].waiting.push((from, datagram));
+                Event::Datagram { from, datagram } if self.nodes[member].paused => {
+                    if self.nodes[member].waiting.len() < SOCKET_BUFFER {
+                        self.nodes[member].waiting.push((from, datagram));
                     }
                 }
                 Event::Datagram { from, datagram } => {
-                    self.deliver(n, from, &datagram);
-                    self.execute_actions(n);
+                    self.deliver(member, from, &datagram);
+                    self.execute_actions(member);
                 }
                 Event::Resume => {
-                    self.nodes[n].paused = false;
+                    self.nodes[member].paused = false;
                     // Datagrams that waited are read before timers fire, as in the event loop.
-                    for (from, datagram) in std::mem::take(&mut self.nodes[n].waiting) {
-                        self.deliver(n, from, &datagram);
+                    for (from, datagram) in std::mem::take(&mut self.nodes[member].waiting) {
+                        self.deliver(member, from, &datagram);
                     }
-                    self.execute_actions(n);
+                    self.execute_actions(member);
                 }
             }
         }
@@ -296,55 +313,56 @@
         self.run_until(self.now + span);
     }
 
-    fn deliver(&mut self, n: usize, from: Address, datagram: &Bytes) {
-        let now = self.clock(n);
-        let began = std::time::Instant::now();
+    fn deliver(&mut self, member: usize, from: Address, datagram: &Bytes) {
+        let now = self.clock(member);
+        let started_at = std::time::Instant::now();
         let message = self.authenticator.verify(datagram);
-        if let (Ok(message), Some(membership)) = (message, &mut self.nodes[n].membership) {
+        if let (Ok(message), Some(membership)) = (message, &mut self.nodes[member].membership) {
             membership.handle_datagram(now, from, &message).expect("messages of members are well formed");
         }
-        self.member_cpu_time += began.elapsed();
+        self.member_cpu_time += started_at.elapsed();
     }
 
     /// Executes the actions of a member until it has no more.
-    fn execute_actions(&mut self, n: usize) {
-        let now = self.clock(n);
+    fn execute_actions(&mut self, member: usize) {
+        let now = self.clock(member);
         loop {
-            let began = std::time::Instant::now();
-            let Some(membership) = &mut self.nodes[n].membership else { return };
+            let started_at = std::time::Instant::now();
+            let Some(membership) = &mut self.nodes[member].membership else { return };
             let action = membership.next_output(now).map(|action| match action {
                 Output::Send { to, message } => (Some((to, self.authenticator.sign(&message))), None),
-                Output::StatusChanged(seen) => (None, Some(seen)),
+                Output::StatusChanged(observed) => (None, Some(observed)),
             });
-            self.member_cpu_time += began.elapsed();
+            self.member_cpu_time += started_at.elapsed();
             let Some((message, observation)) = action else { break };
             self.observations.extend(observation.map(|observed| Observation {
                 at: self.now,
-                observer: n,
+                observer: member,
                 observed,
             }));
             if let Some((to, datagram)) = message {
-                self.send(n, to, &datagram);
+                self.send(member, to, &datagram);
             }
         }
-        let Some(membership) = &self.nodes[n].membership else { return };
+        let Some(membership) = &self.nodes[member].membership else { return };
         if membership.has_left() {
-            return self.kill(n);
+            return self.kill(member);
         }
-        let due = membership.wakeup_at().saturating_add_signed(-self.nodes[n].clock_offset).max(self.now);
-        if due != self.nodes[n].wakes_at {
-            self.nodes[n].wakes_at = due;
-            self.schedule(due, n, Event::Wake);
+        let due =
+            membership.wakeup_at().saturating_add_signed(-self.nodes[member].clock_offset).max(self.now);
+        if due != self.nodes[member].wakes_at {
+            self.nodes[member].wakes_at = due;
+            self.schedule(due, member, Event::Wake);
         }
     }
 
-    fn send(&mut self, n: usize, to: Address, datagram: &Bytes) {
+    fn send(&mut self, member: usize, to: Address, datagram: &Bytes) {
         assert!(datagram.len() <= tideroute_wire::gossip::LARGEST, "{} bytes", datagram.len());
-        self.nodes[n].bytes += datagram.len() as u64;
-        self.nodes[n].datagrams_sent += 1;
-        let target = number(to);
+        self.nodes[member].bytes += datagram.len() as u64;
+        self.nodes[member].datagrams_sent += 1;
+        let target = index(to);
         let is_partitioned =
-            self.partitions.iter().any(|(from, to)| from.contains(&n) && to.contains(&target));
+            self.partitions.iter().any(|(from, to)| from.contains(&member) && to.contains(&target));
         if is_partitioned || target >= self.nodes.len() || !self.is_up(target) {
             return;
         }
@@ -354,7 +372,7 @@
                 continue;
             }
             let at = self.now + self.rng.random_range(self.network.min_delay..=self.network.max_delay);
-            self.schedule(at, target, Event::Datagram { from: address(n), datagram: datagram.clone() });
+            self.schedule(at, target, Event::Datagram { from: address(member), datagram: datagram.clone() });
         }
     }
 }
--- a/crates/simulation/src/process_configs.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -12,8 +12,9 @@
 
 use crate::direct_load::KnownWorker;
 
-/// The addresses of all processes.
+/// The addresses at which the processes of a scenario listen.
 pub struct Ports {
+    /// The address of discovery, which serves the endpoint list.
     pub discovery: String,
     pub routers: Vec<String>,
     pub workers: Vec<String>,
@@ -31,6 +32,7 @@
     SchedulerSettings { routers: scenario.routers as u32, ..scenario.settings.clone() }
 }
 
+/// Returns the zone of a cell.
 fn zone(scenario: &Scenario, cell: u16) -> u8 {
     (cell % u16::from(scenario.zones)) as u8
 }
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -12,12 +12,14 @@
 struct RelayListeners {
     /// The target of each listener, and the indices of the faults that affect it.
     listeners: Vec<(String, Vec<usize>)>,
+    /// The index of each listener in `listeners`.
     indices: BTreeMap<(String, Vec<usize>), usize>,
     /// By client: the names of targets, each with the index of the listener that the client uses in its place.
     address_overrides: BTreeMap<String, Vec<(String, usize)>>,
 }
 
 impl RelayListeners {
+    /// Has a client connect to a target through a listener with these faults; directly if there are none.
     fn add(&mut self, client: &str, target: &str, faults: Vec<usize>) {
         if faults.is_empty() || client == target {
             return;
@@ -60,7 +62,7 @@
     seed: u64,
 }
 
-/// The processes on the two sides of a network fault.
+/// The names of the processes on the two sides of a network fault.
 type FaultSets = (HashSet<String>, HashSet<String>);
 
 /// Returns a network fault twice: as it affects connections from its first set of processes to its second, and as it
@@ -103,13 +105,13 @@
             network_faults.iter().map(|fault| (expand(&fault.side), expand(&fault.other_side))).collect();
         let routers: Vec<_> = scenario.router_names().collect();
         let workers: Vec<_> = scenario.workers().map(|(name, ..)| name).collect();
-        let list = ["list".to_string()];
+        let discovery = ["list".to_string()];
         let load = "load".to_string();
         for router in &routers {
             relays.add_connection(&fault_sets, &load, router);
         }
         for client in routers.iter().chain(&workers) {
-            for target in workers.iter().chain(&list) {
+            for target in workers.iter().chain(&discovery) {
                 relays.add_connection(&fault_sets, client, target);
             }
         }
@@ -130,14 +132,14 @@
     /// Returns the indices of the faults that affect connections from a client to a target.
     fn faults_between(&self, fault_sets: &[FaultSets], client: &str, target: &str) -> Vec<usize> {
         let mut indices = vec![];
-        for (index, (a, b)) in fault_sets.iter().enumerate() {
-            let there = a.contains(client) && b.contains(target);
-            let back = b.contains(client) && a.contains(target);
-            if there {
+        for (index, (side, other_side)) in fault_sets.iter().enumerate() {
+            let is_forward = side.contains(client) && other_side.contains(target);
+            let is_backward = other_side.contains(client) && side.contains(target);
+            if is_forward {
                 indices.push(2 * index);
             }
             // If both processes are in both sets, a fault in both directions is applied only once.
-            if back && (!there || self.faults[2 * index].direction != "both") {
+            if is_backward && (!is_forward || self.faults[2 * index].direction != "both") {
                 indices.push(2 * index + 1);
             }
         }
--- a/crates/simulation/src/simulator/mod.rs
+++ b/crates/simulation/src/simulator/mod.rs
@@ -34,6 +34,7 @@
     persisted: Option<Bytes>,
     /// Whether the node is paused; its events are deferred.
     paused: bool,
+    /// Events that are deferred while the node is paused.
     deferred: Vec<ScheduledEvent>,
     /// Whether the node is partitioned from the network: frames that it sends and frames for it are lost, but its
     /// connections stay open.
@@ -48,6 +49,7 @@
     queue: BinaryHeap<ScheduledEvent>,
     nodes: Vec<Node>,
     connection_ends: HashMap<(NodeId, ConnectionId), ConnectionEnd>,
+    /// The node that listens at each address.
     listens: BTreeMap<Address, NodeId>,
     processes: Vec<CapturedProcess>,
     captured: Vec<CapturedFrame>,
@@ -274,6 +276,7 @@
         }
     }
 
+    /// Executes one effect of the program at a node.
     fn execute(&mut self, id: NodeId, effect: Effect) {
         let incarnation = self.nodes[id.0].incarnation;
         match effect {
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -66,7 +66,7 @@
             if at >= load.duration as f64 {
                 break;
             }
-            session(load, traffic, index, at, rng, &mut planned);
+            plan_session(load, traffic, index, at, rng, &mut planned);
         }
     }
     planned.sort_by_key(|request| (request.at, request.session, request.prompt_tokens));
@@ -77,7 +77,7 @@
 /// traffic of a router depends on its number of clients: equal for all routers, or higher by a factor for some if the load
 /// is skewed.
 pub fn router_by_client(load: &Load, routers: usize) -> Vec<usize> {
-    let Some(skew) = load.skew else { return (0..load.clients).map(|router| router % routers).collect() };
+    let Some(skew) = load.skew else { return (0..load.clients).map(|client| client % routers).collect() };
     let mut rng = Pcg64::seed_from_u64(load.seed ^ SKEW_SEED);
     let busy = ((routers as f64 * skew.router_share).round() as usize).clamp(1, routers);
     let mut order: Vec<usize> = (0..routers).collect();
@@ -89,12 +89,12 @@
     order[..busy].iter().for_each(|&router| weights[router] = skew.factor);
     // Each client is assigned to the router with the fewest clients in relation to its weight.
     let mut client_counts = vec![0.0; routers];
-    let least_called = |client_counts: &[f64]| {
+    let least_assigned = |client_counts: &[f64]| {
         let relative_count = |router: &usize| (client_counts[*router] + 1.0) / weights[*router];
         (0..routers).min_by(|a, b| relative_count(a).total_cmp(&relative_count(b))).unwrap_or(0)
     };
     let choose_router = |_| {
-        let router = least_called(&client_counts);
+        let router = least_assigned(&client_counts);
         client_counts[router] += 1.0;
         router
     };
@@ -110,7 +110,7 @@
     bursts.iter().filter(is_active).map(|burst| burst.factor).product()
 }
 
-fn within(range: TokenRange, rng: &mut Pcg64) -> u32 {
+fn random_tokens(range: TokenRange, rng: &mut Pcg64) -> u32 {
     rng.random_range(range.min..=range.max)
 }
 
@@ -124,18 +124,18 @@
     let prefix = 1 + text + ((index as u64 + 1) << 32);
     // The length is a property of the text, so that all sessions get the same one.
     let mut text_rng = Pcg64::seed_from_u64(load.seed ^ prefix);
-    (prefix, within(traffic.shared_prefix_tokens, &mut text_rng))
+    (prefix, random_tokens(traffic.shared_prefix_tokens, &mut text_rng))
 }
 
 /// Chooses the client of a session. Clients are assigned to the tenants in turn.
-fn client_of(load: &Load, tenant: Option<usize>, rng: &mut Pcg64) -> usize {
+fn choose_client(load: &Load, tenant: Option<usize>, rng: &mut Pcg64) -> usize {
     let Some(tenant) = tenant else { return rng.random_range(0..load.clients) };
     let clients_of_tenant = (load.clients - tenant).div_ceil(load.keys.len());
     tenant + load.keys.len() * rng.random_range(0..clients_of_tenant)
 }
 
 /// Generates the requests of one session.
-fn session(
+fn plan_session(
     load: &Load,
     traffic: &Traffic,
     index: usize,
@@ -143,28 +143,28 @@
     rng: &mut Pcg64,
     planned: &mut Vec<PlannedRequest>,
 ) {
-    let class = load.classes.iter().position(|candidate| candidate.name == traffic.class).unwrap_or(0);
+    let class_index = load.classes.iter().position(|candidate| candidate.name == traffic.class).unwrap_or(0);
     let session: u64 = rng.random::<u64>() | 1;
     let (prefix, prefix_tokens) = shared_text(load, traffic, index, rng);
     let tenant = load.keys.iter().position(|tenant_key| Some(&tenant_key.tenant) == traffic.tenant.as_ref());
-    let client = client_of(load, tenant, rng);
+    let client = choose_client(load, tenant, rng);
     let (mut at, mut prompt_tokens) = (started_at, prefix_tokens);
-    let request_class = &load.classes[class];
+    let request_class = &load.classes[class_index];
     loop {
-        prompt_tokens += within(traffic.turn_tokens, rng);
+        prompt_tokens += random_tokens(traffic.turn_tokens, rng);
         if at >= load.duration as f64 {
             return;
         }
         let wait_share = rng.random_range(traffic.min_wait_share..=1.0);
         let extra_time = u64::from(prompt_tokens) * request_class.ttft_objective_per_1000_tokens / 1000;
-        let max_tokens = within(traffic.response_tokens, rng);
+        let max_tokens = random_tokens(traffic.response_tokens, rng);
         let cancels = rng.random::<f64>() < load.disconnect_share;
         let mut prompt = vec![0; PROMPT_BYTES];
         rand::Rng::fill_bytes(rng, &mut prompt);
         if at >= 0.0 {
             planned.push(PlannedRequest {
                 at: at as Micros,
-                class: class as u8,
+                class: class_index as u8,
                 session,
                 prefix,
                 prompt_tokens,
--- a/crates/simulation/tests/router_cores.rs
+++ b/crates/simulation/tests/router_cores.rs
@@ -1,5 +1,5 @@
-//! What must hold over all cores of a router together. Cores share nothing, so that N cores are to everybody else N
-//! routers whose settings count them all: they are simulated as such here, in virtual time.
+//! Rules that must hold for all cores of a router together, in virtual time. Cores share nothing, so that N cores act like N
+//! routers whose settings count them all; the tests simulate them as N routers.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
-/// The field of a frame that asks a reader for a read.
-const READ: u8 = 2;
+/// Field number of the message by which a router requests a prefill.
+const PREFILL: u8 = 2;
 
-fn day(cores: usize, rate: u32, traffic: &str, troubles: &str) -> Scenario {
+fn scenario(cores: usize, rate: u32, traffic: &str, faults: &str) -> Scenario {
     let text = format!(
         r#"
 day: {{
@@ -26,15 +26,15 @@
 	]
 	terms: {{warm_after: 4s}}
 	load: {{rate: {rate}, for: 6s, clients: 32, traffic: [{traffic}]}}
-	troubles: [{troubles}]
+	troubles: [{faults}]
 	expect: {{}}
 }}
 "#
     );
-    tideroute_config_language::read("a test's day", &text)
-        .unwrap_or_else(|p| panic!("{p}"))
+    tideroute_config_language::read("test scenario", &text)
+        .unwrap_or_else(|errors| panic!("{errors}"))
         .day
-        .expect("a day")
+        .expect("a scenario")
 }
 
 const BOTH: &str = r#"{track: "query", part: 3}, {track: "lodge"}"#;
@@ -51,38 +51,44 @@
 
 #[test]
 fn a_stalled_core_sends_nothing_to_a_worker_that_was_removed_meanwhile() {
-    let troubles = r#"
+    let faults = r#"
 		{at: 2s, do: "burst", for: 2s, times: 6},
 		{at: 2400ms, do: "halt", who: ["router1"], for: 900ms},
 		{at: 2450ms, do: "drain", who: ["reader0", "writer0"], for: 2s},
 		{at: 2500ms, do: "kill", who: ["writer1"], back: 2s},
 	"#;
-    let outcome = play(&day(4, 80, BOTH, troubles)).expect("it plays");
+    let outcome = play(&scenario(4, 80, BOTH, faults)).expect("the scenario is played");
     assert_rules_kept(&outcome);
-    let latest = outcome.report.counts.latest_send_after_drain;
-    assert!(latest <= 500_000, "sent {latest} us after the drain was told");
-    assert!(outcome.report.counts.rejected > 0, "the flood was no flood");
+    let latest_send = outcome.report.counts.latest_send_after_drain;
+    assert!(
+        latest_send <= 500_000,
+        "a request was sent {latest_send} us after the router was notified of the draining"
+    );
+    assert!(outcome.report.counts.rejected > 0, "the burst was too small for rejections");
 }
 
 #[test]
 fn warming_up_workers_are_not_overloaded_by_any_number_of_cores() {
-    let mut fullest: f64 = 0.0;
+    let mut peak_load: f64 = 0.0;
     for cores in [1, 2, 4, 8] {
         for (rate, burst) in [(15, 1), (60, 5)] {
-            let troubles = format!(
+            let faults = format!(
                 r#"
 		{{at: 500ms, do: "kill", who: ["writer0", "writer3", "reader1"], back: 500ms}},
 		{{at: 1500ms, do: "burst", for: 2s, times: {burst}}},
 	"#
             );
-            let outcome = play(&day(cores, rate, BOTH, &troubles)).expect("it plays");
+            let outcome = play(&scenario(cores, rate, BOTH, &faults)).expect("the scenario is played");
             assert_rules_kept(&outcome);
-            let cold = outcome.report.counts.peak_slow_start_load;
-            assert!(cold <= 1.0, "{cores} cores filled a cold worker to {cold} of its limit");
-            fullest = fullest.max(cold);
+            let slow_start_load = outcome.report.counts.peak_slow_start_load;
+            assert!(
+                slow_start_load <= 1.0,
+                "{cores} cores loaded a cold worker to {slow_start_load} of its slow-start limit"
+            );
+            peak_load = peak_load.max(slow_start_load);
         }
     }
-    assert!(fullest > 0.0, "no cold worker got anything");
+    assert!(peak_load > 0.0, "no request reached a cold worker");
 }
 
 #[test]
@@ -91,21 +97,25 @@
 		{track: "query", shared: 100%, texts: 1, text_tokens: {least: 800, most: 800}},
 		{track: "query", shared: 0%},
 	"#;
-    let outcome = play(&day(4, 150, traffic, "")).expect("it plays");
+    let outcome = play(&scenario(4, 150, traffic, "")).expect("the scenario is played");
     assert_rules_kept(&outcome);
     assert!(outcome.statistics.service() > 0.9, "{}", outcome.statistics.table());
     let mut reader = Reader::new(outcome.capture.as_slice());
-    let (processes, _) = reader.head().expect("a head");
-    let readers: BTreeMap<u32, String> =
-        processes.into_iter().filter(|p| p.name.starts_with("reader")).map(|p| (p.number, p.name)).collect();
-    let mut reads = BTreeMap::<&str, usize>::new();
-    while let Some(p) = reader.next_passed().expect("a whole record") {
-        let is_read = p.event == CaptureEvent::Received && p.frame.first() == Some(&(READ << 3 | 2));
-        if let Some(name) = readers.get(&p.process).filter(|_| is_read) {
-            *reads.entry(name).or_default() += 1;
+    let (processes, _) = reader.head().expect("a capture head");
+    let prefill_workers: BTreeMap<u32, String> = processes
+        .into_iter()
+        .filter(|process| process.name.starts_with("reader"))
+        .map(|process| (process.number, process.name))
+        .collect();
+    let mut prefills = BTreeMap::<&str, usize>::new();
+    while let Some(frame) = reader.next_passed().expect("a complete capture") {
+        let is_prefill =
+            frame.event == CaptureEvent::Received && frame.frame.first() == Some(&(PREFILL << 3 | 2));
+        if let Some(name) = prefill_workers.get(&frame.process).filter(|_| is_prefill) {
+            *prefills.entry(name).or_default() += 1;
         }
     }
-    let (all, most) = (reads.values().sum::<usize>(), reads.values().max().copied().unwrap_or(0));
-    assert!(reads.len() == 4 && all > 500, "{reads:?}");
-    assert!(most * 2 < all, "one reader took over half of all reads: {reads:?}");
+    let (total, max) = (prefills.values().sum::<usize>(), prefills.values().max().copied().unwrap_or(0));
+    assert!(prefills.len() == 4 && total > 500, "{prefills:?}");
+    assert!(max * 2 < total, "one prefill worker got more than half of all prefills: {prefills:?}");
 }
--- a/crates/simulation/tests/tenants.rs
+++ b/crates/simulation/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants beside one that floods, in virtual time: the real host, shares and module.
+//! Tenants in virtual time: the service of the others while one sends a burst of requests, and the removal of a tenant. The
+//! real router, with admission and scheduling, runs with emulated workers.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +7,13 @@
 use tideroute_simulation::virtual_scenario::{play, VirtualOutcome};
 use tideroute_wire::capture::{CaptureEvent, Reader};
 
-fn day(name: &str) -> Scenario {
+fn scenario(name: &str) -> Scenario {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
-    let text = std::fs::read_to_string(path).expect("the day is there");
-    tideroute_config_language::read(name, &text).unwrap_or_else(|p| panic!("{p}")).day.expect("a day")
+    let text = std::fs::read_to_string(path).expect("the scenario file exists");
+    tideroute_config_language::read(name, &text)
+        .unwrap_or_else(|errors| panic!("{errors}"))
+        .day
+        .expect("a scenario")
 }
 
 fn assert_rules_kept(outcome: &VirtualOutcome) {
@@ -18,107 +22,139 @@
         "{:#?}",
         &outcome.report.violations[..outcome.report.violations.len().min(5)]
     );
-    let t = &outcome.statistics;
-    assert_eq!((t.wrong, t.unanswered, t.unauthorized), (0, 0, 0));
+    let statistics = &outcome.statistics;
+    assert_eq!((statistics.wrong, statistics.unanswered, statistics.unauthorized), (0, 0, 0));
 }
 
-/// What of each tenant's earnings was answered in time.
+/// Returns the fraction of the priority weight of each tenant that was completed within the latency objective.
 fn service_by_tenant(outcome: &VirtualOutcome) -> Vec<f64> {
-    outcome.statistics.by_tenant.iter().map(|(_, asked, in_time)| in_time / asked.max(1e-9)).collect()
+    outcome.statistics.by_tenant.iter().map(|(_, offered, in_time)| in_time / offered.max(1e-9)).collect()
 }
 
 #[test]
-fn calm_tenants_are_served_beside_a_flood_as_without_it() {
-    let [day, mut calm, mut bare] = [(); 3].map(|()| day("neighbour-flood.cue"));
-    calm.scheduled_faults.retain(|t| t.kind != "burst");
-    bare.routers_know_tenants = false;
-    let [calm, flood, bare] = [&calm, &day, &bare].map(|day| play(day).expect("it plays"));
-    [&calm, &flood, &bare].into_iter().for_each(assert_rules_kept);
-    let (without, with, unshared) =
-        (service_by_tenant(&calm), service_by_tenant(&flood), service_by_tenant(&bare));
-    println!("without a flood {without:.3?}, with one {with:.3?}, with one and no shares {unshared:.3?}");
-    for n in 0..3 {
-        assert!(with[n] >= 0.97 * without[n], "{n}: {with:.3?} beside {without:.3?}");
+fn other_tenants_are_served_during_the_burst_of_one_tenant_as_without_it() {
+    let [scenario, mut without_burst, mut without_shares] = [(); 3].map(|()| scenario("neighbour-flood.cue"));
+    without_burst.scheduled_faults.retain(|fault| fault.kind != "burst");
+    without_shares.routers_know_tenants = false;
+    let [without_burst, with_burst, without_shares] = [&without_burst, &scenario, &without_shares]
+        .map(|scenario| play(scenario).expect("the scenario is played"));
+    [&without_burst, &with_burst, &without_shares].into_iter().for_each(assert_rules_kept);
+    let (service_without_burst, service_with_burst, service_without_shares) = (
+        service_by_tenant(&without_burst),
+        service_by_tenant(&with_burst),
+        service_by_tenant(&without_shares),
+    );
+    println!("without a burst {service_without_burst:.3?}, with one {service_with_burst:.3?}, with one and no shares {service_without_shares:.3?}");
+    for tenant in 0..3 {
+        assert!(
+            service_with_burst[tenant] >= 0.97 * service_without_burst[tenant],
+            "tenant {tenant}: {service_with_burst:.3?} instead of {service_without_burst:.3?}"
+        );
     }
-    let hurt = (0..3).any(|n| unshared[n] < 0.8 * without[n]);
-    assert!(hurt, "it was no flood: {unshared:.3?} beside {without:.3?}");
+    let is_hurt = (0..3).any(|tenant| service_without_shares[tenant] < 0.8 * service_without_burst[tenant]);
+    assert!(is_hurt, "the burst hurts no tenant even without shares: {service_without_shares:.3?} instead of {service_without_burst:.3?}");
 }
 
 #[test]
-fn calm_tenants_are_served_beside_a_flood_on_other_seeds() {
+fn other_tenants_are_served_during_the_burst_of_one_tenant_on_other_seeds() {
     let threads = (32..38).map(|seed| {
         std::thread::spawn(move || {
-            let [mut calm, flood] = [(); 2].map(|()| Scenario { seed, ..day("neighbour-flood.cue") });
-            calm.scheduled_faults.retain(|t| t.kind != "burst");
-            let [without, with] = [&calm, &flood].map(|day| {
-                let outcome = play(day).expect("it plays");
+            let [mut without_burst, with_burst] =
+                [(); 2].map(|()| Scenario { seed, ..scenario("neighbour-flood.cue") });
+            without_burst.scheduled_faults.retain(|fault| fault.kind != "burst");
+            let [service_without_burst, service_with_burst] = [&without_burst, &with_burst].map(|scenario| {
+                let outcome = play(scenario).expect("the scenario is played");
                 assert_rules_kept(&outcome);
                 service_by_tenant(&outcome)
             });
-            assert!((0..3).all(|n| with[n] >= 0.97 * without[n]), "{seed}: {with:.3?} beside {without:.3?}");
+            assert!(
+                (0..3).all(|tenant| service_with_burst[tenant] >= 0.97 * service_without_burst[tenant]),
+                "seed {seed}: {service_with_burst:.3?} instead of {service_without_burst:.3?}"
+            );
         })
     });
     let threads: Vec<_> = threads.collect();
-    threads.into_iter().for_each(|thread| thread.join().expect("a seed"));
+    threads.into_iter().for_each(|thread| thread.join().expect("the thread of a seed"));
 }
 
 #[test]
 fn a_removed_tenant_is_rejected_and_its_requests_in_flight_are_completed() {
-    let removed = day("tenant-removed.cue");
-    let outcome = play(&removed).expect("it plays");
+    let scenario_with_removal = scenario("tenant-removed.cue");
+    let outcome = play(&scenario_with_removal).expect("the scenario is played");
     assert_rules_kept(&outcome);
-    let mut quiet = day("tenant-removed.cue");
-    quiet.scheduled_faults.retain(|t| t.kind != "remove");
-    let without = play(&quiet).expect("it plays");
-    assert_rules_kept(&without);
-    let (service_by_tenant, others) = (service_by_tenant(&outcome), service_by_tenant(&without));
+    let mut scenario_without_removal = scenario("tenant-removed.cue");
+    scenario_without_removal.scheduled_faults.retain(|fault| fault.kind != "remove");
+    let outcome_without_removal = play(&scenario_without_removal).expect("the scenario is played");
+    assert_rules_kept(&outcome_without_removal);
+    let (service, service_without_removal) =
+        (service_by_tenant(&outcome), service_by_tenant(&outcome_without_removal));
     assert!(
-        service_by_tenant[0] >= 0.97 * others[0],
-        "who stays lost by it: {service_by_tenant:?} beside {others:?}"
+        service[0] >= 0.97 * service_without_removal[0],
+        "the removal hurt the remaining tenant: {service:?} instead of {service_without_removal:?}"
     );
     assert!(
-        service_by_tenant[1] < 0.8 * others[1],
-        "nothing was removed: {service_by_tenant:?} beside {others:?}"
+        service[1] < 0.8 * service_without_removal[1],
+        "the tenant was not removed: {service:?} instead of {service_without_removal:?}"
     );
     let counts = &outcome.report.counts;
     assert!(counts.rejected > 100 && counts.completed > 100 && counts.disconnected == 0, "{counts:?}");
-    // What its clients ask after the removal never comes to a worker.
-    let gone = outcome.load_started_at
-        + removed.scheduled_faults.iter().find(|t| t.kind == "remove").expect("a removal").at;
+    // No request that the clients of the tenant send after its removal reaches a worker.
+    let removed_at = outcome.load_started_at
+        + scenario_with_removal
+            .scheduled_faults
+            .iter()
+            .find(|fault| fault.kind == "remove")
+            .expect("a removal")
+            .at;
     let mut reader = Reader::new(outcome.capture.as_slice());
-    let (processes, _) = reader.head().expect("a head");
-    let routers: BTreeSet<u32> = processes.iter().filter(|p| p.role == "router").map(|p| p.number).collect();
-    let (mut of_it, mut too_late, mut before) = (BTreeSet::new(), BTreeSet::new(), 0);
-    while let Some(p) = reader.next_passed().expect("a whole record") {
-        if !routers.contains(&p.process) || p.position > 0 && p.frame.is_empty() {
+    let (processes, _) = reader.head().expect("a capture head");
+    let routers: BTreeSet<u32> =
+        processes.iter().filter(|process| process.role == "router").map(|process| process.number).collect();
+    let (mut connections_of_removed, mut accepted_after_removal, mut accepted_before_removal) =
+        (BTreeSet::new(), BTreeSet::new(), 0);
+    while let Some(captured) = reader.next_passed().expect("a complete capture") {
+        if !routers.contains(&captured.process) || captured.position > 0 && captured.frame.is_empty() {
             continue;
         }
-        let (field, numbers) = frame(&p.frame);
-        match (p.event, field) {
-            (CaptureEvent::Received, HELLO) if p.frame.windows(6).any(|w| w == b"leaves") => {
-                of_it.insert((p.process, p.connection));
+        let (field, numbers) = frame(&captured.frame);
+        match (captured.event, field) {
+            (CaptureEvent::Received, HELLO) if captured.frame.windows(6).any(|bytes| bytes == b"leaves") => {
+                connections_of_removed.insert((captured.process, captured.connection));
             }
-            (CaptureEvent::Sent, TAKEN) if of_it.contains(&(p.process, p.connection)) => {
-                before += u32::from(p.at <= gone);
-                too_late.extend((p.at > gone).then(|| numbers[1]));
+            (CaptureEvent::Sent, ACCEPTED)
+                if connections_of_removed.contains(&(captured.process, captured.connection)) =>
+            {
+                accepted_before_removal += u32::from(captured.at <= removed_at);
+                accepted_after_removal.extend((captured.at > removed_at).then(|| numbers[1]));
             }
-            // A client's Token has the field of a worker's Read; ids of submissions are far above its numbers.
-            (CaptureEvent::Sent, READ | WRITE) => {
-                assert!(!too_late.contains(&numbers[0]), "let in after the removal: {:x}", numbers[0]);
+            // A token to a client has the same field number as a prefill, but the request ids are far above its numbers.
+            (CaptureEvent::Sent, PREFILL | DECODE) => {
+                assert!(
+                    !accepted_after_removal.contains(&numbers[0]),
+                    "request admitted after the removal: {:x}",
+                    numbers[0]
+                );
             }
             _ => {}
         }
     }
-    assert!(too_late.len() > 50 && before > 50, "{} asked after, {before} before", too_late.len());
+    assert!(
+        accepted_after_removal.len() > 50 && accepted_before_removal > 50,
+        "{} requests after the removal, {accepted_before_removal} before",
+        accepted_after_removal.len()
+    );
 }
 
-/// Fields of frames: a Hello, a router's Taken, and what hands a submission to a worker.
+/// Field number of the first message on a connection.
 const HELLO: u8 = 1;
-const TAKEN: u8 = 1;
-const READ: u8 = 2;
-const WRITE: u8 = 4;
+/// Field number of the message by which a router accepts a request of a client.
+const ACCEPTED: u8 = 1;
+/// Field numbers of the messages by which a router sends a request to a worker.
+const PREFILL: u8 = 2;
+const DECODE: u8 = 4;
 
-/// Which message a frame holds, and its first two fields if they are numbers (Protocol Buffers' encoding).
+/// Returns the field number of the message that a frame holds, and its first two fields if they are numbers (in the encoding
+/// of Protocol Buffers).
 fn frame(bytes: &[u8]) -> (u8, [u64; 2]) {
     let mut rest = bytes;
     let mut varint = || {
