--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -189,7 +189,7 @@
     remaining.map(|(at, action)| (at - now, action)).collect()
 }
 
-/// Returns the begin of a scripted fault, and its end if it has one, with their times after the begin of the script.
+/// Returns the start of a scripted fault, and its end if it has one, with their times after the start of the script.
 fn steps(fault: &WorkerFault) -> Vec<(u64, ScriptedFault)> {
     let (begin, end) = match fault.kind.as_str() {
         "refuse" => (ScriptedFault::Reject(true), Some(ScriptedFault::Reject(false))),
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -73,7 +73,7 @@
     let target = if rng.random::<f64>() < 0.5 { routers.clone() } else { workers.clone() };
     let selections = [routers, workers, "list".to_string()];
     // The two sides of a network fault: routers and workers, routers and discovery, or workers and discovery.
-    let sides = [[0, 1], [0, 2], [1, 2]][rng.random_range(0..3)].map(|n| vec![selections[n].clone()]);
+    let sides = [[0, 1], [0, 2], [1, 2]][rng.random_range(0..3)].map(|index| vec![selections[index].clone()]);
     let [side, other_side] = sides;
     let blank = ScenarioFault { factor: 1.0, ..ScenarioFault::default() };
     match rng.random_range(0..6) {
--- a/crates/simulation/src/hop_latencies.rs
+++ b/crates/simulation/src/hop_latencies.rs
@@ -70,7 +70,7 @@
     hops: HopLatencies,
     /// The times of each request, by request id.
     requests: HashMap<u64, RequestTimes>,
-    /// When routed requests were sent, until the acceptance by the router tells their ids.
+    /// When routed requests were sent; an entry is removed when the router accepts the request and thereby tells its id.
     sent_at: HashMap<ClientRequest, Micros>,
     ids: HashMap<ClientRequest, u64>,
 }
--- a/crates/simulation/src/process_configs.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -13,7 +13,7 @@
 use crate::direct_load::KnownWorker;
 
 /// The addresses at which the processes of a scenario listen.
-pub struct Ports {
+pub struct ProcessAddresses {
     /// The address of discovery, which serves the endpoint list.
     pub discovery: String,
     pub routers: Vec<String>,
@@ -38,21 +38,26 @@
 }
 
 /// Returns the configuration of the endpoint list (discovery).
-pub fn discovery(scenario: &Scenario, ports: &Ports) -> File {
+pub fn discovery(scenario: &Scenario, addresses: &ProcessAddresses) -> File {
     let delays = scenario.scheduled_faults.iter().filter(|fault| fault.kind == "list-late").map(|fault| {
         DiscoveryDelay { at: fault.at, duration: fault.duration.unwrap_or(0), lag: fault.lag.unwrap_or(0) }
     });
     let discovery =
-        Discovery { listen: ports.discovery.clone(), lag: scenario.lag, delays: delays.collect() };
+        Discovery { listen: addresses.discovery.clone(), lag: scenario.lag, delays: delays.collect() };
     File { list: Some(discovery), ..File::default() }
 }
 
 /// Returns the configuration of a router; `endpoint_cache` is the path at which it persists the endpoint list.
-pub fn router(scenario: &Scenario, ports: &Ports, n: usize, endpoint_cache: String) -> File {
+pub fn router(
+    scenario: &Scenario,
+    addresses: &ProcessAddresses,
+    index: usize,
+    endpoint_cache: String,
+) -> File {
     let router = Router {
-        name: format!("router{n}"),
-        listen: ports.routers[n].clone(),
-        discovery: ports.discovery.clone(),
+        name: format!("router{index}"),
+        listen: addresses.routers[index].clone(),
+        discovery: addresses.discovery.clone(),
         metrics: None,
         endpoint_cache: Some(endpoint_cache),
         seed: None,
@@ -62,10 +67,10 @@
         settings: settings(scenario),
         tenants: tenants(scenario),
         admin: None,
-        membership: ports.members.get(n).map(|listen| MembershipConfig {
+        membership: addresses.members.get(index).map(|listen| MembershipConfig {
             name: "day".into(),
             listen: listen.clone(),
-            seeds: ports.members.iter().take(SEEDS).cloned().collect(),
+            seeds: addresses.members.iter().take(SEEDS).cloned().collect(),
             key: blake3::hash(format!("the key of day {}", scenario.seed).as_bytes()).to_hex().to_string(),
         }),
     };
@@ -84,16 +89,17 @@
     format!("the key of {tenant}")
 }
 
-/// Returns the configuration of a worker: `index` is its index among all workers of the scenario, `n` that in its group.
+/// Returns the configuration of a worker: `index` is its index among all workers of the scenario,
+/// `index_in_group` that in its group.
 pub fn worker(
     scenario: &Scenario,
-    ports: &Ports,
+    addresses: &ProcessAddresses,
     index: usize,
     name: &str,
     group: &WorkerGroup,
-    n: usize,
+    index_in_group: usize,
 ) -> File {
-    let cell = (n % usize::from(scenario.cells)) as u16;
+    let cell = (index_in_group % usize::from(scenario.cells)) as u16;
     let targets_worker = |fault: &&tideroute_config_language::records::ScenarioFault| {
         fault.targets.iter().any(|target| target == name)
     };
@@ -107,8 +113,8 @@
     });
     let worker = Worker {
         name: name.to_string(),
-        listen: ports.workers[index].clone(),
-        discovery: ports.discovery.clone(),
+        listen: addresses.workers[index].clone(),
+        discovery: addresses.discovery.clone(),
         kind: scenario.kinds.iter().position(|kind| kind.name == group.kind).unwrap_or(0) as u16,
         cell,
         zone: zone(scenario, cell),
@@ -121,7 +127,7 @@
 }
 
 /// Returns the configuration of the client load.
-pub fn load(scenario: &Scenario, ports: &Ports) -> File {
+pub fn load(scenario: &Scenario, addresses: &ProcessAddresses) -> File {
     let bursts = scenario.scheduled_faults.iter().filter(|fault| fault.kind == "burst");
     let burst = |fault: &tideroute_config_language::records::ScenarioFault| LoadBurst {
         at: fault.at,
@@ -132,7 +138,7 @@
     let bursts = bursts.map(burst).collect();
     let state_bytes = scenario.worker_groups.first().map_or(16, |group| group.capacity.state_bytes_per_token);
     let load = Load {
-        routers: ports.routers.clone(),
+        routers: addresses.routers.clone(),
         seed: scenario.seed,
         rate: scenario.load.rate,
         duration: scenario.load.duration,
@@ -156,10 +162,10 @@
 }
 
 /// Returns what the direct client load knows of the workers.
-pub fn known_workers(scenario: &Scenario, ports: &Ports) -> Vec<KnownWorker> {
-    let workers = scenario.workers().enumerate().filter_map(|(index, (_, group, n))| {
-        let address = crate::convert::address(&ports.workers[index]).ok()?;
-        let cell = (n % usize::from(scenario.cells)) as u16;
+pub fn known_workers(scenario: &Scenario, addresses: &ProcessAddresses) -> Vec<KnownWorker> {
+    let workers = scenario.workers().enumerate().filter_map(|(index, (_, group, index_in_group))| {
+        let address = crate::convert::address(&addresses.workers[index]).ok()?;
+        let cell = (index_in_group % usize::from(scenario.cells)) as u16;
         let (is_prefill, size) = (group.capacity.role == Role::Reader, group.capacity.size);
         Some(KnownWorker { address, is_prefill, cell, size })
     });
@@ -188,7 +194,10 @@
 }
 
 /// Returns what the trace checker needs to know of the scenario.
-pub fn checker_config(scenario: &Scenario, ports: &Ports) -> tideroute_trace_checker::CheckerConfig {
+pub fn checker_config(
+    scenario: &Scenario,
+    addresses: &ProcessAddresses,
+) -> tideroute_trace_checker::CheckerConfig {
     let classes = scenario.classes.iter().map(|class| ClassConfig {
         name: class.name.clone(),
         idempotency: match class.idempotency.as_str() {
@@ -208,8 +217,8 @@
     let workers: BTreeMap<_, _> = scenario
         .workers()
         .enumerate()
-        .map(|(index, (_, group, n))| {
-            let cell = (n % usize::from(scenario.cells)) as u16;
+        .map(|(index, (_, group, index_in_group))| {
+            let cell = (index_in_group % usize::from(scenario.cells)) as u16;
             let capacity = &group.capacity;
             let rate = match capacity.role {
                 Role::Reader => capacity.prefill_tokens_per_second * capacity.prefill_slots as f64,
@@ -219,7 +228,7 @@
             let slots = if is_prefill { capacity.prefill_slots } else { capacity.decode_slots } as u32;
             let zone = zone(scenario, cell);
             (
-                ports.workers[index].clone(),
+                addresses.workers[index].clone(),
                 WorkerConfig { tokens_per_second: rate, is_prefill, cell, zone, slots },
             )
         })
--- a/crates/simulation/src/processes.rs
+++ b/crates/simulation/src/processes.rs
@@ -179,8 +179,9 @@
 
     fn sample(&mut self, name: &str, pid: u32) {
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-        let kib = line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<u64>().ok()).unwrap_or(0);
+        let value = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
+        let kib =
+            value.and_then(|value| value.trim().trim_end_matches(" kB").parse::<u64>().ok()).unwrap_or(0);
         // Of the fields after the program name in brackets, user time is the 12th and system time the 13th.
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         let fields: Vec<_> = stat.rsplit(") ").next().unwrap_or("").split(' ').collect();
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -4,7 +4,7 @@
 
 use tideroute_config_language::records::{File, Relay, RelayFault, RelayListener, Scenario, ScenarioFault};
 
-use crate::process_configs::Ports;
+use crate::process_configs::ProcessAddresses;
 
 /// The listeners of the relay of one kind (connections or datagrams), and which client uses which of them in place of
 /// which target.
@@ -32,22 +32,22 @@
         self.address_overrides.entry(client.to_string()).or_default().push((target.to_string(), listener));
     }
 
-    /// Returns the configuration of the listeners, in order, at the addresses `ports`.
-    fn configs(&self, ports: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<RelayListener> {
+    /// Returns the configuration of the listeners, in order, at these addresses.
+    fn configs(&self, addresses: &[String], address: impl Fn(&str) -> Option<String>) -> Vec<RelayListener> {
         let config = |((to, faults), listen): (&(String, Vec<usize>), &String)| {
             Some(RelayListener { listen: listen.clone(), to: address(to)?, faults: faults.clone() })
         };
-        self.listeners.iter().zip(ports).filter_map(config).collect()
+        self.listeners.iter().zip(addresses).filter_map(config).collect()
     }
 
     fn address_overrides(
         &self,
         client: &str,
-        ports: &[String],
+        addresses: &[String],
         address: impl Fn(&str) -> Option<String>,
     ) -> String {
         let line = |(target, listener): &(String, usize)| {
-            Some(format!("{} {}\n", address(target)?, ports.get(*listener)?))
+            Some(format!("{} {}\n", address(target)?, addresses.get(*listener)?))
         };
         self.address_overrides.get(client).into_iter().flatten().filter_map(line).collect()
     }
@@ -152,49 +152,60 @@
     }
 
     /// Splits the addresses of the relay into those for connections and those for datagrams.
-    fn ports<'a>(&self, ports: &'a Ports) -> [&'a [String]; 2] {
-        let (connections, datagrams) =
-            ports.relay_listeners.split_at(self.connections.listeners.len().min(ports.relay_listeners.len()));
+    fn split_addresses<'a>(&self, addresses: &'a ProcessAddresses) -> [&'a [String]; 2] {
+        let (connections, datagrams) = addresses
+            .relay_listeners
+            .split_at(self.connections.listeners.len().min(addresses.relay_listeners.len()));
         [connections, datagrams]
     }
 
     /// Returns the address of a listener for connections, at which it can be checked that the relay runs; `None` if it has
     /// none.
-    pub fn first_listener<'a>(&self, ports: &'a Ports) -> Option<&'a String> {
-        self.ports(ports)[0].first()
+    pub fn first_listener<'a>(&self, addresses: &'a ProcessAddresses) -> Option<&'a String> {
+        self.split_addresses(addresses)[0].first()
     }
 
     /// Returns the configuration of the relay; `None` if no fault needs one.
-    pub fn config_file(&self, scenario: &Scenario, ports: &Ports) -> Option<File> {
-        let [connections, datagrams] = self.ports(ports);
-        let listeners = self.connections.configs(connections, |name| address_of(scenario, ports, name));
-        let datagrams = self.datagrams.configs(datagrams, |name| membership_address(scenario, ports, name));
+    pub fn config_file(&self, scenario: &Scenario, addresses: &ProcessAddresses) -> Option<File> {
+        let [connections, datagrams] = self.split_addresses(addresses);
+        let listeners = self.connections.configs(connections, |name| address_of(scenario, addresses, name));
+        let datagrams =
+            self.datagrams.configs(datagrams, |name| membership_address(scenario, addresses, name));
         let relay = Relay { listeners, datagrams, faults: self.faults.clone(), seed: self.seed };
         (self.listener_count() > 0).then(|| File { relay: Some(relay), ..File::default() })
     }
 
     /// Returns the address overrides of a process, one per line; `None` if it connects directly to all its targets.
-    pub fn address_overrides(&self, scenario: &Scenario, ports: &Ports, client: &str) -> Option<String> {
-        let [connections, datagrams] = self.ports(ports);
-        let address_overrides =
-            self.connections.address_overrides(client, connections, |name| address_of(scenario, ports, name))
-                + &self
-                    .datagrams
-                    .address_overrides(client, datagrams, |name| membership_address(scenario, ports, name));
+    pub fn address_overrides(
+        &self,
+        scenario: &Scenario,
+        addresses: &ProcessAddresses,
+        client: &str,
+    ) -> Option<String> {
+        let [connections, datagrams] = self.split_addresses(addresses);
+        let address_overrides = self
+            .connections
+            .address_overrides(client, connections, |name| address_of(scenario, addresses, name))
+            + &self
+                .datagrams
+                .address_overrides(client, datagrams, |name| membership_address(scenario, addresses, name));
         (!address_overrides.is_empty()).then_some(address_overrides)
     }
 }
 
 /// Returns the membership address of a router.
-fn membership_address(scenario: &Scenario, ports: &Ports, name: &str) -> Option<String> {
-    ports.members.get(scenario.router_names().position(|router| router == name)?).cloned()
+fn membership_address(scenario: &Scenario, addresses: &ProcessAddresses, name: &str) -> Option<String> {
+    addresses.members.get(scenario.router_names().position(|router| router == name)?).cloned()
 }
 
-fn address_of(scenario: &Scenario, ports: &Ports, name: &str) -> Option<String> {
+fn address_of(scenario: &Scenario, addresses: &ProcessAddresses, name: &str) -> Option<String> {
     if name == "list" {
-        return Some(ports.discovery.clone());
+        return Some(addresses.discovery.clone());
     }
     let router = scenario.router_names().position(|router| router == name);
     let worker = || scenario.workers().position(|(worker, ..)| worker == name);
-    router.and_then(|index| ports.routers.get(index)).or_else(|| ports.workers.get(worker()?)).cloned()
+    router
+        .and_then(|index| addresses.routers.get(index))
+        .or_else(|| addresses.workers.get(worker()?))
+        .cloned()
 }
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -21,7 +21,7 @@
 use crate::capture_merge;
 use crate::faults;
 use crate::hop_latencies::{measure_hops, HopLatencies};
-use crate::process_configs::{self, Ports};
+use crate::process_configs::{self, ProcessAddresses};
 use crate::processes::Processes;
 use crate::relays::Relays;
 use player::ScenarioPlayer;
@@ -112,13 +112,13 @@
         return Err(ScenarioError::VirtualOnly);
     }
     let scenario = &faults::with_generated_faults(scenario);
-    let (player, ports) = play_processes(scenario, program, folder, interrupted, None)?;
+    let (player, addresses) = play_processes(scenario, program, folder, interrupted, None)?;
     let (load_table, clean_exits, crashed) =
-        (player.table.clone(), player.clean_exits.clone(), player.crashed.clone());
+        (player.load_table.clone(), player.clean_exits.clone(), player.crashed.clone());
     let (memory, capture_parts) = (player.processes.memory.clone(), &player.processes.parts);
     let capture = folder.join("day.record.zst");
     let mut checker_config =
-        serde_json::to_value(process_configs::checker_config(scenario, &ports)).unwrap_or_default();
+        serde_json::to_value(process_configs::checker_config(scenario, &addresses)).unwrap_or_default();
     checker_config["members"] =
         serde_json::to_value(process_configs::fleet_members(scenario, player.load_starts_at))
             .unwrap_or_default();
@@ -178,10 +178,10 @@
     interrupted: &AtomicBool,
     direct_policy: Option<&str>,
 ) -> Result<PathBuf, ScenarioError> {
-    let (player, ports) = play_processes(scenario, program, folder, interrupted, direct_policy)?;
+    let (player, addresses) = play_processes(scenario, program, folder, interrupted, direct_policy)?;
     let capture = folder.join("day.record.zst");
     let checker_config =
-        serde_json::to_string(&process_configs::checker_config(scenario, &ports)).unwrap_or_default();
+        serde_json::to_string(&process_configs::checker_config(scenario, &addresses)).unwrap_or_default();
     capture_merge::merge(&player.processes.parts, &checker_config, &capture)?;
     Ok(capture)
 }
@@ -193,10 +193,10 @@
     folder: &'a Path,
     interrupted: &'a AtomicBool,
     direct_policy: Option<&'a str>,
-) -> Result<(ScenarioPlayer<'a>, Ports), ScenarioError> {
+) -> Result<(ScenarioPlayer<'a>, ProcessAddresses), ScenarioError> {
     std::fs::create_dir_all(folder).map_err(|e| ScenarioError::File(folder.display().to_string(), e))?;
     let relays = Relays::plan(scenario);
-    let ports = ports::free_ports(scenario, relays.listener_count()).map_err(ScenarioError::Start)?;
+    let addresses = ports::free_addresses(scenario, relays.listener_count()).map_err(ScenarioError::Start)?;
     let clock = Clock::start();
     let load_starts_at =
         clock.now() + START_TIME + START_TIME_PER_PROCESS * process_count(scenario) as u64 + scenario.lag;
@@ -210,16 +210,16 @@
         process_specs: BTreeMap::new(),
         crashed: vec![],
         clean_exits: BTreeMap::new(),
-        table: String::new(),
+        load_table: String::new(),
         direct_policy,
         interrupted,
     };
-    player.write_files(&ports, &relays)?;
+    player.write_files(&addresses, &relays)?;
     player.start_all()?;
     player.listening_at = player.processes.now();
     player.run()?;
     player.stop_all()?;
-    Ok((player, ports))
+    Ok((player, addresses))
 }
 
 /// Opens a compressed capture, to be read uncompressed.
--- a/crates/simulation/src/scenario/player.rs
+++ b/crates/simulation/src/scenario/player.rs
@@ -13,7 +13,7 @@
 use super::timeline::{fault_timeline, FaultAction};
 use super::ScenarioError;
 use crate::convert::address;
-use crate::process_configs::{self, Ports};
+use crate::process_configs::{self, ProcessAddresses};
 use crate::processes::{ProcessSpec, Processes};
 use crate::relays::Relays;
 
@@ -43,7 +43,7 @@
     /// Whether each router exited with success after SIGTERM.
     pub clean_exits: BTreeMap<String, bool>,
     /// The table that the client load printed.
-    pub table: String,
+    pub load_table: String,
     /// The policy that chooses prefill workers if the load goes directly to workers; there are no routers then.
     pub direct_policy: Option<&'a str>,
     pub interrupted: &'a AtomicBool,
@@ -72,47 +72,63 @@
     }
 
     /// Writes the configuration files of all processes, and adds the specification of each.
-    pub fn write_files(&mut self, ports: &Ports, relays: &Relays) -> Result<(), ScenarioError> {
+    pub fn write_files(
+        &mut self,
+        addresses: &ProcessAddresses,
+        relays: &Relays,
+    ) -> Result<(), ScenarioError> {
         let (scenario, folder, load_starts_at) =
             (self.scenario, self.folder, self.load_starts_at.to_string());
-        let path = write(folder, "list", &process_configs::discovery(scenario, ports))?;
-        self.add("list", "list", Some(&ports.discovery), &["list", &path, "--script-start", &load_starts_at]);
-        for (index, (name, group, n)) in scenario.workers().enumerate() {
-            let path =
-                write(folder, &name, &process_configs::worker(scenario, ports, index, &name, group, n))?;
+        let path = write(folder, "list", &process_configs::discovery(scenario, addresses))?;
+        self.add(
+            "list",
+            "list",
+            Some(&addresses.discovery),
+            &["list", &path, "--script-start", &load_starts_at],
+        );
+        for (index, (name, group, index_in_group)) in scenario.workers().enumerate() {
+            let path = write(
+                folder,
+                &name,
+                &process_configs::worker(scenario, addresses, index, &name, group, index_in_group),
+            )?;
             let arguments = ["worker", &path, "--script-start", &load_starts_at];
-            self.add(&name, "worker", Some(&ports.workers[index]), &arguments);
+            self.add(&name, "worker", Some(&addresses.workers[index]), &arguments);
         }
         let routers = if self.direct_policy.is_some() { 0 } else { scenario.routers };
-        for (n, name) in scenario.router_names().enumerate().take(routers) {
+        for (router_index, name) in scenario.router_names().enumerate().take(routers) {
             let endpoint_cache = folder.join(format!("{name}.list")).display().to_string();
-            let path = write(folder, &name, &process_configs::router(scenario, ports, n, endpoint_cache))?;
-            self.add(&name, "router", Some(&ports.routers[n]), &["router", &path]);
+            let path = write(
+                folder,
+                &name,
+                &process_configs::router(scenario, addresses, router_index, endpoint_cache),
+            )?;
+            self.add(&name, "router", Some(&addresses.routers[router_index]), &["router", &path]);
         }
-        let path = write(folder, "load", &process_configs::load(scenario, ports))?;
+        let path = write(folder, "load", &process_configs::load(scenario, addresses))?;
         let [json, table] =
             ["load.json", "load.txt"].map(|file_name| folder.join(file_name).display().to_string());
         let mut arguments =
             vec!["load", &path, "--json", &json, "--table", &table, "--begin-at", &load_starts_at];
         let workers = folder.join("workers.json").display().to_string();
         if let Some(policy) = self.direct_policy {
-            let known_workers =
-                serde_json::to_string(&process_configs::known_workers(scenario, ports)).unwrap_or_default();
+            let known_workers = serde_json::to_string(&process_configs::known_workers(scenario, addresses))
+                .unwrap_or_default();
             std::fs::write(&workers, known_workers).map_err(|e| ScenarioError::File(workers.clone(), e))?;
             arguments.extend(["--direct-to", &workers, "--policy", policy]);
         }
         self.add("load", "client", None, &arguments);
-        if let Some(file) = relays.config_file(scenario, ports) {
+        if let Some(file) = relays.config_file(scenario, addresses) {
             let path = write(folder, "relay", &file)?;
             self.add(
                 "relay",
                 "relay",
-                relays.first_listener(ports),
+                relays.first_listener(addresses),
                 &["relay", &path, "--script-start", &load_starts_at],
             );
         }
         for (name, spec) in &mut self.process_specs {
-            if let Some(overrides) = relays.address_overrides(scenario, ports, name) {
+            if let Some(overrides) = relays.address_overrides(scenario, addresses, name) {
                 let path = folder.join(format!("{name}.ways"));
                 std::fs::write(&path, overrides)
                     .map_err(|e| ScenarioError::File(path.display().to_string(), e))?;
@@ -214,7 +230,7 @@
             }
             if self.processes.exit_status("load").is_some() {
                 let path = self.folder.join("load.txt");
-                self.table = std::fs::read_to_string(path).map_err(|_| ScenarioError::NoLoadResults)?;
+                self.load_table = std::fs::read_to_string(path).map_err(|_| ScenarioError::NoLoadResults)?;
                 return Ok(());
             }
             if now > timeout_at {
--- a/crates/simulation/src/scenario/ports.rs
+++ b/crates/simulation/src/scenario/ports.rs
@@ -5,14 +5,14 @@
 
 use tideroute_config_language::records::Scenario;
 
-use crate::process_configs::Ports;
+use crate::process_configs::ProcessAddresses;
 
 /// Lowest port that is tried; it lies below the ports that the operating system gives to outgoing connections.
 const FIRST_PORT: u16 = 20_000;
 
 /// Returns addresses for all processes, on a loopback address that only this process uses: the port of a killed worker is
 /// still free when the worker restarts, because no connection and no other scenario can have taken it.
-pub fn free_ports(scenario: &Scenario, relay_listeners: usize) -> io::Result<Ports> {
+pub fn free_addresses(scenario: &Scenario, relay_listeners: usize) -> io::Result<ProcessAddresses> {
     let (workers, process_id) = (scenario.workers().count(), std::process::id());
     let members = if scenario.membership { scenario.routers } else { 0 };
     let loopback_address =
@@ -35,5 +35,5 @@
     let members = addresses.split_off(1 + scenario.routers + workers);
     let workers = addresses.split_off(1 + scenario.routers);
     let routers = addresses.split_off(1);
-    Ok(Ports { discovery: addresses.remove(0), routers, workers, members, relay_listeners })
+    Ok(ProcessAddresses { discovery: addresses.remove(0), routers, workers, members, relay_listeners })
 }
--- a/crates/simulation/src/scenario/timeline.rs
+++ b/crates/simulation/src/scenario/timeline.rs
@@ -20,7 +20,7 @@
     RemoveTenant(&'a str),
 }
 
-/// Returns the actions of all faults, not sorted, each with its time in microseconds after the begin of the load.
+/// Returns the actions of all faults, not sorted, each with its time in microseconds after the start of the load.
 pub(crate) fn fault_timeline(faults: &[ScenarioFault]) -> Vec<(Micros, FaultAction<'_>)> {
     let mut actions = Vec::new();
     for fault in faults {
--- a/crates/simulation/src/simulator/mod.rs
+++ b/crates/simulation/src/simulator/mod.rs
@@ -145,7 +145,7 @@
         let mut connections: Vec<_> = self
             .connection_ends
             .keys()
-            .filter(|(n, _)| *n == id)
+            .filter(|(node, _)| *node == id)
             .map(|(_, connection)| *connection)
             .collect();
         connections.sort_unstable();
@@ -226,7 +226,8 @@
                 self.call(node, |program, now, effects| program.on_connected(now, connection, effects));
             }
             Event::Frame(connection, frame) => {
-                let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open) else {
+                let Some(end) = self.connection_ends.get_mut(&(node, connection)).filter(|end| end.open)
+                else {
                     return;
                 };
                 if end.paused || !end.waiting.is_empty() {
@@ -235,8 +236,9 @@
                 self.deliver(node, connection, &frame);
             }
             Event::ReadResumed(connection) => loop {
-                let end = self.connection_ends.get_mut(&(node, connection)).filter(|e| e.open && !e.paused);
-                let Some(frame) = end.and_then(|e| e.waiting.pop_front()) else { return };
+                let end =
+                    self.connection_ends.get_mut(&(node, connection)).filter(|end| end.open && !end.paused);
+                let Some(frame) = end.and_then(|end| end.waiting.pop_front()) else { return };
                 self.deliver(node, connection, &frame);
             },
             Event::Disconnected(connection, reason) => self.lose(node, connection, reason),
@@ -286,7 +288,7 @@
             Effect::Close { connection, .. }
             | Effect::Abort { connection }
             | Effect::Reset { connection } => {
-                if self.connection_ends.get(&(id, connection)).is_some_and(|e| e.open) {
+                if self.connection_ends.get(&(id, connection)).is_some_and(|end| end.open) {
                     self.capture_end(id, connection);
                     self.disconnect(id, connection);
                 }
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -10,7 +10,7 @@
 /// One request that will be sent, whatever happens to the requests before it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// Microseconds after the begin of the load.
+    /// Microseconds after the start of the load.
     pub at: Micros,
     /// The index of its request class.
     pub class: u8,
@@ -57,7 +57,7 @@
         let rng = if load.keys.is_empty() { &mut shared_rng } else { &mut own_rng };
         let rate = load.rate * traffic.weight / weight_sum / traffic.mean_turns / 1e6;
         let mut at = 0.0;
-        // Sessions are generated from before the begin of the load, so that some are in the middle of their turns then.
+        // Sessions are generated from before the start of the load, so that some are in the middle of their turns then.
         let lead_time = MEAN_THINK_TIME * (traffic.mean_turns - 1.0);
         at -= lead_time;
         loop {
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -17,7 +17,7 @@
 use crate::convert;
 use crate::faults;
 use crate::load_statistics::LoadStatistics;
-use crate::process_configs::{self, Ports};
+use crate::process_configs::{self, ProcessAddresses};
 use crate::scenario::{fault_timeline, FaultAction};
 use crate::simulator::{NodeId, Simulator};
 
@@ -84,7 +84,7 @@
 
 struct VirtualScenario<'a> {
     scenario: &'a Scenario,
-    ports: Ports,
+    addresses: ProcessAddresses,
     simulator: Simulator,
     nodes: BTreeMap<String, NodeId>,
     load_starts_at: Micros,
@@ -94,26 +94,27 @@
 
 impl<'a> VirtualScenario<'a> {
     fn new(scenario: &'a Scenario) -> Result<VirtualScenario<'a>, VirtualScenarioError> {
-        let at = |kind: u16, n: usize| format!("10.{kind}.{}.{}:7000", n / 250, n % 250 + 1);
+        let address =
+            |subnet: u16, index: usize| format!("10.{subnet}.{}.{}:7000", index / 250, index % 250 + 1);
         let workers = scenario.workers().count();
-        let ports = Ports {
-            discovery: at(0, 0),
-            routers: (0..scenario.routers).map(|n| at(1, n)).collect(),
-            workers: (0..workers).map(|n| at(2, n)).collect(),
+        let addresses = ProcessAddresses {
+            discovery: address(0, 0),
+            routers: (0..scenario.routers).map(|index| address(1, index)).collect(),
+            workers: (0..workers).map(|index| address(2, index)).collect(),
             members: vec![],
             relay_listeners: vec![],
         };
         let load_starts_at = EPOCH + START_TIME + scenario.lag;
-        let load_config = process_configs::load(scenario, &ports)
+        let load_config = process_configs::load(scenario, &addresses)
             .load
             .ok_or_else(|| VirtualScenarioError::InvalidScenario("it has no client load".into()))?;
-        let routers = ports.routers.iter().map(|router| convert::address(router));
+        let routers = addresses.routers.iter().map(|router| convert::address(router));
         let routers = routers.collect::<Result<_, _>>()?;
         let load = SharedLoad(Arc::new(Mutex::new(Load::new(load_config, routers))));
         let simulator = Simulator::new(EPOCH, NETWORK_DELAY);
         Ok(VirtualScenario {
             scenario,
-            ports,
+            addresses,
             simulator,
             nodes: BTreeMap::new(),
             load_starts_at,
@@ -190,7 +191,7 @@
     /// Checks the rules on the capture and returns the outcome.
     fn outcome(mut self, crashed: Vec<String>) -> Result<VirtualOutcome, VirtualScenarioError> {
         let checker_config =
-            serde_json::to_string(&process_configs::checker_config(self.scenario, &self.ports))
+            serde_json::to_string(&process_configs::checker_config(self.scenario, &self.addresses))
                 .unwrap_or_default();
         let capture = self.simulator.capture(&checker_config)?;
         let report = tideroute_trace_checker::check(capture.as_slice())?;
@@ -211,19 +212,20 @@
     }
 
     fn start(&mut self, name: &str, cold: bool) -> Result<(), VirtualScenarioError> {
-        let (scenario, ports, now) = (self.scenario, &self.ports, self.simulator.now());
+        let (scenario, addresses, now) = (self.scenario, &self.addresses, self.simulator.now());
         let missing = || VirtualScenarioError::InvalidScenario(format!("no process is named {name}"));
         self.start_count += 1;
         let (role, address, program): (_, _, Box<dyn EventHandler>) = if name == "list" {
-            let discovery = process_configs::discovery(scenario, ports).list.ok_or_else(missing)?;
+            let discovery = process_configs::discovery(scenario, addresses).list.ok_or_else(missing)?;
             (
                 "list",
-                &ports.discovery,
+                &addresses.discovery,
                 Box::new(Discovery::new(convert::discovery(&discovery, self.load_starts_at, now))),
             )
-        } else if let Some(n) = scenario.router_names().position(|router| router == name) {
-            let mut router =
-                process_configs::router(scenario, ports, n, String::new()).router.ok_or_else(missing)?;
+        } else if let Some(router_index) = scenario.router_names().position(|router| router == name) {
+            let mut router = process_configs::router(scenario, addresses, router_index, String::new())
+                .router
+                .ok_or_else(missing)?;
             // In virtual time a router is one program, so that its number of cores has no meaning.
             router.cores = 1;
             let seed = scenario.seed << 16 | self.start_count;
@@ -233,15 +235,16 @@
                 persisted_endpoints,
                 now,
             );
-            ("router", &ports.routers[n], Box::new(router))
+            ("router", &addresses.routers[router_index], Box::new(router))
         } else {
             let mut workers = scenario.workers().enumerate();
-            let (index, (_, group, n)) =
+            let (index, (_, group, index_in_group)) =
                 workers.find(|(_, (worker, ..))| worker == name).ok_or_else(missing)?;
-            let worker =
-                process_configs::worker(scenario, ports, index, name, group, n).worker.ok_or_else(missing)?;
+            let worker = process_configs::worker(scenario, addresses, index, name, group, index_in_group)
+                .worker
+                .ok_or_else(missing)?;
             let worker_config = convert::worker(&worker, cold, self.load_starts_at, now)?;
-            ("worker", &ports.workers[index], Box::new(EmulatedWorker::new(worker_config, now)))
+            ("worker", &addresses.workers[index], Box::new(EmulatedWorker::new(worker_config, now)))
         };
         let address = convert::address(address)?;
         let simulator = &mut self.simulator;
