--- a/crates/command/src/admin_api.rs
+++ b/crates/command/src/admin_api.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API: each request on a connection of its own.
+//! A client of the administration API, which opens a new connection for each request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,57 +8,58 @@
 use clap::Args;
 use serde_json::Value;
 
-/// How long a connection, a request and its reply may take.
+/// How long to wait for a connection, for a write, and for a read.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes: a longer response is not from the API.
+/// The most bytes of a response that are read; responses of the API are shorter.
 const MAX_RESPONSE_BYTES: u64 = 256 << 20;
-/// The environment variable with the key, if no file is named.
+/// The environment variable that holds the key if no key file is given.
 const KEY_VARIABLE: &str = "TIDEROUTE_KEY";
-/// Headers of a response.
+/// The most headers in a response.
 const MAX_HEADERS: usize = 32;
 
-/// Where the API listens, and the key to authenticate with.
+/// The address of the API, and the key to authenticate with.
 #[derive(Args)]
 pub struct ApiClient {
-    /// The address of the administration.
+    /// The address of the administration API.
     #[arg(long, default_value = "127.0.0.1:7100", value_name = "ADDRESS")]
     at: SocketAddr,
-    /// A file that holds the key; without, the environment's TIDEROUTE_KEY.
+    /// The file that holds the key; by default, the key is read from the environment variable TIDEROUTE_KEY.
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
-    /// Prints what the API replied, as JSON.
+    /// Prints the response of the API as JSON.
     #[arg(long)]
     pub json: bool,
 }
 
-/// Why a call of the administration API failed.
+/// Why a request to the administration API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
     /// The operating system's random number generator failed.
-    #[error("no random bytes: {0}")]
+    #[error("the operating system returned no random bytes: {0}")]
     RandomKey(getrandom::Error),
-    /// The name cannot be a tenant's.
-    #[error("{0:?} is no name of a tenant: a-z, 0-9 and - only")]
+    /// The name is not a valid tenant name.
+    #[error("{0:?} is not a tenant name; expected only a-z, 0-9 and -")]
     InvalidTenantName(String),
-    /// The key's file cannot be read.
+    /// The key file could not be read.
     #[error("{}: {source}", path.display())]
     KeyFile { path: PathBuf, source: std::io::Error },
-    /// Neither a file nor the environment holds a key.
-    #[error("no key: name a --key-file or set {KEY_VARIABLE}")]
+    /// Neither a key file nor the environment variable is given.
+    #[error("no key: pass --key-file or set {KEY_VARIABLE}")]
     NoKey,
-    /// The key cannot be sent in a header.
-    #[error("the key is empty, or is no plain text")]
+    /// The key has characters that cannot be sent in a header.
+    #[error("the key is empty or has characters other than printable ASCII")]
     InvalidKey,
-    /// The connection failed.
+    /// The connection failed or timed out.
     #[error("{address}: {source}")]
     Connection { address: SocketAddr, source: std::io::Error },
-    /// The response is no HTTP.
-    #[error("{0}: this is not an administration of ours")]
+    /// The response is not a complete HTTP response.
+    #[error("{0}: the response is not from the administration API")]
     NotTheApi(SocketAddr),
-    /// The body of the response is no JSON.
-    #[error("the reply is no JSON: {0}")]
+    /// The body of the response is not valid JSON.
+    #[error("the response is not valid JSON: {0}")]
     InvalidJson(serde_json::Error),
-    /// The API refused the call; `present` is the tenant's version and content, if the call was about another.
+    /// The API rejected the request; `present` is the tenant's current version and content, if the request named another
+    /// version.
     #[error("{status}: {detail}{}", present_text(.present))]
     Refused { status: u16, detail: String, present: Option<(u64, Value)> },
 }
@@ -76,7 +77,7 @@
 }
 
 impl Response {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json(&self) -> Result<Value, ApiError> {
         serde_json::from_slice(&self.body).map_err(ApiError::InvalidJson)
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The entries of all pages at the path.
+    /// Returns the entries of all pages at the path. `cursor` is the query parameter that continues after a page.
     pub fn all_pages(&self, path: &str, cursor: &str) -> Result<Vec<Value>, ApiError> {
         let mut entries = vec![];
         let mut next = String::new();
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection. `precondition` is a whole header line such as `if-match: "3"`.
     pub fn request(
         &self,
         method: &str,
@@ -149,7 +150,7 @@
             return Ok(response);
         }
         let problem = response.json()?;
-        let detail = problem["detail"].as_str().unwrap_or("no more is known").to_string();
+        let detail = problem["detail"].as_str().unwrap_or("no detail given").to_string();
         let version = problem["present"]["version"].as_u64();
         let present = version.map(|version| (version, problem["present"]["tenant"].clone()));
         Err(ApiError::Refused { status, detail, present })
--- a/crates/command/src/admin_commands.rs
+++ b/crates/command/src/admin_commands.rs
@@ -1,4 +1,4 @@
-//! The commands `admin`, which call the administration API of a running router.
+//! The subcommands of `admin`, which call the administration API of a running router.
 
 use std::collections::HashMap;
 use std::io::{IsTerminal, Read, Write};
@@ -12,68 +12,79 @@
 use crate::admin_api::{ApiClient, ApiError};
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// Tenants that `admin top` shows.
+/// The most tenants that `admin top` shows.
 const TOP_ROWS: usize = 40;
 
-/// One command of `admin`.
+/// A subcommand of `admin`.
 #[derive(Subcommand)]
 pub enum AdminCommand {
-    /// Makes a key: prints it once, and the hash that a configuration or a tenant holds of it.
+    /// Generates a key and prints it, with the hash of it that a configuration or a tenant holds.
     Key,
-    /// All tenants.
+    /// Lists all tenants.
     List(ApiClient),
-    /// One tenant and its version.
+    /// Shows one tenant and its version.
     Show {
+        /// The tenant's name.
         name: String,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// Adds a tenant, or changes the version of it that is named.
+    /// Adds a tenant, or changes the given version of a tenant.
     Put {
+        /// The tenant's name.
         name: String,
-        /// A file with the tenant as JSON; - reads standard input.
+        /// A file with the tenant as JSON, or - for standard input.
         file: PathBuf,
-        /// The version that is changed; without, the tenant must be new.
+        /// The current version of the tenant to change; without it, the tenant must not exist yet.
         #[arg(long)]
         version: Option<u64>,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// Removes a tenant: its keys are dead at once, what is in flight runs to its end.
+    /// Removes a tenant: its keys become invalid at once; its requests in flight run to their end.
     Remove {
+        /// The tenant's name.
         name: String,
+        /// The current version of the tenant.
         #[arg(long)]
         version: u64,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// What a tenant was, the newest first.
+    /// Lists all versions of a tenant, the newest first.
     History {
+        /// The tenant's name.
         name: String,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// All changes, with who and when.
+    /// Lists all changes of all tenants and who made them; with --json, also when.
     Changes(ApiClient),
-    /// Requests of tenants and their outcomes, refreshed each second until Ctrl-C; the busiest first.
+    /// Shows the requests of tenants and their outcomes, the busiest tenant first, refreshed each second until Ctrl-C.
     Top {
-        /// Prints once and ends.
+        /// Prints the table once and exits.
         #[arg(long)]
         once: bool,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// Writes everything that is kept into a file.
+    /// Writes a snapshot of all tenants and their history to a file.
     Snapshot {
+        /// The file to write.
         file: PathBuf,
         #[command(flatten)]
         client: ApiClient,
     },
-    /// Puts a snapshot in place of all that a store holds; its router must not run.
-    Restore { store: PathBuf, file: PathBuf },
+    /// Replaces the contents of a tenant store by a snapshot, while its router is stopped.
+    Restore {
+        /// The file of the tenant store.
+        store: PathBuf,
+        /// The snapshot to read.
+        file: PathBuf,
+    },
 }
 
-/// Runs one command of `admin`.
+/// Runs a subcommand of `admin`.
 pub fn run(command: &AdminCommand) -> CommandResult {
     match command {
         AdminCommand::Key => make_key(),
@@ -111,7 +122,7 @@
         AdminCommand::Snapshot { file, client } => {
             let response = client.request("GET", "/v1/snapshot", None, b"")?;
             std::fs::write(file, &response.body).map_err(CommandError::in_file(file))?;
-            println!("{} bytes in {}", response.body.len(), file.display());
+            println!("{} bytes written to {}", response.body.len(), file.display());
             Ok(CommandStatus::Success)
         }
         AdminCommand::Restore { store, file } => restore(store, file),
@@ -130,13 +141,13 @@
 /// Replaces the contents of a store by a snapshot.
 fn restore(store: &Path, file: &Path) -> CommandResult {
     let snapshot = std::fs::File::open(file).map_err(CommandError::in_file(file))?;
-    let opened = TenantStore::open(store).map_err(CommandError::in_file(store))?;
-    let entries = opened.restore(snapshot).map_err(CommandError::in_file(file))?;
-    println!("{entries} entries are in {}", store.display());
+    let tenant_store = TenantStore::open(store).map_err(CommandError::in_file(store))?;
+    let entries = tenant_store.restore(snapshot).map_err(CommandError::in_file(file))?;
+    println!("{entries} entries restored to {}", store.display());
     Ok(CommandStatus::Success)
 }
 
-/// A tenant's name as part of a path: what the API would not take as one is refused here.
+/// Returns the name if it can be part of a request's path; the API checks the remaining rules for names.
 fn checked_name(name: &str) -> Result<&str, ApiError> {
     let is_valid = !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
     if is_valid {
@@ -146,7 +157,7 @@
     }
 }
 
-/// Reads a file, or standard input for `-`.
+/// Reads a file, or standard input if the path is `-`.
 fn read_body(file: &Path) -> Result<Vec<u8>, CommandError> {
     let mut body = vec![];
     let read = if file == Path::new("-") {
@@ -165,7 +176,7 @@
     Ok(CommandStatus::Success)
 }
 
-/// Counters of a tenant that `admin top` shows as rates, by their keys in the API.
+/// The keys in the API of the counters that `admin top` shows as rates.
 const COUNTERS: [&str; 5] = ["asked", "let_in", "turned_back", "in_time", "late"];
 
 type Counters = [f64; COUNTERS.len()];
@@ -178,7 +189,7 @@
     row["name"].as_str().unwrap_or("?")
 }
 
-/// Shows the busiest tenants, refreshed each second unless `once`.
+/// Shows the busiest tenants; refreshes the table each second unless `once` is set.
 fn top(client: &ApiClient, once: bool) -> CommandResult {
     let mut previous: HashMap<String, Counters> = HashMap::new();
     let mut queried_at = Instant::now();
@@ -198,7 +209,8 @@
     }
 }
 
-/// The busiest tenants as a table: rates since the previous query, or sums since the start if there was none.
+/// Formats the busiest tenants as a table: rates since the previous query, or totals since the router's start if there
+/// was none.
 fn top_table(rows: &[Value], previous: &HashMap<String, Counters>, seconds: f64) -> String {
     let (divisor, unit) = if previous.is_empty() { (1.0, "since the start") } else { (seconds, "a second") };
     let rates = |row: &Value| -> Counters {
@@ -212,7 +224,7 @@
     });
     let mut text = format!(
         "{:<20}{:>9}{:>9}{:>12}{:>9}{:>8}{:>9}{:>11}   {unit}\n",
-        "tenant", "asked", "let in", "turned back", "in time", "late", "waiting", "in flight"
+        "tenant", "received", "admitted", "rejected", "in time", "late", "waiting", "in flight"
     );
     for (row, [requests, admitted, rejected, in_time, late]) in sorted.into_iter().take(TOP_ROWS) {
         text += &format!(
@@ -233,7 +245,7 @@
     }
     println!(
         "{:<20}{:>8}{:>8}{:>14}{:>14}{:>10}{:>6}  changed by",
-        "tenant", "version", "weight", "submissions/s", "tokens/s", "in flight", "keys"
+        "tenant", "version", "weight", "requests/s", "tokens/s", "in flight", "keys"
     );
     for entry in entries {
         let name = tenant_name(entry);
--- a/crates/command/src/admin_thread.rs
+++ b/crates/command/src/admin_thread.rs
@@ -1,5 +1,5 @@
-//! The administration API of a router's tenants: a thread with an event loop of its own beside the cores. Each core
-//! receives every change, and the response to the administrator is sent once all cores have processed it.
+//! The administration API of a router's tenants, which runs on a thread with its own event loop beside the cores. Each
+//! core receives every change, and the response to the administrator is sent once all cores have processed it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,24 +19,25 @@
 
 use crate::error::CommandError;
 
-/// How long a change waits for a core to process it; a core that is stalled for longer processes it late.
+/// How long the response to a change waits for a core to process it; a core that is stalled for longer processes the
+/// change late.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that may linger after their last answer until the peer has ended them too.
+/// Connections that may linger after their last response until the peer has closed them too.
 const MAX_LINGERING_CONNECTIONS: usize = 64;
 /// Entries read from the store at a time.
 const PAGE_SIZE: usize = 1_000;
 
-/// A handle of the running administration API, one for each core.
+/// A handle to the running administration API; each core has a clone.
 #[derive(Clone)]
 pub struct AdminThread {
     store: Arc<TenantStore>,
     cores: Arc<Mutex<BTreeMap<u32, Mailbox>>>,
-    /// Where cores publish the tenants' usage figures.
+    /// The mailbox to which cores publish the tenants' usage figures.
     figures: Mailbox,
 }
 
 impl AdminThread {
-    /// Opens the store and begins to listen.
+    /// Opens the tenant store, and starts the thread that serves the API.
     pub fn start(config: &records::AdminConfig) -> Result<AdminThread, CommandError> {
         let path = Path::new(&config.store);
         let store = Arc::new(TenantStore::open(path).map_err(CommandError::in_file(path))?);
@@ -49,10 +50,10 @@
         reactor.catch_signals()?;
         let api = Api::new(store.clone(), administrators);
         let notified_cores = cores.clone();
-        let mut admin = AdminServer::new(api, move |entry| notify_cores(&notified_cores, entry));
+        let mut admin = AdminServer::new(api, move |revision| notify_cores(&notified_cores, revision));
         let body = move || {
             if let Err(error) = reactor.run(&mut admin) {
-                tracing::error!(%error, "the administration API failed; the cores go on");
+                tracing::error!(%error, "administration API failed; continuing without it");
             }
         };
         std::thread::Builder::new().name("admin".into()).spawn(body)?;
@@ -60,14 +61,15 @@
         Ok(AdminThread { store, cores, figures })
     }
 
-    /// Where a core publishes the tenants' usage figures.
+    /// Returns the mailbox to which a core publishes the tenants' usage figures.
     pub fn figures(&self) -> Mailbox {
         self.figures.clone()
     }
 
-    /// Subscribes a core that starts: it receives all changes from now on; returns the tenants as they are.
+    /// Subscribes a core that starts to all changes from now on, and returns the current tenants.
     pub fn subscribe(&self, core: u32, mailbox: Mailbox) -> Result<Vec<TenantConfig>, CommandError> {
-        // First the mailbox, then the store: a change in between arrives twice, and the core ignores the older.
+        // The core is subscribed before the store is read: a change in between arrives twice, and the core ignores the
+        // older version.
         self.cores.lock().unwrap_or_else(|e| e.into_inner()).insert(core, mailbox);
         let mut tenants = vec![];
         let mut after = String::new();
@@ -75,8 +77,9 @@
             let page = self.store.list(&after, PAGE_SIZE)?;
             let Some(last) = page.last() else { return Ok(tenants) };
             after.clone_from(&last.name);
-            tenants
-                .extend(page.iter().filter_map(|entry| Some(tenant_config(entry, entry.tenant.as_ref()?))));
+            tenants.extend(
+                page.iter().filter_map(|revision| Some(tenant_config(revision, revision.tenant.as_ref()?))),
+            );
         }
     }
 }
@@ -96,7 +99,7 @@
     tenant.keys.iter().filter_map(|key| convert::hash(&key.hash).ok()).collect()
 }
 
-fn tenant_config(entry: &Revision, tenant: &Tenant) -> TenantConfig {
+fn tenant_config(revision: &Revision, tenant: &Tenant) -> TenantConfig {
     let rate = |rate: Rate| tideroute_admission::RateLimit { per_second: rate.per_second, burst: rate.burst };
     let limits = tideroute_admission::Limits {
         requests: tenant.requests.map(rate),
@@ -105,26 +108,26 @@
         weight: tenant.weight,
         waiting: tenant.waiting,
     };
-    TenantConfig { name: entry.name.clone(), version: entry.version, keys: key_hashes(tenant), limits }
+    TenantConfig { name: revision.name.clone(), version: revision.version, keys: key_hashes(tenant), limits }
 }
 
 /// Sends a change to all cores and waits until each has processed it.
-fn notify_cores(cores: &Mutex<BTreeMap<u32, Mailbox>>, entry: &Revision) {
-    let message: Bytes = match &entry.tenant {
-        None => tenant::removed(&entry.name, entry.version),
-        Some(tenant_entry) => {
+fn notify_cores(cores: &Mutex<BTreeMap<u32, Mailbox>>, revision: &Revision) {
+    let message: Bytes = match &revision.tenant {
+        None => tenant::removed(&revision.name, revision.version),
+        Some(new_tenant) => {
             let rate = |rate: Rate| tenant::Rate { per_second: rate.per_second, burst: rate.burst };
-            let (submissions, tokens) = (tenant_entry.requests.map(rate), tenant_entry.tokens.map(rate));
-            let (keys, name) = (key_hashes(tenant_entry), &entry.name);
+            let (requests, tokens) = (new_tenant.requests.map(rate), new_tenant.tokens.map(rate));
+            let (keys, name) = (key_hashes(new_tenant), &revision.name);
             tenant::set(
                 name,
-                entry.version,
+                revision.version,
                 &keys,
-                tenant_entry.weight,
-                submissions,
+                new_tenant.weight,
+                requests,
                 tokens,
-                tenant_entry.in_flight,
-                tenant_entry.waiting,
+                new_tenant.in_flight,
+                new_tenant.waiting,
             )
         }
     };
@@ -133,13 +136,13 @@
         .iter()
         .filter_map(|(core, mailbox)| Some((core, mailbox, mailbox.send(message.clone())?)))
         .collect();
-    for (core, mailbox, number) in sent {
-        if !mailbox.wait_until_processed(number, PROPAGATION_TIMEOUT) {
+    for (core, mailbox, message_number) in sent {
+        if !mailbox.wait_until_processed(message_number, PROPAGATION_TIMEOUT) {
             tracing::error!(
                 core,
-                name = entry.name,
-                version = entry.version,
-                "a core has not processed a tenant change in time"
+                name = revision.name,
+                version = revision.version,
+                "core did not process a tenant change in time; answering without it"
             );
             counter!("tideroute_tenant_changes_undelivered_total").increment(1);
         }
--- a/crates/command/src/client_load.rs
+++ b/crates/command/src/client_load.rs
@@ -19,23 +19,23 @@
 use crate::error::{CommandError, CommandResult, CommandStatus};
 use crate::process::{self, ProcessIdentity};
 
-/// Between two progress lines.
+/// The time between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
 const IDENTITY: ProcessIdentity = ProcessIdentity { name: "load", role: "client" };
 
-/// Where the results of a load go, and when it begins.
+/// Where the results of a load are written, and when it begins.
 pub struct LoadOptions {
-    /// Figures as JSON.
+    /// The file for the results as JSON.
     pub json: Option<PathBuf>,
-    /// The table; printed if no file is named.
+    /// The file for the table of results; `None` prints it.
     pub table: Option<PathBuf>,
-    /// Microseconds since 1970.
+    /// When the load begins, in microseconds since 1970; `None` begins at once.
     pub begin_at: Option<Micros>,
 }
 
-/// Sends requests directly to the workers that the file `workers` names; its few figures go into the files where a
-/// scenario looks for those of a load.
+/// Sends requests directly to the workers that the file `workers` names. Writes how many requests ended and failed to
+/// the files in which a scenario expects the results of a load.
 pub fn run_direct(
     path: &Path,
     workers: &Path,
@@ -43,27 +43,27 @@
     options: &LoadOptions,
     args: &ProcessArgs,
 ) -> CommandResult {
-    let record = config_file::require(path, config_file::read(path)?.load, "load")?;
+    let section = config_file::require(path, config_file::read(path)?.load, "load")?;
     let known_workers = std::fs::read(workers).map_err(CommandError::in_file(workers))?;
     let known_workers = serde_json::from_slice(&known_workers).map_err(CommandError::in_file(workers))?;
     let reactor = process::reactor(&[], args, IDENTITY)?;
     wait_for(options.begin_at, &reactor);
-    let mut program = DirectLoad::new(&record, known_workers, policy);
+    let mut program = DirectLoad::new(&section, known_workers, policy);
     let status = process::run(reactor, &mut program)?;
-    let line = format!("{} ended, {} of them failed\n", program.ended, program.failed);
+    let summary = format!("{} requests ended, {} of them failed\n", program.ended, program.failed);
     for path in [&options.json, &options.table].into_iter().flatten() {
-        write(path, &line)?;
+        write(path, &summary)?;
     }
     Ok(CommandStatus::success_if(status == CommandStatus::Success && program.failed == 0))
 }
 
-/// Sends requests to routers and reports what came of them.
+/// Sends requests to routers and reports their outcomes.
 pub fn run(path: &Path, options: &LoadOptions, args: &ProcessArgs) -> CommandResult {
-    let record = config_file::require(path, config_file::read(path)?.load, "load")?;
-    let routers = record.routers.iter().map(|r| convert::address(r)).collect::<Result<_, _>>()?;
+    let section = config_file::require(path, config_file::read(path)?.load, "load")?;
+    let routers = section.routers.iter().map(|r| convert::address(r)).collect::<Result<_, _>>()?;
     let reactor = process::reactor(&[], args, IDENTITY)?;
     wait_for(options.begin_at, &reactor);
-    let mut load = Load::new(record, routers);
+    let mut load = Load::new(section, routers);
     let finished = Arc::new(AtomicBool::new(false));
     let progress = std::io::stderr().is_terminal().then(|| show_progress(&load, finished.clone()));
     let status = process::run(reactor, &mut load)?;
--- a/crates/command/src/main.rs
+++ b/crates/command/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `tideroute`. Each command has a module. Exit codes: 0 when all went well, 1 when the command did its
-//! work and something in the result is wrong, 2 when it was called or configured wrongly.
+//! The program `tideroute`. Each command has a module. Exit codes: 0 when the command succeeded, 1 when it ran and its
+//! result shows a failure, 2 when it was called or configured wrongly or could not run.
 
 mod admin_api;
 mod admin_commands;
@@ -29,7 +29,7 @@
 use client_load::LoadOptions;
 use error::CommandResult;
 
-/// Exit code of a command that could not do its work.
+/// Exit code of a command that could not run.
 const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/command/src/measure/added_latency.rs
+++ b/crates/command/src/measure/added_latency.rs
@@ -1,4 +1,5 @@
-//! The latency that a router adds to the first token and to each token, against direct requests to workers.
+//! Measures the latency that a router adds to the first token and to each token, compared with direct requests to
+//! workers.
 
 use std::path::Path;
 
@@ -7,29 +8,30 @@
 use super::Measured;
 use crate::error::{CommandResult, CommandStatus};
 
-/// What each run is measured by: p50 and p99 of the first token and of the time between tokens, in microseconds.
+/// The number of figures of each run: p50 and p99 of the network latency up to the first token, and of each token from
+/// the decode worker to the client, in microseconds.
 const FIGURES: usize = 4;
 
-/// Measures direct requests and requests through a router in turn, so that both meet the same machine.
+/// Measures direct requests and requests through a router in turn, so that changes of the machine's load affect both.
 pub fn run(path: &Path, rounds: usize) -> CommandResult {
     let measured = Measured::read(path, "tideroute-measure")?;
     let rate = measured.scenario.load.rate;
     let seconds = measured.scenario.load.duration as f64 / 1e6;
-    println!("{rate:.0} submissions a second for {seconds:.0} s, {rounds} rounds; times in microseconds");
-    println!("round  way       first token p50     p99   each token p50     p99  submissions");
+    println!("{rate:.0} requests per second for {seconds:.0} s, {rounds} rounds; times in microseconds");
+    println!("round  path      first token p50     p99   each token p50     p99     requests");
     let mut means = [[0.0; FIGURES]; 2];
     for round in 0..rounds {
-        for (index, name) in ["straight", "router"].into_iter().enumerate() {
+        for (index, name) in ["direct", "router"].into_iter().enumerate() {
             let is_direct = index == 0;
             let (scenario, interrupted) = (&measured.scenario, &measured.interrupted);
             let played =
                 scenario::measure(scenario, &measured.program, &measured.folder, interrupted, is_direct);
             measured.remove_folder();
-            let legs = match played {
+            let latencies = match played {
                 Err(ScenarioError::Interrupted) => return Ok(CommandStatus::Failure),
                 played => played?,
             };
-            let (first, token) = (&legs.first_token, &legs.token);
+            let (first, token) = (&latencies.first_token, &latencies.token);
             let quantiles = [(first, 0.5), (first, 0.99), (token, 0.5), (token, 0.99)];
             let figures = quantiles.map(|(histogram, quantile)| histogram.value_at_quantile(quantile) as f64);
             for (mean, figure) in means[index].iter_mut().zip(figures) {
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -1,4 +1,5 @@
-//! How evenly a scenario's load is spread: by simple policies to choose a prefill worker, then by the routers.
+//! Measures how evenly a scenario's load is spread over the prefill workers: by simple policies that choose one, then by
+//! the routers.
 
 use std::path::{Path, PathBuf};
 
@@ -9,37 +10,39 @@
 use super::Measured;
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// Who chooses the prefill workers of one run.
+/// What chooses the prefill workers in one run.
 #[derive(Clone, Copy)]
 enum Chooser {
-    /// A simple policy of the direct load, by its name.
+    /// A simple policy of load that is sent directly to workers, by its name.
     Policy(&'static str),
     /// The routers, with or without load reports of prefill workers.
     Routers { load_reports: bool },
 }
 
-/// What one run left to report.
+/// The results of one run.
 struct Run {
     capture: PathBuf,
-    /// The fraction of requests served in time, as text; empty for a policy.
+    /// The fraction of the load, by priority weight, that was served in time, as text; empty for a policy.
     service: String,
-    /// Whether the rules were kept; None for a policy, whose rules are not checked.
+    /// Whether the rules were kept; `None` for a policy, for which they are not checked.
     rules_kept: Option<bool>,
 }
 
-/// Prints one line for each policy to choose a prefill worker, over the same load; a failure if a rule was broken.
+/// Runs the same load with each policy and with the routers, and prints a line for each; returns a failure if a rule was
+/// violated.
 pub fn run(path: &Path, seconds: u64) -> CommandResult {
     let mut measured = Measured::read(path, "tideroute-spread")?;
     measured.scenario.load.duration = seconds * 1_000_000;
     println!(
-        "{seconds} s; readers: fullest/mean, idle beside waiting, index of dispersion, windows with herds"
+        "{seconds} s each; prefill workers: peak/mean load, time idle while others queue, index of dispersion, windows with \
+         herding"
     );
-    println!("way                      p50    p99  worst     idle  index  herds (by chance)      kept  service  rules");
-    let policies = PrefillPolicy::ALL.iter().filter(|(_, way)| *way != PrefillPolicy::Next);
+    println!("policy                   p50    p99    max     idle  index  herding (expected)   cached  in time  rules");
+    let policies = PrefillPolicy::ALL.iter().filter(|(_, policy)| *policy != PrefillPolicy::Next);
     let policies = policies.map(|(name, _)| (*name, Chooser::Policy(name)));
     let routers = [
-        ("ours, unasked", Chooser::Routers { load_reports: false }),
-        ("ours, asked", Chooser::Routers { load_reports: true }),
+        ("router, no reports", Chooser::Routers { load_reports: false }),
+        ("router, load reports", Chooser::Routers { load_reports: true }),
     ];
     let mut all_kept = true;
     for (name, chooser) in policies.chain(routers) {
@@ -48,11 +51,11 @@
             run => run?,
         };
         let capture = scenario::open(&run.capture)?;
-        let spread = tideroute_load_balance_report::measure(capture)
+        let report = tideroute_load_balance_report::measure(capture)
             .map_err(|error| CommandError::LoadBalance(error.into()))?;
         measured.remove_folder();
         all_kept &= run.rules_kept.unwrap_or(true);
-        print_line(name, &spread, &run);
+        print_line(name, &report, &run);
     }
     Ok(CommandStatus::success_if(all_kept))
 }
@@ -83,8 +86,8 @@
     }
 }
 
-fn print_line(name: &str, spread: &LoadBalanceReport, run: &Run) {
-    let prefill = &spread.prefill;
+fn print_line(name: &str, report: &LoadBalanceReport, run: &Run) {
+    let prefill = &report.prefill;
     let service = &run.service;
     let rules = match run.rules_kept {
         None => "",
@@ -101,6 +104,6 @@
         prefill.herd_windows,
         prefill.windows,
         prefill.expected_herd_windows,
-        100.0 * spread.cached_share
+        100.0 * report.cached_share
     );
 }
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -1,4 +1,4 @@
-//! What cluster membership costs, and how soon the kill of a member is known, in virtual time.
+//! Measures in virtual time what cluster membership costs, and how soon the others detect a killed member.
 
 use tideroute_simulation::member_cluster::{member_name, MemberCluster, Network, Observation, LOCAL_NETWORK};
 use tideroute_wire::gossip::MemberStatus;
@@ -10,23 +10,23 @@
 const SECOND: Micros = 1_000_000;
 /// Seconds after the start in which all members learn of each other.
 const CONVERGENCE: Micros = 15;
-/// Seconds without kills over which traffic and CPU are measured.
+/// Seconds without kills over which traffic and CPU time are measured.
 const QUIET: Micros = 20;
 /// Members that are killed, one after the other.
 const KILLS: usize = 5;
 /// Seconds between two kills.
 const KILL_INTERVAL: Micros = 6;
 
-/// Measures each cluster size; a failure if a kill was missed or a live member declared dead.
+/// Measures each cluster size; returns a failure if a kill was not detected or a live member was declared dead.
 pub fn run(routers: &[u64], loss: f64, seed: u64) -> CommandResult {
     let network = Network { loss, ..LOCAL_NETWORK };
     println!(
-        "loss {loss}, seed {seed}; a router and second of quiet time; seconds until others know of a kill"
+        "loss {loss}, seed {seed}; costs per router and second without faults; seconds until the others detect a kill"
     );
     println!(
-        "routers   met all after   bytes   datagrams   CPU ms   suspected   p50   p99   last   falsely dead"
+        "routers   converged (s)   bytes   datagrams   CPU ms   suspected   p50   p99    max   falsely dead"
     );
-    let mut well = true;
+    let mut all_correct = true;
     for &count in routers {
         let count = count as usize;
         let mut cluster = MemberCluster::new(count, seed, network);
@@ -35,7 +35,7 @@
         let quiet = measure_quiet(&mut cluster, count);
         let detection = measure_kills(&mut cluster, count);
         let falsely_dead = cluster.false_death_declarations(0).len();
-        well &= detection.complete && falsely_dead == 0;
+        all_correct &= detection.complete && falsely_dead == 0;
         println!(
             "{count:>7}   {converged:>13.1}   {:>5.0}   {:>9.1}   {:>6.3}   {:>9}   {:.2}  {:.2}   {:.2}   {falsely_dead:>12}",
             quiet.bytes,
@@ -47,10 +47,10 @@
             detection.quantile(1.0),
         );
     }
-    Ok(CommandStatus::success_if(well))
+    Ok(CommandStatus::success_if(all_correct))
 }
 
-/// Seconds until all members know each other; runs until the end of the time that they have for it.
+/// Returns the seconds until all members know each other. Runs until `CONVERGENCE` has passed in any case.
 fn measure_convergence(cluster: &mut MemberCluster) -> f64 {
     let started = cluster.now();
     while !cluster.wrong_views().is_empty() && cluster.now() < started + CONVERGENCE * SECOND {
@@ -61,12 +61,12 @@
     converged
 }
 
-/// What a member and second cost while nothing fails.
+/// The cost of membership per member and second while nothing fails.
 struct QuietCost {
     bytes: f64,
     datagrams: f64,
     cpu_ms: f64,
-    /// Of all members in the whole time.
+    /// The suspicions of all members over the whole time.
     suspicions: usize,
 }
 
@@ -85,8 +85,8 @@
     let suspicions = cluster
         .observations
         .iter()
-        .filter(|sighting| sighting.at >= started)
-        .filter(|sighting| sighting.observed.status == MemberStatus::Suspected)
+        .filter(|observation| observation.at >= started)
+        .filter(|observation| observation.observed.status == MemberStatus::Suspected)
         .count();
     let per_member_second = |sum: f64| sum / count as f64 / QUIET as f64;
     QuietCost {
@@ -97,23 +97,23 @@
     }
 }
 
-/// How soon others knew of kills.
+/// How soon the other members detected kills.
 struct KillDetection {
-    /// Microseconds from each kill to each other member's knowledge of it, in order.
+    /// Microseconds from each kill until each other member detected it, in ascending order.
     delays: Vec<Micros>,
-    /// Whether every other member learned of every kill.
+    /// Whether every other member detected every kill.
     complete: bool,
 }
 
 impl KillDetection {
-    /// In seconds.
+    /// Returns a quantile of the delays, in seconds.
     fn quantile(&self, quantile: f64) -> f64 {
         let index = ((self.delays.len() as f64 * quantile) as usize).min(self.delays.len() - 1);
         self.delays[index] as f64 / SECOND as f64
     }
 }
 
-/// Kills the last members one after the other.
+/// Kills the last members one after the other, and measures how soon the others detect it.
 fn measure_kills(cluster: &mut MemberCluster, count: usize) -> KillDetection {
     let mut delays = vec![];
     let mut complete = true;
@@ -122,15 +122,16 @@
         let killed_at = cluster.now();
         cluster.kill(killed);
         cluster.run_for(KILL_INTERVAL * SECOND);
-        let is_detection = |sighting: &&Observation| {
-            sighting.at >= killed_at
-                && sighting.observed.status == MemberStatus::Dead
-                && sighting.observed.name == member_name(killed)
+        let is_detection = |observation: &&Observation| {
+            observation.at >= killed_at
+                && observation.observed.status == MemberStatus::Dead
+                && observation.observed.name == member_name(killed)
         };
-        let known_before = delays.len();
-        delays
-            .extend(cluster.observations.iter().filter(is_detection).map(|sighting| sighting.at - killed_at));
-        complete &= delays.len() - known_before == killed;
+        let count_before = delays.len();
+        delays.extend(
+            cluster.observations.iter().filter(is_detection).map(|observation| observation.at - killed_at),
+        );
+        complete &= delays.len() - count_before == killed;
     }
     delays.sort_unstable();
     KillDetection { delays, complete }
--- a/crates/command/src/measure/mod.rs
+++ b/crates/command/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! The command `measure`: measurements on this machine, long ones among them; none is part of the tests.
+//! The command `measure`: measurements on this machine. Some take long, and none is part of the tests.
 
 pub mod added_latency;
 pub mod cores;
@@ -16,12 +16,13 @@
 use crate::error::CommandError;
 use crate::{config_file, scenario};
 
-/// A scenario that is measured, and where its processes run.
+/// A scenario that is measured, and how its processes are run.
 struct Measured {
-    /// Without faults.
+    /// The scenario without faults.
     scenario: Scenario,
+    /// This program, which is started for each process.
     program: PathBuf,
-    /// For logs and captures; removed after each run.
+    /// The folder for logs and captures; removed after each run.
     folder: PathBuf,
     /// Set by a signal that ends the measurement early.
     interrupted: Arc<AtomicBool>,
@@ -32,7 +33,7 @@
     fn read(path: &Path, folder_prefix: &str) -> Result<Measured, CommandError> {
         let file = config_file::read(path)?;
         let mut scenario = file.day.ok_or_else(|| CommandError::MissingScenario(path.into()))?;
-        // What clients do slowly would be measured as if the router had.
+        // The delays of slow clients would be measured as if the router had caused them.
         scenario.load.slow_readers = 0;
         scenario.load.disconnect_share = 0.0;
         scenario.scheduled_faults.clear();
--- a/crates/command/src/measure/plot.rs
+++ b/crates/command/src/measure/plot.rs
@@ -1,4 +1,4 @@
-//! Plots the results of a measurement as one SVG: a panel for each figure, a line for each request rate.
+//! Plots the results of a measurement as an SVG image: a panel for each figure, with a line for each request rate.
 
 use std::path::{Path, PathBuf};
 
@@ -8,13 +8,13 @@
 /// One run of a measurement.
 pub struct MeasuredRun {
     pub cores: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// One for each panel.
+    /// One figure for each panel.
     pub figures: Vec<f64>,
 }
 
-/// Width and height, in pixels.
+/// Width and height of the image, in pixels.
 const SIZE: (u32, u32) = (1_000, 720);
 /// Columns of panels.
 const PANEL_COLUMNS: usize = 2;
@@ -28,16 +28,16 @@
 }
 
 impl PlotError {
-    /// An error of the drawing library, with the file that it concerns.
+    /// Creates an error from one of the drawing library and the file that it concerns.
     pub fn new(path: &Path, reason: impl std::fmt::Display) -> PlotError {
         PlotError { path: path.into(), reason: reason.to_string() }
     }
 }
 
-/// What a backend of the drawing library reports.
+/// An error of the drawing library.
 type DrawError = Box<dyn std::error::Error>;
 
-/// Draws one panel for each name; every run has a figure for each.
+/// Draws one panel for each name; every run must have a figure for each panel.
 pub fn draw(path: &Path, names: &[&str], runs: &[MeasuredRun]) -> Result<(), PlotError> {
     draw_panels(path, names, runs).map_err(|error| PlotError::new(path, error))
 }
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-/// Draws the figure `index` of all runs over the number of cores.
+/// Draws the panel of figure `index` of all runs, over the number of cores.
 fn draw_panel(
     panel: &DrawingArea<SVGBackend, Shift>,
     name: &str,
--- a/crates/command/src/measure/tenants.rs
+++ b/crates/command/src/measure/tenants.rs
@@ -1,4 +1,5 @@
-//! What tenants cost: CPU of a request by their number, memory of one, and how long a change takes to reach all cores.
+//! Measures what tenants cost: time per request and memory per tenant, by the number of tenants, and how long a change
+//! takes to reach all cores.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,62 +20,60 @@
 const CHANGES: usize = 200;
 /// The administrator's key.
 const ADMIN_KEY: &str = "a-key";
-/// How long the router may take to start, and to send a response.
+/// How long to wait for the router to start, and for each response.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Prints the figures; `cores` is those of the router whose changes are timed.
+/// Prints the results. `cores` is the number of cores of the router whose changes are timed.
 pub fn run(cores: u32) -> CommandResult {
-    println!("tenants   a submission, ns   memory a tenant, bytes");
+    println!("tenants   time/request, ns     memory/tenant, bytes");
     for tenants in [1, 100, 10_000, 100_000] {
         let before = resident_bytes();
-        let mut shares = AdmissionControl::new(AdmissionConfig {
+        let mut admission = AdmissionControl::new(AdmissionConfig {
             max_wait: 60_000_000,
             max_waiting: 100_000,
             max_retry_after: 1_000_000,
         });
         let rate = Some(RateLimit { per_second: 1e9, burst: 1e9 });
         let limits = Limits { requests: rate, tokens: rate, in_flight: Some(1 << 20), ..Limits::default() };
-        (0..tenants).for_each(|n| shares.upsert_tenant(1, Tenant(n), limits));
+        (0..tenants).for_each(|n| admission.upsert_tenant(1, Tenant(n), limits));
         let memory = resident_bytes().saturating_sub(before) as f64 / f64::from(tenants);
-        // What the machine counts in pages says nothing of a few.
+        // Resident memory is counted in pages, which are too coarse for few tenants.
         let memory = if tenants < 10_000 { "-".to_string() } else { format!("{memory:.0}") };
-        println!("{tenants:>7}{:>19.0}{memory:>25}", nanoseconds_per_request(&mut shares, tenants));
+        println!("{tenants:>7}{:>19.0}{memory:>25}", nanoseconds_per_request(&mut admission, tenants));
     }
     let (median, longest) = time_changes(cores)?;
     println!(
-        "\n{CHANGES} changes of a tenant, from the request to the reply, which waits for all {cores} cores and the \
-         disk:\n{:.2} ms median, {:.2} ms at most",
+        "\n{CHANGES} changes of a tenant, from the request to the response, which waits for all {cores} cores and \
+         the disk:\n{:.2} ms median, {:.2} ms at most",
         median.as_secs_f64() * 1e3,
         longest.as_secs_f64() * 1e3
     );
     Ok(CommandStatus::Success)
 }
 
-/// Nanoseconds a request, from its arrival to its end.
-fn nanoseconds_per_request(shares: &mut AdmissionControl, tenants: u32) -> f64 {
-    let (mut now, mut flying) = (1_000_000, vec![]);
-    let began = Instant::now();
+/// Returns the nanoseconds that admission control spends on a request, from its arrival to its end.
+fn nanoseconds_per_request(admission: &mut AdmissionControl, tenants: u32) -> f64 {
+    let (mut now, mut admitted) = (1_000_000, vec![]);
+    let started = Instant::now();
     for n in 0..REQUESTS {
         now += 10;
         let tenant = Tenant((n * 7_919 % u64::from(tenants)) as u32);
-        let (ticket, cut_off) = (Ticket(n), now + 10_000_000);
-        shares.enqueue(
-            now,
-            AdmissionRequest { ticket, tenant, tokens: 300, priority_weight: 1.0, deadline: cut_off },
-        );
-        while let Some(verdict) = shares.next_verdict(now) {
+        let (ticket, deadline) = (Ticket(n), now + 10_000_000);
+        admission
+            .enqueue(now, AdmissionRequest { ticket, tenant, tokens: 300, priority_weight: 1.0, deadline });
+        while let Some(verdict) = admission.next_verdict(now) {
             if let Verdict::Admit(ticket) = verdict {
-                flying.push(ticket);
+                admitted.push(ticket);
             }
         }
-        if let Some(ticket) = flying.pop() {
-            shares.request_finished(now, ticket, ResponseTiming::InTime);
+        if let Some(ticket) = admitted.pop() {
+            admission.request_finished(now, ticket, ResponseTiming::InTime);
         }
     }
-    began.elapsed().as_nanos() as f64 / REQUESTS as f64
+    started.elapsed().as_nanos() as f64 / REQUESTS as f64
 }
 
-/// Bytes of this process that are in memory.
+/// Returns the resident memory of this process in bytes.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
@@ -91,19 +90,19 @@
     }
 }
 
-/// Times changes at a router of so many cores: the median and the longest.
+/// Times changes at a router of so many cores; returns the median and the longest time.
 fn time_changes(cores: u32) -> Result<(Duration, Duration), CommandError> {
     let folder = std::env::temp_dir().join(format!("tideroute-tenants-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(CommandError::in_file(&folder))?;
-    let timed = run_changes(cores, &folder);
+    let durations = run_changes(cores, &folder);
     let _ = std::fs::remove_dir_all(&folder);
-    let mut took = timed.map_err(CommandError::MeasuredRouter)?;
-    took.sort_unstable();
-    let median = took.get(took.len() / 2).copied().unwrap_or_default();
-    Ok((median, took.last().copied().unwrap_or_default()))
+    let mut durations = durations.map_err(CommandError::MeasuredRouter)?;
+    durations.sort_unstable();
+    let median = durations.get(durations.len() / 2).copied().unwrap_or_default();
+    Ok((median, durations.last().copied().unwrap_or_default()))
 }
 
-/// Starts a router and sends it one change after the other; returns how long each took.
+/// Starts a router and sends it one change after the other; returns the time from each request to its response.
 fn run_changes(cores: u32, folder: &Path) -> std::io::Result<Vec<Duration>> {
     let free_address = || TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
     let (listen, list, admin) = (free_address()?, free_address()?, free_address()?);
@@ -126,11 +125,11 @@
         read_response(&mut stream)?;
         durations.push(started.elapsed());
     }
-    // The first creates the tables and is no measure of the others.
+    // The first change also creates the tables of the store, so that its time is left out.
     Ok(durations.split_off(1))
 }
 
-/// The configuration of the router that is measured.
+/// Returns the configuration of the router that is measured.
 fn config(cores: u32, folder: &Path, [listen, list, admin]: [SocketAddr; 3]) -> String {
     let hash = blake3::hash(ADMIN_KEY.as_bytes()).to_hex();
     let store = folder.join("store.redb");
@@ -146,7 +145,7 @@
     )
 }
 
-/// The request that changes a tenant at this version; version 0 creates it.
+/// Returns the request that changes the tenant at this version; for version 0, the request that creates it.
 fn change_request(admin: SocketAddr, version: usize) -> String {
     let body = format!(r#"{{"weight": {}}}"#, version + 1);
     let precondition = match version {
@@ -160,7 +159,7 @@
     )
 }
 
-/// Reads a response whose body is one JSON object; an error if its status is not 20x.
+/// Reads a response whose body is one JSON object; returns an error if its status is not 20x.
 fn read_response(stream: &mut TcpStream) -> std::io::Result<()> {
     let mut response = vec![];
     let mut chunk = [0; 4_096];
@@ -177,9 +176,9 @@
     Ok(())
 }
 
-/// Connects as soon as the router listens.
+/// Connects to the router once it listens; retries until the timeout.
 fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         match TcpStream::connect(address) {
             Ok(stream) => {
@@ -187,7 +186,7 @@
                 stream.set_nodelay(true)?;
                 return Ok(stream);
             }
-            Err(e) if began.elapsed() > TIMEOUT => return Err(e),
+            Err(e) if started.elapsed() > TIMEOUT => return Err(e),
             Err(_) => std::thread::sleep(Duration::from_millis(10)),
         }
     }
--- a/crates/command/src/membership_thread.rs
+++ b/crates/command/src/membership_thread.rs
@@ -1,5 +1,5 @@
-//! A router's cluster membership: a thread with an event loop of its own, beside the cores. If it fails, the cores
-//! go on without it.
+//! A router's cluster membership, which runs on a thread with its own event loop beside the cores. If it fails, the
+//! cores continue without it.
 
 use std::panic::AssertUnwindSafe;
 use std::path::{Path, PathBuf};
@@ -24,38 +24,38 @@
 }
 
 impl MembershipThread {
-    /// Joins the cluster that the configuration names; None if it names none. An address that is in use is an error
-    /// before any core starts.
+    /// Joins the cluster that the configuration names; returns `None` if it names none. Binds the socket at once, so that
+    /// an address in use is an error before any core starts.
     pub fn start(config: &Router, args: &ProcessArgs) -> Result<Option<MembershipThread>, CommandError> {
-        let Some(fleet) = &config.membership else { return Ok(None) };
+        let Some(cluster) = &config.membership else { return Ok(None) };
         let seed = config.seed.unwrap_or(multi_core::random_origin()? as u64);
-        let (terms, seal) = convert::member(&config.name, fleet, seed)?;
+        let (member_config, authenticator) = convert::member(&config.name, cluster, seed)?;
         let mut args = args.clone();
         args.process_number += config.cores * PROCESS_NUMBERS_PER_CORE;
         args.capture = args.capture.map(|path| capture_path(&path));
         let mut reactor = Reactor::new(&[])?;
-        let listen = convert::socket(&fleet.listen)?.into();
+        let listen = convert::socket(&cluster.listen)?.into();
         reactor
             .add_datagram_sockets(&[listen])
-            .map_err(|source| CommandError::Membership { fleet: fleet.name.clone(), source })?;
+            .map_err(|source| CommandError::Membership { cluster: cluster.name.clone(), source })?;
         let mailbox = reactor.mailbox();
         let identity = ProcessIdentity { name: &config.name, role: "member" };
         let mut reactor = process::apply_args(reactor, &[], &args, identity)?;
-        tracing::info!(fleet = fleet.name, %listen, seeds = fleet.seeds.len(), "joining the cluster");
+        tracing::info!(fleet = cluster.name, %listen, seeds = cluster.seeds.len(), "membership started; joining the cluster");
         let body = move || {
-            let mut member = MembershipNode::new(terms, seal, reactor.clock().now());
-            let ended = std::panic::catch_unwind(AssertUnwindSafe(|| reactor.run(&mut member)));
-            match ended {
+            let mut member = MembershipNode::new(member_config, authenticator, reactor.clock().now());
+            let result = std::panic::catch_unwind(AssertUnwindSafe(|| reactor.run(&mut member)));
+            match result {
                 Ok(Ok(_)) => {}
-                Ok(Err(error)) => tracing::error!(%error, "membership failed; the router goes on alone"),
-                Err(_) => tracing::error!("the membership thread panicked; the router goes on alone"),
+                Ok(Err(error)) => tracing::error!(%error, "membership failed; continuing without it"),
+                Err(_) => tracing::error!("membership thread panicked; continuing without it"),
             }
         };
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(body)?;
         Ok(Some(MembershipThread { thread, mailbox }))
     }
 
-    /// Tells the other members that this one leaves, and waits until that is sent.
+    /// Notifies the other members that this one leaves, and waits until the thread has sent that.
     pub fn leave(self) {
         if self.mailbox.try_send(Bytes::from_static(b"leave")) {
             let _ = self.thread.join();
@@ -63,7 +63,7 @@
     }
 }
 
-/// The file of the member's own part of a scenario's capture.
+/// Returns the file for the membership thread's part of a scenario's capture.
 fn capture_path(path: &Path) -> PathBuf {
     path.with_extension("part.member")
 }
--- a/crates/command/src/metrics_server.rs
+++ b/crates/command/src/metrics_server.rs
@@ -1,5 +1,5 @@
-//! The program's metrics as text for Prometheus, at an address of their own. The server speaks plain HTTP/1.0: one
-//! thread, one client at a time, each with a second to send its request.
+//! Serves the program's metrics as text for Prometheus, at their own address. The server speaks plain HTTP/1.0 on one
+//! thread, to one client at a time.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 
 use crate::error::CommandError;
 
-/// How long a client may take to send its request or to read the response.
+/// How long to wait for a client in each read of its request, and in each write of the response.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of a request that are read at most.
+/// The most bytes of a request that are read, in whole chunks.
 const MAX_REQUEST_BYTES: usize = 4096;
 
-/// Records metrics from now on and serves them at the address, if there is one.
+/// Records metrics from now on and serves them at the address; does nothing if there is none.
 pub fn start(address: Option<SocketAddr>) -> Result<(), CommandError> {
     let Some(address) = address else { return Ok(()) };
     let recorder = PrometheusBuilder::new().build_recorder();
@@ -25,7 +25,7 @@
     std::thread::spawn(move || {
         for client in listener.incoming().flatten() {
             if let Err(error) = respond(client, &handle) {
-                tracing::debug!(%error, "a client of the metrics server disconnected");
+                tracing::debug!(%error, "metrics request failed");
             }
         }
     });
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -1,6 +1,6 @@
 //! A router on several cores. Each core is a thread with its own event loop, request lifecycle and scheduler behind
 //! the same address; cores share nothing and do not communicate. A core that panics loses the requests it held, as a
-//! killed router does, and is restarted; the others go on.
+//! killed router does, and is restarted; the other cores continue.
 
 use std::net::{SocketAddr, TcpListener};
 use std::panic::AssertUnwindSafe;
@@ -25,7 +25,7 @@
 use crate::process::{self, ProcessIdentity};
 use crate::{config_file, metrics_server};
 
-/// The command `router`; `fail_after` (milliseconds) has core 0 panic, for tests of the restart.
+/// Runs the command `router`. `fail_after` makes core 0 panic after so many milliseconds, to test that it is restarted.
 pub fn run(path: &Path, fail_after: Option<u64>, args: &ProcessArgs) -> CommandResult {
     let config = config_file::require(path, config_file::read(path)?.router, "router")?;
     let listen: SocketAddr = convert::socket(&config.listen)?.into();
@@ -38,7 +38,8 @@
     if config.cores == 1 {
         return run_single(config, listen, args, admin);
     }
-    // SO_REUSEPORT would let a second router in beside this one; a plain listener shows whether the port is in use.
+    // With SO_REUSEPORT a second router could listen at the same address; a listener without it fails if the port is in
+    // use.
     let probe = TcpListener::bind(listen).map_err(|e| ReactorError::Listen(listen, e))?;
     drop(probe);
     let membership = MembershipThread::start(&config, args)?;
@@ -47,7 +48,7 @@
     result
 }
 
-/// Runs the only core on this thread.
+/// Runs a router of one core on this thread.
 fn run_single(
     config: Router,
     listen: SocketAddr,
@@ -69,7 +70,7 @@
     Ok(CommandStatus::success_if(outcome == RunOutcome::Finished))
 }
 
-/// How a core's thread ended: None for a panic.
+/// How a core's thread ended; `None` if it panicked.
 type CoreResult = Option<Result<RunOutcome, CommandError>>;
 
 /// Starts the cores and restarts those that panic.
@@ -78,14 +79,14 @@
     listen: SocketAddr,
     args: ProcessArgs,
     admin: Option<AdminThread>,
-    /// Set by a signal that stops the router.
+    /// Set by SIGINT and SIGTERM, which stop the router.
     stopping: Arc<AtomicBool>,
-    /// Cores send their index and how they ended.
+    /// The channel on which each core sends its index and how it ended.
     results: Sender<(u32, CoreResult)>,
 }
 
 impl Supervisor {
-    /// Runs all cores until each has ended; one that panics before the router is stopped is restarted.
+    /// Runs all cores until each has ended; restarts a core that panics before the router is stopped.
     fn run(
         config: Router,
         listen: SocketAddr,
@@ -123,10 +124,7 @@
                 }
                 None => {
                     restarts += 1;
-                    tracing::error!(
-                        core,
-                        "a core died; its requests are lost, the others go on, restarting it"
-                    );
+                    tracing::error!(core, "core panicked and lost its requests; restarting it");
                     counter!("tideroute_cores_failed_total").increment(1);
                     self.start_core(core, None, restarts)?;
                 }
@@ -138,7 +136,7 @@
     /// Starts a core's thread. `restarts` counts the restarts of all cores so far.
     fn start_core(&self, index: u32, fail_after: Option<u64>, restarts: u32) -> Result<(), CommandError> {
         let mut args = self.args.clone();
-        // A restarted core writes no capture: that of its first run stays as it was.
+        // A restarted core writes no capture, which would overwrite the capture of its first run.
         args.capture = args.capture.filter(|_| restarts == 0).map(|path| core_path(&path, index));
         args.process_number += index * PROCESS_NUMBERS_PER_CORE;
         let core = Core {
@@ -170,7 +168,7 @@
 }
 
 impl Core {
-    /// Runs on a listener that shares its address with the other cores.
+    /// Runs the core on a listener that shares its address with the other cores.
     fn run_shared(&self, fail_after: Option<u64>) -> Result<RunOutcome, CommandError> {
         let mut reactor = Reactor::with_reuse_port(&[self.listen])?;
         if let Some(milliseconds) = fail_after {
@@ -179,13 +177,13 @@
         self.run(reactor)
     }
 
-    /// Runs on the event loop it is given.
+    /// Runs the core on the event loop.
     fn run(&self, reactor: Reactor) -> Result<RunOutcome, CommandError> {
         let name = self.name();
         let identity = ProcessIdentity { name: &name, role: "router" };
         let mut reactor = process::prepare(reactor, &[self.listen], &self.args, identity)?;
         if self.stopping.load(Ordering::Relaxed) {
-            // The signal came while this core was starting, before its event loop could catch it.
+            // The signal arrived while this core was starting, before its event loop could catch it.
             return Ok(RunOutcome::Finished);
         }
         let now = reactor.clock().now();
@@ -208,14 +206,15 @@
         }
     }
 
-    /// The seed of the scheduler's random number generator. It need not be unique: time and process id agree within a
-    /// cluster that restarts, so that unique ids come from [`random_origin`].
+    /// Returns the seed of the scheduler's random number generator. It need not be unique: in a cluster that restarts,
+    /// routers may have the same time and process id. Unique ids come from [`random_origin`] instead.
     fn seed(&self, now: u64) -> u64 {
         let base = self.config.seed.unwrap_or(now ^ u64::from(std::process::id()) << 8);
         base ^ u64::from(self.index) << 18
     }
 
-    /// Has the endpoint list kept in a file, if one is configured; returns what an earlier run left in it.
+    /// Makes the event loop keep the endpoint list in a file, if one is configured; returns the list that an earlier run
+    /// left there.
     fn persist_endpoints(&self, reactor: &mut Reactor) -> Option<bytes::Bytes> {
         let path = self.config.endpoint_cache.as_ref().map(PathBuf::from)?;
         let own_path = core_path(&path, self.index);
@@ -225,7 +224,7 @@
     }
 }
 
-/// A core's own file beside that of core 0.
+/// Returns the path of a core's own file, beside that of core 0.
 fn core_path(path: &Path, core: u32) -> PathBuf {
     if core == 0 {
         return path.to_path_buf();
@@ -234,7 +233,7 @@
     path.with_extension(format!("{extension}.{core}"))
 }
 
-/// Random bits of the operating system, which make the ids of each start unique.
+/// Returns random bits of the operating system, which make the ids of each start unique.
 pub fn random_origin() -> Result<Origin, CommandError> {
     let mut bytes = [0; 16];
     getrandom::fill(&mut bytes).map_err(CommandError::RandomOrigin)?;
--- a/crates/command/src/platform.rs
+++ b/crates/command/src/platform.rs
@@ -1,4 +1,4 @@
-//! The command `platform`: the HTTP gateway on the operators' platform, with one core, one listener and no store.
+//! The command `platform`: the HTTP gateway on the operators' platform, with one core, one listener and no tenant store.
 
 use std::path::{Path, PathBuf};
 
@@ -8,13 +8,13 @@
 use crate::error::{CommandError, CommandResult};
 use crate::process;
 
-/// Bytes: a larger file is not a configuration.
+/// The most bytes in a configuration file.
 const MAX_CONFIG_BYTES: u64 = 16 << 20;
 
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
-/// Runs the gateway until SIGTERM; SIGHUP has its configuration read again.
+/// Runs the gateway until SIGTERM; SIGHUP reloads its configuration.
 pub fn run(path: Option<&Path>) -> CommandResult {
     let path = match path {
         Some(path) => path.to_path_buf(),
@@ -34,7 +34,7 @@
 fn read_config(path: &Path) -> Result<Config, CommandError> {
     let size = std::fs::metadata(path).map_err(CommandError::in_file(path))?.len();
     if size > MAX_CONFIG_BYTES {
-        return Err(CommandError::FileTooLarge { path: path.into(), size, kind: "a configuration" });
+        return Err(CommandError::FileTooLarge { path: path.into(), size, kind: "a configuration file" });
     }
     let text = std::fs::read(path).map_err(CommandError::in_file(path))?;
     Config::parse(&text).map_err(CommandError::in_file(path))
--- a/crates/command/src/process.rs
+++ b/crates/command/src/process.rs
@@ -1,5 +1,5 @@
-//! Sets up the event loop of one process, with what a scenario asks of it: a traffic capture, redirected addresses,
-//! a skewed clock, and an end together with the process that started it.
+//! Sets up the event loop of one process, with the options that a scenario may pass to it: a traffic capture, address
+//! overrides, a skewed clock, and to exit together with the process that started it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,17 +14,17 @@
 use crate::cli::ProcessArgs;
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// Exit code of a process whose standard input ended (`--exit-with-stdin`).
+/// Exit code of a process whose standard input was closed (`--exit-with-stdin`).
 const STDIN_ENDED: i32 = 3;
 
-/// Who a process is in a traffic capture.
+/// The name and role of a process in a traffic capture.
 #[derive(Clone, Copy)]
 pub struct ProcessIdentity<'a> {
     pub name: &'a str,
     pub role: &'a str,
 }
 
-/// An event loop that listens at the addresses, prepared as the arguments say.
+/// Creates an event loop that listens at the addresses, and prepares it according to the arguments.
 pub fn reactor(
     addresses: &[SocketAddr],
     args: &ProcessArgs,
@@ -37,7 +37,7 @@
     prepare(reactor, addresses, args, identity)
 }
 
-/// Ends this process when standard input does.
+/// Ends this process when its standard input is closed.
 pub fn exit_with_stdin() {
     std::thread::spawn(|| {
         let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
@@ -45,7 +45,7 @@
     });
 }
 
-/// Has an event loop catch signals, and applies the arguments.
+/// Makes an event loop catch signals, and applies the arguments to it.
 pub fn prepare(
     mut reactor: Reactor,
     addresses: &[SocketAddr],
@@ -84,7 +84,7 @@
     Ok(reactor)
 }
 
-/// Reads lines of two addresses: the original, and the one to connect to in its place.
+/// Reads the address overrides: lines of an original address and the address to connect to instead.
 fn read_address_overrides(path: &Path) -> Result<HashMap<Address, Address>, CommandError> {
     let text = std::fs::read_to_string(path).map_err(CommandError::in_file(path))?;
     let mut overrides = HashMap::new();
@@ -97,7 +97,7 @@
     Ok(overrides)
 }
 
-/// Parses `from,until,rate,offset`.
+/// Parses a clock skew, `from,until,rate,offset`.
 fn parse_clock_skew(text: &str) -> Option<ClockSkew> {
     let fields: Vec<_> = text.split(',').collect();
     let [from, until, rate, offset] = fields[..] else { return None };
@@ -109,7 +109,7 @@
     })
 }
 
-/// Runs the program until it ends; a failure if it was stopped by force.
+/// Runs the program until it ends; returns a failure if it was stopped by force.
 pub fn run(mut reactor: Reactor, program: &mut impl EventHandler) -> CommandResult {
     let outcome = reactor.run(program)?;
     Ok(CommandStatus::success_if(outcome == RunOutcome::Finished))
--- a/crates/command/src/trace_report.rs
+++ b/crates/command/src/trace_report.rs
@@ -2,50 +2,50 @@
 
 use std::path::Path;
 
-use tideroute_membership_checker::Report as Views;
+use tideroute_membership_checker::Report as MembershipReport;
 use tideroute_simulation::scenario;
 use tideroute_trace_checker::{Report, Rule};
 
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// Violations that are printed of each rule.
+/// The most violations that are printed for each rule, and for membership.
 const MAX_PRINTED: usize = 10;
 
-/// The command `check-trace`: checks a capture and prints what it finds.
+/// Runs the command `check-trace`: checks a capture, and prints counts and violations.
 pub fn check(capture: &Path) -> CommandResult {
     let report = scenario::check(capture).map_err(CommandError::in_file(capture))?;
-    let views = scenario::check_membership(capture).map_err(CommandError::in_file(capture))?;
+    let membership = scenario::check_membership(capture).map_err(CommandError::in_file(capture))?;
     print(&report);
-    views.iter().for_each(print_views);
-    let views_kept = views.is_none_or(|views| views.is_clean());
-    Ok(CommandStatus::success_if(report.is_clean() && views_kept))
+    membership.iter().for_each(print_membership);
+    let views_correct = membership.is_none_or(|report| report.is_clean());
+    Ok(CommandStatus::success_if(report.is_clean() && views_correct))
 }
 
-/// Prints how routers saw each other.
-pub fn print_views(views: &Views) {
-    let times = &views.detection_times;
+/// Prints how routers saw each other, and each wrong view up to a limit.
+pub fn print_membership(report: &MembershipReport) {
+    let times = &report.detection_times;
     let [median, p99, longest] = [times.median, times.p99, times.max].map(|time| time as f64 / 1e6);
     println!(
-        "  {} members, {} sightings; {} kills known to others after {median:.2} s p50, {p99:.2} s p99, {longest:.2} s \
-         at most",
-        views.members, views.observations, views.kills
+        "  {} members, {} observations; {} kills detected by the other members after {median:.2} s p50, {p99:.2} s p99, \
+         {longest:.2} s at most",
+        report.members, report.observations, report.kills
     );
     println!(
-        "  {} deaths seen, {} of them of routers that were cut off or had just been down; {} sights compared at {} \
-         moments",
-        views.deaths, views.excused_deaths, views.compared_views, views.compared_moments
+        "  {} deaths observed, {} of them excused by a recent restart, pause or partition; {} views compared at {} points \
+         in time",
+        report.deaths, report.excused_deaths, report.compared_views, report.compared_moments
     );
-    if views.is_clean() {
-        println!("views: all true");
+    if report.is_clean() {
+        println!("views: all correct");
         return;
     }
-    println!("views: NOT true: {} times", views.violation_count());
-    for violation in views.violations.iter().take(MAX_PRINTED) {
+    println!("views: NOT correct: {} violations", report.violation_count());
+    for violation in report.violations.iter().take(MAX_PRINTED) {
         println!("    at {}: {}", violation.at, violation.kind);
     }
 }
 
-/// Prints what was counted, and each rule that was broken with the first places.
+/// Prints the counts, and the first violations of each rule that was not kept.
 pub fn print(report: &Report) {
     print_counts(report);
     if report.is_clean() {
@@ -53,30 +53,30 @@
         return;
     }
     for rule in Rule::ALL {
-        let broken: Vec<_> = report.violations.iter().filter(|b| b.rule == rule).collect();
-        if broken.is_empty() {
+        let of_rule: Vec<_> = report.violations.iter().filter(|violation| violation.rule == rule).collect();
+        if of_rule.is_empty() {
             continue;
         }
-        println!("rules: NOT kept: {}: {} times", rule.name(), broken.len());
-        for violation in broken.iter().take(MAX_PRINTED) {
-            let id = violation.request_id.map_or(String::new(), |id| format!("submission {id:x}: "));
+        println!("rules: NOT kept: {}: {} violations", rule.name(), of_rule.len());
+        for violation in of_rule.iter().take(MAX_PRINTED) {
+            let id = violation.request_id.map_or(String::new(), |id| format!("request {id:x}: "));
             println!("    at {}: {id}{}", violation.at, violation.description);
         }
     }
     if report.unlisted > 0 {
-        println!("    and {} more breaks", report.unlisted);
+        println!("    and {} more violations", report.unlisted);
     }
 }
 
 fn print_counts(report: &Report) {
     let counts = &report.counts;
     println!(
-        "  {} events: {} submissions sent, {} taken, {} honoured, {} turned back, {} abandoned, {} left, {} void",
+        "  {} events: {} requests sent, {} admitted, {} completed, {} rejected, {} failed, {} cancelled, {} disconnected",
         counts.events, counts.requests, counts.admitted, counts.completed, counts.rejected, counts.failed, counts.cancelled, counts.disconnected
     );
     println!(
-        "  {} shots, {} places; latest send after a drain was told {:.1} ms; fullest cold worker {:.0}% of its \
-         limit; longest held with no shot out {:.1} ms",
+        "  {} attempts, {} decode reservations; latest send after a drain notification {:.1} ms; peak load of a \
+         warming-up worker {:.0}% of its limit; longest state without an attempt in flight {:.1} ms",
         counts.attempts,
         counts.reservations,
         counts.latest_send_after_drain as f64 / 1e3,
--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -241,7 +241,7 @@
         (running.put("market", "k", Some("7")), "present version 1"),
         (running.put("Market", "k2", None), "name"),
         (running.admin(&["show", "nobody"]), "404"),
-        (running.admin(&["show", "../../x"]), "no name of a tenant"),
+        (running.admin(&["show", "../../x"]), "is not a tenant name"),
         (running.admin(&["put", "x", "/no/such/file"]), "/no/such/file"),
         (running.admin(&["remove", "market", "--version", "9"]), "412"),
     ];
--- a/crates/command/tests/cluster_membership.rs
+++ b/crates/command/tests/cluster_membership.rs
@@ -18,8 +18,8 @@
         .expect("it runs");
     let text = String::from_utf8_lossy(&played.stdout).into_owned();
     assert!(played.status.success(), "{text}{}", String::from_utf8_lossy(&played.stderr));
-    assert!(text.contains("rules: all kept") && text.contains("views: all true"), "{text}");
-    assert!(text.contains("1 kills known"), "{text}");
+    assert!(text.contains("rules: all kept") && text.contains("views: all correct"), "{text}");
+    assert!(text.contains("1 kills detected"), "{text}");
 }
 
 const KEY: &str = "0707070707070707070707070707070707070707070707070707070707070707";
@@ -90,13 +90,13 @@
             (ended == Some(code) && said.contains(word)).then_some(said)
         })
     };
-    let all = seen(1, "3 there, 0 suspected", 0);
-    assert!(all.contains("of the others 2 see the same, 0 differ, 0 do not answer"), "{all}");
+    let all = seen(1, "3 alive, 0 suspected", 0);
+    assert!(all.contains("other routers: 2 agree, 0 differ, 0 do not answer"), "{all}");
     assert!(cluster.doors[..3].iter().all(|door| all.contains(door)), "{all}");
     // Who is told to end says goodbye; who is killed is missed.
     process::send_signal(&running[2].0, "-TERM");
     assert!(running[2].0.wait().expect("it ends").success());
-    seen(0, "2 there, 0 suspected, 0 dead, 1 left", 0);
+    seen(0, "2 alive, 0 suspected, 0 dead, 1 left", 0);
     drop(running.pop());
     drop(running.pop());
     let alone = seen(0, "1 dead, 1 left", 1);
@@ -124,6 +124,6 @@
     let ended = running.0.wait().expect("it ends");
     let said = std::fs::read_to_string(path.with_extension("log")).expect("a log");
     assert_eq!(ended.code(), Some(2), "{said}");
-    assert!(said.contains("the fleet harbour: cannot listen at"), "{said}");
+    assert!(said.contains("cluster harbour: cannot listen at"), "{said}");
     drop(taken);
 }
--- a/crates/command/tests/commands.rs
+++ b/crates/command/tests/commands.rs
@@ -87,9 +87,9 @@
     let list = folder.file("list.cue", "list: {listen: \"127.0.0.1:0\"}");
     for (arguments, word) in [
         (vec!["router", "/nowhere/at/all.cue"], "/nowhere/at/all.cue: No such file"),
-        (vec!["router", list.as_str()], "no part `router`"),
+        (vec!["router", list.as_str()], "no section `router`"),
         (vec!["rules", list.as_str()], "list.cue"),
-        (vec!["day", list.as_str()], "no part `day`"),
+        (vec!["day", list.as_str()], "no section `day`"),
         (vec!["check"], "required"),
         (vec!["check", list.as_str(), "--log", "=nothing="], "--log"),
     ] {
@@ -262,7 +262,7 @@
     });
     assert!(gone < clients.len(), "all {gone} connections ended with one core");
     let mut said = BufReader::new(router.stderr.take().expect("its words")).lines();
-    assert!(said.any(|line| line.expect("text").contains("a core died")));
+    assert!(said.any(|line| line.expect("text").contains("core panicked and lost its requests")));
     // The core that starts anew takes connections again, as do the others.
     for _ in 0..24 {
         connect(port).write_all(&hello).expect("it is sent");
