--- a/crates/command/src/cli.rs
+++ b/crates/command/src/cli.rs
@@ -27,7 +27,7 @@
     Router {
         /// The router's configuration file.
         file: PathBuf,
-        /// Makes core 0 panic after this many milliseconds, to test that it is restarted.
+        /// Makes core 0 panic after this many milliseconds, to test that it is restarted. Ignored with one core.
         #[arg(long, value_name = "MS", hide = true)]
         fail_core_after: Option<u64>,
         #[command(flatten)]
--- a/crates/command/src/fleet_status.rs
+++ b/crates/command/src/fleet_status.rs
@@ -210,8 +210,7 @@
     let config = config_file::require(path, config_file::read(path)?.router, "router")?;
     let membership = config_file::require(path, config.membership, "router.fleet")?;
     let (member_config, authenticator) = convert::member(&config.name, &membership, 0)?;
-    let socket = bind_near(member_config.address)?;
-    let mut client = QueryClient { socket, authenticator, last_query: 0 };
+    let mut client = QueryClient { socket: bind_near(member_config.address)?, authenticator, last_query: 0 };
     // No part has this fingerprint, so the router sends all parts.
     let Some(first) = client.query(member_config.address, [u64::MAX; PARTS])? else {
         return Err(CommandError::RouterSilent { router: config.name, address: membership.listen });
--- a/crates/command/src/load_balance.rs
+++ b/crates/command/src/load_balance.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Plots the load of the most loaded worker over the mean load, for each role, second by second.
+/// Plots the load of the most loaded worker over the mean load, second by second, for each role.
 fn draw(report: &LoadBalanceReport, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let roles = [("prefill workers", &report.prefill, BLUE), ("decode workers", &report.decode, RED)];
     let seconds = roles.iter().map(|(_, balance, _)| balance.peak_to_mean.len()).max().unwrap_or(0).max(1);
--- a/crates/command/src/measure/cores.rs
+++ b/crates/command/src/measure/cores.rs
@@ -12,7 +12,8 @@
 const CORES: [u32; 4] = [1, 2, 4, 8];
 
 /// The titles of the plot's panels.
-const PANELS: [&str; 4] = ["completed a second", "first token p99, ms", "CPU per request, us", "memory, MiB"];
+const PANELS: [&str; 4] =
+    ["completed requests/s", "first token p99, ms", "CPU per request, us", "memory, MiB"];
 
 /// Measures each request rate on each number of cores; returns a failure if a run violated a rule.
 pub fn run(path: &Path, seconds: u64, rates: &[f64], plot_path: Option<&Path>) -> CommandResult {
--- a/crates/command/src/measure/plot.rs
+++ b/crates/command/src/measure/plot.rs
@@ -81,7 +81,7 @@
             .collect();
         chart
             .draw_series(LineSeries::new(points.clone(), &colour))?
-            .label(format!("{rate:.0} a second"))
+            .label(format!("{rate:.0} requests/s"))
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
         let dots = points.into_iter().map(|point| Circle::new(point, 3, colour.filled()));
         chart.draw_series(dots)?;
--- a/crates/command/src/measure/plot/tests.rs
+++ b/crates/command/src/measure/plot/tests.rs
@@ -13,7 +13,7 @@
     let text = std::fs::read_to_string(&path).expect("the plot is written");
     let _ = std::fs::remove_file(&path);
     assert_eq!(text.matches("<circle").count(), 6);
-    assert!(text.contains("first") && text.contains("500 a second"));
+    assert!(text.contains("first") && text.contains("500 requests/s"));
 }
 
 #[test]
