--- a/crates/admission/src/admission_control.rs
+++ b/crates/admission/src/admission_control.rs
@@ -1,5 +1,5 @@
-//! Admission by start-time fair queueing (Goyal, Vin and Cheng, 1996) among the tenants that have work and are within
-//! their limits, as far as the inferred concurrency limit allows.
+//! Admits requests by start-time fair queueing (Goyal, Vin and Cheng, 1996) among the tenants that have waiting
+//! requests and are within their limits, up to the inferred concurrency limit.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,9 +14,9 @@
 use crate::verdict::Verdict;
 use crate::wait_queue::{QueueEntry, WaitQueue};
 
-/// One part in so many of a request's remaining time may go to waiting for admission: the rest is for prefill and
-/// decode, and for a retry.
-const WAIT_PART: Micros = 4;
+/// A request waits for admission for at most its remaining time divided by this. The rest is left for prefill, decode
+/// and a retry.
+const MAX_WAIT_DIVISOR: Micros = 4;
 
 struct InFlightRequest {
     tenant: Tenant,
@@ -25,7 +25,7 @@
 
 /// The admission control of one instance.
 ///
-/// Each request that is passed to [`enqueue`](AdmissionControl::enqueue) gets exactly one verdict, [`Verdict::Admit`] or
+/// Each request passed to [`enqueue`](AdmissionControl::enqueue) gets exactly one verdict, [`Verdict::Admit`] or
 /// [`Verdict::Reject`], unless its client disconnects first.
 pub struct AdmissionControl {
     config: AdmissionConfig,
@@ -33,18 +33,19 @@
     wait_queue: WaitQueue,
     in_flight: HashMap<Ticket, InFlightRequest, FixedState>,
     concurrency_limit: ConcurrencyLimit,
-    /// Start tag of the request that was admitted last.
+    /// Start tag of the last admitted request of a tenant with a weight.
     virtual_time: f64,
     schedule: TenantSchedule,
-    /// Rejections that were not pulled yet.
+    /// Rejections that [`next_verdict`](AdmissionControl::next_verdict) has not returned yet.
     rejections: VecDeque<Verdict>,
-    /// Requests received so far; orders those of equal priority.
+    /// Number of requests received so far; orders requests of equal priority.
     received: u64,
+    /// Time of the last timer that the caller was asked to set.
     timer_at: Option<Micros>,
 }
 
 impl AdmissionControl {
-    /// An admission control without tenants.
+    /// Creates an admission control without tenants.
     pub fn new(config: AdmissionConfig) -> AdmissionControl {
         AdmissionControl {
             config,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Adds a tenant or changes its limits. Requests in flight beyond a lowered limit stay in flight.
+    /// Adds a tenant or changes its limits. Requests in flight beyond a lowered limit stay in flight; waiting requests
+    /// beyond a lowered limit are rejected.
     pub fn upsert_tenant(&mut self, now: Micros, tenant: Tenant, limits: Limits) {
         let limits = Limits { weight: limits.weight.max(0.0), ..limits };
         let state = self.tenants.entry(tenant).or_insert_with(|| TenantState::new(limits));
@@ -74,7 +76,7 @@
         self.reschedule(now, tenant);
     }
 
-    /// Removes a tenant: its waiting requests are rejected, its requests in flight run to their end.
+    /// Removes a tenant. Its waiting requests are rejected; its requests in flight run to completion.
     pub fn remove_tenant(&mut self, now: Micros, tenant: Tenant) {
         let Some(state) = self.tenants.get_mut(&tenant) else { return };
         state.removed = true;
@@ -86,8 +88,8 @@
         self.forget_if_drained(tenant);
     }
 
-    /// Takes a request; [`next_verdict`](AdmissionControl::next_verdict) returns its verdict, now or later. A request of
-    /// an unknown tenant is rejected.
+    /// Queues a request. [`next_verdict`](AdmissionControl::next_verdict) returns its verdict, now or later. A request
+    /// of an unknown tenant is rejected.
     pub fn enqueue(&mut self, now: Micros, request: AdmissionRequest) {
         let AdmissionRequest { ticket, tenant, tokens, priority_weight, deadline } = request;
         let Some(state) = self.tenants.get_mut(&tenant).filter(|state| !state.removed) else {
@@ -100,7 +102,7 @@
         state
             .waiting
             .insert(position, WaitingRequest { ticket, tokens: f64::from(tokens), received_at: now });
-        let max_wait = self.config.max_wait.min(deadline.saturating_sub(now) / WAIT_PART);
+        let max_wait = self.config.max_wait.min(deadline.saturating_sub(now) / MAX_WAIT_DIVISOR);
         self.wait_queue.insert(ticket, QueueEntry { tenant, position, expires_at: now + max_wait });
         let last = state.waiting.last_key_value().map(|(position, _)| *position);
         let is_tenant_full = state.waiting.len() > state.limits.waiting as usize;
@@ -112,7 +114,7 @@
         self.reschedule(now, tenant);
     }
 
-    /// Records the response to an admitted request. Does nothing for any other request.
+    /// Records the response to an admitted request. Ignores tickets that are not in flight.
     pub fn request_finished(&mut self, now: Micros, ticket: Ticket, timing: ResponseTiming) {
         let Some(request) = self.in_flight.remove(&ticket) else { return };
         if timing != ResponseTiming::Unknown {
@@ -131,7 +133,7 @@
         self.forget_if_drained(request.tenant);
     }
 
-    /// Drops a request, waiting or in flight, whose client disconnected.
+    /// Drops a waiting or in-flight request whose client disconnected.
     pub fn client_disconnected(&mut self, now: Micros, ticket: Ticket) {
         if let Some(entry) = self.wait_queue.get(ticket) {
             self.remove_waiting(entry.tenant, entry.position);
@@ -140,7 +142,7 @@
         self.request_finished(now, ticket, ResponseTiming::Unknown);
     }
 
-    /// The next verdict; `None` if there is none at present.
+    /// Returns the next verdict, or `None` if nothing is to be decided at `now`.
     pub fn next_verdict(&mut self, now: Micros) -> Option<Verdict> {
         self.wake_throttled(now);
         self.expire_waiting(now);
@@ -156,27 +158,28 @@
         self.next_timer(now)
     }
 
-    /// A tenant's statistics; `None` for an unknown tenant.
+    /// Returns a tenant's statistics, or `None` for an unknown tenant.
     pub fn tenant_stats(&self, tenant: Tenant) -> Option<TenantStats> {
         let state = self.tenants.get(&tenant)?;
         Some(TenantStats { waiting: state.waiting.len() as u32, ..state.stats })
     }
 
-    /// Requests that may be in flight at present, as inferred.
+    /// Returns the number of requests that may be in flight, as inferred from response times.
     pub fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit.limit()
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Requests that wait for a verdict.
+    /// Returns the number of requests that wait for a verdict.
     pub fn waiting(&self) -> usize {
         self.wait_queue.len()
     }
 
+    /// Reschedules the throttled tenants whose rate limits allow a request again.
     fn wake_throttled(&mut self, now: Micros) {
         while let Some((until, tenant)) = self.schedule.next_throttled() {
             if until > now {
@@ -186,6 +189,7 @@
         }
     }
 
+    /// Rejects the requests whose longest waiting time has passed.
     fn expire_waiting(&mut self, now: Micros) {
         while let Some(entry) = self.wait_queue.first_expired(now) {
             self.reject(now, entry.tenant, entry.position);
@@ -193,7 +197,8 @@
         }
     }
 
-    /// A timer for whatever is due next, unless the caller's timer is early enough.
+    /// Returns a timer for the next expiration or the end of the next throttling, unless the caller's timer fires early
+    /// enough.
     fn next_timer(&mut self, now: Micros) -> Option<Verdict> {
         let throttled_until = self.schedule.next_throttled().map(|(until, _)| until);
         let expires_at = self.wait_queue.next_expiration();
@@ -205,7 +210,7 @@
         Some(Verdict::SetTimer { at })
     }
 
-    /// Admits the first waiting request of a tenant.
+    /// Admits the first waiting request of a tenant and returns its ticket.
     fn admit(&mut self, now: Micros, tenant: Tenant) -> Option<Ticket> {
         let state = self.tenants.get_mut(&tenant)?;
         let (&position, &request) = state.waiting.first_key_value()?;
@@ -213,7 +218,7 @@
         let weight = if state.has_weight() { state.limits.weight } else { 1.0 };
         let start_tag = self.virtual_time.max(state.finish_tag);
         state.finish_tag = start_tag + (request.tokens + 1.0) / weight;
-        // A tenant without weight only takes what others leave, so it must not advance their virtual time.
+        // A tenant with weight 0 only uses capacity that the others leave, so it must not advance their virtual time.
         if state.has_weight() {
             self.virtual_time = start_tag;
         }
@@ -226,13 +231,15 @@
         Some(request.ticket)
     }
 
-    /// Rejects a waiting request. Its Retry-After is the time until the tenant's rate limits would allow it.
+    /// Rejects a waiting request. `retry_after` is the time until the tenant's rate limits would allow the request, or
+    /// `max_wait` if no rate limit holds it back.
     fn reject(&mut self, now: Micros, tenant: Tenant, position: QueuePosition) {
         let Some(request) = self.remove_waiting(tenant, position) else { return };
         let Some(state) = self.tenants.get_mut(&tenant) else { return };
         state.stats.rejected += 1;
         let throttled_for = state.conforms_at(now, request.tokens).map(|at| at - now);
-        // Where no rate limit binds, the capacity is exhausted: by then all that waits now has had its verdict.
+        // If no rate limit holds the request back, the capacity is exhausted. After `max_wait` each request that waits
+        // now has had its verdict.
         let retry_after = throttled_for.filter(|time| *time > 0).unwrap_or(self.config.max_wait);
         self.rejections.push_back(Verdict::Reject {
             ticket: request.ticket,
@@ -240,13 +247,15 @@
         });
     }
 
+    /// Removes a request from its tenant's queue and from the wait queue.
     fn remove_waiting(&mut self, tenant: Tenant, position: QueuePosition) -> Option<WaitingRequest> {
         let request = self.tenants.get_mut(&tenant)?.waiting.remove(&position)?;
         self.wait_queue.remove(request.ticket);
         Some(request)
     }
 
-    /// Schedules a tenant anew after a change: ready, throttled, or not at all.
+    /// Updates a tenant's place in the schedule after a change: ready, throttled, or not scheduled if it has no waiting
+    /// request, is at its limit of requests in flight, or has a rate limit of 0.
     fn reschedule(&mut self, now: Micros, tenant: Tenant) {
         self.schedule.remove(tenant);
         let Some(state) = self.tenants.get(&tenant) else { return };
@@ -265,7 +274,7 @@
         }
     }
 
-    /// Forgets a removed tenant once none of its requests is in flight.
+    /// Drops the state of a removed tenant once none of its requests is in flight.
     fn forget_if_drained(&mut self, tenant: Tenant) {
         let Some(state) = self.tenants.get(&tenant) else { return };
         if state.removed && state.stats.in_flight == 0 {
--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -1,59 +1,61 @@
-//! An estimate of the workers' capacity: how many requests may be in flight together and still meet their latency
-//! objectives. Nothing reports it; it is inferred from response times.
+//! Estimates the workers' capacity: how many requests may be in flight at once and still meet their latency objectives.
+//! No component reports this capacity, so it is inferred from response times.
 //!
-//! Additive increase, multiplicative decrease (Chiu and Jain, 1989): the limit rises by about one for each round of
-//! responses in time while all of it is used, and falls by a fixed part, at most once a round, when responses are late or
-//! the scheduler rejects. This finds a hidden capacity from below, and shares no state with other instances that seek the
-//! same one.
+//! The limit follows additive increase, multiplicative decrease (Chiu and Jain, 1989). It rises by about one for each
+//! round of responses in time in which it was reached. It falls by a fixed part, at most once a round, when responses
+//! are late or the scheduler rejects requests. This finds an unknown capacity from below, without sharing state with
+//! other instances that probe the same capacity.
 //!
-//! Accuracy: the limit moves between its last failure and [`DECREASE_FACTOR`] of it, so that an eighth of the capacity
-//! stays unused on average. A capacity that falls is followed within one decrease, one that rises within as many rounds
-//! as it rose by.
+//! Accuracy: the limit moves between the value at which it last failed and [`DECREASE_FACTOR`] of that value, so an
+//! eighth of the capacity stays unused on average. After the capacity falls, the limit follows with one decrease; after
+//! the capacity rises by N requests, the limit follows within N rounds.
 
 use crate::units::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// Lowest limit: with fewer requests in flight nothing could be learned.
+/// Lowest limit, in requests. Fewer requests in flight would give too few response times to infer a capacity from.
 const MIN_LIMIT: f64 = 4.0;
 
-/// Limit at the start: low, so that a start during overload does little harm.
+/// Limit at the start, in requests. It is low so that an instance that starts during an overload adds little to it.
 const INITIAL_LIMIT: f64 = 16.0;
 
-/// Highest limit of one instance.
+/// Highest limit of one instance, in requests.
 const MAX_LIMIT: f64 = 1e6;
 
-/// Until the first decrease the limit grows by this part a round. The responses of a round tell about the limit of the
-/// round before, so that the limit overshoots by as much, and the excess fills queues behind which calm tenants are
-/// answered late too.
+/// Relative growth of the limit per round until the first decrease. The responses of a round show the effect of the
+/// previous round's limit, so the limit overshoots the capacity by up to this part. The excess fills the workers'
+/// queues, and the responses to tenants with little traffic become late too.
 const INITIAL_GROWTH: f64 = 0.25;
 
-/// After the first decrease a round adds one request, and one more for each so many of the limit.
+/// After the first decrease, each round raises the limit by one request, plus the limit divided by this.
 const LIMIT_PER_EXTRA_REQUEST: f64 = 64.0;
 
-/// Part of the limit that is left after a decrease; the mean of the sawtooth is then seven eighths of its top.
+/// Factor of a decrease. The mean of the resulting sawtooth is seven eighths of its peak.
 const DECREASE_FACTOR: f64 = 0.75;
 
-/// The limit decreases when more than this part of a round's responses was late: single ones always are.
+/// The limit decreases when more than this part of a round's responses was late. Single late responses occur at any
+/// load.
 const LATE_TOLERANCE: f64 = 0.1;
 
-/// Responses in a round at least; in a shorter one a single late response would be a decrease.
+/// Fewest responses in a round. In a shorter round, a single late response would cause a decrease.
 const MIN_ROUND: f64 = 8.0;
 
 /// The number of requests that may be in flight, as inferred from response times.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    /// Responses of the present round.
+    /// Responses in the current round.
     responses: f64,
-    /// Late responses of the present round.
+    /// Late responses in the current round.
     late_responses: f64,
-    /// The limit was reached in this round; otherwise a response in time says nothing about the capacity.
+    /// Whether the limit was reached in this round. If it was not, responses in time do not show that the capacity is
+    /// higher.
     was_reached: bool,
-    /// There was no decrease yet, so the limit may grow fast.
+    /// Whether the limit has never decreased; it then grows by [`INITIAL_GROWTH`].
     is_initial: bool,
-    /// Responses to requests admitted before this moment tell about the time before the last decrease.
+    /// Time from which admitted requests count. Responses to earlier requests show the load before the last decrease.
     valid_from: Micros,
 }
 
@@ -71,12 +73,12 @@
 }
 
 impl ConcurrencyLimit {
-    /// Requests that may be in flight.
+    /// Returns the number of requests that may be in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Notes that as many requests are in flight as may be, and that more wait.
+    /// Records that the limit on requests in flight is reached and further requests wait.
     pub fn limit_reached(&mut self) {
         self.was_reached = true;
     }
--- a/crates/admission/src/concurrency_limit/tests.rs
+++ b/crates/admission/src/concurrency_limit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The limit after each round, where workers respond in time up to a hidden capacity, and late beyond it.
+/// Returns the limit after each round, with workers that respond in time up to `hidden_capacity` and late beyond it.
 fn limits_after_rounds(hidden_capacity: f64, rounds: usize) -> Vec<f64> {
     let mut concurrency_limit = ConcurrencyLimit::default();
     let mut now = 0;
--- a/crates/admission/src/config.rs
+++ b/crates/admission/src/config.rs
@@ -1,14 +1,14 @@
-//! Configuration that holds for all tenants.
+//! Configuration that applies to all tenants.
 
 use crate::units::Micros;
 
-/// Configuration of [`AdmissionControl`](crate::AdmissionControl) that holds for all tenants.
+/// Configuration of [`AdmissionControl`](crate::AdmissionControl) that applies to all tenants.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionConfig {
-    /// How long a request may wait for its verdict at most.
+    /// Longest time that a request may wait for its verdict.
     pub max_wait: Micros,
-    /// How many requests of all tenants together may wait at most.
+    /// Maximum number of waiting requests of all tenants together.
     pub max_waiting: usize,
-    /// The longest Retry-After that a rejected client is given.
+    /// Longest `retry_after` of a rejection.
     pub max_retry_after: Micros,
 }
--- a/crates/admission/src/count_min_sketch.rs
+++ b/crates/admission/src/count_min_sketch.rs
@@ -1,4 +1,4 @@
-//! Recent call frequencies in constant memory, however many callers there are.
+//! Counts each caller's recent calls, in constant memory for any number of callers.
 
 use std::hash::{BuildHasher, Hash};
 
@@ -9,28 +9,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Rows of counters. With 4 rows, one caller in fifty is overestimated by more than the bound of [`COLUMNS`].
+/// Number of rows of counters. With 4 rows, the counts of one caller in fifty exceed the error bound that [`COLUMNS`]
+/// gives.
 const ROWS: usize = 4;
 
-/// Counters in a row. With 4,096 columns the bound is below a thousandth of all calls; all rows take 64 KiB.
+/// Counters in a row. With 4,096 columns the error bound is below a thousandth of all calls; all rows take 64 KiB.
 const COLUMNS: usize = 4_096;
 
-/// Halvings after which no count is left.
+/// Number of halvings after which each count is negligible; more are not applied at once.
 const MAX_HALVINGS: u64 = 64;
 
-/// A count-min sketch (Cormode and Muthukrishnan, 2005) with conservative update, whose counts halve as time passes. A
-/// count is never too low. With a probability below e to the minus `ROWS` it is too high by more than e/`COLUMNS` of all
-/// counts together.
+/// A count-min sketch (Cormode and Muthukrishnan, 2005) with conservative update, whose counts halve once per
+/// half-life. A count is never too low. The probability that it is too high by more than e/`COLUMNS` of the sum of all
+/// counts is below e to the minus `ROWS`.
 pub struct CountMinSketch {
     counts: Vec<f32>,
-    /// Time in which counts halve.
+    /// Time after which the counts halve.
     half_life: Micros,
+    /// Time up to which the counts were halved.
     halved_at: Micros,
     row_hashers: [FixedState; ROWS],
 }
 
 impl CountMinSketch {
-    /// An empty sketch. The seed keeps callers from choosing keys that collide with those of others.
+    /// Creates an empty sketch. A secret seed keeps callers from choosing keys that collide with keys of others.
     pub fn new(seed: u64, half_life: Micros) -> CountMinSketch {
         let row_hashers = std::array::from_fn(|row| FixedState::with_seed(seed.wrapping_add(row as u64 + 1)));
         CountMinSketch {
@@ -41,12 +43,12 @@
         }
     }
 
-    /// Counts a call and returns the caller's recent number of calls, this one included.
+    /// Counts a call and returns the estimated number of the caller's recent calls, including this one.
     pub fn count(&mut self, now: Micros, key: impl Hash) -> f64 {
         self.decay(now);
         let cells = self.cells(key);
         let estimate = cells.iter().map(|&cell| self.counts[cell]).fold(f32::MAX, f32::min) + 1.0;
-        // Conservative update: cells above the estimate are too high already.
+        // Conservative update: counters above the estimate are already too high and stay as they are.
         for cell in cells {
             self.counts[cell] = self.counts[cell].max(estimate);
         }
--- a/crates/admission/src/count_min_sketch/tests.rs
+++ b/crates/admission/src/count_min_sketch/tests.rs
@@ -16,10 +16,10 @@
         let count = exact_counts.entry(caller).or_default();
         *count += 1.0;
         let estimate = sketch.count(10, caller);
-        assert!(estimate >= *count, "{estimate} for {count}");
+        assert!(estimate >= *count, "estimate {estimate} is below the exact count {count}");
         overestimated += usize::from(estimate > *count + calls as f64 * 2.72 / COLUMNS as f64);
     }
-    assert!(overestimated < calls / 50, "{overestimated} much too high");
+    assert!(overestimated < calls / 50, "{overestimated} of {calls} estimates exceed the error bound");
 }
 
 #[test]
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,13 +1,13 @@
-//! Admission control for tenants: decides which request is admitted to the scheduler, when, and which is rejected. It
-//! keeps each tenant's limits (requests and prompt tokens per second, requests in flight) and shares the capacity of
-//! the workers fairly among tenants. Nothing reports that capacity: it is inferred from response times.
+//! Admission control for tenants: decides when each request is admitted to the scheduler, or that it is rejected. It
+//! enforces each tenant's limits (requests and prompt tokens per second, requests in flight) and shares the capacity of
+//! the workers fairly among tenants. No component reports that capacity; it is inferred from response times.
 //!
 //! [`AdmissionControl`] is sans-I/O and reads no clock: callers report events together with the time, and call
-//! [`AdmissionControl::next_verdict`] until it returns `None`. Equal calls give equal verdicts.
+//! [`AdmissionControl::next_verdict`] until it returns `None`. The same sequence of calls gives the same verdicts.
 //!
-//! Limits hold for one instance. A router with N cores gives each core one Nth of a limit, and several routers split it
-//! likewise, so that no limit needs coordination; a tenant whose traffic all reaches one instance has only that
-//! instance's part.
+//! Limits apply to one instance. A router with N cores gives each core one Nth of a limit, and several routers divide a
+//! limit in the same way, so that enforcing a limit needs no coordination. A tenant whose traffic all reaches one
+//! instance therefore gets only that instance's part of its limits.
 //!
 //! `docs/tenancy.md` gives the reasons and the alternatives that were considered.
 
--- a/crates/admission/src/rate_limit/tests.rs
+++ b/crates/admission/src/rate_limit/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A token bucket that is refilled as time passes.
+/// A token bucket that is refilled at each call of `consume`.
 struct TokenBucket {
     level: f64,
     refilled_at: Micros,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -1,8 +1,8 @@
-//! What callers report: requests, and the timing of their responses.
+//! The requests that callers report, and the timing of their responses.
 
 use crate::units::Micros;
 
-/// A tenant, by the number that its caller gave it.
+/// Identifies a tenant by a number that the caller of [`AdmissionControl`](crate::AdmissionControl) chooses.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Tenant(pub u32);
 
@@ -17,22 +17,22 @@
     pub ticket: Ticket,
     /// The tenant that sent it.
     pub tenant: Tenant,
-    /// Prompt tokens. They count against the rate of tokens and, with one more for the request itself, against the
-    /// tenant's fair share.
+    /// Number of prompt tokens. They count against the tenant's token rate limit and, plus one for the request itself,
+    /// against its fair share.
     pub tokens: u32,
-    /// Priority weight of its request class: within a tenant, a higher weight goes first.
+    /// Priority weight of its request class. Within a tenant, requests with a higher weight are admitted first.
     pub priority_weight: f64,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting for the response.
     pub deadline: Micros,
 }
 
-/// What the response to an admitted request says about the capacity.
+/// The timing of the response to an admitted request, from which the capacity is inferred.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ResponseTiming {
     /// The first token met the latency objective.
     InTime,
     /// The first token missed the latency objective, or the scheduler rejected the request.
     Late,
-    /// The response says nothing about the capacity.
+    /// The timing is not known; the response does not count for the inferred capacity.
     Unknown,
 }
--- a/crates/admission/src/tenant.rs
+++ b/crates/admission/src/tenant.rs
@@ -1,4 +1,4 @@
-//! One tenant: its limits, its waiting requests and its statistics.
+//! The state of one tenant: limits, waiting requests and statistics.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,18 +7,19 @@
 use crate::request::Ticket;
 use crate::units::Micros;
 
-/// The limits of a tenant. A limit that is `None` does not bind.
+/// The limits of a tenant. `None` means no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Limit on requests per second.
     pub requests: Option<RateLimit>,
     /// Limit on prompt tokens per second.
     pub tokens: Option<RateLimit>,
-    /// Requests that may be in flight.
+    /// Maximum number of requests in flight.
     pub in_flight: Option<u32>,
-    /// Its part of the capacity, relative to the weights of other tenants that have work; 0 for only what others leave.
+    /// Share of the capacity, relative to the weights of the other tenants that have waiting requests. A tenant with
+    /// weight 0 only uses capacity that the others leave.
     pub weight: f64,
-    /// Requests that may wait. Beyond that, the one with the lowest priority is rejected.
+    /// Maximum number of waiting requests. Beyond it, the last request in the tenant's queue is rejected.
     pub waiting: u32,
 }
 
@@ -35,25 +36,26 @@
     pub received: u64,
     /// Requests admitted.
     pub admitted: u64,
-    /// Requests that admission control rejected; rejections by the scheduler are not among them.
+    /// Requests that admission control rejected, without rejections by the scheduler.
     pub rejected: u64,
     /// Admitted requests whose response was in time.
     pub in_time: u64,
     /// Admitted requests whose response was late.
     pub late: u64,
-    /// Microseconds that the admitted requests waited, summed up.
+    /// Total time that the admitted requests waited, in microseconds.
     pub queue_time: u64,
-    /// Requests that wait at present.
+    /// Requests that wait now.
     pub waiting: u32,
-    /// Requests in flight at present.
+    /// Requests in flight now.
     pub in_flight: u32,
 }
 
-/// Position in a tenant's queue: a higher priority weight goes first, then what came first.
+/// Position in a tenant's queue: ordered by descending priority weight, then by arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
-    /// Bits of the priority weight: floats that are not negative order as their bits do.
+    /// Bits of the priority weight. The bits of non-negative floats have the same order as the floats.
     priority: Reverse<u64>,
+    /// Number of the request in the order of arrival.
     sequence: u64,
 }
 
@@ -75,9 +77,10 @@
     request_limiter: RateLimiter,
     token_limiter: RateLimiter,
     pub waiting: BTreeMap<QueuePosition, WaitingRequest>,
-    /// Finish tag of the last admitted request (start-time fair queueing): the virtual time at which the tenant has used
-    /// up the service that it got.
+    /// Finish tag of the last admitted request (start-time fair queueing): the virtual time from which the tenant's
+    /// next request is due.
     pub finish_tag: f64,
+    /// Whether the tenant was removed and only its requests in flight are left.
     pub removed: bool,
     pub stats: TenantStats,
 }
@@ -95,7 +98,7 @@
         }
     }
 
-    /// When the rate limits allow a request of so many prompt tokens; `None` for never.
+    /// Returns the time from which the rate limits allow a request with `tokens` prompt tokens, or `None` for never.
     pub fn conforms_at(&self, now: Micros, tokens: f64) -> Option<Micros> {
         let mut conforms_at = now;
         if let Some(rate) = self.limits.requests {
@@ -107,7 +110,7 @@
         Some(conforms_at)
     }
 
-    /// Consumes one request of so many prompt tokens from the rate limits.
+    /// Counts one request with `tokens` prompt tokens against the rate limits.
     pub fn consume(&mut self, now: Micros, tokens: f64) {
         if let Some(rate) = self.limits.requests {
             self.request_limiter.consume(rate, now, 1.0);
@@ -123,7 +126,7 @@
         self.limits = limits;
     }
 
-    /// The limit on requests in flight is reached.
+    /// Returns whether the limit on requests in flight is reached.
     pub fn is_at_in_flight_limit(&self) -> bool {
         self.limits.in_flight.is_some_and(|limit| self.stats.in_flight >= limit)
     }
--- a/crates/admission/src/tenant_schedule.rs
+++ b/crates/admission/src/tenant_schedule.rs
@@ -1,4 +1,4 @@
-//! The order in which tenants that have work are served.
+//! The order in which tenants with waiting requests are served.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
@@ -8,7 +8,7 @@
 use crate::request::Tenant;
 use crate::units::Micros;
 
-/// A virtual time of start-time fair queueing, with the total order of floats.
+/// A virtual time of start-time fair queueing, ordered by `f64::total_cmp`.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct VirtualTime(pub f64);
 
@@ -26,8 +26,8 @@
     }
 }
 
-/// Where a tenant stands that may be served now: tenants with a weight first, then the lowest start tag. The order of the
-/// fields is the order of service.
+/// The place of a ready tenant in the order of service: tenants with a weight come first, then those with the lowest
+/// start tag. The derived order depends on the order of the fields.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceOrder {
     pub without_weight: bool,
@@ -35,24 +35,24 @@
     pub tenant: Tenant,
 }
 
-/// The tenants that have work, each either ready or throttled. Tenants that may not be served whatever the time, as at
-/// their limit of requests in flight, are not in it.
+/// The tenants that have waiting requests, each either ready or throttled. Tenants that cannot be served until an event
+/// occurs, such as those at their limit of requests in flight, are not scheduled.
 #[derive(Default)]
 pub(crate) struct TenantSchedule {
     ready: BTreeSet<ServiceOrder>,
     ready_by_tenant: HashMap<Tenant, ServiceOrder, FixedState>,
-    /// Tenants that wait for their rate limits, by the time at which these allow the next request.
+    /// Tenants whose rate limits hold back their next request, ordered by the time at which the limits allow it.
     throttled: BTreeSet<(Micros, Tenant)>,
     throttled_until: HashMap<Tenant, Micros, FixedState>,
 }
 
 impl TenantSchedule {
-    /// The ready tenant that is served next.
+    /// Returns the ready tenant to serve next.
     pub fn next_ready(&self) -> Option<Tenant> {
         self.ready.first().map(|order| order.tenant)
     }
 
-    /// The throttled tenant whose rate limits allow a request first, and when.
+    /// Returns the throttled tenant whose rate limits allow a request first, and the time at which they do.
     pub fn next_throttled(&self) -> Option<(Micros, Tenant)> {
         self.throttled.first().copied()
     }
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Adds a tenant, which must not be scheduled yet.
+    /// Adds a tenant that may be served now. It must not be scheduled yet.
     pub fn insert_ready(&mut self, order: ServiceOrder) {
         self.ready_by_tenant.insert(order.tenant, order);
         self.ready.insert(order);
     }
 
-    /// Adds a tenant, which must not be scheduled yet.
+    /// Adds a tenant whose rate limits allow the next request at `until`. It must not be scheduled yet.
     pub fn insert_throttled(&mut self, tenant: Tenant, until: Micros) {
         self.throttled_until.insert(tenant, until);
         self.throttled.insert((until, tenant));
--- a/crates/admission/src/units.rs
+++ b/crates/admission/src/units.rs
@@ -1,4 +1,4 @@
 //! Units of time.
 
-/// Microseconds: a moment on the caller's clock, or a duration.
+/// Microseconds: a time on the caller's clock, or a duration.
 pub type Micros = u64;
--- a/crates/admission/src/verdict.rs
+++ b/crates/admission/src/verdict.rs
@@ -1,23 +1,24 @@
-//! What admission control decides.
+//! The decisions of admission control.
 
 use crate::request::Ticket;
 use crate::units::Micros;
 
-/// What the caller has to do.
+/// A decision that the caller has to carry out.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Verdict {
     /// Admit the request to the scheduler.
     Admit(Ticket),
     /// Reject the request.
     Reject {
-        /// The request.
+        /// Identifies the rejected request.
         ticket: Ticket,
-        /// The client's Retry-After; 0 for none.
+        /// Time after which the client may retry, in microseconds; 0 if none is given.
         retry_after: Micros,
     },
-    /// Ask for verdicts again at this time: nothing is due earlier unless an event is reported.
+    /// Call [`next_verdict`](crate::AdmissionControl::next_verdict) again at this time. No earlier call is needed
+    /// unless an event is reported.
     SetTimer {
-        /// When to ask.
+        /// Time of that call.
         at: Micros,
     },
 }
--- a/crates/admission/src/wait_queue.rs
+++ b/crates/admission/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of all tenants, by ticket and by the time at which each must have its verdict.
+//! The waiting requests of all tenants, indexed by ticket and by expiration time.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,12 +8,12 @@
 use crate::tenant::QueuePosition;
 use crate::units::Micros;
 
-/// Where a waiting request is found.
+/// The place of a waiting request in its tenant's queue, and its expiration time.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueEntry {
     pub tenant: Tenant,
     pub position: QueuePosition,
-    /// When it must have its verdict.
+    /// Time at which the request is rejected if it was not admitted before.
     pub expires_at: Micros,
 }
 
@@ -44,12 +44,12 @@
         }
     }
 
-    /// When the next request expires.
+    /// Returns the time at which the next request expires.
     pub fn next_expiration(&self) -> Option<Micros> {
         self.expirations.first().map(|(at, _)| *at)
     }
 
-    /// The request that expired first; `None` if none has.
+    /// Returns the request with the earliest expiration time, if that time has passed.
     pub fn first_expired(&self, now: Micros) -> Option<QueueEntry> {
         let (_, ticket) = self.expirations.first().filter(|(at, _)| *at <= now)?;
         self.get(*ticket)
--- a/crates/admission/tests/fair_queueing.rs
+++ b/crates/admission/tests/fair_queueing.rs
@@ -1,4 +1,5 @@
-//! Admission control gives the verdicts of a slow reference model, on random sequences of events.
+//! Admission control gives the same verdicts as a slow reference model, on random sequences of events. This guards
+//! against errors in the indexes (schedule, wait queue) that admission control keeps to be fast.
 
 mod reference_model;
 
@@ -23,7 +24,7 @@
         requests,
         tokens,
         in_flight: rng.random_bool(0.3).then(|| rng.random_range(0..6)),
-        // Only one tenant is without weight: among several of them the reference model keeps no order.
+        // Only one tenant has weight 0: the reference model does not define an order among several of them.
         weight: if tenant.0 == 0 { 0.0 } else { [0.5, 1.0, 1.0, 3.0][rng.random_range(0..4)] },
         waiting: [2, 5, 20, 100][rng.random_range(0..4)],
     }
@@ -39,7 +40,7 @@
     }
 }
 
-/// Admission control and the reference model, which get the same events.
+/// Admission control and the reference model, both of which receive the same events.
 struct Comparison {
     rng: Pcg64,
     admission: AdmissionControl,
@@ -48,7 +49,7 @@
     last_ticket: u64,
     in_flight: Vec<Ticket>,
     enqueued: u64,
-    /// Requests that had their verdict, or whose client disconnected before it.
+    /// Number of requests that got their verdict, or whose client disconnected before.
     decided: u64,
 }
 
@@ -108,7 +109,7 @@
         self.model.request_finished(self.now, ticket, timing);
     }
 
-    /// Plays one random event; the first steps add one tenant each.
+    /// Applies one random event to both; the first `tenants` steps add one tenant each.
     fn play_step(&mut self, step: u32, tenants: u32) {
         self.now += self.rng.random_range(0..30_000);
         let tenant = Tenant(self.rng.random_range(0..tenants + 1));
@@ -136,7 +137,7 @@
             }
             self.decided += 1;
         }
-        // Each request waits, or has had its one verdict, or its client has disconnected.
+        // Each request waits, has got its one verdict, or lost its client.
         let accounted = self.decided + self.admission.waiting() as u64;
         assert_eq!(self.enqueued, accounted, "seed {seed} step {step}");
         assert!(self.admission.waiting() <= CONFIG.max_waiting);
--- a/crates/admission/tests/reference_model/mod.rs
+++ b/crates/admission/tests/reference_model/mod.rs
@@ -1,4 +1,4 @@
-//! A slow model of admission control that keeps plain lists and looks through all of them for each verdict.
+//! A slow model of admission control that keeps plain lists and scans all of them for each verdict.
 
 use tideroute_admission::{
     AdmissionConfig, AdmissionRequest, ConcurrencyLimit, Limits, Micros, ResponseTiming, Tenant, Ticket,
@@ -12,7 +12,7 @@
 struct TenantModel {
     tenant: Tenant,
     limits: Limits,
-    /// Theoretical arrival times of its two rates, requests and tokens.
+    /// Theoretical arrival times of the two rate limits: requests, then tokens.
     theoretical_arrivals: [f64; 2],
     finish_tag: f64,
     removed: bool,
@@ -96,7 +96,7 @@
         self.waiting.iter().any(|waiting| waiting.request.ticket == ticket)
     }
 
-    /// The waiting requests of a tenant in the order in which they are admitted.
+    /// Returns the waiting requests of a tenant in the order in which they are admitted.
     fn waiting_of(&self, tenant: Tenant) -> Vec<WaitingRequest> {
         let mut requests: Vec<_> =
             self.waiting.iter().filter(|waiting| waiting.request.tenant == tenant).cloned().collect();
