--- a/crates/tenant-store/src/error.rs
+++ b/crates/tenant-store/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the store.
+//! Errors of the tenant store.
 
 use crate::field_error::FieldError;
 use crate::revision::Revision;
 
-/// Why a call on the store failed. Nothing was changed.
+/// The reason why a call on the store failed. The stored data is unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The tenant is not as the change expects; holds its present revision.
-    #[error("the tenant is at another version{}", .0.as_ref().map(|e| format!(" ({})", e.version)).unwrap_or_default())]
+    /// The precondition of the change does not hold; contains the tenant's current revision.
+    #[error("the change expects another version of the tenant{}", .0.as_ref().map(|revision| format!(" than the current {}", revision.version)).unwrap_or_default())]
     Conflict(Option<Box<Revision>>),
     /// There is no such tenant.
     #[error("there is no such tenant")]
     NotFound,
-    /// A field has a value that is refused.
+    /// A field has an invalid value.
     #[error(transparent)]
     InvalidField(#[from] FieldError),
-    /// No further tenant can be added; holds the limit.
+    /// The maximum number of tenants is reached; contains that maximum.
     #[error("there are {0} tenants already")]
     TooManyTenants(u64),
-    /// The file could not be read or written.
+    /// The database file could not be read or written.
     #[error("the store of tenants: {0}")]
     Database(#[from] Box<redb::Error>),
-    /// A call on the database failed before, and the database cannot be opened again.
+    /// The database is closed and cannot be reopened.
     #[error("the store of tenants could not be opened again")]
     Closed,
-    /// The store holds what cannot be read; says where.
+    /// A stored revision cannot be decoded; contains the tenant's name and the JSON error.
     #[error("the store of tenants holds what cannot be read, at {0}")]
     Corrupt(String),
 }
--- a/crates/tenant-store/src/field_error.rs
+++ b/crates/tenant-store/src/field_error.rs
@@ -1,12 +1,12 @@
-//! Why a field of a tenant is refused.
+//! Validation errors of a tenant's fields.
 
-/// A field of a tenant whose value is refused.
+/// A field of a tenant with an invalid value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct FieldError {
-    /// The field, as a path in the tenant's JSON, such as `keys[0].hash`; `name` for the tenant's own name.
+    /// Path of the field in the tenant's JSON, such as `keys[0].hash`; `name` for the tenant's own name.
     pub field: String,
-    /// What is wrong with its value.
+    /// The problem with its value.
     pub problem: FieldProblem,
 }
 
@@ -16,46 +16,46 @@
     }
 }
 
-/// What is wrong with a field's value.
+/// A problem with a field's value. The texts are part of the administration API's error responses.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FieldProblem {
-    /// A name without characters.
+    /// An empty name.
     #[error("is empty")]
     Empty,
     /// A name that is too long.
     #[error("is {length} bytes of at most {max}")]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the name in bytes.
         length: usize,
-        /// The longest that is allowed.
+        /// Maximum length in bytes.
         max: usize,
     },
     /// A name with characters that are not allowed.
     #[error("may have a-z, 0-9 and - only")]
     ForbiddenCharacters,
-    /// A number that is negative, infinite or none.
+    /// A number that is negative, infinite or NaN.
     #[error("{0} is no number from 0 up")]
     NotANumberFromZero(f64),
     /// A number that is too large.
     #[error("{found} is over {max}")]
     TooLarge {
-        /// The number.
+        /// The invalid number.
         found: f64,
-        /// The largest that is allowed.
+        /// The maximum.
         max: f64,
     },
-    /// A burst that allows not even one unit.
+    /// A burst below 1, under which no unit could pass.
     #[error("under 1 lets nothing through")]
     BurstBelowOne,
     /// Too many keys.
     #[error("{found} of at most {max}")]
     TooMany {
-        /// How many there are.
+        /// Number of keys.
         found: usize,
-        /// How many are allowed.
+        /// Maximum number of keys.
         max: usize,
     },
-    /// A hash of another form.
+    /// A text that is not a hash.
     #[error("must be 64 hexadecimal digits, a to f small")]
     NotAHash,
     /// Another key of the tenant has the same name or hash.
--- a/crates/tenant-store/src/lib.rs
+++ b/crates/tenant-store/src/lib.rs
@@ -1,10 +1,10 @@
-//! The durable store of tenants: the configuration of each, the hashes of its keys, and a history of all changes with who
-//! made them and when.
+//! The durable store of tenants. It holds the configuration of each tenant with the hashes of its keys, and the history
+//! of all changes: who made each change, and when.
 //!
-//! [`TenantStore`] keeps all of it in one file. A change names the version that it was made from (optimistic concurrency
-//! control), so that of two concurrent changes one fails and learns of the other. A change that
-//! [`TenantStore::change`] confirmed survives a crash at any moment. Snapshots are one compressed stream, and are restored
-//! whole or not at all.
+//! [`TenantStore`] keeps all data in one file. A change names the version on which it is based (optimistic concurrency
+//! control). Of two concurrent changes to a tenant, the second fails and gets the revision that the first one made. A
+//! change that [`TenantStore::change`] has confirmed survives a crash at any time. A snapshot is one compressed stream
+//! and is restored completely or not at all.
 
 #![warn(missing_docs)]
 
--- a/crates/tenant-store/src/revision.rs
+++ b/crates/tenant-store/src/revision.rs
@@ -1,17 +1,17 @@
-//! Revisions: tenants as they were after each change.
+//! Revisions: the state of a tenant after each change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::tenant::Tenant;
 
-/// A tenant as it was after a change.
+/// The state of a tenant after a change.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Revision {
     /// The tenant's name.
     pub name: String,
-    /// The number of the change among those of all tenants; never used again.
+    /// Number of the change, counted over all tenants. A number is never reused.
     pub version: u64,
-    /// When the change was made, in microseconds since 1970.
+    /// Time of the change, in microseconds since the Unix epoch (1970).
     #[serde(rename = "at")]
     pub changed_at: u64,
     /// Who made the change.
--- a/crates/tenant-store/src/snapshot.rs
+++ b/crates/tenant-store/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! Snapshots: lines of JSON, compressed with zstd. The first line is a header and the last a footer, which holds the number
-//! of revisions between them and the BLAKE3 hash of all lines before it. So a truncated or changed snapshot is refused.
+//! Snapshots: lines of JSON, compressed with zstd. The first line is a header, each of the next lines is a revision,
+//! and the last line is a footer. The footer holds the number of revisions and the BLAKE3 hash of all lines before it,
+//! so that a truncated or modified snapshot is rejected.
 
 use std::io::{BufRead, BufReader, Read, Write};
 
@@ -10,18 +11,19 @@
 use crate::store::TenantStore;
 use crate::tenant::check_name;
 
+/// Format and version that the header names.
 const FORMAT: &str = "tideroute tenants 1";
 
-/// Compression level: neither slow nor large.
+/// Compression level of zstd: a compromise between speed and size.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Longest line, in bytes.
-const MAX_LINE: u64 = 1 << 20;
+/// Maximum length of a line, in bytes.
+const MAX_LINE_LENGTH: u64 = 1 << 20;
 
 #[derive(Deserialize, Serialize)]
 struct Header {
     format: String,
-    /// The number of the last change.
+    /// Version of the last change.
     #[serde(rename = "last")]
     last_version: u64,
 }
@@ -30,11 +32,12 @@
 struct Footer {
     #[serde(rename = "entries")]
     revisions: usize,
+    /// BLAKE3 hash of all lines before the footer, in hexadecimal digits.
     checksum: String,
 }
 
 impl TenantStore {
-    /// Writes a snapshot of all that is stored; returns the number of revisions.
+    /// Writes a snapshot of all stored data and returns the number of revisions in it.
     pub fn snapshot(&self, output: impl Write) -> Result<usize, SnapshotError> {
         let revisions = self.all_revisions()?;
         let last_version = self.last_version()?;
@@ -52,9 +55,9 @@
         Ok(revisions.len())
     }
 
-    /// Replaces all that is stored by a snapshot, if the snapshot is complete and valid; otherwise nothing changes. Returns
-    /// the number of revisions. No version is used twice: versions continue from the higher of the snapshot's and the
-    /// store's.
+    /// Replaces all stored data by a snapshot and returns the number of revisions in it. If the snapshot is incomplete
+    /// or invalid, the stored data is unchanged. No version is used twice: versions continue from the higher of the
+    /// snapshot's and the store's last version.
     pub fn restore(&self, input: impl Read) -> Result<usize, SnapshotError> {
         let lines = BufReader::new(zstd::Decoder::new(input)?);
         let (revisions, last_version) = SnapshotReader::new(lines).read()?;
@@ -91,12 +94,12 @@
         SnapshotReader { lines, hasher: blake3::Hasher::new(), last_version: 0, revisions: vec![] }
     }
 
-    /// Returns all revisions, and the number of the last change.
+    /// Reads the snapshot to its end. Returns all revisions and the version of the last change.
     fn read(mut self) -> Result<(Vec<Revision>, u64), SnapshotError> {
         let mut line_number = 0;
         loop {
             let mut line = vec![];
-            self.lines.by_ref().take(MAX_LINE).read_until(b'\n', &mut line)?;
+            self.lines.by_ref().take(MAX_LINE_LENGTH).read_until(b'\n', &mut line)?;
             line_number += 1;
             if line.is_empty() {
                 return Err(SnapshotError::Truncated);
@@ -126,7 +129,7 @@
         if let Some(tenant) = &revision.tenant {
             tenant.check()?;
         }
-        let is_in_order = self.revisions.last().is_none_or(|before| before.version < revision.version);
+        let is_in_order = self.revisions.last().is_none_or(|previous| previous.version < revision.version);
         if revision.version > self.last_version || !is_in_order {
             return Err(LineError::VersionOutOfOrder(revision.version));
         }
@@ -134,7 +137,7 @@
         Ok(())
     }
 
-    /// Checks the last line, the only one that does not end with a newline.
+    /// Checks the footer, the only line that does not end with a newline.
     fn check_footer(&self, line: &[u8]) -> Result<(), SnapshotError> {
         let footer: Footer = serde_json::from_slice(line).map_err(|_| SnapshotError::Truncated)?;
         let checksum = self.hasher.finalize().to_hex();
--- a/crates/tenant-store/src/snapshot_error.rs
+++ b/crates/tenant-store/src/snapshot_error.rs
@@ -3,49 +3,49 @@
 use crate::error::StoreError;
 use crate::field_error::FieldError;
 
-/// Why a snapshot could not be written or restored. A store that could not be restored is unchanged.
+/// The reason why a snapshot could not be written or restored. After a failed restore the store is unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
     /// Reading or writing failed.
     #[error("the snapshot could not be read or written: {0}")]
     Io(#[from] std::io::Error),
-    /// A line is refused.
+    /// A line is invalid, or could not be encoded.
     #[error("line {line} of the snapshot: {error}")]
     Line {
-        /// Number of the line, from 1; 0 while writing.
+        /// Number of the line, from 1; 0 if the snapshot is being written.
         line: usize,
-        /// What is wrong with it.
+        /// The problem with the line.
         error: LineError,
     },
-    /// It ends before its footer.
-    #[error("the snapshot ends before its last line")]
+    /// The snapshot ends before its footer, or its last line is not a footer.
+    #[error("the snapshot is truncated: it ends without a valid footer")]
     Truncated,
-    /// The footer does not fit the lines before it.
-    #[error("the snapshot was changed: its checksum is another")]
+    /// The footer does not match the lines before it.
+    #[error("the snapshot is damaged: the number of revisions or the checksum in the footer does not match its lines")]
     ChecksumMismatch,
-    /// The store failed.
+    /// A call on the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// What is wrong with a line of a snapshot.
+/// A problem with a line of a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// Not the JSON that is expected there.
+    /// The line is not valid JSON of a header (line 1) or of a revision (the other lines).
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The header names another format.
-    #[error("{found:?} is not {expected:?}")]
+    #[error("unknown format {found:?}; expected {expected:?}")]
     Format {
-        /// The format that it names.
+        /// The format that the header names.
         found: String,
-        /// The format that is read.
+        /// The supported format.
         expected: &'static str,
     },
-    /// A field of a tenant has a value that is refused.
+    /// A field of a tenant has an invalid value.
     #[error(transparent)]
     InvalidField(#[from] FieldError),
-    /// A version that is not higher than those before it, or higher than the header's.
-    #[error("version {0} is out of order")]
+    /// The version is not higher than that of the revision before, or is higher than the last version in the header.
+    #[error("version {0} is out of order: versions must rise from line to line, up to the last version in the header")]
     VersionOutOfOrder(u64),
 }
--- a/crates/tenant-store/src/store.rs
+++ b/crates/tenant-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store. Each change is one transaction.
+//! The tenant store. Each change is one transaction.
 
 use std::path::Path;
 
@@ -10,40 +10,41 @@
 use crate::tables::{self, CHANGES, HISTORY, LAST_CHANGE, LAST_CHANGE_KEY, TENANTS};
 use crate::tenant::{check_name, Tenant};
 
-/// Tenants at most.
+/// Maximum number of tenants.
 const MAX_TENANTS: u64 = 100_000;
 
-/// Revisions that one call returns at most.
-const MAX_PAGE: usize = 1_000;
+/// Maximum number of revisions that one call returns.
+const MAX_PAGE_LENGTH: usize = 1_000;
 
-/// What a change expects of the tenant.
+/// A condition on the tenant's current revision under which a change is made.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Precondition {
-    /// There is no such tenant.
+    /// The tenant does not exist.
     Absent,
-    /// The tenant is at this version.
+    /// The tenant exists and its current revision has this version.
     Version(u64),
 }
 
-/// The store of tenants. It can be shared between threads.
+/// The store of tenants. Threads can share it.
 pub struct TenantStore {
     database: ReopeningDatabase,
 }
 
 impl TenantStore {
-    /// Opens the file, or creates it. A file that a crash left behind is repaired, and the database is opened again after
-    /// a call on it has failed.
+    /// Opens the file, or creates it. A file that was left open by a crash is repaired. After a failed call on the
+    /// database, the next call reopens it.
     pub fn open(path: &Path) -> Result<TenantStore, StoreError> {
         let path = path.to_path_buf();
         TenantStore::with_open(Box::new(move || Ok(Database::create(&path)?)))
     }
 
-    /// A store on another kind of storage. It cannot be opened again after a failure.
+    /// Creates a store on any storage backend. It cannot be reopened after a failure.
     pub fn with_backend(backend: impl StorageBackend) -> Result<TenantStore, StoreError> {
         TenantStore::new(Database::builder().create_with_backend(backend)?, None)
     }
 
-    /// A store on another kind of storage, which `make_backend` opens again, with what it holds, after a failure.
+    /// Creates a store on the backend that `make_backend` returns. After a failure `make_backend` is called again; it
+    /// must return a backend with the same contents.
     pub fn with_reopenable_backend<B: StorageBackend>(
         make_backend: impl Fn() -> B + Send + Sync + 'static,
     ) -> Result<TenantStore, StoreError> {
@@ -61,7 +62,7 @@
         Ok(TenantStore { database: ReopeningDatabase::new(database, open) })
     }
 
-    /// The number of the last change; 0 before the first.
+    /// Returns the version of the last change, or 0 before the first change.
     pub fn last_version(&self) -> Result<u64, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
@@ -70,7 +71,7 @@
         })
     }
 
-    /// The present revision of a tenant; `None` if there is no such tenant.
+    /// Returns the current revision of a tenant, or `None` if the tenant does not exist.
     pub fn get(&self, name: &str) -> Result<Option<Revision>, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
@@ -80,7 +81,7 @@
         })
     }
 
-    /// Up to `limit` tenants in the order of their names, those after the name `after`.
+    /// Returns the current revisions of up to `limit` tenants whose names come after `after`, ordered by name.
     pub fn list(&self, after: &str, limit: usize) -> Result<Vec<Revision>, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
@@ -91,7 +92,7 @@
                 if name.value() != after {
                     page.push(tables::decode(name.value(), bytes.value())?);
                 }
-                if page.len() >= limit.min(MAX_PAGE) {
+                if page.len() >= limit.min(MAX_PAGE_LENGTH) {
                     break;
                 }
             }
@@ -99,12 +100,13 @@
         })
     }
 
-    /// Up to `limit` revisions of a tenant before version `before`, the latest first; also of a tenant that was removed.
+    /// Returns up to `limit` revisions of a tenant with versions below `before`, the latest first. The history of a
+    /// removed tenant is kept.
     pub fn history(&self, name: &str, before: u64, limit: usize) -> Result<Vec<Revision>, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
             let history = read.open_table(HISTORY)?;
-            let rows = history.range((name, 0)..(name, before))?.rev().take(limit.min(MAX_PAGE));
+            let rows = history.range((name, 0)..(name, before))?.rev().take(limit.min(MAX_PAGE_LENGTH));
             let mut page = vec![];
             for row in rows {
                 let (_, bytes) = row?;
@@ -114,15 +116,15 @@
         })
     }
 
-    /// Up to `limit` revisions of all tenants after version `after`, in order: what a reader that follows the store has
-    /// missed.
+    /// Returns up to `limit` revisions of all tenants with versions above `after`, in order. A reader that follows the
+    /// store gets the changes that it missed with this.
     pub fn changes(&self, after: u64, limit: usize) -> Result<Vec<Revision>, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
             let changes = read.open_table(CHANGES)?;
             let history = read.open_table(HISTORY)?;
             let mut page = vec![];
-            for row in changes.range(after.saturating_add(1)..)?.take(limit.min(MAX_PAGE)) {
+            for row in changes.range(after.saturating_add(1)..)?.take(limit.min(MAX_PAGE_LENGTH)) {
                 let (version, name) = row?;
                 if let Some(bytes) = history.get((name.value(), version.value()))? {
                     page.push(tables::decode(name.value(), bytes.value())?);
@@ -132,8 +134,8 @@
         })
     }
 
-    /// Adds or changes a tenant, or removes it (`tenant` is `None`), if the precondition holds. Once this returns the new
-    /// revision, it is on the disk.
+    /// Adds or changes a tenant, or removes it (`tenant` is `None`), if the precondition holds. The returned revision
+    /// is on the disk.
     pub fn change(
         &self,
         at: u64,
@@ -164,7 +166,7 @@
         })
     }
 
-    /// All revisions that are kept, in the order of changes.
+    /// Returns all stored revisions, ordered by version.
     pub(crate) fn all_revisions(&self) -> Result<Vec<Revision>, StoreError> {
         self.database.with(|database| {
             let read = database.begin_read()?;
@@ -179,8 +181,8 @@
         })
     }
 
-    /// Replaces all that is stored, in one transaction. Versions continue from the higher of `last_version` and the last
-    /// one before.
+    /// Replaces all stored data in one transaction. Versions continue from the higher of `last_version` and the store's
+    /// previous last version.
     pub(crate) fn replace_all(&self, revisions: &[Revision], last_version: u64) -> Result<(), StoreError> {
         self.database.with(|database| {
             let write = database.begin_write()?;
@@ -193,8 +195,8 @@
             }
             {
                 let mut last_change = write.open_table(LAST_CHANGE)?;
-                let before = last_change.get(LAST_CHANGE_KEY)?.map_or(0, |last| last.value());
-                last_change.insert(LAST_CHANGE_KEY, last_version.max(before))?;
+                let previous_version = last_change.get(LAST_CHANGE_KEY)?.map_or(0, |last| last.value());
+                last_change.insert(LAST_CHANGE_KEY, last_version.max(previous_version))?;
             }
             write.commit()?;
             Ok(())
@@ -202,27 +204,28 @@
     }
 }
 
+/// Fails if the precondition does not hold or if the change would add a tenant beyond [`MAX_TENANTS`].
 fn check_precondition(
     write: &WriteTransaction,
     name: &str,
     precondition: Precondition,
-    keeps_tenant: bool,
+    tenant_remains: bool,
 ) -> Result<(), StoreError> {
     let tenants = write.open_table(TENANTS)?;
-    let present = tenants.get(name)?.map(|bytes| tables::decode(name, bytes.value())).transpose()?;
-    match (precondition, &present) {
-        (Precondition::Absent, None) if keeps_tenant => {}
-        (Precondition::Version(version), Some(present)) if version == present.version => {}
+    let current = tenants.get(name)?.map(|bytes| tables::decode(name, bytes.value())).transpose()?;
+    match (precondition, &current) {
+        (Precondition::Absent, None) if tenant_remains => {}
+        (Precondition::Version(version), Some(current)) if version == current.version => {}
         (_, None) => return Err(StoreError::NotFound),
-        (_, Some(_)) => return Err(StoreError::Conflict(present.map(Box::new))),
+        (_, Some(_)) => return Err(StoreError::Conflict(current.map(Box::new))),
     }
-    if present.is_none() && redb::ReadableTableMetadata::len(&tenants)? >= MAX_TENANTS {
+    if current.is_none() && redb::ReadableTableMetadata::len(&tenants)? >= MAX_TENANTS {
         return Err(StoreError::TooManyTenants(MAX_TENANTS));
     }
     Ok(())
 }
 
-/// Counts one more change and returns its version.
+/// Increments the version of the last change and returns it.
 fn next_version(write: &WriteTransaction) -> Result<u64, StoreError> {
     let mut last_change = write.open_table(LAST_CHANGE)?;
     let version = last_change.get(LAST_CHANGE_KEY)?.map_or(0, |last| last.value()) + 1;
--- a/crates/tenant-store/src/tables.rs
+++ b/crates/tenant-store/src/tables.rs
@@ -1,29 +1,29 @@
-//! The tables of the database, and how much history is kept. Their names are part of the stored data.
+//! The tables of the database, and how much history they keep. The names of the tables are part of the stored data.
 
 use redb::{ReadableTable, TableDefinition, WriteTransaction};
 
 use crate::error::StoreError;
 use crate::revision::Revision;
 
-/// Present revisions of all tenants, as JSON, by name.
+/// The current revision of each tenant as JSON, by name.
 pub(crate) const TENANTS: TableDefinition<&str, &[u8]> = TableDefinition::new("tenants");
 
-/// Revisions as JSON, by name and version.
+/// All kept revisions as JSON, by name and version.
 pub(crate) const HISTORY: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("history");
 
-/// The tenant that each change concerned, by version.
+/// The name of the tenant that each change concerned, by version.
 pub(crate) const CHANGES: TableDefinition<u64, &str> = TableDefinition::new("changes");
 
-/// The number of the last change, under [`LAST_CHANGE_KEY`].
+/// The version of the last change, under [`LAST_CHANGE_KEY`].
 pub(crate) const LAST_CHANGE: TableDefinition<&str, u64> = TableDefinition::new("last");
 
 /// The only key of [`LAST_CHANGE`].
 pub(crate) const LAST_CHANGE_KEY: &str = "change";
 
-/// Revisions kept of one tenant; older ones are dropped.
+/// Number of revisions kept per tenant; older ones are deleted.
 const REVISIONS_KEPT_PER_TENANT: usize = 1_000;
 
-/// Changes kept of all tenants together; older ones are dropped.
+/// Number of changes kept of all tenants together; older ones are deleted.
 const CHANGES_KEPT: u64 = 100_000;
 
 /// Creates the tables that do not exist yet.
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Drops the revisions of a tenant, and the changes of all, that are too old to be kept.
+/// Deletes the revisions of a tenant, and the change of any tenant, that are now beyond the numbers kept.
 pub(crate) fn prune(write: &WriteTransaction, name: &str, last_version: u64) -> Result<(), StoreError> {
     let mut history = write.open_table(HISTORY)?;
     let mut changes = write.open_table(CHANGES)?;
--- a/crates/tenant-store/src/tenant.rs
+++ b/crates/tenant-store/src/tenant.rs
@@ -1,30 +1,30 @@
-//! The configuration of a tenant, and which values are allowed. The serialized names are those of the administration API
-//! and of the stored data; the names of the types stand in the API's error messages.
+//! The configuration of a tenant and its validation. The serialized names are part of the administration API and of the
+//! stored data; the names of the types appear in the API's error messages.
 
 use serde::{Deserialize, Serialize};
 
 use crate::field_error::{FieldError, FieldProblem};
 
-/// Longest name of a tenant or a key, in bytes: names are part of URLs and of metrics' labels.
+/// Maximum length of the name of a tenant or a key, in bytes. Names are part of URLs and of metric labels.
 const MAX_NAME_LENGTH: usize = 63;
 
-/// Keys of one tenant.
+/// Maximum number of keys of a tenant.
 const MAX_KEYS: usize = 16;
 
-/// Largest rate, burst and weight.
+/// Maximum rate, burst and weight.
 const MAX_NUMBER: f64 = 1e9;
 
-/// Digits of a key's hash.
+/// Number of hexadecimal digits in a key's hash.
 const HASH_DIGITS: usize = 64;
 
-/// A limit on a rate.
+/// A rate limit with a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
-    /// Units per second.
+    /// Requests or tokens per second.
     #[serde(rename = "a_second")]
     pub per_second: f64,
-    /// Units at once; 1 at least.
+    /// Requests or tokens that may pass at once; at least 1.
     #[serde(rename = "once")]
     pub burst: f64,
 }
@@ -33,9 +33,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// The name by which it is revoked.
+    /// Name that identifies the key, for example to revoke it.
     pub name: String,
-    /// BLAKE3 of the key, 64 hexadecimal digits. Keys are random, so a slow hash would protect nothing.
+    /// BLAKE3 hash of the key: 64 lower-case hexadecimal digits. Keys are random, so a slow hash would add no
+    /// protection.
     pub hash: String,
 }
 
@@ -43,22 +44,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its part of the capacity, relative to the weights of other tenants.
+    /// Share of the capacity, relative to the weights of the other tenants.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Limit on requests.
+    /// Rate limit on requests.
     #[serde(default, rename = "submissions")]
     pub requests: Option<Rate>,
-    /// Limit on prompt tokens.
+    /// Rate limit on prompt tokens.
     #[serde(default)]
     pub tokens: Option<Rate>,
-    /// Limit on requests in flight.
+    /// Maximum number of requests in flight.
     #[serde(default)]
     pub in_flight: Option<u32>,
-    /// Requests that may wait for admission.
+    /// Maximum number of requests that wait for admission.
     #[serde(default = "default_waiting")]
     pub waiting: u32,
-    /// Keys that clients may use for the tenant.
+    /// Keys with which clients authenticate as this tenant.
     #[serde(default)]
     pub keys: Vec<Key>,
 }
@@ -71,7 +72,7 @@
     100
 }
 
-/// Checks the name of a tenant or a key.
+/// Validates the name of a tenant or a key; `field` is its path for the error.
 pub(crate) fn check_name(field: &str, name: &str) -> Result<(), FieldError> {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     let problem = if name.is_empty() {
@@ -111,7 +112,7 @@
 }
 
 impl Tenant {
-    /// Checks all fields; returns the first one that is refused.
+    /// Validates all fields and returns the error of the first invalid one.
     pub fn check(&self) -> Result<(), FieldError> {
         check_number("weight", self.weight)?;
         if let Some(rate) = &self.requests {
--- a/crates/tenant-store/tests/tenant_store/changes.rs
+++ b/crates/tenant-store/tests/tenant_store/changes.rs
@@ -1,4 +1,4 @@
-//! Preconditions, validation and concurrent changes.
+//! Tests of preconditions, of validation and of concurrent changes.
 
 use std::sync::Arc;
 
@@ -7,16 +7,19 @@
 use crate::support::{memory_store, tenant, weight};
 
 #[test]
-fn a_change_must_name_the_present_version() {
+fn a_change_must_name_the_current_version() {
     let store = memory_store();
     let first = store.change(1, "ann", "harbour", Precondition::Absent, Some(tenant(1.0))).expect("new");
-    let again = store.change(2, "bo", "harbour", Precondition::Absent, Some(tenant(2.0)));
-    assert!(matches!(&again, Err(StoreError::Conflict(Some(e))) if **e == first), "{again:?}");
+    let existing = store.change(2, "bo", "harbour", Precondition::Absent, Some(tenant(2.0)));
+    assert!(
+        matches!(&existing, Err(StoreError::Conflict(Some(revision))) if **revision == first),
+        "{existing:?}"
+    );
     let second = store
         .change(3, "bo", "harbour", Precondition::Version(first.version), Some(tenant(2.0)))
         .expect("changed");
     let stale = store.change(4, "ann", "harbour", Precondition::Version(first.version), None);
-    assert!(matches!(&stale, Err(StoreError::Conflict(Some(e))) if **e == second), "{stale:?}");
+    assert!(matches!(&stale, Err(StoreError::Conflict(Some(revision))) if **revision == second), "{stale:?}");
     let removed =
         store.change(5, "ann", "harbour", Precondition::Version(second.version), None).expect("removed");
     assert!(store.get("harbour").expect("read").is_none());
@@ -25,16 +28,18 @@
     assert!(matches!(missing, Err(StoreError::NotFound)));
     let added_again =
         store.change(7, "ann", "harbour", Precondition::Absent, Some(tenant(4.0))).expect("new again");
-    assert!(added_again.version > removed.version, "a version came twice");
+    assert!(added_again.version > removed.version, "a version was used twice");
     let history = store.history("harbour", u64::MAX, 10).expect("read");
-    let changes_made: Vec<_> =
-        history.iter().map(|e| (e.changed_at, e.changed_by.as_str(), e.tenant.is_some())).collect();
+    let changes_made: Vec<_> = history
+        .iter()
+        .map(|revision| (revision.changed_at, revision.changed_by.as_str(), revision.tenant.is_some()))
+        .collect();
     assert_eq!(changes_made, [(7, "ann", true), (5, "ann", false), (3, "bo", true), (1, "ann", true)]);
     assert_eq!(store.changes(second.version, 10).expect("read"), [removed, added_again]);
 }
 
 #[test]
-fn invalid_values_are_refused_with_their_field() {
+fn a_change_with_an_invalid_value_fails_and_names_the_field() {
     let store = memory_store();
     let mut cases: Vec<(&str, Tenant, &str)> = vec![
         ("", tenant(1.0), "name"),
@@ -66,12 +71,12 @@
 }
 
 #[test]
-fn no_update_is_lost_among_concurrent_changes() {
+fn concurrent_changes_with_preconditions_lose_no_update() {
     let store = Arc::new(memory_store());
     store.change(0, "ann", "harbour", Precondition::Absent, Some(tenant(0.0))).expect("new");
-    let (racers, edits) = (4, 2_500);
-    let threads: Vec<_> = (0..racers)
-        .map(|racer| {
+    let (writers, edits) = (4, 2_500);
+    let threads: Vec<_> = (0..writers)
+        .map(|writer| {
             let store = store.clone();
             std::thread::spawn(move || {
                 let mut conflicts = 0;
@@ -79,7 +84,7 @@
                     loop {
                         let seen = store.get("harbour").expect("read").expect("there");
                         let raised = tenant(seen.tenant.expect("not removed").weight + 1.0);
-                        let by = format!("racer {racer}");
+                        let by = format!("writer {writer}");
                         match store.change(
                             1,
                             &by,
@@ -97,9 +102,13 @@
             })
         })
         .collect();
-    let conflicts: u32 = threads.into_iter().map(|t| t.join().expect("it ends")).sum();
-    assert_eq!(weight(&store, "harbour"), f64::from(racers * edits));
-    assert_eq!(store.last_version().expect("read"), u64::from(1 + racers as u32 * edits as u32));
-    assert!(conflicts > 0, "nobody raced");
-    assert_eq!(store.history("harbour", u64::MAX, 5_000).expect("read").len(), 1_000, "history is bounded");
+    let conflicts: u32 = threads.into_iter().map(|thread| thread.join().expect("the thread ends")).sum();
+    assert_eq!(weight(&store, "harbour"), f64::from(writers * edits));
+    assert_eq!(store.last_version().expect("read"), u64::from(1 + writers as u32 * edits as u32));
+    assert!(conflicts > 0, "no change met a concurrent one");
+    assert_eq!(
+        store.history("harbour", u64::MAX, 5_000).expect("read").len(),
+        1_000,
+        "the history is not bounded"
+    );
 }
--- a/crates/tenant-store/tests/tenant_store/crashes.rs
+++ b/crates/tenant-store/tests/tenant_store/crashes.rs
@@ -1,4 +1,4 @@
-//! Confirmed changes survive a kill.
+//! Changes that the store has confirmed survive a kill of its process.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -9,17 +9,18 @@
 
 use crate::support::{tenant, weight};
 
-/// Environment variable that holds the path of the store, in a process that a test starts in order to kill it.
+/// Environment variable with the path of the store, set in the child process that the test kills.
 const STORE_PATH_VARIABLE: &str = "TIDEROUTE_TEST_STORE";
 
-/// A path for a store that does not exist yet.
+/// Returns a path for a new store; a file left there is deleted.
 fn store_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("tideroute-store-{name}-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
-/// Not a test of its own: the process that the next test kills. It prints each change once it is confirmed.
+/// Runs in the child process that the next test kills, and does nothing in a normal test run. It prints the version of
+/// each change once the store has confirmed it.
 #[test]
 fn crash_child() {
     let Some(path) = std::env::var_os(STORE_PATH_VARIABLE) else { return };
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn confirmed_changes_survive_a_kill_at_any_moment() {
+fn confirmed_changes_survive_a_kill_at_any_time() {
     let path = store_path("kill");
     let mut rng = rand_pcg::Pcg64::seed_from_u64(5);
     let mut confirmed = 0;
@@ -52,13 +53,14 @@
             .expect("it starts");
         let kill_after = rng.random_range(1..40);
         let lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-        // Killed during the change that follows so many confirmed ones: the pipe decides when, no clock.
+        // The child is killed while it makes the change after `kill_after` confirmed ones. The output that is read
+        // decides when, not a clock.
         let confirmed_versions = lines.map_while(Result::ok).filter_map(|line| {
             line.rsplit_once("confirmed ").and_then(|(_, version)| version.trim().parse::<u64>().ok())
         });
-        for (n, version) in confirmed_versions.enumerate() {
+        for (index, version) in confirmed_versions.enumerate() {
             confirmed = version;
-            if n + 1 == kill_after {
+            if index + 1 == kill_after {
                 child.kill().expect("killed");
                 kills += 1;
             }
@@ -66,10 +68,16 @@
         child.wait().expect("it ended");
         let store = TenantStore::open(&path).expect("it opens after a kill");
         let last = store.last_version().expect("read");
-        assert!(last >= confirmed, "{confirmed} was confirmed, {last} is there");
-        assert_eq!(weight(&store, "harbour"), last as f64, "half a change is there");
+        assert!(
+            last >= confirmed,
+            "version {confirmed} was confirmed, but the last stored version is {last}"
+        );
+        assert_eq!(weight(&store, "harbour"), last as f64, "a change is stored in part");
         let history = store.history("harbour", u64::MAX, 1_000).expect("read");
-        assert!(history.windows(2).all(|pair| pair[0].version == pair[1].version + 1), "a change is missing");
+        assert!(
+            history.windows(2).all(|pair| pair[0].version == pair[1].version + 1),
+            "a change is missing from the history"
+        );
         confirmed = last;
     }
     let _ = std::fs::remove_file(&path);
--- a/crates/tenant-store/tests/tenant_store/full_disk.rs
+++ b/crates/tenant-store/tests/tenant_store/full_disk.rs
@@ -1,4 +1,4 @@
-//! A disk that is full for a while.
+//! The store on a disk that is full for some time.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -8,7 +8,7 @@
 
 use crate::support::{tenant, weight};
 
-/// A disk that is full after so many bytes.
+/// A disk in memory on which `bytes_left` more bytes can be written.
 #[derive(Debug, Clone)]
 struct Disk {
     bytes: Arc<Mutex<Vec<u8>>>,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_changes_and_loses_none() {
+fn a_full_disk_fails_changes_and_loses_no_confirmed_one() {
     for capacity in (60_000..900_000).step_by(20_000) {
         let disk = Disk { bytes: Arc::default(), bytes_left: Arc::new(Mutex::new(1 << 30)) };
         let mut confirmed = BTreeMap::new();
@@ -79,23 +79,26 @@
             assert!(matches!(error, Some(StoreError::Database(_)) | None), "{error:?}");
         }
         *disk.bytes_left.lock().expect("no panic") = 1 << 30;
-        let store = TenantStore::with_backend(disk).expect("it opens when there is room again");
+        let store = TenantStore::with_backend(disk).expect("it opens when the disk has space again");
         for (name, revision) in &confirmed {
-            let stored = store.get(name).expect("read").expect("confirmed, so there");
-            assert!(stored.version >= revision.version, "{name}: {} was confirmed", revision.version);
+            let stored = store.get(name).expect("read").expect("a confirmed tenant is stored");
+            assert!(stored.version >= revision.version, "{name}: version {} was confirmed", revision.version);
         }
-        store.change(1, "ann", "after", Precondition::Absent, Some(tenant(1.0))).expect("it goes on");
+        store.change(1, "ann", "after", Precondition::Absent, Some(tenant(1.0))).expect("changes work again");
     }
 }
 
-/// After a time with a full disk the same store works again, with all that was confirmed.
+/// The database refuses all calls after an I/O error until it is reopened. The store reopens it, so once the disk has
+/// space again the same store works again, with all confirmed changes.
 #[test]
-fn the_store_works_again_once_its_disk_does() {
+fn the_store_works_again_once_the_disk_has_space() {
     for capacity in (0..200_000).step_by(10_000) {
         let disk = Disk { bytes: Arc::default(), bytes_left: Arc::new(Mutex::new(1 << 30)) };
         let reopened = disk.clone();
         let store = TenantStore::with_reopenable_backend(move || reopened.clone()).expect("it opens");
-        store.change(1, "ann", "before", Precondition::Absent, Some(tenant(1.0))).expect("there is room");
+        store
+            .change(1, "ann", "before", Precondition::Absent, Some(tenant(1.0)))
+            .expect("the disk has space");
         for round in 0..3 {
             *disk.bytes_left.lock().expect("no panic") = capacity;
             let error = (0..400).find_map(|n| {
@@ -106,7 +109,9 @@
             *disk.bytes_left.lock().expect("no panic") = 1 << 30;
             assert_eq!(weight(&store, "before"), 1.0);
             let name = format!("after-{round}");
-            store.change(1, "ann", &name, Precondition::Absent, Some(tenant(2.0))).expect("it goes on");
+            store
+                .change(1, "ann", &name, Precondition::Absent, Some(tenant(2.0)))
+                .expect("changes work again");
         }
         let names = store.list("", 1_000).expect("read");
         assert!(names.iter().filter(|entry| entry.name.starts_with("after")).count() == 3);
--- a/crates/tenant-store/tests/tenant_store/main.rs
+++ b/crates/tenant-store/tests/tenant_store/main.rs
@@ -1,4 +1,4 @@
-//! The store under concurrent changes, kills, a full disk and damaged snapshots.
+//! Tests of the store with concurrent changes, kills, a full disk and damaged snapshots.
 
 mod changes;
 mod crashes;
--- a/crates/tenant-store/tests/tenant_store/serialized_names.rs
+++ b/crates/tenant-store/tests/tenant_store/serialized_names.rs
@@ -1,4 +1,4 @@
-//! The names in the JSON of tenants: the administration API and stored data depend on them.
+//! The names in the JSON of tenants, on which the administration API and the stored data depend.
 
 use tideroute_tenant_store::{Key, Rate, Revision, Tenant};
 
