--- a/crates/admin/src/administrator.rs
+++ b/crates/admin/src/administrator.rs
@@ -1,32 +1,33 @@
-//! Administrators and their authentication by keys.
+//! Administrators and their authentication with keys.
 
 use crate::api_error::{ApiError, ProblemKind};
 use crate::request::Request;
 
-/// What an administrator may do. Each role may do all that the roles before it may.
+/// The role of an administrator. Each role includes the permissions of the roles before it. The variants' names are
+/// part of error responses.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Role {
-    /// Read tenants, history and statistics.
+    /// May read tenants, history and statistics.
     View,
-    /// Add, change and remove tenants.
+    /// May also add, change and remove tenants.
     Operate,
-    /// Take snapshots.
+    /// May also take snapshots.
     Own,
 }
 
-/// Somebody who may use the API.
+/// A person or program that may use the API.
 #[derive(Clone, Debug)]
 pub struct Administrator {
-    /// The name under which changes are recorded.
+    /// Name under which the administrator's changes are recorded.
     pub name: String,
     /// BLAKE3 hash of the key.
     pub key: [u8; 32],
-    /// What the administrator may do.
+    /// Role, which decides which requests are allowed.
     pub role: Role,
 }
 
 impl Administrator {
-    /// Fails unless the administrator has this role or a higher one.
+    /// Returns a 403 error unless the administrator has this role or a higher one.
     pub(crate) fn require(&self, role: Role) -> Result<(), ApiError> {
         if self.role >= role {
             return Ok(());
@@ -36,8 +37,8 @@
     }
 }
 
-/// The administrator whose key the request shows. All keys are compared, each in constant time, so that the time this
-/// takes tells nothing about any key.
+/// Returns the administrator whose key is in the request's `authorization` field. Compares the key with those of all
+/// administrators, each in constant time, so that the duration reveals nothing about any key.
 pub(crate) fn authenticate<'a>(
     administrators: &'a [Administrator],
     request: &Request,
@@ -52,7 +53,7 @@
     let hash = blake3::hash(key.trim().as_bytes());
     let mut found = None;
     for administrator in administrators {
-        // The equality of blake3::Hash takes constant time.
+        // `blake3::Hash` compares in constant time.
         if blake3::Hash::from_bytes(administrator.key) == hash {
             found = Some(administrator);
         }
--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,4 +1,4 @@
-//! The API: which resources there are, and how each handles a request.
+//! The resources of the API and how each handles a request.
 
 use std::sync::Arc;
 
@@ -14,18 +14,18 @@
 use crate::response::Response;
 use crate::tenant_statistics::TenantStatistics;
 
-/// The API over a store of tenants.
+/// The administration API over a tenant store.
 pub struct Api {
     store: Arc<TenantStore>,
     administrators: Vec<Administrator>,
     statistics: TenantStatistics,
 }
 
-/// What came of a request.
+/// The result of handling a request.
 pub struct Handled {
     /// The response.
     pub response: Response,
-    /// The change that the request made, if any. It is on the disk.
+    /// The revision that the request made, which is on the disk; `None` if the request changed nothing.
     pub change: Option<Revision>,
 }
 
@@ -36,17 +36,17 @@
 }
 
 impl Api {
-    /// An API for these administrators.
+    /// Creates an API that only these administrators may use.
     pub fn new(store: Arc<TenantStore>, administrators: Vec<Administrator>) -> Api {
         Api { store, administrators, statistics: TenantStatistics::default() }
     }
 
-    /// Handles a request.
+    /// Authenticates, routes and executes a request. Errors become problem responses.
     pub fn handle(&self, now: Micros, request: &Request) -> Handled {
         self.route(now, request).unwrap_or_else(|error| error.to_response().into())
     }
 
-    /// Drops the statistics of a tenant that was removed.
+    /// Deletes the statistics of a removed tenant.
     pub fn remove_statistics(&mut self, name: &str) {
         self.statistics.remove(name);
     }
@@ -159,9 +159,9 @@
 
 impl Watcher for Api {
     fn stats(&mut self, core: &str, name: &str, stats: TenantStats) -> Result<(), Malformed> {
-        // A core may report once more on a tenant that was removed.
-        let exists = self.store.get(name).is_ok_and(|revision| revision.is_some());
-        if exists {
+        // A core may still report statistics of a tenant after the tenant was removed.
+        let tenant_exists = self.store.get(name).is_ok_and(|revision| revision.is_some());
+        if tenant_exists {
             self.statistics.record(core, name, stats);
         }
         Ok(())
@@ -190,13 +190,13 @@
     ApiError::new(405, ProblemKind::Method, detail).with_header("allow", allowed)
 }
 
-/// The tenant in the body of a request.
+/// Parses the tenant in the body of a request.
 fn parse_tenant(request: &Request) -> Result<Tenant, ApiError> {
     let content_type = request.header("content-type").unwrap_or_default();
     if content_type.split(';').next().map(str::trim) != Some("application/json") {
         return Err(ApiError::new(415, ProblemKind::ContentType, "the body must be application/json"));
     }
-    // The parser would take an array for an object, field by field.
+    // serde_json would accept an array in place of an object and assign its elements to the fields in order.
     if request.body.trim_ascii_start().first() == Some(&b'[') {
         return Err(ApiError::new(422, ProblemKind::Body, "the body must be an object"));
     }
--- a/crates/admin/src/api_error.rs
+++ b/crates/admin/src/api_error.rs
@@ -1,4 +1,4 @@
-//! Errors of the API, which become problem details (RFC 9457).
+//! Errors of the API. They are sent as problem details (RFC 9457).
 
 use serde::Serialize;
 use tideroute_http::write::reason;
@@ -6,7 +6,7 @@
 
 use crate::response::Response;
 
-/// What kind of problem a response reports; the last part of its type's URN.
+/// The kind of a problem. Its name is the last part of the URN in the problem's `type`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ProblemKind {
     Address,
@@ -64,21 +64,21 @@
     }
 }
 
-/// Why a request is refused.
+/// The reason why a request fails.
 #[derive(Debug, thiserror::Error)]
 #[error("{status}: {detail}")]
 pub(crate) struct ApiError {
     status: u16,
     kind: ProblemKind,
     detail: String,
-    /// The field of the body, or the parameter of the query, that is refused.
+    /// The invalid field of the body or parameter of the query.
     field: Option<String>,
-    /// The tenant's present revision, where the precondition of a change failed.
+    /// The tenant's current revision, if the precondition of a change failed.
     present: Option<Box<Revision>>,
     headers: Vec<(&'static str, String)>,
 }
 
-/// The body of the response, with the members' names of RFC 9457 and two of our own.
+/// The body of an error response: the members of RFC 9457 and two extension members, `field` and `present`.
 #[derive(Serialize)]
 struct ProblemDetails<'a> {
     r#type: String,
@@ -129,7 +129,7 @@
 impl From<StoreError> for ApiError {
     fn from(error: StoreError) -> ApiError {
         match error {
-            StoreError::Conflict(Some(present)) => conflict(present),
+            StoreError::Conflict(Some(current)) => conflict(current),
             StoreError::Conflict(None) => {
                 ApiError::new(409, ProblemKind::Version, "the tenant is not as expected")
             }
@@ -139,19 +139,19 @@
             }
             StoreError::TooManyTenants(_) => ApiError::new(507, ProblemKind::Full, error.to_string()),
             StoreError::Database(_) | StoreError::Closed | StoreError::Corrupt(_) => {
-                tracing::error!(%error, "the tenant store failed");
+                tracing::error!(%error, "tenant store failed; rejecting the request");
                 ApiError::new(503, ProblemKind::Store, error.to_string())
             }
         }
     }
 }
 
-/// The precondition of a change failed; the response holds the present revision.
-fn conflict(present: Box<Revision>) -> ApiError {
-    let detail = format!("the tenant is at version {}, changed by {}", present.version, present.changed_by);
-    let status = if present.tenant.is_some() { 412 } else { 409 };
-    let entity_tag = format!("\"{}\"", present.version);
+/// Returns the error for a change whose precondition failed; it contains the tenant's current revision.
+fn conflict(current: Box<Revision>) -> ApiError {
+    let detail = format!("the tenant is at version {}, changed by {}", current.version, current.changed_by);
+    let status = if current.tenant.is_some() { 412 } else { 409 };
+    let entity_tag = format!("\"{}\"", current.version);
     let mut error = ApiError::new(status, ProblemKind::Version, detail);
-    error.present = Some(present);
+    error.present = Some(current);
     error.with_header("etag", entity_tag)
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,9 +1,10 @@
-//! The administration API: HTTP/1.1 with JSON over the store of tenants.
+//! The administration API of the tenant store: HTTP/1.1 with JSON.
 //!
-//! [`Api`] handles one request and has neither sockets nor a clock. [`AdminServer`] runs it on an event loop, on raw
-//! connections, and passes each change to its callback once the store has confirmed it.
+//! [`Api`] handles one request at a time and uses neither sockets nor a clock. [`AdminServer`] serves it on the
+//! connections of an event loop, and passes each change to a callback once the store has confirmed the change.
 //!
-//! `docs/api.md` lists the resources and the status codes. HTTP follows RFC 9110 and RFC 9112, errors RFC 9457.
+//! `docs/api.md` lists the resources and the status codes. HTTP follows RFC 9110 and RFC 9112, error responses follow
+//! RFC 9457.
 
 #![warn(missing_docs)]
 
--- a/crates/admin/src/pagination.rs
+++ b/crates/admin/src/pagination.rs
@@ -1,4 +1,4 @@
-//! Pages of lists.
+//! Pagination of lists.
 
 use serde::Serialize;
 use tideroute_tenant_store::Revision;
@@ -6,30 +6,31 @@
 use crate::api_error::{ApiError, ProblemKind};
 use crate::request::Request;
 
-/// Entries in a page whose request names no limit.
+/// Maximum number of entries in a page if the request names no limit.
 const DEFAULT_LIMIT: u64 = 100;
 
-/// Entries in a page at most.
+/// Largest limit that a request may name.
 const MAX_LIMIT: u64 = 1_000;
 
 /// One page of revisions.
 #[derive(Serialize)]
 pub(crate) struct Page {
     entries: Vec<Revision>,
-    /// Where the next page begins; none after the last page.
+    /// Cursor of the next page; `None` if there is no further page.
     #[serde(skip_serializing_if = "Option::is_none")]
     next: Option<String>,
 }
 
 impl Page {
-    /// A full page may be followed by another; `cursor` gives the last entry's place.
+    /// Creates a page. A full page may be followed by another one, so it gets the cursor that `cursor` returns for its
+    /// last entry.
     pub fn new(entries: Vec<Revision>, limit: usize, cursor: impl Fn(&Revision) -> String) -> Page {
         let next = entries.last().filter(|_| entries.len() == limit).map(cursor);
         Page { entries, next }
     }
 }
 
-/// Entries that the request wants in a page at most.
+/// Returns the maximum number of entries per page that the request asks for.
 pub(crate) fn page_limit(request: &Request) -> Result<usize, ApiError> {
     let limit = request.query_number("most")?.unwrap_or(DEFAULT_LIMIT);
     if (1..=MAX_LIMIT).contains(&limit) {
--- a/crates/admin/src/precondition.rs
+++ b/crates/admin/src/precondition.rs
@@ -1,11 +1,11 @@
-//! Preconditions of changes (RFC 9110, 13.1). Without them a change could undo another one unseen.
+//! Preconditions of changes (RFC 9110, 13.1). Without them, a change could silently overwrite a concurrent one.
 
 use tideroute_tenant_store::{Precondition, Revision};
 
 use crate::api_error::{ApiError, ProblemKind};
 use crate::request::Request;
 
-/// The precondition that the request names.
+/// Parses the precondition of a change from the request's `if-match` or `if-none-match` field.
 pub(crate) fn parse_precondition(request: &Request) -> Result<Precondition, ApiError> {
     match (request.header("if-match"), request.header("if-none-match")) {
         (None, Some("*")) => Ok(Precondition::Absent),
@@ -23,7 +23,7 @@
     }
 }
 
-/// The entity tag of a revision: its version in quotes.
+/// Returns the entity tag of a revision: its version in quotes.
 pub(crate) fn entity_tag(revision: &Revision) -> String {
     format!("\"{}\"", revision.version)
 }
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,4 +1,4 @@
-//! HTTP requests, parsed by `tideroute-http`.
+//! HTTP requests, which `tideroute-http` parses.
 
 use bytes::{Buf, Bytes, BytesMut};
 use percent_encoding::percent_decode_str;
@@ -6,38 +6,38 @@
 
 use crate::api_error::{ApiError, ProblemKind};
 
-/// Largest head and body in bytes, and most header fields.
-const BOUNDS: Limits = Limits { head: 16 << 10, fields: 64, body: 64 << 10 };
+/// Maximum size of head and body in bytes, and maximum number of header fields.
+const LIMITS: Limits = Limits { head: 16 << 10, fields: 64, body: 64 << 10 };
 
 /// A complete HTTP request.
 #[derive(Debug, Default)]
 pub struct Request {
     /// The method.
     pub method: String,
-    /// The segments of the path, decoded.
+    /// The segments of the path, percent-decoded.
     pub path: Vec<String>,
-    /// Names and values of the query, decoded.
+    /// Names and values of the query's parameters, percent-decoded.
     pub query: Vec<(String, String)>,
     headers: Fields,
     /// The body.
     pub body: Bytes,
-    /// The connection closes after the response.
+    /// Whether the connection closes after the response.
     pub is_last: bool,
 }
 
 impl Request {
-    /// The value of a header field; `None` if there is none, or several of the name.
+    /// Returns the value of a header field; `None` if it is missing or occurs more than once.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.one(name)
     }
 
-    /// The first value of a query parameter.
+    /// Returns the first value of a query parameter.
     pub fn query_parameter(&self, name: &str) -> Option<&str> {
         let parameter = self.query.iter().find(|(parameter_name, _)| parameter_name == name);
         parameter.map(|(_, value)| value.as_str())
     }
 
-    /// The number in a query parameter, if it is given.
+    /// Returns the value of a numeric query parameter, or `None` if the parameter is missing.
     pub(crate) fn query_number(&self, name: &str) -> Result<Option<u64>, ApiError> {
         let Some(text) = self.query_parameter(name) else { return Ok(None) };
         let number = text.parse().map_err(|_| {
@@ -48,14 +48,14 @@
     }
 }
 
-/// Takes the next complete request from the front of `received`; `None` while it is incomplete. After an error the
-/// connection cannot be used any more, as the beginning of the next request is unknown.
+/// Removes the next complete request from the front of `received`; returns `None` while the request is incomplete.
+/// After an error the connection must be closed, because the start of the next request is unknown.
 pub(crate) fn take_request(received: &mut BytesMut) -> Result<Option<Request>, ApiError> {
-    // RFC 9112, 2.2: empty lines before a request are ignored.
+    // Empty lines before a request are ignored (RFC 9112, 2.2).
     while received.starts_with(b"\r\n") {
         received.advance(2);
     }
-    let Some((head, head_length)) = tideroute_http::request(received, &BOUNDS).map_err(parse_error)? else {
+    let Some((head, head_length)) = tideroute_http::request(received, &LIMITS).map_err(parse_error)? else {
         return Ok(None);
     };
     let Framing::Length(body_length) = head.framing else { return Err(parse_error(HttpError::Coding)) };
@@ -96,8 +96,8 @@
     }
 }
 
-fn parse_error(problem: HttpError) -> ApiError {
-    let kind = match problem {
+fn parse_error(error: HttpError) -> ApiError {
+    let kind = match error {
         HttpError::HeadTooLarge(_) => ProblemKind::HeadTooLarge,
         HttpError::TooManyFields(_) => ProblemKind::TooManyFields,
         HttpError::Version => ProblemKind::Version,
@@ -107,5 +107,5 @@
         HttpError::BodyTooLarge(_) => ProblemKind::TooLarge,
         _ => ProblemKind::Malformed,
     };
-    ApiError::new(problem.status(), kind, problem.to_string())
+    ApiError::new(error.status(), kind, error.to_string())
 }
--- a/crates/admin/src/response.rs
+++ b/crates/admin/src/response.rs
@@ -8,16 +8,16 @@
 pub struct Response {
     /// Status code.
     pub status: u16,
-    /// Header fields, without those that frame the body.
+    /// Header fields without those that frame the body, which [`to_bytes`](Response::to_bytes) adds.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response with a body of JSON.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: &impl serde::Serialize) -> Response {
-        // Serialization cannot fail: our types have no maps with keys that are not strings.
+        // Serialization cannot fail: all maps in the serialized types have string keys.
         let body = serde_json::to_vec(body).unwrap_or_default();
         Response { status, headers: vec![("content-type", "application/json".into())], body }
     }
@@ -28,7 +28,7 @@
         self
     }
 
-    /// The response's bytes. `is_last` announces that the connection closes after it.
+    /// Encodes the response. With `is_last` it tells the client that the connection closes after it.
     pub fn to_bytes(&self, is_last: bool) -> Bytes {
         let headers = self.headers.iter().map(|(name, value)| (*name, value.as_str()));
         write::response(self.status, headers, &self.body, is_last)
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The API on an event loop.
+//! Serves the API on an event loop.
 
 use std::collections::BTreeMap;
 
@@ -11,37 +11,39 @@
 use crate::api_error::{ApiError, ProblemKind};
 use crate::request::{take_request, Request};
 
-/// Connections at once: administrators are few.
+/// Maximum number of open connections. There are few administrators.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Time from the first byte of a request until it must be complete.
+/// Time within which a request must be complete, from its first byte.
 const REQUEST_TIMEOUT: Micros = 5_000_000;
 
-/// Time that a connection may idle between two requests.
+/// Time that a connection may be idle between two requests.
 const IDLE_TIMEOUT: Micros = 60_000_000;
 
-/// Requests that are handled from one read. A client that sends more does not read its responses.
+/// Maximum number of requests handled after one read. A client that pipelines more does not read its responses, so its
+/// connection is closed.
 const MAX_PIPELINED_REQUESTS: u32 = 64;
 
 #[derive(Default)]
 struct Connection {
-    /// Bytes received that belong to no complete request yet.
+    /// Received bytes of a request that is not complete yet.
     received: BytesMut,
-    /// When the request must be complete, or a new one begin.
+    /// Time by which the request must be complete, or by which the next one must begin on an idle connection.
     deadline: Micros,
 }
 
-/// Serves the API on the raw connections of an event loop.
+/// Serves the API on the connections of an event loop.
 pub struct AdminServer {
     api: Api,
-    /// Called with each change once it is on the disk.
+    /// Called with each change once the change is on the disk.
     on_change: Box<dyn FnMut(&Revision) + Send>,
     connections: BTreeMap<ConnectionId, Connection>,
     shutting_down: bool,
 }
 
 impl AdminServer {
-    /// A server that calls `on_change` with each change, once it is on the disk and before it is answered.
+    /// Creates a server. It calls `on_change` with each change once the change is on the disk, before it sends the
+    /// response.
     pub fn new(api: Api, on_change: impl FnMut(&Revision) + Send + 'static) -> AdminServer {
         AdminServer {
             api,
@@ -51,14 +53,14 @@
         }
     }
 
-    /// Handles all complete requests of a connection.
+    /// Handles all complete requests that a connection has received.
     fn handle_requests(&mut self, now: Micros, connection_id: ConnectionId, effects: &mut Effects) {
         for _ in 0..MAX_PIPELINED_REQUESTS {
             let Some(connection) = self.connections.get_mut(&connection_id) else { return };
             match take_request(&mut connection.received) {
                 Ok(Some(request)) => {
                     if self.handle_request(now, connection_id, &request, effects) {
-                        return self.close(connection_id, "its last request", effects);
+                        return self.close(connection_id, "response sent to the last request", effects);
                     }
                 }
                 Ok(None) => {
@@ -68,14 +70,14 @@
                 }
                 Err(error) => {
                     effects.send(connection_id, error.to_response().to_bytes(true));
-                    return self.close(connection_id, "a request that cannot be read", effects);
+                    return self.close(connection_id, "malformed or unsupported request", effects);
                 }
             }
         }
-        self.close(connection_id, "too many requests without reading a reply", effects);
+        self.close(connection_id, "too many pipelined requests", effects);
     }
 
-    /// Handles one request; returns whether it is the connection's last.
+    /// Handles one request and returns whether it was the last one of its connection.
     fn handle_request(
         &mut self,
         now: Micros,
@@ -137,7 +139,8 @@
         let deadline = connection.deadline;
         connection.received.extend_from_slice(bytes);
         self.handle_requests(now, connection_id, effects);
-        // A client that sends a byte now and then gets no more time for the same request.
+        // More bytes of the same request do not extend its deadline, so that a client that sends single bytes times
+        // out.
         let Some(connection) = self.connections.get_mut(&connection_id) else { return };
         if was_incomplete && !connection.received.is_empty() {
             connection.deadline = deadline;
@@ -161,7 +164,7 @@
         backpressure: bool,
         effects: &mut Effects,
     ) {
-        // Nothing is read from a client that does not read its responses.
+        // Reading from a client pauses while the client does not read its responses.
         if self.connections.contains_key(&connection_id) {
             effects.pause_reading(connection_id, backpressure);
         }
@@ -178,12 +181,12 @@
             let error = ApiError::new(408, ProblemKind::Slow, detail);
             effects.send(connection_id, error.to_response().to_bytes(true));
         }
-        self.close(connection_id, "nothing more in time", effects);
+        self.close(connection_id, "request timeout or idle timeout", effects);
     }
 
     fn on_message(&mut self, _now: Micros, message: &Bytes, _effects: &mut Effects) {
         if let Err(error) = tideroute_wire::tenant::receive_stats(message, &mut self.api) {
-            tracing::error!(%error, "a core's tenant statistics cannot be read");
+            tracing::error!(%error, "malformed tenant statistics from a core; ignoring them");
         }
     }
 
@@ -194,7 +197,7 @@
         let idle = self.connections.iter().filter(|(_, connection)| connection.received.is_empty());
         let idle: Vec<_> = idle.map(|(connection_id, _)| *connection_id).collect();
         for connection_id in idle {
-            self.close(connection_id, "the administration stops", effects);
+            self.close(connection_id, "server shuts down", effects);
         }
     }
 
--- a/crates/admin/src/tenant_statistics.rs
+++ b/crates/admin/src/tenant_statistics.rs
@@ -1,17 +1,18 @@
-//! Statistics of tenants, which each core reports on its own.
+//! Statistics of tenants, which each core reports separately.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use tideroute_wire::tenant::TenantStats;
 
-/// The last statistics of each tenant from each core.
+/// The latest statistics of each tenant from each core.
 #[derive(Default)]
 pub(crate) struct TenantStatistics {
+    /// Statistics by name of the tenant, then by name of the core.
     by_tenant: BTreeMap<String, BTreeMap<String, TenantStats>>,
 }
 
-/// A tenant's statistics, summed over all cores. The names in JSON are those of the API.
+/// A tenant's statistics, summed over all cores. The JSON names are part of the API.
 #[derive(Default, Serialize)]
 pub(crate) struct TenantTotals<'a> {
     pub name: &'a str,
@@ -38,7 +39,7 @@
         self.by_tenant.remove(tenant);
     }
 
-    /// The totals of up to `limit` tenants in the order of their names, those after the name `after`.
+    /// Returns the totals of up to `limit` tenants whose names come after `after`, ordered by name.
     pub fn totals(&self, after: &str, limit: usize) -> Vec<TenantTotals<'_>> {
         let tenants = self.by_tenant.iter().filter(|(name, _)| name.as_str() > after);
         tenants.take(limit).map(|(name, cores)| TenantTotals::sum(name, cores)).collect()
--- a/crates/admin/tests/raw_requests.rs
+++ b/crates/admin/tests/raw_requests.rs
@@ -1,4 +1,5 @@
-//! The API on raw bytes: what it answers and refuses, and that a refused request changes nothing.
+//! The API server on raw bytes: responses to valid requests, and errors for invalid requests, which must change
+//! nothing.
 
 use std::sync::{Arc, Mutex};
 
@@ -13,16 +14,18 @@
 struct TestServer {
     server: AdminServer,
     store: Arc<TenantStore>,
+    /// The changes that the server passed to its callback: the tenant's name, and whether the tenant remains.
     changes: Arc<Mutex<Vec<String>>>,
     effects: Effects,
+    /// Number of connections opened so far.
     connections: u64,
 }
 
-/// What a client received: the status codes and the last response, and whether the connection was closed.
+/// What a client received on a connection: the status codes, the last response, and whether the connection was closed.
 #[derive(Debug, Default)]
 struct Received {
     statuses: Vec<u16>,
-    last: String,
+    last_response: String,
     closed: bool,
 }
 
@@ -36,10 +39,14 @@
             Administrator { name: name.to_string(), key, role }
         });
         let changes = Arc::new(Mutex::new(vec![]));
-        let reported = changes.clone();
+        let reported_changes = changes.clone();
         let api = Api::new(store.clone(), administrators.to_vec());
-        let server = AdminServer::new(api, move |entry| {
-            reported.lock().expect("no panic").push(format!("{} {}", entry.name, entry.tenant.is_some()));
+        let server = AdminServer::new(api, move |revision| {
+            reported_changes.lock().expect("no panic").push(format!(
+                "{} {}",
+                revision.name,
+                revision.tenant.is_some()
+            ));
         });
         TestServer { server, store, changes, effects: Effects::default(), connections: 0 }
     }
@@ -51,6 +58,7 @@
         connection
     }
 
+    /// Returns what the server has sent since the last call.
     fn received(&mut self) -> Received {
         let mut received = Received::default();
         for effect in self.effects.take() {
@@ -59,7 +67,7 @@
                     let text = String::from_utf8_lossy(&frame).into_owned();
                     assert!(text.starts_with("HTTP/1.1 "), "{text}");
                     received.statuses.push(text[9..12].parse().expect("a status"));
-                    received.last = text;
+                    received.last_response = text;
                 }
                 Effect::Close { .. } => received.closed = true,
                 _ => {}
@@ -68,7 +76,7 @@
         received
     }
 
-    /// Sends bytes on a connection of their own, in chunks.
+    /// Sends bytes in chunks on a new connection and returns what the client received.
     fn send(&mut self, bytes: &[u8], chunk_size: usize) -> Received {
         let connection = self.connect();
         for chunk in bytes.chunks(chunk_size.max(1)) {
@@ -89,6 +97,7 @@
         self.send(text.as_bytes(), usize::MAX)
     }
 
+    /// Returns the version of the last change in the store and the number of changes passed to the callback.
     fn state(&self) -> (u64, usize) {
         (self.store.last_version().expect("read"), self.changes.lock().expect("no panic").len())
     }
@@ -100,9 +109,12 @@
     format!("{method} {path} HTTP/1.1\r\nhost: here\r\n{fields}{json}content-length: {length}\r\n\r\n{body}")
 }
 
+/// Header field with the key of an administrator with the role `Operate`.
 const OPERATE: &str = "authorization: Bearer key-operate\r\n";
+/// Header fields with which `Operate` adds a tenant.
 const NEW: &str = "authorization: Bearer key-operate\r\nif-none-match: *\r\n";
 
+/// Returns header fields with which `Operate` changes a tenant that is at `version`.
 fn matching(version: u64) -> String {
     format!("{OPERATE}if-match: \"{version}\"\r\n")
 }
@@ -112,30 +124,46 @@
     let mut test_server = TestServer::new();
     let added = test_server.request("PUT", "/v1/tenants/harbour", NEW, r#"{"weight": 2}"#);
     assert_eq!(added.statuses, [201]);
-    assert!(added.last.contains("etag: \"1\""), "{}", added.last);
+    assert!(added.last_response.contains("etag: \"1\""), "{}", added.last_response);
     let changed =
         test_server.request("PUT", "/v1/tenants/harbour", &matching(1), r#"{"weight": 3, "in_flight": 7}"#);
     assert_eq!(changed.statuses, [200]);
     let read = test_server.request("GET", "/v1/tenants/harbour", "authorization: Bearer key-view\r\n", "");
-    assert!(read.statuses == [200] && read.last.contains(r#""in_flight":7"#), "{}", read.last);
+    assert!(
+        read.statuses == [200] && read.last_response.contains(r#""in_flight":7"#),
+        "{}",
+        read.last_response
+    );
     let stale = test_server.request("PUT", "/v1/tenants/harbour", &matching(1), r#"{"weight": 9}"#);
-    assert!(stale.statuses == [412] && stale.last.contains(r#""weight":3.0"#), "{}", stale.last);
+    assert!(
+        stale.statuses == [412] && stale.last_response.contains(r#""weight":3.0"#),
+        "{}",
+        stale.last_response
+    );
     let existing = test_server.request("PUT", "/v1/tenants/harbour", NEW, "{}");
-    assert!(existing.statuses == [412] && existing.last.contains("\"version\":2"), "{}", existing.last);
+    assert!(
+        existing.statuses == [412] && existing.last_response.contains("\"version\":2"),
+        "{}",
+        existing.last_response
+    );
     let history = test_server.request("GET", "/v1/tenants/harbour/history", OPERATE, "");
-    assert!(history.statuses == [200] && history.last.contains("\"by\":\"operate\""), "{}", history.last);
+    assert!(
+        history.statuses == [200] && history.last_response.contains("\"by\":\"operate\""),
+        "{}",
+        history.last_response
+    );
     assert_eq!(test_server.request("DELETE", "/v1/tenants/harbour", &matching(2), "").statuses, [204]);
     assert_eq!(test_server.request("GET", "/v1/tenants/harbour", OPERATE, "").statuses, [404]);
     assert_eq!(
         *test_server.changes.lock().expect("no panic"),
         ["harbour true", "harbour true", "harbour false"]
     );
-    let snapshot_key = test_server.request("GET", "/v1/snapshot", "authorization: Bearer key-own\r\n", "");
-    assert_eq!(snapshot_key.statuses, [200]);
+    let snapshot = test_server.request("GET", "/v1/snapshot", "authorization: Bearer key-own\r\n", "");
+    assert_eq!(snapshot.statuses, [200]);
 }
 
 #[test]
-fn lists_come_in_pages() {
+fn list_pages_contain_each_tenant_once_in_order() {
     let mut test_server = TestServer::new();
     for n in 0..25 {
         assert_eq!(test_server.request("PUT", &format!("/v1/tenants/t{n:02}"), NEW, "{}").statuses, [201]);
@@ -143,9 +171,11 @@
     let (mut after, mut names) = (String::new(), vec![]);
     loop {
         let page = test_server.request("GET", &format!("/v1/tenants?most=10&after={after}"), OPERATE, "");
-        let body = page.last.split_once("\r\n\r\n").expect("a body").1;
+        let body = page.last_response.split_once("\r\n\r\n").expect("a body").1;
         let body: serde_json::Value = serde_json::from_str(body).expect("JSON");
-        names.extend(body["entries"].as_array().expect("entries").iter().map(|e| e["name"].to_string()));
+        names.extend(
+            body["entries"].as_array().expect("entries").iter().map(|entry| entry["name"].to_string()),
+        );
         match body["next"].as_str() {
             Some(next) => after = next.to_string(),
             None => break,
@@ -155,7 +185,7 @@
     assert!(names.windows(2).all(|pair| pair[0] < pair[1]));
 }
 
-/// Invalid requests, each with the status code of its response. The function is long because it is a table.
+/// Returns invalid requests, each with the status code of its response. The function is long because it is a table.
 fn invalid_requests() -> Vec<(u16, String)> {
     let own = "authorization: Bearer key-own\r\n";
     let at = "/v1/tenants/t";
@@ -254,7 +284,7 @@
 }
 
 #[test]
-fn invalid_requests_are_refused_with_problem_details_and_change_nothing() {
+fn invalid_requests_get_problem_details_and_change_nothing() {
     let mut test_server = TestServer::new();
     assert_eq!(test_server.request("PUT", "/v1/tenants/there", NEW, "{}").statuses, [201]);
     let cases = invalid_requests();
@@ -264,16 +294,16 @@
         for chunk_size in [usize::MAX, 1, 7] {
             let received = test_server.send(text.as_bytes(), chunk_size);
             let excerpt = &text[..text.len().min(200)];
-            assert_eq!(received.statuses, [*status], "{excerpt:?}: {}", received.last);
-            let body = received.last.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+            assert_eq!(received.statuses, [*status], "{excerpt:?}: {}", received.last_response);
+            let body = received.last_response.split_once("\r\n\r\n").map_or("", |(_, body)| body);
             let problem_details: serde_json::Value = serde_json::from_str(body).expect("problem details");
             assert!(
                 problem_details["status"] == *status
-                    && problem_details["detail"].as_str().is_some_and(|d| d.len() > 5)
+                    && problem_details["detail"].as_str().is_some_and(|detail| detail.len() > 5)
             );
         }
     }
-    assert_eq!(test_server.state(), before, "something changed");
+    assert_eq!(test_server.state(), before, "an invalid request changed the store");
     assert_eq!(test_server.store.list("", 10).expect("read").len(), 1);
 }
 
