--- a/crates/bench-adapter/src/actions.rs
+++ b/crates/bench-adapter/src/actions.rs
@@ -1,10 +1,10 @@
-//! Action records of a reply.
+//! Encodes the scheduler's actions as the records of a reply.
 
 use tideroute::types::{Action, RequestId, TenthMillis};
 
 use crate::instances::InstanceId;
 
-/// Codes of the records, each with its name on the bench's wire.
+/// Codes of the action records, each with its name in the bench's protocol.
 mod code {
     /// `SubmitTo`
     pub const DISPATCH: u8 = 20;
@@ -26,63 +26,67 @@
     pub const REJECT: u8 = 140;
 }
 
-/// Turns the subscription to the endpoint list on.
+/// Value of a `Subscribe` record that starts the subscription to the endpoint list.
 const SUBSCRIBE: u8 = 1;
 
-/// The bench returns the cookie when the timer fires. The scheduler needs none: any timer only wakes it.
+/// The bench returns this cookie when the timer fires. The scheduler does not need to tell timers apart: each timer
+/// only makes it run.
 const TIMER_COOKIE: u32 = 0;
 
-/// Tenths of a millisecond in a millisecond, the unit of the wire.
+/// Tenths of a millisecond per millisecond. The protocol counts time in milliseconds.
 const TENTHS_PER_MILLI: f64 = 10.0;
 
 /// Appends the record of one action.
 pub fn encode(action: Action, instance: InstanceId, buffer: &mut Vec<u8>) {
     match action {
         Action::Dispatch { id, worker, timeout } => {
-            head_with_request(code::DISPATCH, instance, id, buffer);
+            encode_request_head(code::DISPATCH, instance, id, buffer);
             buffer.extend(worker);
-            buffer.extend(millis(timeout));
+            buffer.extend(encode_millis(timeout));
         }
         Action::ReserveDecode { id, worker } => {
-            head_with_request(code::RESERVE_DECODE, instance, id, buffer);
+            encode_request_head(code::RESERVE_DECODE, instance, id, buffer);
             buffer.extend(worker);
         }
-        Action::Release { id } => head_with_request(code::RELEASE, instance, id, buffer),
+        Action::Release { id } => encode_request_head(code::RELEASE, instance, id, buffer),
         Action::CancelAttempt { id, attempt } => {
-            head_with_request(code::CANCEL_ATTEMPT, instance, id, buffer);
+            encode_request_head(code::CANCEL_ATTEMPT, instance, id, buffer);
             buffer.extend(attempt.to_le_bytes());
         }
         Action::Reject { id, retry_after } => {
-            head_with_request(code::REJECT, instance, id, buffer);
-            buffer.extend(millis(retry_after));
+            encode_request_head(code::REJECT, instance, id, buffer);
+            buffer.extend(encode_millis(retry_after));
         }
-        Action::Fail { id } => head_with_request(code::FAIL, instance, id, buffer),
+        Action::Fail { id } => encode_request_head(code::FAIL, instance, id, buffer),
         Action::CheckHealth { worker } => {
-            head(code::CHECK_HEALTH, instance, buffer);
+            encode_head(code::CHECK_HEALTH, instance, buffer);
             buffer.extend(worker);
         }
         Action::WatchEndpoints => {
-            head(code::WATCH_ENDPOINTS, instance, buffer);
+            encode_head(code::WATCH_ENDPOINTS, instance, buffer);
             buffer.push(SUBSCRIBE);
         }
         Action::SetTimer { delay } => {
-            head(code::SET_TIMER, instance, buffer);
-            buffer.extend(millis(delay));
+            encode_head(code::SET_TIMER, instance, buffer);
+            buffer.extend(encode_millis(delay));
             buffer.extend(TIMER_COOKIE.to_le_bytes());
         }
     }
 }
 
-fn head(code: u8, instance: InstanceId, buffer: &mut Vec<u8>) {
+/// Appends the fields with which each record begins.
+fn encode_head(code: u8, instance: InstanceId, buffer: &mut Vec<u8>) {
     buffer.push(code);
     buffer.extend(instance.to_le_bytes());
 }
 
-fn head_with_request(code: u8, instance: InstanceId, id: RequestId, buffer: &mut Vec<u8>) {
-    head(code, instance, buffer);
+/// Appends the fields with which each record that concerns a request begins.
+fn encode_request_head(code: u8, instance: InstanceId, id: RequestId, buffer: &mut Vec<u8>) {
+    encode_head(code, instance, buffer);
     buffer.extend(id.to_le_bytes());
 }
 
-fn millis(duration: TenthMillis) -> [u8; 8] {
+/// Encodes a duration in milliseconds.
+fn encode_millis(duration: TenthMillis) -> [u8; 8] {
     (duration as f64 / TENTHS_PER_MILLI).to_le_bytes()
 }
--- a/crates/bench-adapter/src/batch.rs
+++ b/crates/bench-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! One batch of events and its reply.
+//! Handles a batch of event records and encodes its reply.
 
 use tideroute::types::TenthMillis;
 use tideroute_settings::to_tenth_millis;
@@ -14,13 +14,13 @@
 
 /// The header of a batch.
 pub struct BatchHeader {
-    /// Number of the batch.
+    /// Number of the batch, which the reply repeats.
     pub batch: u32,
-    /// Length of its records, in bytes.
+    /// Length of the batch's records in bytes.
     pub length: u32,
-    /// Number of its records.
+    /// Number of records in the batch.
     pub records: u32,
-    /// The time of all its events.
+    /// Time of all events in the batch.
     pub now: TenthMillis,
 }
 
@@ -36,33 +36,34 @@
     }
 }
 
-/// Handles all events of a batch, and returns the reply: the actions of the instances concerned, in order of their
-/// numbers.
+/// Handles all events of a batch and returns the reply: the actions of all instances that the batch concerns, in the
+/// order of the instances' numbers.
 pub fn handle_batch(
     header: &BatchHeader,
     body: &[u8],
     instances: &mut Instances,
 ) -> Result<Vec<u8>, AdapterError> {
-    let concerned = handle_records(header, body, instances)?;
-    let mut count = 0u32;
+    let instance_ids = handle_records(header, body, instances)?;
+    let mut record_count = 0u32;
     let mut records = Vec::new();
-    for id in concerned {
-        // The batch may have stopped it.
+    for id in instance_ids {
+        // The batch may have stopped the instance.
         let Ok(instance) = instances.get_mut(id) else { continue };
         while let Some(action) = instance.scheduler.next_action(header.now) {
             actions::encode(action, id, &mut records);
-            count += 1;
+            record_count += 1;
         }
     }
     let mut reply = Vec::new();
-    for field in [header.batch, records.len() as u32, count] {
+    for field in [header.batch, records.len() as u32, record_count] {
         reply.extend(field.to_le_bytes());
     }
     reply.extend(records);
     Ok(reply)
 }
 
-/// Handles the records of a batch, and returns the instances that they concern, each once and in order.
+/// Handles the records of a batch and returns the numbers of the instances that they concern, sorted and without
+/// duplicates.
 fn handle_records(
     header: &BatchHeader,
     body: &[u8],
@@ -70,18 +71,18 @@
 ) -> Result<Vec<InstanceId>, AdapterError> {
     let batch = header.batch;
     let mut reader = FieldReader::new(body);
-    let mut concerned = Vec::new();
+    let mut instance_ids = Vec::new();
     for record in 0..header.records {
         let start = reader.position();
         let id = events::handle_record(&mut reader, header.now, instances)
             .map_err(|error| AdapterError::Record { batch, record, start, error })?;
-        concerned.push(id);
+        instance_ids.push(id);
     }
     if reader.remaining() > 0 {
         let excess = reader.remaining();
         return Err(AdapterError::TrailingBytes { batch, excess, records: header.records });
     }
-    concerned.sort_unstable();
-    concerned.dedup();
-    Ok(concerned)
+    instance_ids.sort_unstable();
+    instance_ids.dedup();
+    Ok(instance_ids)
 }
--- a/crates/bench-adapter/src/error.rs
+++ b/crates/bench-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the adapter's input.
+//! Errors of the adapter's input and output.
 
 use std::io;
 
@@ -7,44 +7,44 @@
 
 use crate::instances::InstanceId;
 
-/// Why a record can't be read or carried out.
+/// The reason why a field or record cannot be decoded or handled.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    #[error("{field} at byte {position} needs {needed} bytes, {remaining} are left")]
+    #[error("field {field} at byte {position} needs {needed} bytes, but {remaining} bytes are left")]
     Truncated { field: &'static str, position: usize, needed: usize, remaining: usize },
-    #[error("event code {0} is unknown")]
+    #[error("unknown event code {0}")]
     EventCode(u8),
-    #[error("instance {0} was never enlisted")]
+    #[error("instance {0} is not running: it was never enlisted, or was killed")]
     UnknownInstance(InstanceId),
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("list kind {0} is unknown")]
+    #[error("unknown kind {0} of endpoint list")]
     ListKind(u8),
-    #[error("worker state {0} is unknown")]
+    #[error("unknown worker state {0}")]
     WorkerState(u8),
-    #[error("outcome {0} is unknown")]
+    #[error("unknown outcome code {0} of an attempt")]
     Outcome(u8),
-    #[error("answer {0} on a place is unknown")]
+    #[error("unknown reservation answer {0}")]
     ReservationAnswer(u8),
-    #[error("class {class} of request {id} is not in the settings")]
+    #[error("the settings have no class {class}, which request {id} names")]
     UnknownClass { class: u8, id: RequestId },
 }
 
-/// Why the adapter ends before the end of its input.
+/// The reason why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    #[error("standard input: {0}")]
+    #[error("could not read standard input: {0}")]
     Input(io::Error),
-    #[error("standard output: {0}")]
+    #[error("could not write to standard output: {0}")]
     Output(io::Error),
-    #[error("a header of {expected} bytes was cut off after {received}")]
+    #[error("the input ends in a batch header: expected {expected} bytes, received {received}")]
     TruncatedHeader { expected: usize, received: usize },
-    #[error("batch {batch} of {expected} bytes was cut off after {received}")]
+    #[error("the input ends in batch {batch}: expected {expected} bytes, received {received}")]
     TruncatedBatch { batch: u32, expected: u32, received: usize },
     #[error(transparent)]
     Header(#[from] RecordError),
-    #[error("batch {batch}, record {record} from byte {start}: {error}")]
+    #[error("batch {batch}, record {record} at byte {start}: {error}")]
     Record { batch: u32, record: u32, start: usize, error: RecordError },
-    #[error("batch {batch}: {excess} bytes follow its {records} records")]
+    #[error("batch {batch}: {excess} unexpected bytes after its {records} records")]
     TrailingBytes { batch: u32, excess: usize, records: u32 },
 }
--- a/crates/bench-adapter/src/events.rs
+++ b/crates/bench-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Event records: each becomes one or more calls of the scheduler of its instance.
+//! Decodes event records and calls the scheduler of the instance that each record names.
 
 use tideroute::types::{AttemptOutcome, Endpoint, EndpointStatus, NewRequest, TenthMillis, WorkerId};
 use tideroute_settings::{to_tenth_millis, Settings};
@@ -7,7 +7,7 @@
 use crate::field_reader::FieldReader;
 use crate::instances::{Instance, InstanceId, Instances};
 
-/// Codes of the records, each with its name on the bench's wire.
+/// Codes of the event records, each with its name in the bench's protocol.
 mod code {
     /// `Enlist`
     pub const START_INSTANCE: u8 = 10;
@@ -35,29 +35,29 @@
 
 /// Kinds of endpoint lists.
 mod list_kind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     pub const DELTA: u8 = 0;
     /// The complete list.
     pub const FULL: u8 = 1;
-    /// The complete list as the instance last had it, possibly stale.
+    /// The complete list as the instance last received it; possibly stale.
     pub const CACHED: u8 = 2;
-    /// A call for the list failed, or a subscription ended; the list stays in force.
+    /// A request for the list failed or a subscription ended. The instance keeps the list that it has.
     pub const FAILED: u8 = 3;
 }
 
-/// A worker's answer to a reservation.
+/// A worker's answers to a reservation.
 mod reservation_answer {
     pub const GRANTED: u8 = 1;
     pub const DENIED: u8 = 2;
 }
 
-/// The `info` of a rejected attempt that found no KV state to fetch.
+/// The `info` of an attempt that was rejected because the KV state to fetch was missing.
 const INFO_STATE_MISSING: u32 = 1;
 
-/// The `code` of a health check that was answered.
+/// The `code` of a successful health check.
 const HEALTHY: u8 = 0;
 
-/// Reads one record and passes it on to its instance, whose number it returns.
+/// Decodes and handles one record. Returns the number of the instance that the record names.
 pub fn handle_record(
     reader: &mut FieldReader,
     now: TenthMillis,
@@ -243,14 +243,14 @@
     Ok(())
 }
 
-/// The load that a report names in the column that the instance uses.
+/// Returns the load that a report gives in the column that the instance's settings select; `None` if there is none.
 fn reported_load(instance: &Instance, columns: &[f32]) -> Option<f64> {
     let report = instance.report.as_ref()?;
     let value = *columns.get(report.column)?;
     report.load(f64::from(value))
 }
 
-/// Messages between routers are not used.
+/// Skips a message from another router; the scheduler uses no such messages.
 fn peer_message(
     reader: &mut FieldReader,
     _now: TenthMillis,
@@ -284,7 +284,7 @@
     reader.array("worker")
 }
 
-/// The columns of a load report.
+/// Reads the columns of a load report.
 fn load_report(reader: &mut FieldReader) -> Result<Vec<f32>, RecordError> {
     let count = reader.u8("report length")?;
     (0..count).map(|_| reader.f32("report value")).collect()
--- a/crates/bench-adapter/src/field_reader.rs
+++ b/crates/bench-adapter/src/field_reader.rs
@@ -1,8 +1,8 @@
-//! Reads little-endian fields one after the other.
+//! Reads consecutive little-endian fields.
 
 use crate::error::RecordError;
 
-/// A position in the data of a batch. Reading past the end is an error that names the field.
+/// Reads fields from a header or from the records of a batch. Reading past the end is an error that names the field.
 pub struct FieldReader<'a> {
     data: &'a [u8],
     position: usize,
@@ -31,6 +31,7 @@
         self.data.len() - self.position
     }
 
+    /// Reads `count` bytes.
     pub fn bytes(&mut self, count: usize, field: &'static str) -> Result<&'a [u8], RecordError> {
         let position = self.position;
         let remaining = self.remaining();
@@ -41,6 +42,7 @@
         Ok(&self.data[position..self.position])
     }
 
+    /// Reads `N` bytes into an array.
     pub fn array<const N: usize>(&mut self, field: &'static str) -> Result<[u8; N], RecordError> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N, field)?);
--- a/crates/bench-adapter/src/instances.rs
+++ b/crates/bench-adapter/src/instances.rs
@@ -11,27 +11,27 @@
 /// The bench's number of an instance.
 pub type InstanceId = u16;
 
-/// One router instance. Instances share nothing.
+/// One router instance. Instances share no state.
 pub struct Instance {
     pub scheduler: Scheduler,
-    /// The column of load reports that the scheduler uses.
+    /// Column of load reports from which the scheduler takes the load; `None` if it uses no load reports.
     pub report: Option<LoadReportColumn>,
 }
 
-/// The running instances by number.
+/// The running instances, by number.
 #[derive(Default)]
 pub struct Instances {
     running: BTreeMap<InstanceId, Instance>,
 }
 
 impl Instances {
-    /// Starts an instance, in place of one that has the same number.
+    /// Starts an instance. It replaces a running instance with the same number.
     pub fn start(&mut self, id: InstanceId, settings: Settings, seed: u64, now: TenthMillis) {
         let scheduler = Scheduler::new(settings.scheduler, seed, now);
         self.running.insert(id, Instance { scheduler, report: settings.load_report });
     }
 
-    /// Stops an instance, which forgets everything.
+    /// Stops an instance and drops its state.
     pub fn stop(&mut self, id: InstanceId) -> Result<(), RecordError> {
         match self.running.remove(&id) {
             Some(_) => Ok(()),
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Speaks the bench's binary wire on standard input and output, and runs one scheduler for each router instance that the
-//! bench starts.
+//! Connects the scheduler to the bench, a simulator of the workers and clients. The adapter speaks the bench's binary
+//! protocol on standard input and output, and runs one scheduler for each router instance that the bench starts.
 //!
-//! Input is a sequence of batches of event records; each batch gets one reply with the actions of all instances that it
-//! concerned. All numbers are little-endian. Input that can't be read ends the process with one line on standard error.
+//! The input is a sequence of batches of event records. Each batch gets one reply with the actions of all instances
+//! that the batch concerns. All numbers are little-endian. After malformed input, the process exits with one line on
+//! standard error.
 
 #![warn(missing_docs)]
 
--- a/crates/bench-adapter/src/server.rs
+++ b/crates/bench-adapter/src/server.rs
@@ -1,4 +1,4 @@
-//! Reads batches until the input ends, and writes their replies.
+//! Reads batches until the input ends and writes their replies.
 
 use std::io::{Read, Write};
 
@@ -6,7 +6,7 @@
 use crate::error::AdapterError;
 use crate::instances::Instances;
 
-/// Serves the bench until the input ends between two batches.
+/// Serves the bench until the input ends. It is an error if the input ends within a batch.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut instances = Instances::default();
     while let Some(header) = read_header(&mut input)? {
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// The next header; `None` at the end of the input.
+/// Reads the next header; returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
     let bytes = read_up_to(input, HEADER_LENGTH as u64)?;
     if bytes.is_empty() {
@@ -42,8 +42,8 @@
     Ok(body)
 }
 
-/// Reads until the input ends or as many bytes are there. Memory grows with what is read, not with what a header
-/// announces.
+/// Reads `count` bytes, or fewer if the input ends before. Memory grows with the bytes that are received, not with the
+/// length that a header announces.
 fn read_up_to(input: &mut impl Read, count: u64) -> Result<Vec<u8>, AdapterError> {
     let mut data = Vec::new();
     input.take(count).read_to_end(&mut data).map_err(AdapterError::Input)?;
