--- a/crates/admin/tests/raw_requests.rs
+++ b/crates/admin/tests/raw_requests.rs
@@ -307,6 +307,7 @@
     assert_eq!(test_server.store.list("", 10).expect("read").len(), 1);
 }
 
+/// The request after `connection: close` must not be handled.
 #[test]
 fn pipelined_requests_are_answered_until_the_last_one() {
     let mut test_server = TestServer::new();
@@ -316,6 +317,7 @@
     assert_eq!((received.statuses.as_slice(), received.closed), ([200, 200, 200].as_slice(), true));
 }
 
+/// A client that sends single bytes must not keep a connection open: further bytes do not extend a request's deadline.
 #[test]
 fn a_slow_request_times_out_with_408_and_an_idle_connection_is_closed() {
     let mut test_server = TestServer::new();
@@ -335,6 +337,7 @@
     assert!(test_server.received().closed);
 }
 
+/// Mutates requests that are not allowed to change anything, and sends them in chunks of random size.
 #[test]
 fn random_bytes_neither_panic_nor_change_anything() {
     let mut test_server = TestServer::new();
--- a/crates/admission/src/concurrency_limit/tests.rs
+++ b/crates/admission/src/concurrency_limit/tests.rs
@@ -32,6 +32,8 @@
     }
 }
 
+/// Responses in time at low load say nothing about the capacity. If the limit grew with them, it would be far too high
+/// when the load rises.
 #[test]
 fn the_limit_does_not_grow_while_it_is_not_reached() {
     let mut concurrency_limit = ConcurrencyLimit::default();
@@ -39,6 +41,8 @@
     assert_eq!(concurrency_limit.limit(), INITIAL_LIMIT);
 }
 
+/// Responses to requests that were admitted under the old limit still arrive late after a decrease. If they counted,
+/// one overload would decrease the limit several times.
 #[test]
 fn responses_to_requests_admitted_before_a_decrease_cause_no_second_one() {
     let mut concurrency_limit = ConcurrencyLimit::default();
--- a/crates/bench-adapter/tests/wire_format.rs
+++ b/crates/bench-adapter/tests/wire_format.rs
@@ -131,6 +131,7 @@
     assert_eq!(&output.stdout[12 + 11..12 + 17], [10, 0, 0, 3, 136, 19]);
 }
 
+/// Also covers lengths that are far larger than the input, for which the adapter must not allocate memory in advance.
 #[test]
 fn malformed_input_exits_with_one_line_that_names_the_error() {
     let valid = batch(&[start_instance(0, SETTINGS), endpoint_list(0, 2, &[(0, 1), (1, 2)])]);
--- a/crates/tenant-store/tests/tenant_store/changes.rs
+++ b/crates/tenant-store/tests/tenant_store/changes.rs
@@ -70,6 +70,8 @@
     assert_eq!(store.last_version().expect("read"), 0);
 }
 
+/// Each writer reads the tenant, raises its weight by 1 and writes it back. If a change were made although its
+/// precondition no longer holds, it would overwrite a concurrent change and the final weight would be too low.
 #[test]
 fn concurrent_changes_with_preconditions_lose_no_update() {
     let store = Arc::new(memory_store());
--- a/crates/tenant-store/tests/tenant_store/crashes.rs
+++ b/crates/tenant-store/tests/tenant_store/crashes.rs
@@ -36,6 +36,7 @@
     }
 }
 
+/// Kills a process that makes changes, and checks that each change that it had confirmed is stored completely.
 #[test]
 fn confirmed_changes_survive_a_kill_at_any_time() {
     let path = store_path("kill");
--- a/crates/tenant-store/tests/tenant_store/full_disk.rs
+++ b/crates/tenant-store/tests/tenant_store/full_disk.rs
@@ -53,6 +53,8 @@
     }
 }
 
+/// Fills the disk during changes, at many capacities, so that writes fail at different steps of a transaction. Only the
+/// unconfirmed change may be lost, and the file must open again.
 #[test]
 fn a_full_disk_fails_changes_and_loses_no_confirmed_one() {
     for capacity in (60_000..900_000).step_by(20_000) {
--- a/crates/tenant-store/tests/tenant_store/snapshots.rs
+++ b/crates/tenant-store/tests/tenant_store/snapshots.rs
@@ -4,6 +4,8 @@
 
 use crate::support::{memory_store, tenant};
 
+/// Cuts a snapshot at each byte and modifies each byte. A restore that accepted such a snapshot would replace the
+/// stored data by a part of it.
 #[test]
 fn a_snapshot_is_restored_completely_or_not_at_all() {
     let store = memory_store();
