--- a/crates/emulator/src/config.rs
+++ b/crates/emulator/src/config.rs
@@ -1,91 +1,91 @@
-//! What an emulated worker is told when it starts.
+//! The configuration of an emulated worker.
 
 use tideroute_wire::{Address, Micros};
 
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a worker does.
+/// The role of a worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WorkerRole {
-    /// It prefills prompts and keeps their KV state until it is fetched.
+    /// Prefills prompts and keeps their KV state until a decode worker has fetched it.
     Prefill,
-    /// It fetches KV state and decodes.
+    /// Fetches KV state from prefill workers and decodes.
     Decode,
-    /// It decodes, and prefills prompts that come without KV state itself.
+    /// Decodes; also prefills the prompt itself if a request names no prefill worker to fetch KV state from.
     Mixed,
 }
 
-/// What a script may do to a worker.
+/// A fault that a script injects into a worker.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ScriptedFault {
-    /// Reject all new work, or no longer.
+    /// Rejects all new work (true), or stops rejecting it (false).
     Reject(bool),
-    /// Answer all new work with a server error, or no longer.
+    /// Answers all new work with a server error (true), or stops doing so (false).
     ServerError(bool),
-    /// Take so many times as long for everything.
+    /// Multiplies the time of every prefill step and token by this factor.
     Slow(f64),
-    /// Keep all connections, and send nothing any more. What was in flight is lost.
+    /// Keeps all connections open but sends nothing any more. Work in flight is lost.
     Silent,
-    /// End at once.
+    /// Ends the process at once.
     Crash,
-    /// Register as draining, take no new work and finish the rest. It is the graceful shutdown, no fault.
+    /// Starts a graceful shutdown: registers as draining, rejects new work and finishes the work in flight.
     Drain,
-    /// Flip a bit in each chunk of KV state that is sent, or no longer.
+    /// Flips a bit in each chunk of KV state that it sends (true), or stops doing so (false).
     CorruptState(bool),
 }
 
-/// The configuration of a worker. Times are microseconds.
+/// The configuration of a worker. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct WorkerConfig {
-    /// Its name, for logs and its Hello.
+    /// The name that appears in logs and in Hello messages.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the worker listens.
     pub address: Address,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: Address,
-    /// What it does.
+    /// The role of the worker.
     pub role: WorkerRole,
-    /// Its worker kind, as it registers it.
+    /// The worker kind that it registers with discovery.
     pub kind: u16,
-    /// Its relative capacity, as it registers it.
+    /// The relative capacity that it registers with discovery.
     pub size: f64,
-    /// Its cell.
+    /// The cell of the worker.
     pub cell: u16,
-    /// Its zone.
+    /// The zone of the worker.
     pub zone: u8,
-    /// It counts as one that started long ago.
+    /// Whether the worker is warm from its start, as one that started long ago.
     pub is_warm: bool,
-    /// Prefills that run at once.
+    /// Number of prefills that run concurrently.
     pub prefill_slots: usize,
-    /// Prefills that are queued at most.
+    /// Maximum number of queued prefills.
     pub max_queued_prefills: usize,
-    /// Prompt tokens a second of one prefill.
+    /// Prompt tokens that one prefill processes per second.
     pub prefill_tokens_per_second: f64,
-    /// Streams that are decoded at once.
+    /// Number of streams that are decoded concurrently.
     pub decode_slots: usize,
-    /// Streams that are queued at most.
+    /// Maximum number of queued streams.
     pub max_queued_streams: usize,
-    /// The time between two tokens of a stream.
+    /// Time between two tokens of a stream.
     pub token_interval: Micros,
-    /// Bytes of KV state for one prompt token.
+    /// Bytes of KV state per prompt token.
     pub state_bytes_per_token: u32,
-    /// The part of its capacity that it has when it starts.
+    /// Share of its capacity that the worker has when it starts, from 0 to 1.
     pub cold_capacity_share: f64,
-    /// The time after which it has warmed up; its capacity grows linearly until then.
+    /// Time from the start until the worker is warm. Its capacity grows linearly until then.
     pub warm_up: Micros,
-    /// The multiple of its present capacity at which it crashes while it warms up.
+    /// Multiple of its present capacity above which a worker that is still warming up crashes.
     pub overload_multiple: f64,
-    /// The time over which the work sent is added up.
+    /// Time window over which the received work is added up to detect overload.
     pub overload_window: Micros,
-    /// Shared prefixes whose KV state it keeps cached.
+    /// Maximum number of shared prefixes whose KV state is cached.
     pub max_cached_prefixes: usize,
-    /// What goes wrong, and how long after the start.
+    /// The scripted faults, each with its time after the start.
     pub script: Vec<(Micros, ScriptedFault)>,
 }
 
 impl WorkerConfig {
-    /// Tokens a second that it processes once it has warmed up: prompt tokens of a prefill worker, else decoded ones.
+    /// Returns the tokens per second that the warm worker processes: prompt tokens if it is a prefill worker, else
+    /// decoded tokens.
     pub fn tokens_per_second(&self) -> f64 {
         match self.role {
             WorkerRole::Prefill => self.prefill_tokens_per_second * self.prefill_slots as f64,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Microseconds that a warm worker takes to prefill so many tokens.
+    /// Returns the microseconds that a warm worker takes to prefill `tokens`.
     pub fn prefill_time(&self, tokens: u32) -> f64 {
         f64::from(tokens) / self.prefill_tokens_per_second * MICROS_PER_SECOND
     }
--- a/crates/emulator/src/decode.rs
+++ b/crates/emulator/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decode reservations, KV state that is fetched, and streams of tokens.
+//! The decode stage: decode reservations, fetching of KV state, and streams of tokens.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,56 +12,57 @@
 use crate::timers::TimerKey;
 use crate::work_context::WorkContext;
 
-/// A reservation that a router asks for.
+/// A router's request for a decode reservation.
 pub struct ReservationRequest {
     pub id: GlobalRequestId,
     pub router: ConnectionId,
     pub max_tokens: u32,
-    /// Where the KV state is being made.
+    /// The prefill worker that computes the KV state.
     pub prefill_worker: Address,
 }
 
-/// A decode that a router asks for.
+/// A router's request for a decode.
 pub struct DecodeRequest {
     pub id: GlobalRequestId,
     pub router: ConnectionId,
     pub attempt: u16,
     pub prompt_tokens: u32,
     pub max_tokens: u32,
-    /// Where the KV state is; None if the worker is to prefill the prompt itself.
+    /// The prefill worker that has the KV state; `None` if this worker is to prefill the prompt itself.
     pub prefill_worker: Option<Address>,
-    /// Tokens that may be sent ahead of the client.
+    /// Maximum number of tokens sent that the client has not consumed yet.
     pub window: u32,
     pub prompt: Bytes,
 }
 
-/// How far the KV state of a stream has come.
+/// The progress of the transfer of a stream's KV state.
 enum StateProgress {
     NotRequested,
+    /// The bytes received so far.
     Fetching(BytesMut),
-    /// Its checksum, from which the response follows.
+    /// The checksum of the state, which determines the response.
     Complete(u32),
-    /// There was none, or it broke on the way.
+    /// The prefill worker has no such state, or the state was corrupted or lost during the transfer.
     Missing,
 }
 
 struct Stream {
     router: ConnectionId,
-    /// None while it is only reserved.
+    /// The attempt that runs; `None` while the stream is only reserved.
     attempt: Option<u16>,
     serial: u64,
     prefill_worker: Option<Address>,
     max_tokens: u32,
     prompt_tokens: u32,
-    /// The checksum of the KV state, if this worker prefills the prompt itself.
-    own_state_crc: Option<u32>,
+    /// The checksum of the KV state if this worker prefills the prompt itself, else `None`.
+    local_state_crc: Option<u32>,
     is_queued: bool,
     state: StateProgress,
     tokens_sent: u32,
-    /// Tokens sent that the client has not taken yet.
+    /// Tokens sent that the client has not consumed yet.
     tokens_in_flight: u32,
     window: u32,
-    /// The window is full.
+    /// Whether the stream waits because its window is full.
     is_paused: bool,
 }
 
@@ -74,7 +75,7 @@
             prefill_worker,
             max_tokens,
             prompt_tokens: 0,
-            own_state_crc: None,
+            local_state_crc: None,
             is_queued: false,
             state: StateProgress::NotRequested,
             tokens_sent: 0,
@@ -89,7 +90,7 @@
     }
 }
 
-/// All streams and reservations of a worker.
+/// The streams and decode reservations of a worker.
 #[derive(Default)]
 pub struct DecodeStage {
     streams: BTreeMap<GlobalRequestId, Stream>,
@@ -98,12 +99,12 @@
 }
 
 impl DecodeStage {
-    /// Nothing is reserved, runs or is queued.
+    /// Returns whether there is no reservation and no running or queued stream.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Slots in use, reserved ones among them.
+    /// Returns the number of slots in use, including reserved ones.
     pub fn slots_in_use(&self) -> usize {
         self.streams.len() - self.queue.len()
     }
@@ -112,11 +113,11 @@
         self.queue.len()
     }
 
-    /// A router asks for a reservation. It is made if a slot is free at once; the KV state is then fetched while it is
-    /// still being prefilled.
+    /// Handles a router's request for a reservation. It succeeds only if a slot is free now. The KV state is then
+    /// fetched while the prefill is still running.
     pub fn reserve(&mut self, request: ReservationRequest, context: &mut WorkContext) {
         let ReservationRequest { id, router, max_tokens, prefill_worker } = request;
-        let is_reserved = self.may_reserve(id, context);
+        let is_reserved = self.can_reserve(id, context);
         context.send(router, worker::reservation_answered(id.local_id, is_reserved));
         if is_reserved {
             let serial = context.state.next_serial();
@@ -125,17 +126,18 @@
         }
     }
 
-    fn may_reserve(&self, id: GlobalRequestId, context: &WorkContext) -> bool {
+    fn can_reserve(&self, id: GlobalRequestId, context: &WorkContext) -> bool {
         let config = &context.state.config;
         let has_free_slot = self.slots_in_use() < config.decode_slots && self.queue.is_empty();
         has_free_slot
             && config.role != WorkerRole::Prefill
-            && context.state.takes_work()
+            && context.state.accepts_work()
             && !self.streams.contains_key(&id)
     }
 
-    /// A router asks for a decode.
-    pub fn request(&mut self, request: &DecodeRequest, context: &mut WorkContext) {
+    /// Handles a router's request for a decode: uses its reservation if there is one, else queues the stream or reports
+    /// to the router why the attempt failed.
+    pub fn handle_request(&mut self, request: &DecodeRequest, context: &mut WorkContext) {
         let DecodeRequest { id, router, attempt, .. } = *request;
         if context.state.fails_work || context.state.config.role == WorkerRole::Prefill {
             self.remove(id);
@@ -144,7 +146,7 @@
         if self.use_reservation(request) {
             return self.advance(id, context);
         }
-        if let Some(failure) = self.refuses(request, context) {
+        if let Some(failure) = self.rejection_cause(request, context) {
             return context.attempt_failed(router, id, attempt, failure);
         }
         let serial = context.state.next_serial();
@@ -156,14 +158,15 @@
         if request.prefill_worker.is_none() {
             let bytes_per_token = context.state.config.state_bytes_per_token;
             let state = kv_state::generate(&request.prompt, request.prompt_tokens, bytes_per_token);
-            stream.own_state_crc = Some(crc32fast::hash(&state));
+            stream.local_state_crc = Some(crc32fast::hash(&state));
         }
         self.insert(id, stream);
         self.queue.push_back(id);
         self.start_queued(context);
     }
 
-    /// Returns whether the request has a reservation of the same router.
+    /// Assigns the attempt to the reservation that the same router made for the request. Returns false if there is
+    /// none.
     fn use_reservation(&mut self, request: &DecodeRequest) -> bool {
         let Some(stream) = self.streams.get_mut(&request.id) else { return false };
         if stream.attempt.is_some() || stream.router != request.router {
@@ -174,12 +177,13 @@
         true
     }
 
-    fn refuses(&self, request: &DecodeRequest, context: &WorkContext) -> Option<AttemptFailure> {
+    /// Returns why a decode without a reservation cannot be accepted, or `None` if it can.
+    fn rejection_cause(&self, request: &DecodeRequest, context: &WorkContext) -> Option<AttemptFailure> {
         let config = &context.state.config;
         let has_no_slot = self.slots_in_use() >= config.decode_slots;
         let is_full = has_no_slot && self.queue.len() >= config.max_queued_streams;
-        let is_known = self.streams.contains_key(&request.id);
-        if !context.state.takes_work() || is_full || is_known {
+        let is_duplicate = self.streams.contains_key(&request.id);
+        if !context.state.accepts_work() || is_full || is_duplicate {
             return Some(AttemptFailure::Rejected);
         }
         let lacks_state = request.prefill_worker.is_none() && config.role != WorkerRole::Mixed;
@@ -191,13 +195,13 @@
         self.streams.insert(id, stream);
     }
 
-    /// Gives free slots to queued streams.
+    /// Starts queued streams while slots are free.
     fn start_queued(&mut self, context: &mut WorkContext) {
         while self.slots_in_use() < context.state.config.decode_slots {
             let Some(id) = self.queue.pop_front() else { return };
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             stream.is_queued = false;
-            if stream.own_state_crc.is_some() {
+            if stream.local_state_crc.is_some() {
                 let time = context.state.config.prefill_time(stream.prompt_tokens);
                 let time = context.state.scaled_time(context.now, time);
                 context.set_timer(time, TimerKey::Prefill(stream.serial));
@@ -214,40 +218,40 @@
         context.send_to_prefill_worker(prefill_worker, state_transfer::fetch(id));
     }
 
-    /// The worker has prefilled a prompt itself.
-    pub fn own_prefill_completed(&mut self, serial: u64, context: &mut WorkContext) {
+    /// Handles the completion of a prefill that this decode stage ran itself.
+    pub fn local_prefill_completed(&mut self, serial: u64, context: &mut WorkContext) {
         let Some(&id) = self.by_serial.get(&serial) else { return };
         let Some(stream) = self.streams.get_mut(&id) else { return };
-        if let Some(crc) = stream.own_state_crc {
+        if let Some(crc) = stream.local_state_crc {
             stream.state = StateProgress::Complete(crc);
             self.advance(id, context);
         }
     }
 
-    /// A chunk of KV state has come.
+    /// Handles a received chunk of KV state.
     pub fn state_chunk(
         &mut self,
         id: GlobalRequestId,
         offset: u64,
-        part: &Bytes,
+        chunk: &Bytes,
         crc: u32,
         context: &mut WorkContext,
     ) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         let StateProgress::Fetching(received) = &mut stream.state else { return };
-        if offset == received.len() as u64 && crc32fast::hash(part) == crc {
-            received.extend_from_slice(part);
+        if offset == received.len() as u64 && crc32fast::hash(chunk) == crc {
+            received.extend_from_slice(chunk);
         } else {
             tracing::debug!(
                 id = id.local_id,
                 offset,
-                "a chunk of KV state is corrupt; the state is not used"
+                "corrupt chunk of KV state received; discarding the state"
             );
             self.state_missing(id, context);
         }
     }
 
-    /// All chunks of KV state have come.
+    /// Handles the end of a transfer: all chunks of the KV state were sent.
     pub fn state_complete(
         &mut self,
         id: GlobalRequestId,
@@ -267,7 +271,7 @@
         self.advance(id, context);
     }
 
-    /// The KV state will not come.
+    /// Records that the KV state is not available, and fails the attempt if it has arrived.
     pub fn state_missing(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         if matches!(stream.state, StateProgress::Fetching(_)) {
@@ -276,7 +280,8 @@
         }
     }
 
-    /// Begins the stream, or ends it, once the attempt has arrived and the fate of the KV state is known.
+    /// Starts the stream if its attempt has arrived and its KV state is complete; fails the attempt if the state is
+    /// missing.
     fn advance(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         let Some(attempt) = stream.attempt else { return };
@@ -294,7 +299,7 @@
         }
     }
 
-    /// The next token of a stream is due.
+    /// Sends the next token of a stream, or pauses the stream if its window is full.
     pub fn token_due(&mut self, serial: u64, context: &mut WorkContext) {
         let Some(&id) = self.by_serial.get(&serial) else { return };
         let Some(stream) = self.streams.get_mut(&id) else { return };
@@ -317,7 +322,7 @@
         context.set_timer(interval, TimerKey::Token(serial));
     }
 
-    /// The client has taken so many tokens of a stream.
+    /// Records that the client has consumed `tokens` of a stream, and resumes the stream if it was paused.
     pub fn grant_tokens(
         &mut self,
         id: GlobalRequestId,
@@ -337,41 +342,41 @@
         }
     }
 
-    /// A router releases a reservation. A stream whose attempt has arrived is not concerned.
+    /// Releases a reservation at the request of a router. Has no effect on a stream whose attempt has arrived.
     pub fn release(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
         if self.streams.get(&id).is_some_and(|stream| stream.attempt.is_none()) {
-            self.abandon(id, context);
+            self.discard(id, context);
         }
     }
 
-    /// A router cancels an attempt.
+    /// Cancels an attempt at the request of a router.
     pub fn cancel(&mut self, id: GlobalRequestId, attempt: u16, context: &mut WorkContext) {
         if self.streams.get(&id).is_some_and(|stream| stream.attempt == Some(attempt)) {
-            self.abandon(id, context);
+            self.discard(id, context);
         }
     }
 
-    /// A router's connection is lost, and all that it asked for with it.
+    /// Discards all streams and reservations of a router whose connection is lost.
     pub fn router_disconnected(&mut self, router: ConnectionId, context: &mut WorkContext) {
-        for id in self.ids_where(|stream| stream.router == router) {
-            self.abandon(id, context);
+        for id in self.ids_matching(|stream| stream.router == router) {
+            self.discard(id, context);
         }
     }
 
-    /// The connection to a prefill worker is lost: KV state that is being fetched there will not come.
+    /// Marks the KV state of all streams that were fetching it from a disconnected prefill worker as missing.
     pub fn prefill_worker_disconnected(&mut self, prefill_worker: Address, context: &mut WorkContext) {
-        for id in self.ids_where(|stream| stream.is_fetching_from(prefill_worker)) {
+        for id in self.ids_matching(|stream| stream.is_fetching_from(prefill_worker)) {
             self.state_missing(id, context);
         }
     }
 
-    fn ids_where(&self, matches: impl Fn(&Stream) -> bool) -> Vec<GlobalRequestId> {
+    fn ids_matching(&self, matches: impl Fn(&Stream) -> bool) -> Vec<GlobalRequestId> {
         let matching = self.streams.iter().filter(|(_, stream)| matches(stream));
         matching.map(|(id, _)| *id).collect()
     }
 
-    /// Removes a stream whose response nobody wants, and cancels the fetch of its KV state.
-    fn abandon(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
+    /// Removes a stream whose response is no longer wanted, and cancels the fetch of its KV state.
+    fn discard(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
         let Some(stream) = self.remove(id) else { return };
         if let (StateProgress::Fetching(_), Some(prefill_worker)) = (&stream.state, stream.prefill_worker) {
             context.send_to_prefill_worker(prefill_worker, state_transfer::cancel_fetch(id));
--- a/crates/emulator/src/discovery.rs
+++ b/crates/emulator/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: knows which workers run, and notifies routers some time later.
+//! Emulated discovery: tracks the registered workers and notifies routers of changes after a configured delay.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,23 +7,25 @@
 use tideroute_wire::event_loop::{ConnectionId, DisconnectReason, Effects, EventHandler};
 use tideroute_wire::{Address, Malformed, Micros, Party};
 
-/// Changes that a router may have missed and still be sent one by one.
+/// Number of changes kept; a router that has missed more is sent a full snapshot.
 const MAX_HISTORY: usize = 4096;
-/// Microseconds: discovery that has just started sends nothing until its workers had time to register. Sent at once, a
-/// snapshot would lack the workers that have not registered yet, and routers would take them for removed.
+/// Microseconds after its start in which discovery sends nothing, so that workers have time to register. A snapshot
+/// sent earlier would lack the workers that have not registered yet, and routers would treat them as removed.
 const SETTLING_TIME: Micros = 600_000;
 
-/// Timer keys: changes are due to be published, the settling time is over, or a line of the script.
+/// Timer key: changes are due to be published.
 const PUBLISH: u64 = 0;
+/// Timer key: the settling time is over.
 const SETTLED: u64 = 1;
-const SCRIPT: u64 = 2;
+/// Timer key of the first step of the script; the following steps have the following keys.
+const FIRST_SCRIPT_STEP: u64 = 2;
 
 /// The configuration of [`Discovery`].
 #[derive(Clone, Debug)]
 pub struct DiscoveryConfig {
-    /// Microseconds from a change to its notification.
+    /// Microseconds from a change to its notification to routers.
     pub notification_delay: Micros,
-    /// From when on, after the start, the delay is another.
+    /// Scripted changes of the notification delay: microseconds after the start, and the delay from then on.
     pub script: Vec<(Micros, Micros)>,
 }
 
@@ -44,13 +46,13 @@
     }
 }
 
-/// A change that routers are not notified of yet.
+/// A change that routers have not been notified of yet.
 struct PendingChange {
     publish_at: Micros,
     endpoint: Endpoint,
 }
 
-/// A router that watches from a version on; 0 if it has none.
+/// A router's watch. The version is the last one that the router knows; 0 if it knows none.
 struct Watch {
     connection: ConnectionId,
     version: u64,
@@ -58,33 +60,34 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Peer {
-    /// It has not sent its Hello.
+    /// A peer that has not sent its Hello yet.
     Unknown,
-    /// With its address, once it has registered.
+    /// A worker, with its address once it has registered.
     Worker(Option<Address>),
     Router,
 }
 
-/// Keeps the endpoint list, as its [`DiscoveryConfig`] says.
+/// An emulated discovery service that keeps the endpoint list, configured by [`DiscoveryConfig`].
 pub struct Discovery {
     config: DiscoveryConfig,
     notification_delay: Micros,
     peers: BTreeMap<ConnectionId, Peer>,
     watchers: BTreeSet<ConnectionId>,
-    /// On which connection a worker registered last: one that came back does so on a new one.
+    /// The connection on which each worker registered last. A restarted worker registers on a new connection,
+    /// possibly before the loss of the old one is noticed.
     registrations: BTreeMap<Address, ConnectionId>,
     pending: VecDeque<PendingChange>,
-    /// What routers were notified of.
+    /// The latest state of each endpoint that routers were notified of.
     published: BTreeMap<Address, Endpoint>,
     history: VecDeque<Endpoint>,
     version: u64,
-    /// Watches that came within the settling time; None after it.
+    /// Watches received within the settling time; `None` once it is over.
     early_watches: Option<Vec<Watch>>,
     is_stopping: bool,
 }
 
 impl Discovery {
-    /// Discovery with an empty list.
+    /// Creates a discovery service with an empty endpoint list.
     pub fn new(config: DiscoveryConfig) -> Discovery {
         Discovery {
             notification_delay: config.notification_delay,
@@ -102,9 +105,9 @@
     }
 
     fn endpoint_changed(&mut self, now: Micros, endpoint: Endpoint, effects: &mut Effects) {
-        // One by one and in order, also when the delay has become shorter meanwhile.
-        let last = self.pending.back().map_or(0, |change| change.publish_at);
-        let publish_at = last.max(now + self.notification_delay);
+        // Changes are published in their order, even if the delay has become shorter in the meantime.
+        let last_publish_at = self.pending.back().map_or(0, |change| change.publish_at);
+        let publish_at = last_publish_at.max(now + self.notification_delay);
         self.pending.push_back(PendingChange { publish_at, endpoint });
         effects.set_timer(publish_at, PUBLISH);
     }
@@ -135,8 +138,8 @@
     }
 
     fn watch(&mut self, watch: Watch, effects: &mut Effects) {
-        if let Some(early) = self.early_watches.as_mut() {
-            return early.push(watch);
+        if let Some(early_watches) = self.early_watches.as_mut() {
+            return early_watches.push(watch);
         }
         self.watchers.insert(watch.connection);
         let frame = match self.missed_changes(watch.version) {
@@ -147,7 +150,7 @@
         effects.send(watch.connection, frame);
     }
 
-    /// How many changes a router with a version has missed; None if it needs a full snapshot.
+    /// Returns how many changes a router that knows `version` has missed; `None` if it needs a full snapshot.
     fn missed_changes(&self, version: u64) -> Option<usize> {
         let missed = self.version.checked_sub(version)?;
         let is_in_history = version > 0 && missed <= self.history.len() as u64;
@@ -193,8 +196,8 @@
         Ok(())
     }
 
-    /// The last state of a worker, published or not.
-    fn last_change(&self, worker: Address) -> Option<Endpoint> {
+    /// Returns the latest state of a worker, published or pending.
+    fn latest_state(&self, worker: Address) -> Option<Endpoint> {
         let pending = self.pending.iter().rev().find(|change| change.endpoint.worker == worker);
         let pending = pending.map(|change| change.endpoint);
         pending.or(self.published.get(&worker).copied())
@@ -242,11 +245,11 @@
 
 impl EventHandler for Discovery {
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
-        // Versions of a later incarnation are higher than all of an earlier one.
+        // Versions begin at the present time, so that those of a later incarnation are higher than all earlier ones.
         self.version = now;
         effects.set_timer(now + SETTLING_TIME, SETTLED);
         for (index, (after, _)) in self.config.script.iter().enumerate() {
-            effects.set_timer(now + after, SCRIPT + index as u64);
+            effects.set_timer(now + after, FIRST_SCRIPT_STEP + index as u64);
         }
     }
 
@@ -264,7 +267,7 @@
 
     fn on_data(&mut self, now: Micros, connection: ConnectionId, frame: &Bytes, effects: &mut Effects) {
         if let Err(error) = self.handle_frame(now, connection, frame, effects) {
-            tracing::warn!(%error, "closing a connection after a malformed message");
+            tracing::warn!(%error, "malformed message received; closing the connection");
             effects.close(connection, error.to_string());
             self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
@@ -278,16 +281,16 @@
         effects: &mut Effects,
     ) {
         self.watchers.remove(&connection);
-        if let Some(early) = self.early_watches.as_mut() {
-            early.retain(|watch| watch.connection != connection);
+        if let Some(early_watches) = self.early_watches.as_mut() {
+            early_watches.retain(|watch| watch.connection != connection);
         }
         let Some(Peer::Worker(Some(worker))) = self.peers.remove(&connection) else { return };
         if self.registrations.get(&worker) != Some(&connection) {
             return;
         }
         self.registrations.remove(&worker);
-        if let Some(last) = self.last_change(worker) {
-            let removed = Endpoint { status: EndpointStatus::Removed, ..last };
+        if let Some(latest) = self.latest_state(worker) {
+            let removed = Endpoint { status: EndpointStatus::Removed, ..latest };
             self.endpoint_changed(now, removed, effects);
         }
     }
@@ -310,8 +313,8 @@
                 }
             }
             _ => {
-                let line = self.config.script.get((key - SCRIPT) as usize);
-                if let Some(&(_, notification_delay)) = line {
+                let step = self.config.script.get((key - FIRST_SCRIPT_STEP) as usize);
+                if let Some(&(_, notification_delay)) = step {
                     self.notification_delay = notification_delay;
                 }
             }
--- a/crates/emulator/src/engine.rs
+++ b/crates/emulator/src/engine.rs
@@ -1,4 +1,4 @@
-//! The work of an emulated worker: prefill, decode and transfers of KV state, without its lifecycle.
+//! The work of an emulated worker: prefill, decode and transfer of KV state. [`crate::worker`] has its lifecycle.
 
 use bytes::Bytes;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
@@ -7,14 +7,14 @@
 
 use crate::config::WorkerRole;
 use crate::decode::{DecodeRequest, DecodeStage, ReservationRequest};
-use crate::early_fetches::{EarlyFetch, EarlyFetches, MAX_WAIT};
+use crate::early_fetches::{EarlyFetch, EarlyFetches, EARLY_FETCH_TIMEOUT};
 use crate::peers::Peers;
 use crate::prefill::{PrefillRequest, PrefillStage};
 use crate::timers::TimerKey;
 use crate::work_context::WorkContext;
 use crate::worker_state::WorkerState;
 
-/// The work of a worker.
+/// The prefill and decode stages of a worker, with the state and the peers that both use.
 pub struct Engine {
     pub state: WorkerState,
     pub peers: Peers,
@@ -23,7 +23,7 @@
     early_fetches: EarlyFetches,
 }
 
-/// Both stages, with what they need around them.
+/// Borrows of both stages, and the context in which they handle an event.
 struct Stages<'a> {
     prefill: &'a mut PrefillStage,
     decode: &'a mut DecodeStage,
@@ -46,12 +46,12 @@
         Stages { prefill: &mut self.prefill, decode: &mut self.decode, context }
     }
 
-    /// No work is left.
+    /// Returns whether no work is left.
     pub fn is_idle(&self) -> bool {
         self.prefill.is_empty() && self.decode.is_empty()
     }
 
-    /// Forgets all work, without a word to anybody.
+    /// Drops all work without notifying routers or other workers.
     pub fn drop_work(&mut self) {
         self.prefill = PrefillStage::default();
         self.decode = DecodeStage::default();
@@ -64,13 +64,13 @@
             let PrefillRequest { router, id, attempt, .. } = *request;
             return context.attempt_failed(router, id, attempt, AttemptFailure::ServerError);
         }
-        context.state.work_sent(now, f64::from(request.prompt_tokens));
-        if !prefill.request(request, &mut context) {
+        context.state.record_received_work(now, f64::from(request.prompt_tokens));
+        if !prefill.handle_request(request, &mut context) {
             return;
         }
-        if let Some(early) = self.early_fetches.take_for(request.id) {
+        if let Some(early_fetch) = self.early_fetches.take_by_request(request.id) {
             let Stages { prefill, mut context, .. } = self.stages(now, effects);
-            prefill.fetch(early.fetcher, early.id, &mut context);
+            prefill.fetch(early_fetch.fetcher, early_fetch.id, &mut context);
         }
     }
 
@@ -81,11 +81,11 @@
 
     pub fn decode(&mut self, request: &DecodeRequest, now: Micros, effects: &mut Effects) {
         let Stages { decode, mut context, .. } = self.stages(now, effects);
-        context.state.work_sent(now, f64::from(request.max_tokens));
-        decode.request(request, &mut context);
+        context.state.record_received_work(now, f64::from(request.max_tokens));
+        decode.handle_request(request, &mut context);
     }
 
-    /// A router releases KV state or a reservation.
+    /// Releases KV state or a decode reservation at the request of a router.
     pub fn release(&mut self, id: GlobalRequestId, now: Micros, effects: &mut Effects) {
         let Stages { prefill, decode, mut context } = self.stages(now, effects);
         prefill.release(id);
@@ -110,7 +110,7 @@
         decode.grant_tokens(id, attempt, tokens, &mut context);
     }
 
-    /// Answers a health check with the load.
+    /// Answers a health check with a load report.
     pub fn report_health(&self, nonce: u64, router: ConnectionId, effects: &mut Effects) {
         let prefills = self.prefill.running() as u32;
         let streams = self.decode.slots_in_use() as u32;
@@ -118,7 +118,8 @@
         effects.send(router, worker::health_reported(nonce, prefills, streams, queued));
     }
 
-    /// A decode worker fetches KV state. A fetch whose prefill has not arrived yet waits for it a little while.
+    /// Handles a decode worker's fetch of KV state. A fetch whose prefill has not arrived yet waits for it for up to
+    /// [`EARLY_FETCH_TIMEOUT`].
     pub fn fetch(&mut self, fetcher: ConnectionId, id: GlobalRequestId, now: Micros, effects: &mut Effects) {
         let Stages { prefill, mut context, .. } = self.stages(now, effects);
         if prefill.fetch(fetcher, id, &mut context) {
@@ -129,10 +130,10 @@
         }
         let serial = self.state.next_serial();
         self.early_fetches.push(EarlyFetch { serial, fetcher, id });
-        effects.set_timer(now + MAX_WAIT, TimerKey::EarlyFetch(serial).encode());
+        effects.set_timer(now + EARLY_FETCH_TIMEOUT, TimerKey::EarlyFetch(serial).encode());
     }
 
-    /// A decode worker has fetched all of the KV state.
+    /// Releases KV state that a decode worker has fetched completely.
     pub fn fetched(&mut self, id: GlobalRequestId) {
         self.prefill.release(id);
     }
@@ -141,10 +142,10 @@
         self.prefill.cancel_fetch(fetcher, id);
     }
 
-    /// An early fetch has waited long enough.
+    /// Answers an early fetch whose prefill has not arrived in time.
     pub fn early_fetch_expired(&mut self, serial: u64, effects: &mut Effects) {
-        if let Some(early) = self.early_fetches.take_expired(serial) {
-            effects.send(early.fetcher, state_transfer::missing(early.id));
+        if let Some(early_fetch) = self.early_fetches.take_expired(serial) {
+            effects.send(early_fetch.fetcher, state_transfer::missing(early_fetch.id));
         }
     }
 
@@ -152,13 +153,13 @@
         &mut self,
         id: GlobalRequestId,
         offset: u64,
-        part: &Bytes,
+        chunk: &Bytes,
         crc: u32,
         now: Micros,
         effects: &mut Effects,
     ) {
         let Stages { decode, mut context, .. } = self.stages(now, effects);
-        decode.state_chunk(id, offset, part, crc, &mut context);
+        decode.state_chunk(id, offset, chunk, crc, &mut context);
     }
 
     pub fn state_complete(
@@ -178,11 +179,12 @@
         decode.state_missing(id, &mut context);
     }
 
-    /// A prefill timer fired: of the prefill stage, or of a stream that is prefilled here.
+    /// Handles a prefill timer, which belongs to the prefill stage or to a stream whose prompt the decode stage
+    /// prefills.
     pub fn prefill_timer_fired(&mut self, serial: u64, now: Micros, effects: &mut Effects) {
         let Stages { prefill, decode, mut context } = self.stages(now, effects);
-        if !prefill.step_passed(serial, &mut context) {
-            decode.own_prefill_completed(serial, &mut context);
+        if !prefill.step_completed(serial, &mut context) {
+            decode.local_prefill_completed(serial, &mut context);
         }
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! Emulators of the servers around a router, to test it against: [`EmulatedWorker`], which prefills, decodes or does both
-//! and transfers generated KV state, and [`Discovery`], which keeps the endpoint list.
+//! Emulators of the servers that a router talks to, for testing the router: [`EmulatedWorker`] prefills, decodes or
+//! does both, and transfers generated KV state; [`Discovery`] keeps the endpoint list.
 //!
 //! Both are [event handlers](tideroute_wire::event_loop::EventHandler) without sockets and without a clock, and both
-//! follow a script. They answer as the protocol says and take the time that their configuration says; how real engines
-//! behave under load is not theirs to show.
+//! execute a script. They implement the protocol with the processing times of their configuration. They do not model
+//! how real inference engines behave under load.
 
 #![warn(missing_docs)]
 
--- a/crates/emulator/src/messages.rs
+++ b/crates/emulator/src/messages.rs
@@ -1,4 +1,4 @@
-//! Decodes the messages of a worker's peers and gives them to its engine.
+//! Decodes the messages that a worker receives from its peers and passes them to its engine.
 
 use bytes::Bytes;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
@@ -9,7 +9,7 @@
 use crate::peers::Peer;
 use crate::prefill::PrefillRequest;
 
-/// Handles one frame of a peer.
+/// Handles one frame received from a peer.
 pub fn handle_frame(
     engine: &mut Engine,
     now: Micros,
@@ -68,8 +68,8 @@
 }
 
 impl state_transfer::Fetcher for MessageHandler<'_> {
-    fn chunk(&mut self, id: GlobalRequestId, offset: u64, part: Bytes, crc: u32) -> Result<(), Malformed> {
-        self.engine.state_chunk(id, offset, &part, crc, self.now, self.effects);
+    fn chunk(&mut self, id: GlobalRequestId, offset: u64, chunk: Bytes, crc: u32) -> Result<(), Malformed> {
+        self.engine.state_chunk(id, offset, &chunk, crc, self.now, self.effects);
         Ok(())
     }
 
@@ -138,7 +138,7 @@
         prompt_tokens: u32,
         max_tokens: u32,
         _timeout: Micros,
-        _mark: u64,
+        _idempotency_key: u64,
         prefill_worker: Option<Address>,
         window: u32,
         _session: u64,
--- a/crates/emulator/src/peers.rs
+++ b/crates/emulator/src/peers.rs
@@ -1,23 +1,23 @@
-//! Who is at the other end of each connection of a worker.
+//! The peers of a worker, by connection.
 
 use std::collections::BTreeMap;
 
 use tideroute_wire::event_loop::{ConnectionId, Effects};
 use tideroute_wire::{say_hello, Address, Micros, Origin, Party};
 
-/// Microseconds in which a connection is made or fails.
+/// Microseconds after which a connection attempt fails.
 pub const CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Who is at the other end of a connection.
+/// The peer at the other end of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Peer {
-    /// It has not sent its Hello.
+    /// A peer that has not sent its Hello yet.
     Unknown,
-    /// A router, with the origin that tells its request ids from those of others.
+    /// A router, with the origin that distinguishes its request ids from those of other routers.
     Router(Origin),
-    /// A decode worker that fetches KV state from here.
+    /// A decode worker that fetches KV state from this worker.
     StateFetcher,
-    /// A prefill worker from which KV state is fetched.
+    /// A prefill worker from which this worker fetches KV state.
     PrefillWorker(Address),
     /// Discovery.
     Discovery,
@@ -47,31 +47,31 @@
         peer
     }
 
-    /// Connects to a peer and introduces the worker to it.
+    /// Connects to a peer and sends it the Hello of this worker.
     pub fn connect(
         &mut self,
         address: Address,
         peer: Peer,
-        own_name: &str,
+        worker_name: &str,
         effects: &mut Effects,
     ) -> ConnectionId {
         let connection = effects.connect(address, CONNECT_TIMEOUT);
         self.by_connection.insert(connection, peer);
-        effects.send(connection, say_hello(Party::Worker, own_name));
+        effects.send(connection, say_hello(Party::Worker, worker_name));
         connection
     }
 
-    /// The connection to a prefill worker; a new one if there is none.
+    /// Returns the connection to a prefill worker, and opens one if there is none.
     pub fn prefill_worker(
         &mut self,
         address: Address,
-        own_name: &str,
+        worker_name: &str,
         effects: &mut Effects,
     ) -> ConnectionId {
         if let Some(&connection) = self.prefill_workers.get(&address) {
             return connection;
         }
-        let connection = self.connect(address, Peer::PrefillWorker(address), own_name, effects);
+        let connection = self.connect(address, Peer::PrefillWorker(address), worker_name, effects);
         self.prefill_workers.insert(address, connection);
         connection
     }
--- a/crates/emulator/src/prefill.rs
+++ b/crates/emulator/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills, and the KV state that waits to be fetched after them.
+//! The prefill stage: prefills, and the KV state that is kept after them until it is fetched.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,24 +12,24 @@
 use crate::timers::TimerKey;
 use crate::work_context::WorkContext;
 
-/// A prefill passes in so many steps; after each, that part of the KV state can be fetched.
+/// Number of equal steps of a prefill. After each step, that share of the KV state can be fetched.
 const STEPS: u32 = 4;
-/// Bytes of one chunk of KV state.
+/// Maximum size of a chunk of KV state in bytes.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// A prefill that a router asks for.
+/// A router's request for a prefill.
 pub struct PrefillRequest {
     pub id: GlobalRequestId,
     pub router: ConnectionId,
     pub attempt: u16,
-    /// The shared prefix of the prompt.
+    /// The id of the shared prefix of the prompt; 0 if it has none.
     pub prefix: u64,
     pub prompt_tokens: u32,
     pub prefix_tokens: u32,
     pub prompt: Bytes,
 }
 
-/// A decode worker that fetches the KV state.
+/// The transfer of KV state to the decode worker that fetches it.
 #[derive(Clone, Copy)]
 struct Transfer {
     fetcher: ConnectionId,
@@ -44,7 +44,7 @@
     prompt_tokens: u32,
     prefix_tokens: u32,
     state: Bytes,
-    /// None while it is queued.
+    /// `None` while the prefill is queued.
     steps_done: Option<u32>,
     step_time: Micros,
     cached_tokens: u32,
@@ -72,7 +72,7 @@
         self.steps_done == Some(STEPS)
     }
 
-    /// Bytes of the KV state that can be fetched by now.
+    /// Returns how many bytes of the KV state can be fetched now.
     fn available_bytes(&self) -> usize {
         self.state.len() * self.steps_done.unwrap_or(0) as usize / STEPS as usize
     }
@@ -82,7 +82,7 @@
     }
 }
 
-/// All prefills of a worker.
+/// The prefills of a worker: queued, running, and complete with KV state that is not released yet.
 #[derive(Default)]
 pub struct PrefillStage {
     prefills: BTreeMap<GlobalRequestId, Prefill>,
@@ -90,12 +90,12 @@
     queue: VecDeque<GlobalRequestId>,
     running: usize,
     cache: PrefixCache,
-    /// Connections that take no more bytes for now.
+    /// Connections that are under backpressure.
     blocked: BTreeSet<ConnectionId>,
 }
 
 impl PrefillStage {
-    /// Nothing runs, is queued or waits to be fetched.
+    /// Returns whether no prefill is queued or running and no KV state is kept.
     pub fn is_empty(&self) -> bool {
         self.prefills.is_empty()
     }
@@ -108,9 +108,9 @@
         self.queue.len()
     }
 
-    /// A router asks for a prefill. Returns whether it was taken; if not, the router was told.
-    pub fn request(&mut self, request: &PrefillRequest, context: &mut WorkContext) -> bool {
-        if let Some(failure) = self.refuses(request, context) {
+    /// Handles a router's request for a prefill. Returns whether it was accepted; if not, the router has been notified.
+    pub fn handle_request(&mut self, request: &PrefillRequest, context: &mut WorkContext) -> bool {
+        if let Some(failure) = self.rejection_cause(request, context) {
             context.attempt_failed(request.router, request.id, request.attempt, failure);
             return false;
         }
@@ -124,11 +124,12 @@
         true
     }
 
-    fn refuses(&self, request: &PrefillRequest, context: &WorkContext) -> Option<AttemptFailure> {
+    /// Returns why a prefill cannot be accepted, or `None` if it can.
+    fn rejection_cause(&self, request: &PrefillRequest, context: &WorkContext) -> Option<AttemptFailure> {
         let config = &context.state.config;
         let is_full = self.queue.len() >= config.max_queued_prefills && self.running >= config.prefill_slots;
-        let is_known = self.prefills.contains_key(&request.id);
-        if !context.state.takes_work() || is_full || is_known {
+        let is_duplicate = self.prefills.contains_key(&request.id);
+        if !context.state.accepts_work() || is_full || is_duplicate {
             return Some(AttemptFailure::Rejected);
         }
         context.state.fails_work.then_some(AttemptFailure::ServerError)
@@ -150,8 +151,8 @@
         }
     }
 
-    /// A step of a prefill has passed. Returns whether the timer was one of this stage.
-    pub fn step_passed(&mut self, serial: u64, context: &mut WorkContext) -> bool {
+    /// Handles the end of a prefill step. Returns false if the serial number is not that of a prefill of this stage.
+    pub fn step_completed(&mut self, serial: u64, context: &mut WorkContext) -> bool {
         let Some(&id) = self.by_serial.get(&serial) else { return false };
         let Some(prefill) = self.prefills.get_mut(&id) else { return true };
         let steps_done = prefill.steps_done.map_or(0, |steps| steps + 1).min(STEPS);
@@ -176,7 +177,7 @@
         self.start_queued(context);
     }
 
-    /// Sends the fetcher what is available and was not sent yet, unless its connection is blocked.
+    /// Sends the fetcher the available KV state that it has not been sent yet, unless its connection is blocked.
     fn send_available(&mut self, id: GlobalRequestId, context: &mut WorkContext) {
         let Some(prefill) = self.prefills.get_mut(&id) else { return };
         let available = prefill.available_bytes();
@@ -186,10 +187,10 @@
         while transfer.bytes_sent < available && !self.blocked.contains(&fetcher) {
             let start = transfer.bytes_sent;
             let end = (start + CHUNK_BYTES).min(available);
-            let part = prefill.state.slice(start..end);
-            let crc = crc32fast::hash(&part);
-            let part = if context.state.corrupts_state { corrupted(&part) } else { part };
-            context.send(fetcher, state_transfer::chunk(id, start as u64, part, crc));
+            let chunk = prefill.state.slice(start..end);
+            let crc = crc32fast::hash(&chunk);
+            let chunk = if context.state.corrupts_state { corrupt(&chunk) } else { chunk };
+            context.send(fetcher, state_transfer::chunk(id, start as u64, chunk, crc));
             transfer.bytes_sent = end;
         }
         if is_complete && transfer.bytes_sent == prefill.state.len() {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// A decode worker fetches KV state. Returns false if there is no such prefill.
+    /// Handles a decode worker's fetch of KV state. Returns false if there is no such prefill.
     pub fn fetch(&mut self, fetcher: ConnectionId, id: GlobalRequestId, context: &mut WorkContext) -> bool {
         let Some(prefill) = self.prefills.get_mut(&id) else { return false };
         prefill.transfer = Some(Transfer { fetcher, bytes_sent: 0 });
@@ -206,7 +207,7 @@
         true
     }
 
-    /// A decode worker cancels a fetch. The KV state is kept.
+    /// Cancels a fetch at the request of the decode worker. The KV state is kept.
     pub fn cancel_fetch(&mut self, fetcher: ConnectionId, id: GlobalRequestId) {
         let Some(prefill) = self.prefills.get_mut(&id) else { return };
         if prefill.is_fetched_by(fetcher) {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// The connection of a decode worker is lost.
+    /// Ends the transfers to a decode worker whose connection is lost.
     pub fn fetcher_disconnected(&mut self, fetcher: ConnectionId) {
         self.blocked.remove(&fetcher);
         for prefill in self.prefills.values_mut() {
@@ -224,7 +225,8 @@
         }
     }
 
-    /// A connection takes no more bytes for now, or does again.
+    /// Records that a connection is blocked by backpressure or writable again, and resumes its transfers in the latter
+    /// case.
     pub fn set_blocked(&mut self, connection: ConnectionId, is_blocked: bool, context: &mut WorkContext) {
         if is_blocked {
             self.blocked.insert(connection);
@@ -237,19 +239,20 @@
             let transfer = prefill.transfer.filter(|transfer| transfer.fetcher == connection);
             transfer.is_some_and(|transfer| transfer.bytes_sent < prefill.available_bytes())
         };
-        for id in self.ids_where(has_unsent) {
+        for id in self.ids_matching(has_unsent) {
             self.send_available(id, context);
         }
     }
 
-    /// A router or a decode worker releases KV state. A prefill that still runs is not concerned.
+    /// Releases KV state at the request of a router or a decode worker. Has no effect on a prefill that is not
+    /// complete.
     pub fn release(&mut self, id: GlobalRequestId) {
         if self.prefills.get(&id).is_some_and(Prefill::is_complete) {
             self.remove(id);
         }
     }
 
-    /// A router cancels an attempt.
+    /// Cancels an attempt at the request of a router.
     pub fn cancel(&mut self, id: GlobalRequestId, attempt: u16, context: &mut WorkContext) {
         if self.prefills.get(&id).is_some_and(|prefill| prefill.attempt == attempt) {
             self.remove(id);
@@ -257,15 +260,15 @@
         }
     }
 
-    /// A router's connection is lost, and all that it asked for with it.
+    /// Drops all prefills and KV state of a router whose connection is lost.
     pub fn router_disconnected(&mut self, router: ConnectionId, context: &mut WorkContext) {
-        for id in self.ids_where(|prefill| prefill.router == router) {
+        for id in self.ids_matching(|prefill| prefill.router == router) {
             self.remove(id);
         }
         self.start_queued(context);
     }
 
-    fn ids_where(&self, matches: impl Fn(&Prefill) -> bool) -> Vec<GlobalRequestId> {
+    fn ids_matching(&self, matches: impl Fn(&Prefill) -> bool) -> Vec<GlobalRequestId> {
         let matching = self.prefills.iter().filter(|(_, prefill)| matches(prefill));
         matching.map(|(id, _)| *id).collect()
     }
@@ -281,9 +284,9 @@
     }
 }
 
-/// The same bytes with one bit flipped.
-fn corrupted(part: &Bytes) -> Bytes {
-    let mut broken = BytesMut::from(&part[..]);
-    broken[0] ^= 1;
-    broken.freeze()
+/// Returns a copy of the chunk with one bit flipped.
+fn corrupt(chunk: &Bytes) -> Bytes {
+    let mut corrupted = BytesMut::from(&chunk[..]);
+    corrupted[0] ^= 1;
+    corrupted.freeze()
 }
--- a/crates/emulator/src/recent_work.rs
+++ b/crates/emulator/src/recent_work.rs
@@ -1,4 +1,4 @@
-//! Work that was sent to a worker lately.
+//! The work that a worker has received within a sliding time window.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
     tokens: f64,
 }
 
-/// The tokens that were sent to a worker within a window.
+/// The tokens that a worker has received within a sliding time window.
 #[derive(Default)]
 pub struct RecentWork {
     window: VecDeque<Work>,
@@ -17,7 +17,7 @@
 }
 
 impl RecentWork {
-    /// Adds work, and drops what was sent before `since`. Returns the tokens left.
+    /// Adds work, and drops work that was received before `since`. Returns the tokens that remain.
     pub fn add(&mut self, at: Micros, tokens: f64, since: Micros) -> f64 {
         self.window.push_back(Work { at, tokens });
         self.tokens += tokens;
--- a/crates/emulator/src/timers/tests.rs
+++ b/crates/emulator/src/timers/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn keys_are_decoded_as_they_were_encoded() {
     let keys = [
-        TimerKey::Script(3),
+        TimerKey::ScriptStep(3),
         TimerKey::ReconnectDiscovery,
         TimerKey::Prefill(1),
         TimerKey::Token(NUMBER_MASK),
@@ -15,6 +15,6 @@
 }
 
 #[test]
-fn key_of_unknown_kind_is_none_of_ours() {
+fn key_of_unknown_kind_is_not_decoded() {
     assert_eq!(TimerKey::decode(5 << KIND_SHIFT), None);
 }
--- a/crates/emulator/src/work_context.rs
+++ b/crates/emulator/src/work_context.rs
@@ -1,4 +1,4 @@
-//! What prefill and decode need of the worker around them.
+//! The context in which the prefill and decode stages handle an event.
 
 use bytes::Bytes;
 use tideroute_wire::event_loop::{ConnectionId, Effects};
@@ -9,7 +9,7 @@
 use crate::timers::TimerKey;
 use crate::worker_state::WorkerState;
 
-/// The time of an event, the worker's state and peers, and the effects of the event.
+/// The time of the event, the worker's state and peers, and the effects to which the stages add.
 pub struct WorkContext<'a> {
     pub now: Micros,
     pub state: &'a mut WorkerState,
@@ -18,17 +18,16 @@
 }
 
 impl WorkContext<'_> {
-    /// Sends a message.
     pub fn send(&mut self, connection: ConnectionId, message: Bytes) {
         self.effects.send(connection, message);
     }
 
-    /// Sets a timer that fires after a time.
+    /// Sets a timer that fires `after` microseconds from now.
     pub fn set_timer(&mut self, after: Micros, key: TimerKey) {
         self.effects.set_timer(self.now + after, key.encode());
     }
 
-    /// Tells a router that an attempt failed.
+    /// Notifies a router that an attempt failed.
     pub fn attempt_failed(
         &mut self,
         router: ConnectionId,
@@ -39,7 +38,7 @@
         self.effects.send(router, worker::attempt_ended(id.local_id, attempt, failure));
     }
 
-    /// Sends a message to a prefill worker.
+    /// Sends a message to a prefill worker, and connects to it first if necessary.
     pub fn send_to_prefill_worker(&mut self, address: Address, message: Bytes) {
         let name = &self.state.config.name;
         let connection = self.peers.prefill_worker(address, name, self.effects);
--- a/crates/emulator/src/worker.rs
+++ b/crates/emulator/src/worker.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of an emulated worker: connections, registration, script and shutdown.
+//! The lifecycle of an emulated worker: connections, registration with discovery, scripted faults and shutdown.
 
 use bytes::Bytes;
 use tideroute_wire::endpoint_list::{self, EndpointStatus};
@@ -12,12 +12,12 @@
 use crate::timers::TimerKey;
 use crate::worker_state::WorkerState;
 
-/// Microseconds from the loss of the connection to discovery to the next one.
+/// Microseconds from the loss of the connection to discovery to the next connection attempt.
 const RECONNECT_DELAY: Micros = 250_000;
-/// A worker that started long ago registers with this start time.
-const STARTED_LONG_AGO: Micros = 0;
+/// The start time that a worker registers which is warm from its start.
+const WARM_START_TIME: Micros = 0;
 
-/// A worker that emulates prefill and decode, as its [`WorkerConfig`] says.
+/// An emulated worker that prefills and decodes, configured by [`WorkerConfig`].
 pub struct EmulatedWorker {
     engine: Engine,
     /// The connection to discovery.
@@ -27,7 +27,7 @@
 }
 
 impl EmulatedWorker {
-    /// A worker whose process starts now.
+    /// Creates a worker whose process starts at `now`.
     pub fn new(config: WorkerConfig, now: Micros) -> EmulatedWorker {
         EmulatedWorker {
             engine: Engine::new(WorkerState::new(config, now)),
@@ -50,7 +50,7 @@
         let state = &self.engine.state;
         let config = &state.config;
         let status = if state.is_draining { EndpointStatus::Draining } else { EndpointStatus::Serving };
-        let started = if config.is_warm { STARTED_LONG_AGO } else { state.started };
+        let started = if config.is_warm { WARM_START_TIME } else { state.started };
         let message = endpoint_list::register(
             config.address,
             config.kind,
@@ -65,7 +65,7 @@
 
     fn apply(&mut self, fault: ScriptedFault, effects: &mut Effects) {
         let state = &mut self.engine.state;
-        tracing::info!(name = state.config.name, ?fault, "applying a scripted fault");
+        tracing::info!(name = state.config.name, ?fault, "scripted fault started");
         match fault {
             ScriptedFault::Reject(rejects) => state.rejects_work = rejects,
             ScriptedFault::ServerError(fails) => state.fails_work = fails,
@@ -90,7 +90,7 @@
     fn on_start(&mut self, now: Micros, effects: &mut Effects) {
         self.connect_to_discovery(effects);
         for (index, (after, _)) in self.engine.state.config.script.iter().enumerate() {
-            effects.set_timer(now + after, TimerKey::Script(index as u64).encode());
+            effects.set_timer(now + after, TimerKey::ScriptStep(index as u64).encode());
         }
     }
 
@@ -112,7 +112,7 @@
         }
         if let Err(error) = messages::handle_frame(&mut self.engine, now, connection, frame, effects) {
             let name = &self.engine.state.config.name;
-            tracing::warn!(name, %error, "closing a connection after a malformed message");
+            tracing::warn!(name, %error, "malformed message received; closing the connection");
             effects.close(connection, error.to_string());
             self.on_disconnect(now, connection, DisconnectReason::Reset, effects);
         }
@@ -155,9 +155,9 @@
     fn on_timer(&mut self, now: Micros, key: u64, effects: &mut Effects) {
         let Some(key) = TimerKey::decode(key) else { return };
         match key {
-            TimerKey::Script(index) => {
-                let line = self.engine.state.config.script.get(index as usize);
-                if let Some(&(_, fault)) = line {
+            TimerKey::ScriptStep(index) => {
+                let step = self.engine.state.config.script.get(index as usize);
+                if let Some(&(_, fault)) = step {
                     self.apply(fault, effects);
                 }
             }
--- a/crates/emulator/src/worker_state.rs
+++ b/crates/emulator/src/worker_state.rs
@@ -1,14 +1,15 @@
-//! What prefill and decode of a worker share: its configuration, its capacity and the faults in effect.
+//! The state that the prefill and decode stages of a worker share: its configuration, its capacity and the faults in
+//! effect.
 
 use tideroute_wire::Micros;
 
 use crate::config::WorkerConfig;
 use crate::recent_work::RecentWork;
 
-/// The least factor by which a script may slow a worker down.
+/// The minimum slowdown factor; a script may set less than 1 to make the worker faster.
 const MIN_SLOWDOWN: f64 = 0.01;
 
-/// The state of a worker apart from its work.
+/// The state of a worker without its prefills and streams.
 pub struct WorkerState {
     pub config: WorkerConfig,
     pub started: Micros,
@@ -16,7 +17,7 @@
     pub fails_work: bool,
     pub corrupts_state: bool,
     pub is_draining: bool,
-    /// It was overloaded while it warmed up, and crashes.
+    /// Whether the worker was overloaded while it was warming up; it then crashes.
     pub is_overloaded: bool,
     slowdown: f64,
     last_serial: u64,
@@ -39,56 +40,61 @@
         }
     }
 
-    /// Everything takes so many times as long from now on.
+    /// Sets the factor by which all further work takes longer.
     pub fn set_slowdown(&mut self, slowdown: f64) {
         self.slowdown = slowdown.max(MIN_SLOWDOWN);
     }
 
-    /// The time that something takes which takes a warm and healthy worker `time` microseconds.
+    /// Returns how long work takes now that takes a warm worker without faults `time` microseconds.
     pub fn scaled_time(&self, now: Micros, time: f64) -> Micros {
         (time * self.slowdown / self.capacity_share(now)) as Micros
     }
 
-    /// The time to the next token of a stream.
+    /// Returns the time from one token of a stream to the next.
     pub fn token_interval(&self, now: Micros) -> Micros {
         self.scaled_time(now, self.config.token_interval as f64)
     }
 
-    /// A number that this worker did not use before.
+    /// Returns a serial number that this worker has not used yet.
     pub fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
     }
 
-    /// Whether new work is taken.
-    pub fn takes_work(&self) -> bool {
+    /// Returns whether new work is accepted.
+    pub fn accepts_work(&self) -> bool {
         !self.rejects_work && !self.is_draining
     }
 
-    /// Work was sent to the worker, whether it takes it or not. Too much of it during warm-up overloads it.
-    pub fn work_sent(&mut self, now: Micros, tokens: f64) {
+    /// Records received work, whether it is accepted or not. Too much of it while the worker is warming up overloads
+    /// it.
+    pub fn record_received_work(&mut self, now: Micros, tokens: f64) {
         let since = now.saturating_sub(self.config.overload_window);
         let recent = self.recent_work.add(now, tokens, since);
-        let capacity = self.capacity_share(now);
-        if capacity < 1.0 && recent > self.overload_limit(capacity) {
-            tracing::warn!(name = self.config.name, tokens = recent, "overloaded during warm-up");
+        let capacity_share = self.capacity_share(now);
+        if capacity_share < 1.0 && recent > self.overload_limit(capacity_share) {
+            tracing::warn!(
+                name = self.config.name,
+                tokens = recent,
+                "worker overloaded during warm-up; crashing"
+            );
             self.is_overloaded = true;
         }
     }
 
-    /// Tokens within the window that overload a worker with that part of its capacity.
-    fn overload_limit(&self, capacity: f64) -> f64 {
+    /// Returns the tokens within the window above which a worker with this share of its capacity is overloaded.
+    fn overload_limit(&self, capacity_share: f64) -> f64 {
         let window_seconds = self.config.overload_window as f64 / 1e6;
-        self.config.overload_multiple * capacity * self.config.tokens_per_second() * window_seconds
+        self.config.overload_multiple * capacity_share * self.config.tokens_per_second() * window_seconds
     }
 
-    /// The part of its warm capacity that it has now.
+    /// Returns the share of its warm capacity that the worker has now.
     fn capacity_share(&self, now: Micros) -> f64 {
         if self.config.is_warm {
             return 1.0;
         }
-        let cold = self.config.cold_capacity_share;
-        let warmed_up = now.saturating_sub(self.started) as f64 / self.config.warm_up.max(1) as f64;
-        cold + (1.0 - cold) * warmed_up.min(1.0)
+        let cold_share = self.config.cold_capacity_share;
+        let warm_up_progress = now.saturating_sub(self.started) as f64 / self.config.warm_up.max(1) as f64;
+        cold_share + (1.0 - cold_share) * warm_up_progress.min(1.0)
     }
 }
--- a/crates/emulator/tests/discovery.rs
+++ b/crates/emulator/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery sends to routers, and when.
+//! Tests which updates discovery sends to routers, and at which times.
 
 use bytes::Bytes;
 use tideroute_emulator::{Discovery, DiscoveryConfig};
@@ -45,30 +45,30 @@
     }
 }
 
-/// Discovery in virtual time.
-struct Emulation {
+/// Runs discovery in virtual time.
+struct Harness {
     discovery: Discovery,
     now: Micros,
     effects: Effects,
-    /// Timers that have not fired: when, and their key.
+    /// Timers that have not fired yet, as pairs of time and key.
     timers: Vec<(Micros, u64)>,
-    /// Updates that were sent to the router.
+    /// Updates sent to the router.
     updates: Vec<Update>,
 }
 
-impl Emulation {
-    fn start() -> Emulation {
+impl Harness {
+    fn start() -> Harness {
         let config = DiscoveryConfig { notification_delay: NOTIFICATION_DELAY, script: vec![] };
-        let mut emulation = Emulation {
+        let mut harness = Harness {
             discovery: Discovery::new(config),
             now: START,
             effects: Effects::default(),
             timers: vec![],
             updates: vec![],
         };
-        emulation.discovery.on_start(START, &mut emulation.effects);
-        emulation.execute();
-        emulation
+        harness.discovery.on_start(START, &mut harness.effects);
+        harness.execute();
+        harness
     }
 
     fn execute(&mut self) {
@@ -131,64 +131,64 @@
 }
 
 #[test]
-fn watch_within_the_settling_time_is_answered_after_it() {
-    let mut emulation = Emulation::start();
-    emulation.watch(0);
-    emulation.register_worker(WORKER);
-    emulation.run_until(START + SETTLING_TIME - 1);
-    assert_eq!(emulation.updates, []);
-    emulation.run_until(START + SETTLING_TIME);
-    assert_eq!(emulation.updates, [update(START + 1, true, &[EndpointStatus::Serving])]);
+fn watch_within_the_settling_time_is_answered_when_it_ends() {
+    let mut harness = Harness::start();
+    harness.watch(0);
+    harness.register_worker(WORKER);
+    harness.run_until(START + SETTLING_TIME - 1);
+    assert_eq!(harness.updates, []);
+    harness.run_until(START + SETTLING_TIME);
+    assert_eq!(harness.updates, [update(START + 1, true, &[EndpointStatus::Serving])]);
 }
 
 #[test]
-fn lost_worker_is_removed_after_the_notification_delay() {
-    let mut emulation = Emulation::start();
-    emulation.register_worker(WORKER);
-    emulation.run_until(START + SETTLING_TIME);
-    emulation.watch(0);
-    emulation.updates.clear();
-    emulation.disconnect(WORKER);
-    emulation.run_until(START + SETTLING_TIME + NOTIFICATION_DELAY - 1);
-    assert_eq!(emulation.updates, []);
-    emulation.run_until(START + SETTLING_TIME + NOTIFICATION_DELAY);
-    assert_eq!(emulation.updates, [update(START + 2, false, &[EndpointStatus::Removed])]);
+fn disconnected_worker_is_removed_after_the_notification_delay() {
+    let mut harness = Harness::start();
+    harness.register_worker(WORKER);
+    harness.run_until(START + SETTLING_TIME);
+    harness.watch(0);
+    harness.updates.clear();
+    harness.disconnect(WORKER);
+    harness.run_until(START + SETTLING_TIME + NOTIFICATION_DELAY - 1);
+    assert_eq!(harness.updates, []);
+    harness.run_until(START + SETTLING_TIME + NOTIFICATION_DELAY);
+    assert_eq!(harness.updates, [update(START + 2, false, &[EndpointStatus::Removed])]);
 }
 
 #[test]
 fn end_of_an_older_connection_does_not_remove_a_worker_that_registered_again() {
-    let mut emulation = Emulation::start();
-    emulation.register_worker(WORKER);
-    emulation.register_worker(WORKER_AGAIN);
-    emulation.run_until(START + SETTLING_TIME);
-    emulation.watch(0);
-    emulation.updates.clear();
-    emulation.disconnect(WORKER);
-    emulation.run_until(START + 2 * SETTLING_TIME);
-    assert_eq!(emulation.updates, []);
+    let mut harness = Harness::start();
+    harness.register_worker(WORKER);
+    harness.register_worker(WORKER_AGAIN);
+    harness.run_until(START + SETTLING_TIME);
+    harness.watch(0);
+    harness.updates.clear();
+    harness.disconnect(WORKER);
+    harness.run_until(START + 2 * SETTLING_TIME);
+    assert_eq!(harness.updates, []);
 }
 
 #[test]
 fn router_with_a_known_version_is_sent_only_the_changes_after_it() {
-    let mut emulation = Emulation::start();
-    emulation.register_worker(WORKER);
-    emulation.run_until(START + SETTLING_TIME);
-    emulation.disconnect(WORKER);
-    emulation.run_until(START + 2 * SETTLING_TIME);
-    emulation.watch(START + 1);
-    assert_eq!(emulation.updates, [update(START + 2, false, &[EndpointStatus::Removed])]);
-    emulation.updates.clear();
-    emulation.watch(START + 2);
-    assert_eq!(emulation.updates, []);
+    let mut harness = Harness::start();
+    harness.register_worker(WORKER);
+    harness.run_until(START + SETTLING_TIME);
+    harness.disconnect(WORKER);
+    harness.run_until(START + 2 * SETTLING_TIME);
+    harness.watch(START + 1);
+    assert_eq!(harness.updates, [update(START + 2, false, &[EndpointStatus::Removed])]);
+    harness.updates.clear();
+    harness.watch(START + 2);
+    assert_eq!(harness.updates, []);
 }
 
 #[test]
 fn router_without_a_known_version_is_sent_a_snapshot_without_removed_workers() {
-    let mut emulation = Emulation::start();
-    emulation.register_worker(WORKER);
-    emulation.run_until(START + SETTLING_TIME);
-    emulation.disconnect(WORKER);
-    emulation.run_until(START + 2 * SETTLING_TIME);
-    emulation.watch(0);
-    assert_eq!(emulation.updates, [update(START + 2, true, &[])]);
+    let mut harness = Harness::start();
+    harness.register_worker(WORKER);
+    harness.run_until(START + SETTLING_TIME);
+    harness.disconnect(WORKER);
+    harness.run_until(START + 2 * SETTLING_TIME);
+    harness.watch(0);
+    assert_eq!(harness.updates, [update(START + 2, true, &[])]);
 }
--- a/crates/emulator/tests/kv_state.rs
+++ b/crates/emulator/tests/kv_state.rs
@@ -1,5 +1,5 @@
-//! Clients check responses against KV state that they generate themselves, also those of captures from earlier versions:
-//! the same prompt gives the same bytes.
+//! Tests that the same prompt always gives the same KV state and response. Clients check responses against KV state
+//! that they generate themselves, including responses in captures of earlier versions.
 
 use tideroute_emulator::kv_state;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn response_has_from_one_to_the_maximum_of_tokens() {
+fn response_has_at_least_one_and_at_most_max_tokens() {
     for state_crc in (0..=u32::MAX).step_by(9_999_991) {
         for max_tokens in [0, 1, 7, 1000] {
             let tokens = kv_state::response_tokens(state_crc, max_tokens);
