--- a/crates/relay/src/connection_pair.rs
+++ b/crates/relay/src/connection_pair.rs
@@ -1,15 +1,15 @@
-//! A relayed connection: the accepted connection and the one that goes on.
+//! A relayed connection: the accepted connection and the outbound connection to the peer.
 
 use tideroute_wire::event_loop::ConnectionId;
 
 use crate::delayed_stream::DelayedStream;
 use crate::fault::Direction;
 
-/// Two connections, and the streams between them.
+/// The two connections of a relayed connection, and the byte streams between them.
 pub(crate) struct ConnectionPair {
-    /// Index of the listener that accepted.
+    /// Index of the listener that accepted the connection.
     pub listener: usize,
-    /// The accepted connection, and the one to the peer behind the relay.
+    /// The accepted connection and the outbound connection to the peer, in this order.
     pub connections: [ConnectionId; 2],
     forward: DelayedStream,
     backward: DelayedStream,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The connection from which the bytes of a direction come.
+    /// Returns the connection on which the bytes of a direction are received.
     pub fn source(&self, direction: Direction) -> ConnectionId {
         self.connections[direction.source()]
     }
 
-    /// The connection on which the bytes of a direction go on.
+    /// Returns the connection to which the bytes of a direction are forwarded.
     pub fn target(&self, direction: Direction) -> ConnectionId {
         self.connections[direction.target()]
     }
--- a/crates/relay/src/fault.rs
+++ b/crates/relay/src/fault.rs
@@ -1,20 +1,20 @@
-//! Network faults.
+//! The network faults that a relay injects.
 
 use tideroute_wire::Micros;
 
-/// The direction in which bytes pass.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum Direction {
-    /// From the process that connected to the peer behind the relay.
+    /// From the process that connected to the relay, to the peer.
     Forward,
-    /// Back to the process that connected.
+    /// From the peer, to the process that connected to the relay.
     Backward,
 }
 
 impl Direction {
     pub const BOTH: [Direction; 2] = [Direction::Forward, Direction::Backward];
 
-    /// The index of the connection from which the bytes come.
+    /// Returns the index in a connection pair of the connection on which the bytes are received.
     pub fn source(self) -> usize {
         match self {
             Direction::Forward => 0,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The index of the connection on which the bytes go on.
+    /// Returns the index in a connection pair of the connection to which the bytes are forwarded.
     pub fn target(self) -> usize {
         1 - self.source()
     }
@@ -35,14 +35,14 @@
     }
 }
 
-/// The directions that a fault concerns, seen from the process that connects.
+/// The directions that a fault affects, from the view of the process that connects to the relay.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultDirection {
     /// Both directions.
     Both,
-    /// To the peer behind the relay only.
+    /// Only bytes to the peer.
     Forward,
-    /// Back to the process that connects only.
+    /// Only bytes to the process that connects.
     Backward,
 }
 
@@ -56,34 +56,35 @@
     }
 }
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum FaultKind {
-    /// A partition: connections stay open and nothing passes, and connection attempts are not answered. What was sent
-    /// arrives when the fault is over.
+    /// A network partition: connections stay open but no bytes are forwarded, and connection attempts are not answered.
+    /// Bytes sent during the fault arrive when it ends.
     Blackhole,
     /// Connections are reset, and connection attempts are refused.
     Reset,
-    /// What passes is late.
+    /// Bytes are forwarded with a delay.
     Delay {
-        /// The least delay.
+        /// The minimum delay in microseconds.
         delay: Micros,
-        /// Up to so much is added, uniformly distributed.
+        /// The maximum random addition to the delay in microseconds, uniformly distributed from 0.
         jitter: Micros,
-        /// The probability with which a part is lost, and sent again. A lost datagram is not sent again.
+        /// The probability from 0 to 1 that received bytes are lost and retransmitted. A lost datagram is not
+        /// retransmitted.
         loss: f64,
     },
 }
 
-/// A fault with its time.
+/// A fault and the time span in which it is active.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When it begins, after the relay's start.
+    /// The start of the fault, in microseconds after the start of the relay.
     pub from: Micros,
-    /// When it ends, after the relay's start.
+    /// The end of the fault, in microseconds after the start of the relay.
     pub until: Micros,
-    /// What it concerns.
+    /// The directions that the fault affects.
     pub direction: FaultDirection,
-    /// What it does.
+    /// The effect of the fault.
     pub kind: FaultKind,
 }
--- a/crates/relay/src/fault_injector.rs
+++ b/crates/relay/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Which faults are active on a route, and what they do to what passes there.
+//! Determines which faults are active on a route, and how they affect the traffic of the route.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -8,11 +8,11 @@
 use crate::config::Route;
 use crate::fault::{Direction, Fault, FaultKind};
 
-/// Microseconds after which a part that was lost arrives all the same: the least that Linux waits before it
+/// Microseconds that are added to the delay of lost bytes for their retransmission: the shortest time after which Linux
 /// retransmits.
 const RETRANSMIT_DELAY: Micros = 200_000;
 
-/// The faults of a relay, from its start on.
+/// The faults of a relay, relative to the start of the relay.
 pub(crate) struct FaultInjector {
     faults: Vec<Fault>,
     started_at: Micros,
@@ -24,7 +24,7 @@
         FaultInjector { faults, started_at: 0, rng: Pcg64::seed_from_u64(seed) }
     }
 
-    /// Starts the time of the faults.
+    /// Sets the time from which the start and end of each fault are counted.
     pub fn start(&mut self, now: Micros) {
         self.started_at = now;
     }
@@ -33,6 +33,7 @@
         &self.faults
     }
 
+    /// Returns the faults that are active on a route at `now`.
     fn active<'a>(&'a self, route: &'a Route, now: Micros) -> impl Iterator<Item = &'a Fault> {
         let elapsed = now.saturating_sub(self.started_at);
         route
@@ -42,13 +43,14 @@
             .filter(move |fault| fault.from <= elapsed && elapsed < fault.until)
     }
 
-    /// Whether nothing passes in this direction now.
+    /// Returns whether an active fault blocks all bytes in this direction.
     pub fn is_blocked(&self, route: &Route, direction: Direction, now: Micros) -> bool {
         self.active(route, now)
             .any(|fault| fault.kind == FaultKind::Blackhole && fault.direction.includes(direction))
     }
 
-    /// The state of the route's listener now: the worst that an active fault demands.
+    /// Returns the state of the route's listener at `now`: refusing if a reset fault is active, else unresponsive if a
+    /// blackhole is active, else open.
     pub fn listener_state(&self, route: &Route, now: Micros) -> ListenerState {
         let mut state = ListenerState::Open;
         for fault in self.active(route, now) {
@@ -61,31 +63,31 @@
         state
     }
 
-    /// When a part that arrives now goes on.
-    pub fn forward_at(&mut self, route: &Route, direction: Direction, now: Micros) -> Micros {
+    /// Returns the time at which bytes received at `now` are forwarded.
+    pub fn forward_time(&mut self, route: &Route, direction: Direction, now: Micros) -> Micros {
         let active: Vec<Fault> = self.active(route, now).copied().collect();
-        let mut at = now;
+        let mut forward_at = now;
         for fault in active.iter().filter(|fault| fault.direction.includes(direction)) {
             let FaultKind::Delay { delay, jitter, loss } = fault.kind else { continue };
-            at += delay + self.rng.random_range(0..=jitter);
+            forward_at += delay + self.rng.random_range(0..=jitter);
             while loss > 0.0 && self.rng.random::<f64>() < loss {
-                at += RETRANSMIT_DELAY;
+                forward_at += RETRANSMIT_DELAY;
             }
         }
-        at
+        forward_at
     }
 
-    /// When a datagram that arrives now goes on; None if it is lost.
-    pub fn forward_datagram_at(&mut self, route: &Route, now: Micros) -> Option<Micros> {
+    /// Returns the time at which a datagram received at `now` is forwarded, or `None` if it is lost.
+    pub fn datagram_forward_time(&mut self, route: &Route, now: Micros) -> Option<Micros> {
         let active: Vec<Fault> = self.active(route, now).copied().collect();
-        let mut at = now;
+        let mut forward_at = now;
         for fault in active.iter().filter(|fault| fault.direction.includes(Direction::Forward)) {
             let FaultKind::Delay { delay, jitter, loss } = fault.kind else { return None };
             if self.rng.random::<f64>() < loss {
                 return None;
             }
-            at += delay + self.rng.random_range(0..=jitter);
+            forward_at += delay + self.rng.random_range(0..=jitter);
         }
-        Some(at)
+        Some(forward_at)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,8 @@
 //! A relay between processes of a scenario, which injects network faults.
 //!
-//! A process that a fault concerns connects to one of the relay's listeners in place of its peer; bytes pass unread. At
-//! the times of its script the relay blocks, resets or delays what passes. It has no sockets and no clock, its random
-//! numbers follow from a seed, and it knows no protocol.
+//! A process that a fault affects connects to one of the relay's listeners instead of to its peer. The relay forwards
+//! the bytes without parsing them, and blocks, resets or delays them at the times of its faults. It is an event handler
+//! without sockets and without a clock, and its random numbers are generated from a seed.
 
 #![warn(missing_docs)]
 
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay itself: its listeners, its script of faults, and the connections that pass.
+//! The relay: its listeners, its scheduled faults, and the connections and datagrams that it forwards.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,40 +12,40 @@
 use crate::fault_injector::FaultInjector;
 use crate::timer_key::TimerKey;
 
-/// Microseconds until an attempt to connect to the peer is given up; the process that connects through the relay has a
+/// Microseconds after which a connection attempt to the peer fails. The process that connects through the relay has a
 /// shorter timeout of its own.
 const CONNECT_TIMEOUT: Micros = 60_000_000;
-/// Datagrams that are delayed at once; further ones are lost.
+/// Maximum number of datagrams that wait to be forwarded; further ones are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 20_000;
 
-/// The pair to which a connection belongs, and the direction of what arrives on it.
+/// The pair to which a connection belongs, and the direction of the bytes that are received on it.
 #[derive(Clone, Copy)]
 struct PairSide {
     pair: u64,
     direction: Direction,
 }
 
-/// A datagram that waits to go on.
+/// A datagram that waits to be forwarded.
 struct DelayedDatagram {
     socket: usize,
     bytes: Bytes,
 }
 
-/// A relay, to be driven by an event loop with raw connections.
+/// A relay. The event loop that drives it must not split its connections into frames.
 pub struct Relay {
     listeners: Vec<Route>,
     datagram_sockets: Vec<Route>,
     injector: FaultInjector,
     pairs: BTreeMap<u64, ConnectionPair>,
     sides: HashMap<ConnectionId, PairSide>,
-    /// The number of the latest pair or delayed datagram.
+    /// The number of the latest connection pair or delayed datagram.
     last_number: u64,
     delayed_datagrams: BTreeMap<u64, DelayedDatagram>,
-    shutting_down: bool,
+    is_shutting_down: bool,
 }
 
 impl Relay {
-    /// A relay whose script begins with its start.
+    /// Creates a relay. The times of its faults are counted from the start of the event loop.
     pub fn new(config: RelayConfig) -> Relay {
         Relay {
             listeners: config.listeners,
@@ -55,11 +55,12 @@
             sides: HashMap::new(),
             last_number: 0,
             delayed_datagrams: BTreeMap::new(),
-            shutting_down: false,
+            is_shutting_down: false,
         }
     }
 
-    /// Forwards what is due on a pair, and closes it once one side has ended and all of its bytes have gone on.
+    /// Forwards the bytes of a pair that are due, and closes the pair once one side has ended and all of its
+    /// bytes have been forwarded.
     fn forward(&mut self, number: u64, now: Micros, effects: &mut Effects) {
         let Some(pair) = self.pairs.get_mut(&number) else { return };
         let route = &self.listeners[pair.listener];
@@ -73,17 +74,18 @@
                     effects.set_timer(next, TimerKey::Pair(number).encode());
                 }
             }
-            if stream.ended && stream.is_empty() && !blocked {
-                effects.close(target, "the other side has ended");
-                return self.forget(number);
+            if stream.source_ended && stream.is_empty() && !blocked {
+                effects.close(target, "the other side of the relayed connection source_ended");
+                return self.remove_pair(number);
             }
-            if !stream.ended {
+            if !stream.source_ended {
                 stream.update_reading(source, blocked, effects);
             }
         }
     }
 
-    fn forget(&mut self, number: u64) {
+    /// Removes a pair without closing its connections.
+    fn remove_pair(&mut self, number: u64) {
         let Some(pair) = self.pairs.remove(&number) else { return };
         for connection in pair.connections {
             self.sides.remove(&connection);
@@ -97,7 +99,7 @@
                 effects.reset(connection);
             }
         }
-        self.forget(number);
+        self.remove_pair(number);
     }
 
     fn send_datagram(&self, socket: usize, bytes: Bytes, effects: &mut Effects) {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// A fault begins or ends: brings listeners and connections into the state that the active faults demand.
+    /// Handles the start or end of a fault: sets listeners and connections to the state that the active faults require.
     fn apply_fault(&mut self, fault: usize, now: Micros, effects: &mut Effects) {
         for listener in 0..self.listeners.len() {
             let route = &self.listeners[listener];
@@ -115,7 +117,7 @@
             }
             let state = self.injector.listener_state(route, now);
             effects.set_listener_state(listener, state);
-            for number in self.pairs_of(listener) {
+            for number in self.pairs_of_listener(listener) {
                 if state == ListenerState::Refusing {
                     self.reset(number, effects);
                 } else {
@@ -125,7 +127,7 @@
         }
     }
 
-    fn pairs_of(&self, listener: usize) -> Vec<u64> {
+    fn pairs_of_listener(&self, listener: usize) -> Vec<u64> {
         let pairs = self.pairs.iter().filter(|(_, pair)| pair.listener == listener);
         pairs.map(|(number, _)| *number).collect()
     }
@@ -160,12 +162,12 @@
         }
     }
 
-    fn on_data(&mut self, now: Micros, connection: ConnectionId, part: &Bytes, effects: &mut Effects) {
+    fn on_data(&mut self, now: Micros, connection: ConnectionId, chunk: &Bytes, effects: &mut Effects) {
         let Some(&side) = self.sides.get(&connection) else { return };
         let Some(pair) = self.pairs.get_mut(&side.pair) else { return };
         let route = &self.listeners[pair.listener];
-        let at = self.injector.forward_at(route, side.direction, now);
-        pair.stream(side.direction).push(at, part);
+        let at = self.injector.forward_time(route, side.direction, now);
+        pair.stream(side.direction).push(at, chunk);
         self.forward(side.pair, now, effects);
     }
 
@@ -179,11 +181,12 @@
         let Some(&side) = self.sides.get(&connection) else { return };
         let Some(pair) = self.pairs.get_mut(&side.pair) else { return };
         if reason != DisconnectReason::Reset {
-            // The peer was not reached: the process that connected is refused, as without a relay.
+            // The connection to the peer failed. The process that connected is reset, as the peer could not be reached
+            // without a relay either.
             effects.reset(pair.target(side.direction));
-            return self.forget(side.pair);
+            return self.remove_pair(side.pair);
         }
-        pair.stream(side.direction).ended = true;
+        pair.stream(side.direction).source_ended = true;
         self.forward(side.pair, now, effects);
     }
 
@@ -210,7 +213,7 @@
         effects: &mut Effects,
     ) {
         let Some(route) = self.datagram_sockets.get(socket) else { return };
-        let Some(at) = self.injector.forward_datagram_at(route, now) else { return };
+        let Some(at) = self.injector.datagram_forward_time(route, now) else { return };
         if at <= now {
             return self.send_datagram(socket, bytes.clone(), effects);
         }
@@ -237,10 +240,10 @@
     fn on_iteration(&mut self, _now: Micros, _effects: &mut Effects) {}
 
     fn on_shutdown(&mut self, _now: Micros, _effects: &mut Effects) {
-        self.shutting_down = true;
+        self.is_shutting_down = true;
     }
 
     fn is_finished(&self) -> bool {
-        self.shutting_down
+        self.is_shutting_down
     }
 }
--- a/crates/relay/src/timer_key.rs
+++ b/crates/relay/src/timer_key.rs
@@ -1,19 +1,19 @@
-//! The keys of the relay's timers.
+//! The timer keys of a relay.
 
-/// The bit of the keys of connection pairs.
-const PAIR: u64 = 1 << 62;
-/// The bit of the keys of datagrams.
-const DATAGRAM: u64 = 1 << 61;
+/// The bit that is set in the keys of connection pairs.
+const PAIR_BIT: u64 = 1 << 62;
+/// The bit that is set in the keys of datagrams.
+const DATAGRAM_BIT: u64 = 1 << 61;
 
-/// What a timer was set for; [`encode`](TimerKey::encode) and [`decode`](TimerKey::decode) are the one mapping to the
-/// loop's keys.
+/// The purpose of a timer. [`encode`](TimerKey::encode) and [`decode`](TimerKey::decode) convert it to and from the key
+/// that is passed to the event loop.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum TimerKey {
-    /// The fault with this index begins or ends.
+    /// The fault with this index starts or ends.
     Fault(usize),
-    /// A part on the connection pair of this number is due.
+    /// Bytes on the connection pair with this number are due.
     Pair(u64),
-    /// The delayed datagram of this number is due.
+    /// The delayed datagram with this number is due.
     Datagram(u64),
 }
 
@@ -21,16 +21,16 @@
     pub fn encode(self) -> u64 {
         match self {
             TimerKey::Fault(index) => index as u64,
-            TimerKey::Pair(number) => PAIR | number,
-            TimerKey::Datagram(number) => DATAGRAM | number,
+            TimerKey::Pair(number) => PAIR_BIT | number,
+            TimerKey::Datagram(number) => DATAGRAM_BIT | number,
         }
     }
 
     pub fn decode(key: u64) -> TimerKey {
-        if key & DATAGRAM != 0 {
-            TimerKey::Datagram(key & !DATAGRAM)
-        } else if key & PAIR != 0 {
-            TimerKey::Pair(key & !PAIR)
+        if key & DATAGRAM_BIT != 0 {
+            TimerKey::Datagram(key & !DATAGRAM_BIT)
+        } else if key & PAIR_BIT != 0 {
+            TimerKey::Pair(key & !PAIR_BIT)
         } else {
             TimerKey::Fault(key as usize)
         }
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay on real sockets, between a client and a server that sends back what it gets.
+//! Tests the relay on real sockets, between a client and an echo server.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,43 +8,45 @@
 use tideroute_reactor::Reactor;
 use tideroute_relay::{Fault, FaultDirection, FaultKind, Relay, RelayConfig, Route};
 
-const MS: u64 = 1000;
+const MICROS_PER_MS: u64 = 1000;
 
-fn echo() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
+/// Starts an echo server and returns its address.
+fn start_echo_server() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener is bound");
+    let address = listener.local_addr().expect("listener has an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            stream.set_nodelay(true).expect("it is set");
+            stream.set_nodelay(true).expect("TCP_NODELAY is set");
             std::thread::spawn(move || std::io::copy(&mut &stream, &mut &stream));
         }
     });
-    at
+    address
 }
 
-/// A relay with these faults in front of an echo server: its address, and when it began.
-fn relay(faults: &[Fault]) -> (SocketAddr, Instant) {
-    let SocketAddr::V4(to) = echo() else { panic!("no IPv4") };
+/// Starts a relay with these faults in front of an echo server. Returns its address and its start time.
+fn start_relay(faults: &[Fault]) -> (SocketAddr, Instant) {
+    let SocketAddr::V4(to) = start_echo_server() else { panic!("echo server has no IPv4 address") };
     let ([a, b, c, d], [high, low]) = (to.ip().octets(), to.port().to_be_bytes());
     let route = Route { to: [a, b, c, d, high, low], faults: (0..faults.len()).collect() };
     let config =
         RelayConfig { listeners: vec![route], datagram_sockets: vec![], faults: faults.to_vec(), seed: 3 };
-    let (started, wait_for_start) = channel();
+    let (start_sender, start_receiver) = channel();
     std::thread::spawn(move || {
-        let mut reactor = Reactor::new(&["127.0.0.1:0".parse().expect("an address")]).expect("it listens");
+        let mut reactor =
+            Reactor::new(&["127.0.0.1:0".parse().expect("address is valid")]).expect("reactor listens");
         reactor.set_raw(0);
-        started.send((reactor.addresses()[0], Instant::now())).expect("somebody waits");
+        start_sender.send((reactor.addresses()[0], Instant::now())).expect("the test waits for the start");
         reactor.run(&mut Relay::new(config))
     });
-    wait_for_start.recv().expect("it began")
+    start_receiver.recv().expect("relay has started")
 }
 
-fn fault(from: u64, until: u64, direction: FaultDirection, kind: FaultKind) -> Fault {
-    Fault { from: from * MS, until: until * MS, direction, kind }
+fn fault(from_ms: u64, until_ms: u64, direction: FaultDirection, kind: FaultKind) -> Fault {
+    Fault { from: from_ms * MICROS_PER_MS, until: until_ms * MICROS_PER_MS, direction, kind }
 }
 
-fn sleep_until(began: Instant, ms: u64) {
-    std::thread::sleep((began + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
+fn sleep_until(started: Instant, ms: u64) {
+    std::thread::sleep((started + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
 }
 
 fn connect(to: SocketAddr) -> std::io::Result<TcpStream> {
@@ -55,116 +57,125 @@
 }
 
 fn send(stream: &mut TcpStream, bytes: &[u8]) {
-    stream.write_all(bytes).expect("it is sent");
+    stream.write_all(bytes).expect("bytes are sent");
 }
 
-/// What arrives within a tenth of a second, None for an end.
+/// Returns the bytes that arrive within 100 ms, empty if none do; `None` if the connection has ended.
 fn receive(stream: &mut TcpStream) -> Option<Vec<u8>> {
     let mut bytes = [0; 64];
     match stream.read(&mut bytes) {
         Ok(0) => None,
-        Ok(got) => Some(bytes[..got].to_vec()),
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Some(vec![]),
+        Ok(length) => Some(bytes[..length].to_vec()),
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Some(vec![]),
         Err(_) => None,
     }
 }
 
+/// During a partition the relay must neither close connections nor answer connection attempts, and it must not lose the
+/// bytes that are sent.
 #[test]
-fn a_blackhole_holds_what_is_sent_and_answers_no_connect_until_it_is_over() {
-    let (relay_address, began) = relay(&[fault(300, 1200, FaultDirection::Both, FaultKind::Blackhole)]);
-    let mut stream = connect(relay_address).expect("before it all is well");
+fn blackhole_delays_sent_bytes_and_leaves_connects_unanswered_until_it_ends() {
+    let (relay_address, started) =
+        start_relay(&[fault(300, 1200, FaultDirection::Both, FaultKind::Blackhole)]);
+    let mut stream = connect(relay_address).expect("relay accepts before the fault");
     send(&mut stream, b"one");
-    assert_eq!(receive(&mut stream).expect("open"), b"one");
-    sleep_until(began, 400);
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"one");
+    sleep_until(started, 400);
     send(&mut stream, b"two");
-    assert_eq!(receive(&mut stream).expect("it stays open and is silent"), b"");
+    assert_eq!(receive(&mut stream).expect("connection stays open"), b"");
     for _ in 0..2 {
-        assert_eq!(connect(relay_address).expect_err("nobody answers").kind(), ErrorKind::TimedOut);
+        assert_eq!(connect(relay_address).expect_err("connect is not answered").kind(), ErrorKind::TimedOut);
     }
-    sleep_until(began, 1300);
-    assert_eq!(receive(&mut stream).expect("open"), b"two");
-    let mut second = connect(relay_address).expect("it is over");
+    sleep_until(started, 1300);
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"two");
+    let mut second = connect(relay_address).expect("relay accepts after the fault");
     send(&mut second, b"three");
-    assert_eq!(receive(&mut second).expect("open"), b"three");
+    assert_eq!(receive(&mut second).expect("connection is open"), b"three");
 }
 
 #[test]
-fn a_blackhole_in_one_direction_lets_the_other_pass() {
-    let (relay_address, began) = relay(&[fault(300, 900, FaultDirection::Backward, FaultKind::Blackhole)]);
-    let mut stream = connect(relay_address).expect("before it all is well");
-    sleep_until(began, 400);
+fn one_way_blackhole_forwards_the_other_direction() {
+    let (relay_address, started) =
+        start_relay(&[fault(300, 900, FaultDirection::Backward, FaultKind::Blackhole)]);
+    let mut stream = connect(relay_address).expect("relay accepts before the fault");
+    sleep_until(started, 400);
     send(&mut stream, b"one");
-    assert_eq!(receive(&mut stream).expect("open"), b"");
-    assert_eq!(receive(&mut stream).expect("open"), b"");
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"");
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"");
     assert_eq!(
-        connect(relay_address).expect_err("an answer to a connect would come back too").kind(),
+        connect(relay_address).expect_err("the answer to a connect is blocked as well").kind(),
         ErrorKind::TimedOut
     );
-    sleep_until(began, 1000);
-    assert_eq!(receive(&mut stream).expect("open"), b"one");
+    sleep_until(started, 1000);
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"one");
 }
 
 #[test]
-fn a_reset_breaks_connections_and_refuses_connects() {
-    let (relay_address, began) = relay(&[fault(300, 700, FaultDirection::Both, FaultKind::Reset)]);
-    let mut stream = connect(relay_address).expect("before it all is well");
+fn reset_fault_resets_connections_and_refuses_connects() {
+    let (relay_address, started) = start_relay(&[fault(300, 700, FaultDirection::Both, FaultKind::Reset)]);
+    let mut stream = connect(relay_address).expect("relay accepts before the fault");
     send(&mut stream, b"one");
-    assert_eq!(receive(&mut stream).expect("open"), b"one");
-    sleep_until(began, 400);
+    assert_eq!(receive(&mut stream).expect("connection is open"), b"one");
+    sleep_until(started, 400);
     assert_eq!(receive(&mut stream), None);
-    assert_eq!(connect(relay_address).expect_err("refused").kind(), ErrorKind::ConnectionRefused);
-    sleep_until(began, 800);
-    let mut second = connect(relay_address).expect("it is over");
+    assert_eq!(connect(relay_address).expect_err("connect is refused").kind(), ErrorKind::ConnectionRefused);
+    sleep_until(started, 800);
+    let mut second = connect(relay_address).expect("relay accepts after the fault");
     send(&mut second, b"two");
-    assert_eq!(receive(&mut second).expect("open"), b"two");
+    assert_eq!(receive(&mut second).expect("connection is open"), b"two");
 }
 
-/// The median of some round trips.
-fn round_trip(to: SocketAddr) -> Duration {
-    let mut stream = connect(to).expect("there");
-    let mut took: Vec<_> = (0..201)
+/// Returns the median of 201 round-trip times.
+fn median_round_trip(to: SocketAddr) -> Duration {
+    let mut stream = connect(to).expect("server accepts");
+    let mut round_trips: Vec<_> = (0..201)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             send(&mut stream, b"word");
-            assert_eq!(receive(&mut stream).expect("open"), b"word");
-            began.elapsed()
+            assert_eq!(receive(&mut stream).expect("connection is open"), b"word");
+            started.elapsed()
         })
         .collect();
-    took.sort_unstable();
-    took[100]
+    round_trips.sort_unstable();
+    round_trips[100]
 }
 
 #[test]
-fn delay_is_added_in_its_direction_and_lost_parts_are_retransmitted() {
-    let late = FaultKind::Delay { delay: 20 * MS, jitter: 5 * MS, loss: 0.0 };
-    let (relay_address, _) = relay(&[fault(0, 60_000, FaultDirection::Forward, late)]);
-    let mut stream = connect(relay_address).expect("there");
-    let began = Instant::now();
-    (0..20u8).for_each(|n| send(&mut stream, &[n]));
+fn delay_is_added_in_its_direction_and_lost_bytes_are_retransmitted() {
+    let delayed = FaultKind::Delay { delay: 20 * MICROS_PER_MS, jitter: 5 * MICROS_PER_MS, loss: 0.0 };
+    let (relay_address, _) = start_relay(&[fault(0, 60_000, FaultDirection::Forward, delayed)]);
+    let mut stream = connect(relay_address).expect("relay accepts");
+    let started = Instant::now();
+    (0..20u8).for_each(|byte| send(&mut stream, &[byte]));
     let mut received = Vec::new();
     while received.len() < 20 {
-        received.extend(receive(&mut stream).expect("open"));
+        received.extend(receive(&mut stream).expect("connection is open"));
     }
-    // All of it, in order, and no sooner than the delay.
-    assert!(received.is_sorted() && began.elapsed() >= Duration::from_millis(20), "{received:?}");
+    // All bytes arrive in order, and not before the delay has passed.
+    assert!(received.is_sorted() && started.elapsed() >= Duration::from_millis(20), "{received:?}");
     let lossy = FaultKind::Delay { delay: 0, jitter: 0, loss: 0.5 };
-    let (relay_address, _) = relay(&[fault(0, 60_000, FaultDirection::Both, lossy)]);
-    let mut stream = connect(relay_address).expect("there");
-    let began = Instant::now();
+    let (relay_address, _) = start_relay(&[fault(0, 60_000, FaultDirection::Both, lossy)]);
+    let mut stream = connect(relay_address).expect("relay accepts");
+    let started = Instant::now();
     let mut received = 0;
     for _ in 0..6 {
         send(&mut stream, b"x");
-        while receive(&mut stream).expect("open").is_empty() {}
+        while receive(&mut stream).expect("connection is open").is_empty() {}
         received += 1;
     }
-    assert!(received == 6 && began.elapsed() >= Duration::from_millis(200));
+    assert!(received == 6 && started.elapsed() >= Duration::from_millis(200));
 }
 
-/// What a relay without faults adds; the figure is in docs/measurements.md, the bound here is for busy machines.
+/// The latency that a relay without faults adds is reported in docs/measurements.md. The bound here is wide enough for
+/// a busy machine.
 #[test]
-fn a_relay_without_faults_adds_little_latency() {
-    let (relay_address, _) = relay(&[]);
-    let (with, without) = (round_trip(relay_address), round_trip(echo()));
-    println!("a round trip through a relay {with:?}, without {without:?}");
-    assert!(with < without + Duration::from_millis(5), "{with:?} beside {without:?}");
+fn relay_without_faults_adds_little_latency() {
+    let (relay_address, _) = start_relay(&[]);
+    let (with_relay, without_relay) =
+        (median_round_trip(relay_address), median_round_trip(start_echo_server()));
+    println!("median round trip with a relay {with_relay:?}, without {without_relay:?}");
+    assert!(
+        with_relay < without_relay + Duration::from_millis(5),
+        "median round trip with a relay {with_relay:?}, without {without_relay:?}"
+    );
 }
