--- a/crates/fault-injection/src/active_plan.rs
+++ b/crates/fault-injection/src/active_plan.rs
@@ -1,4 +1,4 @@
-//! The fault plan of this process: read from the environment as the library is loaded, before `main`.
+//! The fault plan of this process, read from the environment when the library is loaded, before `main`.
 
 use std::sync::OnceLock;
 use std::time::Instant;
@@ -7,31 +7,32 @@
 
 /// The environment variable that holds the plan.
 const PLAN_VARIABLE: &str = "TIDEROUTE_SHIM";
-/// The environment variable that names the file to write once the plan is in force.
+/// The environment variable that names the file to which the plan is written once it is loaded.
 const PROOF_VARIABLE: &str = "TIDEROUTE_SHIM_PROOF";
 
-static ACTIVE_PLAN: OnceLock<ActivePlan> = OnceLock::new();
+static LOADED_PLAN: OnceLock<LoadedPlan> = OnceLock::new();
 
-struct ActivePlan {
+struct LoadedPlan {
     plan: FaultPlan,
     loaded_at: Instant,
 }
 
-/// The plan; none where the environment has none, and until this library has been loaded completely.
+/// Returns the plan; `None` if the environment has none, and before this library is fully loaded.
 pub fn plan() -> Option<&'static FaultPlan> {
-    ACTIVE_PLAN.get().map(|active| &active.plan)
+    LOADED_PLAN.get().map(|loaded| &loaded.plan)
 }
 
-/// The plan, if it lets calls fail at the present age of the process.
-pub fn plan_in_force() -> Option<&'static FaultPlan> {
-    plan().filter(|plan| plan.is_in_force(process_age_ms()))
+/// Returns the plan if calls may fail at the present age of the process.
+pub fn active_plan() -> Option<&'static FaultPlan> {
+    plan().filter(|plan| plan.is_active(process_age_ms()))
 }
 
-/// Milliseconds since the plan was loaded, at the start of the process; 0 without a plan.
+/// Returns the milliseconds since the plan was loaded at the start of the process; 0 without a plan.
 pub fn process_age_ms() -> i64 {
-    ACTIVE_PLAN.get().map_or(0, |active| active.loaded_at.elapsed().as_millis() as i64)
+    LOADED_PLAN.get().map_or(0, |loaded| loaded.loaded_at.elapsed().as_millis() as i64)
 }
 
+/// Loads the plan. Aborts the process if it does not parse.
 extern "C" fn load_plan() {
     let Ok(text) = std::env::var(PLAN_VARIABLE) else { return };
     let plan = match FaultPlan::parse(&text) {
@@ -41,10 +42,11 @@
             std::process::abort();
         }
     };
-    let _ = ACTIVE_PLAN.set(ActivePlan { plan, loaded_at: Instant::now() });
+    let _ = LOADED_PLAN.set(LoadedPlan { plan, loaded_at: Instant::now() });
     write_proof(&text);
 }
 
+/// Writes the plan to the proof file, if one is named. Aborts the process if that fails.
 fn write_proof(plan: &str) {
     let Ok(path) = std::env::var(PROOF_VARIABLE) else { return };
     if let Err(error) = std::fs::write(&path, plan) {
@@ -53,7 +55,7 @@
     }
 }
 
-/// The dynamic loader calls what stands in this section before `main`.
+/// Makes the dynamic loader call [`load_plan`] before `main`: it calls all functions in this section.
 #[used]
 #[link_section = ".init_array"]
 static LOAD_PLAN: extern "C" fn() = load_plan;
--- a/crates/fault-injection/src/libc_calls.rs
+++ b/crates/fault-injection/src/libc_calls.rs
@@ -1,37 +1,37 @@
-//! Access to the functions of the C library that this library stands in front of, and to the thread's `errno`.
+//! Access to the C library's functions that this library replaces, and to the thread's `errno`.
 
 use std::ffi::CStr;
 
 use libc::{c_int, c_void};
 
-/// The next function of that name after this library's, in the order of the dynamic loader.
+/// Returns the function of this name that the dynamic loader finds after the one of this library.
 pub fn next_function(name: &CStr) -> *mut c_void {
-    // SAFETY: the name ends with a zero, and the C library is there before any code of ours runs.
+    // SAFETY: the name is null-terminated, and the C library is loaded before any code of this library runs.
     unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) }
 }
 
-/// Calls the C library's function of a name, whose type is given.
+/// Calls the C library's function of this name and type.
 macro_rules! call_next {
-    ($name:literal as fn($($kind:ty),*) -> $result:ty, $($argument:expr),*) => {{
+    ($name:literal as fn($($argument_type:ty),*) -> $result:ty, $($argument:expr),*) => {{
         static NEXT: std::sync::OnceLock<usize> = std::sync::OnceLock::new();
-        let found = *NEXT.get_or_init(|| $crate::libc_calls::next_function($name) as usize);
-        // SAFETY: the C library's function of that name has this type.
-        let function: unsafe extern "C" fn($($kind),*) -> $result = unsafe { std::mem::transmute(found) };
-        // SAFETY: the caller's arguments are handed on as they came.
+        let next = *NEXT.get_or_init(|| $crate::libc_calls::next_function($name) as usize);
+        // SAFETY: the C library's function of this name has this type.
+        let function: unsafe extern "C" fn($($argument_type),*) -> $result = unsafe { std::mem::transmute(next) };
+        // SAFETY: the caller's arguments are passed on unchanged.
         unsafe { function($($argument),*) }
     }};
 }
 pub(crate) use call_next;
 
-/// Sets `errno`, and returns the -1 by which a call says that it failed.
+/// Sets `errno` and returns -1, the result of a failed call.
 pub fn fail_with(error: c_int) -> c_int {
-    // SAFETY: the place of the thread's error is always there.
+    // SAFETY: `__errno_location` returns a valid pointer for every thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// The `errno` that the last call of this thread left.
+/// Returns the `errno` that the last call of this thread has set.
 pub fn last_error() -> c_int {
-    // SAFETY: as above.
+    // SAFETY: `__errno_location` returns a valid pointer for every thread.
     unsafe { *libc::__errno_location() }
 }
--- a/crates/fault-injection/src/socket_calls.rs
+++ b/crates/fault-injection/src/socket_calls.rs
@@ -1,27 +1,29 @@
-//! Calls on TCP sockets, some of which fail, are interrupted or transfer fewer bytes than asked.
+//! Replacements for the C library's socket functions. Calls on TCP sockets fail, are interrupted or transfer fewer
+//! bytes than requested, according to the fault plan.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use libc::{c_int, c_void, size_t, sockaddr, socklen_t, ssize_t};
 
-use crate::active_plan::plan_in_force;
+use crate::active_plan::active_plan;
 use crate::libc_calls::{call_next, fail_with, last_error};
 
-/// What a descriptor is known to be.
+/// The kind of a file descriptor, as far as this library knows it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 enum DescriptorKind {
-    /// No TCP socket, or a listener, or not seen yet: its reads and writes are left alone.
+    /// A listener, a descriptor that is no TCP socket, or an unknown one. No faults are injected into its reads and
+    /// writes.
     Other,
-    /// A connection that was accepted.
+    /// A connection that this process accepted.
     Inbound,
     /// A connection that this process opened.
     Outbound,
 }
 
-/// Descriptors that are tracked; those from here on are left alone.
+/// Number of descriptors that are tracked. No faults are injected into reads and writes on higher ones.
 const TRACKED_DESCRIPTORS: usize = 1 << 16;
-/// The [`DescriptorKind`] of each descriptor.
+/// The [`DescriptorKind`] of each tracked descriptor.
 static KINDS: [AtomicU8; TRACKED_DESCRIPTORS] =
     [const { AtomicU8::new(DescriptorKind::Other as u8) }; TRACKED_DESCRIPTORS];
 
@@ -69,42 +71,42 @@
 }
 
 fn set_kind(descriptor: c_int, kind: DescriptorKind) {
-    if let Some(known) = tracked(descriptor) {
-        known.store(kind as u8, Ordering::Relaxed);
+    if let Some(tracked_kind) = tracked(descriptor) {
+        tracked_kind.store(kind as u8, Ordering::Relaxed);
     }
 }
 
-/// The error with which this call fails at once, if it is to fail.
+/// Returns the error with which this call is to fail, `EINTR` included, or `None` if it is not to fail.
 fn injected_failure(errors: &[c_int]) -> Option<c_int> {
-    let plan = plan_in_force()?;
+    let plan = active_plan()?;
     if plan.random_unit() < plan.interrupt_rate {
         return Some(libc::EINTR);
     }
     (plan.random_unit() < plan.socket_failure_rate).then(|| plan.choose(errors))
 }
 
-/// Stands in for socket(2).
+/// Replaces socket(2).
 ///
 /// # Safety
-/// As socket(2).
+/// The requirements of socket(2) apply.
 #[no_mangle]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let is_tcp = domain == libc::AF_INET && kind & libc::SOCK_STREAM != 0;
+pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
+    let is_tcp = domain == libc::AF_INET && socket_type & libc::SOCK_STREAM != 0;
     if let Some(error) = injected_failure(&SOCKET_ERRORS).filter(|error| is_tcp && *error != libc::EINTR) {
         return fail_with(error);
     }
-    let created = call_next!(c"socket" as fn(c_int, c_int, c_int) -> c_int, domain, kind, protocol);
+    let created = call_next!(c"socket" as fn(c_int, c_int, c_int) -> c_int, domain, socket_type, protocol);
     set_kind(created, DescriptorKind::Other);
     created
 }
 
-/// Stands in for connect(2).
+/// Replaces connect(2).
 ///
 /// # Safety
-/// As connect(2).
+/// The requirements of connect(2) apply.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, to: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: an address begins with its family.
+    // SAFETY: the pointer is not null, and every socket address begins with its family.
     if to.is_null() || i32::from(unsafe { (*to).sa_family }) != libc::AF_INET {
         return call_next!(c"connect" as fn(c_int, *const sockaddr, socklen_t) -> c_int, socket, to, length);
     }
@@ -113,7 +115,7 @@
         Some(libc::EINTR) => {
             let result =
                 call_next!(c"connect" as fn(c_int, *const sockaddr, socklen_t) -> c_int, socket, to, length);
-            // The connection goes on being made, as connect(2) documents for an interrupted call.
+            // The connection is established in the background, as connect(2) documents for an interrupted call.
             if result < 0 && last_error() == libc::EINPROGRESS {
                 return fail_with(libc::EINTR);
             }
@@ -124,14 +126,14 @@
     }
 }
 
-/// Stands in for accept4(2).
+/// Replaces accept4(2).
 ///
 /// # Safety
-/// As accept4(2).
+/// The requirements of accept4(2) apply.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     listener: c_int,
-    from: *mut sockaddr,
+    address: *mut sockaddr,
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
@@ -141,7 +143,7 @@
     let accepted = call_next!(
         c"accept4" as fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int,
         listener,
-        from,
+        address,
         length,
         flags
     );
@@ -149,18 +151,19 @@
     accepted
 }
 
-/// What becomes of a read or write.
+/// The decision on a read or write.
 enum Transfer {
-    /// It is handed on with at most so many bytes.
+    /// The call is made with at most this many bytes.
     UpTo(size_t),
-    /// It fails with an error.
+    /// The call fails with this error.
     Fails(c_int),
 }
 
-/// Decides on a read or write of `length` bytes. An error that ends the connection ends it for its peer as well.
+/// Decides whether a read or write of `length` bytes fails or is shortened. Shuts the socket down if the error ends the
+/// connection, so that the connection ends for the peer as well.
 fn decide_transfer(socket: c_int, length: size_t, errors: &[c_int]) -> Transfer {
     let kind = kind_of(socket);
-    let Some(plan) = plan_in_force() else { return Transfer::UpTo(length) };
+    let Some(plan) = active_plan() else { return Transfer::UpTo(length) };
     if kind == DescriptorKind::Other || length == 0 {
         return Transfer::UpTo(length);
     }
@@ -168,7 +171,7 @@
         return Transfer::Fails(libc::EINTR);
     }
     if kind == DescriptorKind::Outbound && plan.random_unit() < plan.socket_failure_rate {
-        // SAFETY: the descriptor is the caller's socket.
+        // SAFETY: shutdown(2) has no memory requirements, and the descriptor is the caller's socket.
         unsafe { libc::shutdown(socket, libc::SHUT_RDWR) };
         return Transfer::Fails(plan.choose(errors));
     }
@@ -178,36 +181,42 @@
     Transfer::UpTo(length)
 }
 
-/// Stands in for recv(2).
+/// Replaces recv(2).
 ///
 /// # Safety
-/// As recv(2).
+/// The requirements of recv(2) apply.
 #[no_mangle]
-pub unsafe extern "C" fn recv(socket: c_int, to: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    // A peek takes no bytes off the socket, so that the next read sees them again: it is left alone.
+pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+    // No faults are injected into a peek: it leaves the bytes in the socket buffer, where the next read finds them.
     let is_peek = flags & libc::MSG_PEEK != 0;
     let transfer =
         if is_peek { Transfer::UpTo(length) } else { decide_transfer(socket, length, &RECEIVE_ERRORS) };
     match transfer {
         Transfer::UpTo(length) => {
-            call_next!(c"recv" as fn(c_int, *mut c_void, size_t, c_int) -> ssize_t, socket, to, length, flags)
+            call_next!(
+                c"recv" as fn(c_int, *mut c_void, size_t, c_int) -> ssize_t,
+                socket,
+                buffer,
+                length,
+                flags
+            )
         }
         Transfer::Fails(error) => fail_with(error) as ssize_t,
     }
 }
 
-/// Stands in for send(2).
+/// Replaces send(2).
 ///
 /// # Safety
-/// As send(2).
+/// The requirements of send(2) apply.
 #[no_mangle]
-pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
     match decide_transfer(socket, length, &SEND_ERRORS) {
         Transfer::UpTo(length) => {
             call_next!(
                 c"send" as fn(c_int, *const c_void, size_t, c_int) -> ssize_t,
                 socket,
-                from,
+                buffer,
                 length,
                 flags
             )
--- a/crates/fault-injection/src/wall_clock.rs
+++ b/crates/fault-injection/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! `clock_gettime` with a wall clock that the plan steps. All other clocks are the machine's.
+//! Replaces `clock_gettime`: the plan steps the wall clock. All other clocks show the machine's time.
 
 use libc::{c_int, clockid_t, timespec};
 
@@ -8,20 +8,20 @@
 const NANOS_PER_MS: i64 = 1_000_000;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Stands in for clock_gettime(2).
+/// Replaces clock_gettime(2).
 ///
 /// # Safety
-/// As clock_gettime(2): `at` leads to a place for the time.
+/// The requirements of clock_gettime(2) apply: `destination` points to a writable `timespec`.
 #[no_mangle]
-pub unsafe extern "C" fn clock_gettime(clock: clockid_t, at: *mut timespec) -> c_int {
-    // SAFETY: the caller's arguments are handed on as they came.
-    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, at) } as c_int;
+pub unsafe extern "C" fn clock_gettime(clock: clockid_t, destination: *mut timespec) -> c_int {
+    // SAFETY: the caller's arguments are passed on unchanged.
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, destination) } as c_int;
     if result != 0 || clock != libc::CLOCK_REALTIME {
         return result;
     }
     if let Some(plan) = plan().filter(|plan| !plan.clock_steps.is_empty()) {
-        // SAFETY: the kernel has just written there.
-        let time = unsafe { &mut *at };
+        // SAFETY: the kernel has just written to this address, so it is valid.
+        let time = unsafe { &mut *destination };
         add_ms(time, plan.clock_offset_ms(process_age_ms()));
     }
     result
