--- a/crates/test-support/src/deployment.rs
+++ b/crates/test-support/src/deployment.rs
@@ -1,5 +1,5 @@
-//! Deployments generated at random over the ranges that the operators' protocol allows: a router's configuration, and
-//! the same facts in the checker's terms.
+//! Deployments generated at random within the ranges that the operators' protocol allows: the configuration of a
+//! router, and the parts of it that the checker needs, as Rust types.
 
 use serde_json::{json, Value};
 use tideroute::rng::Rng;
@@ -20,17 +20,17 @@
     pub classes: Vec<RequestClass>,
     /// Its workers.
     pub workers: Vec<Worker>,
-    /// How long KV state or a decode reservation may be held with no attempt in flight.
+    /// Time for which KV state or a decode reservation may be held while no attempt is in flight.
     pub max_hold: Micros,
-    /// How long a draining worker may still be sent something new.
+    /// Time for which routers may still send new work to a draining worker.
     pub drain_grace: Micros,
-    /// How long a connection may take to be established.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// Whether decode workers prefill requests of which no KV state is reserved.
+    /// Whether decode workers prefill requests for which no KV state exists.
     pub decode_workers_prefill: bool,
 }
 
-/// Milliseconds of the limits that the checker has to know.
+/// The limits that the checker has to know, in milliseconds.
 struct Limits {
     max_hold_ms: f64,
     drain_grace_ms: f64,
@@ -38,7 +38,7 @@
 }
 
 impl GeneratedDeployment {
-    /// Generates a deployment. The same state of the generator gives the same deployment.
+    /// Generates a deployment. The same state of the random number generator gives the same deployment.
     pub fn generate(rng: &mut Rng) -> GeneratedDeployment {
         let (classes, class_settings) = generate_classes(rng);
         let (kinds, decode_workers_prefill) = generate_kinds(rng);
@@ -64,7 +64,8 @@
     }
 
     fn router_config(&self, seed: u64, settings: &Value) -> Value {
-        let servers: Vec<_> = (0..self.workers.len()).map(|w| self.endpoint_entry(w, "SERVING", 0)).collect();
+        let servers: Vec<_> =
+            (0..self.workers.len()).map(|worker| self.endpoint_entry(worker, "SERVING", 0)).collect();
         json!({
             "name": "n1", "listen": "127.0.0.1:80", "discovery": DISCOVERY_ADDRESS,
             "seed": format!("{seed:016x}"),
@@ -74,24 +75,25 @@
         })
     }
 
-    /// A worker's entry of the endpoint list.
+    /// Returns the entry of a worker in the endpoint list.
     pub fn endpoint_entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
         let Worker { kind, zone, cell, .. } = self.workers[worker];
         json!({"id": format!("w{worker}"), "addr": worker_address(worker), "zone": ZONES[zone],
             "kind": format!("kind-{kind}"), "cell": cell, "state": state, "weight": 1.0, "started_ms": started_ms})
     }
 
-    /// Whether two workers are in one deduplication scope: repeats of a request at the one are known at the other.
-    pub fn share_dedup_scope(&self, scope: DedupScope, one: usize, other: usize) -> bool {
-        let (one, other) = (&self.workers[one], &self.workers[other]);
+    /// Returns whether two workers are in the same deduplication scope, so that each of them recognizes repeats of
+    /// requests that the other has received.
+    pub fn share_dedup_scope(&self, scope: DedupScope, first: usize, second: usize) -> bool {
+        let (first, second) = (&self.workers[first], &self.workers[second]);
         match scope {
             DedupScope::All => true,
-            DedupScope::Zone => one.zone == other.zone,
-            DedupScope::Cell => one.cell == other.cell,
+            DedupScope::Zone => first.zone == second.zone,
+            DedupScope::Cell => first.cell == second.cell,
         }
     }
 
-    /// What an emulated worker has to know of itself.
+    /// Returns the parameters of an emulated worker.
     pub fn worker_spec(&self, worker: usize) -> WorkerSpec {
         WorkerSpec {
             worker,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Whether a worker responds to a request of which no KV state is reserved.
+    /// Returns whether a worker prefills a request itself for which no KV state exists.
     pub fn prefills_locally(&self, worker: usize) -> bool {
         match self.workers[worker].role {
             Role::Prefill => false,
@@ -122,7 +124,7 @@
     let columns = if reports == "none" { json!([]) } else { json!(["outstanding", "x1"]) };
     let kind_names: Vec<_> = (0..kinds.len()).map(|kind| format!("kind-{kind}")).collect();
     let kind_roles: Vec<_> = kinds.iter().map(|role| role.settings_key()).collect();
-    // Values are sampled in the order in which they stand here.
+    // Values are drawn in the order of these lines: another order would give other deployments for the same seeds.
     json!({
         "balancers": choose(rng, &[1, 2, 3, 4, 7]),
         "caps": {
--- a/crates/test-support/src/emulated_worker.rs
+++ b/crates/test-support/src/emulated_worker.rs
@@ -1,5 +1,5 @@
-//! A worker on real sockets: it prefills, holds KV state and decode reservations, and streams responses, with times
-//! and a part of rejections, failures and resets taken from a random number generator.
+//! An emulated worker on real sockets. It prefills, holds KV state and decode reservations, and streams responses. Its
+//! processing times, rejections, failures and resets are drawn from a random number generator.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,52 +14,55 @@
 use crate::worker_event::{WorkerConnection, WorkerEvent};
 use crate::worker_spec::{Role, WorkerSpec};
 
-/// How often a worker at work looks whether its connection is still there.
+/// Interval at which a worker polls its connection and its process while it works.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 4096;
-/// Milliseconds in which a reservation is answered of which no prefill is known.
+/// Milliseconds after which a reservation is answered if no prefill of its request is in flight.
 const UNKNOWN_PREFILL_MS: u64 = 300;
-/// The part of reservations that are made, of those whose prefill is known or not.
-const RESERVED: f64 = 0.6;
-/// The part of streams that may last longer than the others.
-const LONG_STREAMS: f64 = 0.1;
-/// Milliseconds that a stream lasts at most, and a long one.
-const STREAM_MS: f64 = 200.0;
-const LONG_STREAM_MS: f64 = 3_000.0;
-/// The part of streams behind which a second response comes, and milliseconds after which it comes at most.
-const SECOND_RESPONSES: f64 = 0.05;
-const SECOND_RESPONSE_MS: f64 = 20.0;
-/// The part of connections that break before anything is read.
-const BREAKS_AT_ONCE: f64 = 0.02;
-/// The part of looks at which the connections of a machine that is away stay open.
-const STAYS_OPEN: f64 = 0.999;
+/// Probability that a reservation is made, whether a prefill of its request is in flight or not.
+const RESERVATION_PROBABILITY: f64 = 0.6;
+/// Probability that a stream is a long one.
+const LONG_STREAM_PROBABILITY: f64 = 0.1;
+/// Maximum duration of a stream in milliseconds.
+const MAX_STREAM_MS: f64 = 200.0;
+/// Maximum duration of a long stream in milliseconds.
+const MAX_LONG_STREAM_MS: f64 = 3_000.0;
+/// Probability that a second response follows a stream on its connection.
+const SECOND_RESPONSE_PROBABILITY: f64 = 0.05;
+/// Maximum delay of the second response in milliseconds.
+const MAX_SECOND_RESPONSE_DELAY_MS: f64 = 20.0;
+/// Probability that a connection is closed before anything is read from it.
+const IMMEDIATE_CLOSE_PROBABILITY: f64 = 0.02;
+/// Probability, per [`POLL_INTERVAL`], that a connection of a machine that is down stays open.
+const STAY_OPEN_PROBABILITY: f64 = 0.999;
 
-/// Where a worker runs: to whom it reports what passes, and what becomes of its process.
+/// The environment of a worker: it receives the events of the worker, and determines the state of its process.
 pub trait WorkerEnvironment: Send + Sync + 'static {
-    /// Reports an event; the answer to one that asks.
+    /// Reports an event. Returns the answer if the event is a question.
     fn handle(&self, event: WorkerEvent) -> bool;
-    /// A random number from 0 to below 1.
+    /// Returns a random number that is at least 0 and less than 1.
     fn random_unit(&self) -> f64;
-    /// Whether the test is over.
+    /// Returns whether the test is over.
     fn is_over(&self) -> bool;
-    /// Which start of its process accepts connections now; none while its machine is away.
+    /// Returns the number of the process incarnation that accepts connections now; `None` while the machine is down.
     fn process_start(&self) -> Option<u64> {
         Some(0)
     }
-    /// Whether the process hangs.
+    /// Returns whether the process hangs.
     fn is_hung(&self) -> bool {
         false
     }
-    /// Whether the worker reports received calls and closed connections; else somebody nearer to the router does.
+    /// Returns whether the worker reports received calls and closed connections; if not, a proxy between the router and
+    /// the worker reports them.
     fn reports_connections(&self) -> bool {
         true
     }
-    /// The number under which a connection is reported.
+    /// Returns the number under which a connection is reported.
     fn connection_number(&self, stream: &TcpStream) -> u64;
 }
 
-/// Serves all who connect, each on a thread of its own.
+/// Serves every connection on a thread of its own.
 pub fn serve<E: WorkerEnvironment>(listener: TcpListener, spec: WorkerSpec, environment: Arc<E>) {
     for stream in listener.incoming().flatten() {
         let environment = environment.clone();
@@ -67,16 +70,16 @@
     }
 }
 
-/// Whether a read failed because nothing has come yet.
+/// Returns whether a read failed because no bytes have arrived yet.
 pub fn is_timeout(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
 
-/// One connection to a worker. Methods return none once the connection or the process has ended.
+/// A connection to a worker. Its methods return `None` once the connection or the process has ended.
 struct Connection<E> {
     environment: Arc<E>,
     spec: WorkerSpec,
-    /// The start of the process that accepted it; none if the machine was away.
+    /// The incarnation of the process that accepted the connection; `None` if the machine was down.
     process_start: Option<u64>,
     on: WorkerConnection,
     stream: TcpStream,
@@ -90,16 +93,16 @@
         let on = WorkerConnection { worker: spec.worker, number: environment.connection_number(&stream) };
         let process_start = environment.process_start();
         let mut connection = Connection { environment, spec, process_start, on, stream, arrived: vec![] };
-        if connection.environment.random_unit() < BREAKS_AT_ONCE {
+        if connection.environment.random_unit() < IMMEDIATE_CLOSE_PROBABILITY {
             return;
         }
         connection.serve_requests();
-        let was_away = !connection.is_process_alive();
+        let process_ended = !connection.is_process_alive();
         connection.report_connection(WorkerEvent::ConnectionClosed { on });
-        // A machine that has vanished sends nothing on what was open.
-        while was_away
+        // A machine that is down sends nothing on its open connections, not even a reset.
+        while process_ended
             && !connection.environment.is_over()
-            && connection.environment.random_unit() < STAYS_OPEN
+            && connection.environment.random_unit() < STAY_OPEN_PROBABILITY
         {
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -120,12 +123,12 @@
         }
     }
 
-    /// Whether the process that accepted the connection is still there.
+    /// Returns whether the process that accepted the connection still runs.
     fn is_process_alive(&self) -> bool {
         self.process_start.is_some() && self.environment.process_start() == self.process_start
     }
 
-    /// The head of the next complete request.
+    /// Reads until a request is complete, and returns its head.
     fn next_request(&mut self) -> Option<String> {
         let mut buffer = [0; READ_SIZE];
         loop {
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Waits while the process hangs; false if it is not there any more.
+    /// Waits while the process hangs. Returns false if the process has ended.
     fn wait_while_hung(&self) -> bool {
         while self.is_process_alive() && self.environment.is_hung() {
             std::thread::sleep(POLL_INTERVAL);
@@ -152,15 +155,15 @@
         self.is_process_alive()
     }
 
-    /// Works for so long, unless the router ends the connection meanwhile.
+    /// Works for `ms` milliseconds; stops early if the router closes the connection.
     fn work(&self, ms: u64) -> Option<()> {
-        let done = Instant::now() + Duration::from_millis(ms);
-        while Instant::now() < done {
+        let done_at = Instant::now() + Duration::from_millis(ms);
+        while Instant::now() < done_at {
             match self.stream.peek(&mut [0]) {
                 Ok(0) => return None,
                 Err(error) if !is_timeout(&error) => return None,
                 _ => {
-                    let remaining = done.saturating_duration_since(Instant::now());
+                    let remaining = done_at.saturating_duration_since(Instant::now());
                     std::thread::sleep(POLL_INTERVAL.min(remaining));
                 }
             }
@@ -172,9 +175,9 @@
         self.stream.write_all(text.as_bytes()).ok()
     }
 
-    /// Milliseconds from `least` to `most`, small ones as probable as large ones.
-    fn random_ms(&self, least: f64, most: f64) -> u64 {
-        scale_log_uniform(self.environment.random_unit(), least, most) as u64
+    /// Returns random milliseconds from `min` to `max`, uniformly distributed by their logarithm.
+    fn random_ms(&self, min: f64, max: f64) -> u64 {
+        scale_log_uniform(self.environment.random_unit(), min, max) as u64
     }
 
     fn handle_call(&mut self, head: &str) -> Option<()> {
@@ -195,7 +198,7 @@
     fn reserve(&mut self, request: usize) -> Option<()> {
         let knows_prefill = self.environment.handle(WorkerEvent::IsPrefillInFlight { request });
         self.work(if knows_prefill { self.random_ms(1.0, 50.0) } else { UNKNOWN_PREFILL_MS })?;
-        let is_reserved = self.environment.random_unit() < RESERVED;
+        let is_reserved = self.environment.random_unit() < RESERVATION_PROBABILITY;
         if is_reserved {
             self.environment.handle(WorkerEvent::Reserved { on: self.on, request });
         }
@@ -246,12 +249,12 @@
     fn stream_response(&mut self, request: usize) -> Option<()> {
         self.environment.handle(WorkerEvent::StreamStarted { request });
         self.send(&format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])))?;
-        let is_long = self.environment.random_unit() < LONG_STREAMS;
-        self.work(self.random_ms(1.0, if is_long { LONG_STREAM_MS } else { STREAM_MS }))?;
+        let is_long = self.environment.random_unit() < LONG_STREAM_PROBABILITY;
+        self.work(self.random_ms(1.0, if is_long { MAX_LONG_STREAM_MS } else { MAX_STREAM_MS }))?;
         self.environment.handle(WorkerEvent::ResponseComplete { on: self.on });
         self.send(&format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])))?;
-        if self.environment.random_unit() < SECOND_RESPONSES {
-            std::thread::sleep(Duration::from_millis(self.random_ms(1.0, SECOND_RESPONSE_MS)));
+        if self.environment.random_unit() < SECOND_RESPONSE_PROBABILITY {
+            std::thread::sleep(Duration::from_millis(self.random_ms(1.0, MAX_SECOND_RESPONSE_DELAY_MS)));
             self.send(&streamed_response())?;
         }
         Some(())
--- a/crates/test-support/src/fixture.rs
+++ b/crates/test-support/src/fixture.rs
@@ -1,4 +1,4 @@
-//! One deployment that many tests use: its workers, its endpoint list and its configuration.
+//! A fixed deployment that many tests use: its workers, its endpoint list and its configuration.
 
 use serde_json::json;
 
@@ -7,11 +7,11 @@
 /// A worker of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct FixtureWorker {
-    /// Its id in the endpoint list.
+    /// The id of the worker in the endpoint list.
     pub id: &'static str,
-    /// Its worker kind: `reading` for prefill workers, `writing` for decode workers.
+    /// The worker kind: `reading` for prefill workers, `writing` for decode workers.
     pub kind: &'static str,
-    /// Its cell.
+    /// The cell of the worker.
     pub cell: u16,
 }
 
@@ -19,7 +19,7 @@
     FixtureWorker { id, kind, cell }
 }
 
-/// Two prefill and two decode workers in one cell, and one of each in another.
+/// The workers: two prefill and two decode workers in one cell, and one of each in another cell.
 pub const WORKERS: [FixtureWorker; 6] = [
     worker("r1", "reading", 0),
     worker("r2", "reading", 0),
@@ -29,20 +29,20 @@
     worker("w3", "writing", 1),
 ];
 
-/// A worker's entry of the endpoint list.
+/// Returns the entry of a worker in the endpoint list.
 pub fn endpoint_entry(worker: usize, state: &str, started_ms: u64) -> serde_json::Value {
     let FixtureWorker { id, kind, cell } = WORKERS[worker];
     json!({"id": id, "addr": worker_address(worker), "zone": "east", "kind": kind, "cell": cell, "state": state,
         "weight": 1.0, "started_ms": started_ms})
 }
 
-/// A full snapshot of the endpoint list, with all workers serving.
+/// Returns a full snapshot of the endpoint list in which all workers are serving.
 pub fn endpoint_list(version: u64) -> serde_json::Value {
     let servers: Vec<_> = (0..WORKERS.len()).map(|worker| endpoint_entry(worker, "SERVING", 0)).collect();
     json!({"version": version, "full": true, "servers": servers})
 }
 
-/// The router's configuration: three request classes, one of each idempotency.
+/// Returns the configuration of the router. It has three request classes, one of each idempotency.
 pub fn router_config() -> serde_json::Value {
     let class = |name: &str, idempotency: &str| {
         json!({"name": name, "idempotency": idempotency, "dedup_scope": "all", "key_ttl_ms": 5_000.0,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,11 +1,12 @@
-//! What tests of the router share.
+//! Code that several tests of the router share.
 //!
-//! - [`deployment`]: deployments generated at random over the ranges that the operators' protocol allows, with their
+//! - [`deployment`]: deployments generated at random within the ranges that the operators' protocol allows, with their
 //!   [`request_class`]es and [`worker_spec`]s;
-//! - [`checker`]: a plain model of the rules, which knows nothing of how a router decides; [`monitor`] runs it in real
-//!   time and [`monitor_channel`] connects other processes to it;
-//! - [`emulated_worker`] and [`proxy`]: workers on real sockets, and what stands between them and a router;
-//! - [`fixture`], [`http_messages`], [`virtual_time`], [`process`]: one fixed deployment, and the small things of tests.
+//! - [`checker`]: a simple model of the rules that every router must keep, independent of how a router makes its
+//!   decisions; [`monitor`] runs it in real time and [`monitor_channel`] connects other processes to it;
+//! - [`emulated_worker`] and [`proxy`]: workers on real sockets, and proxies between them and a router;
+//! - [`fixture`], [`http_messages`], [`virtual_time`], [`process`]: a fixed deployment, HTTP messages, times and
+//!   addresses in virtual time, and child processes.
 
 #![warn(missing_docs)]
 
--- a/crates/test-support/src/monitor.rs
+++ b/crates/test-support/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The checker in real time, with a clock and a random number generator, fed by the events of emulated workers.
+//! Runs the checker in real time, with a clock and a random number generator, on the events of emulated workers.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -16,22 +16,22 @@
 use crate::worker_event::{WorkerConnection, WorkerEvent};
 use crate::worker_spec::Role;
 
-/// The part of prefills that complete just as their connection ends.
-const COMPLETED_AT_CLOSE: f64 = 0.1;
-/// How much of a call's head names it in a violation.
+/// Probability that a prefill still completes although its connection has ended.
+const COMPLETED_AT_CLOSE_PROBABILITY: f64 = 0.1;
+/// Number of bytes of a call's head that identify the call in a violation.
 const CALL_NAME_LENGTH: usize = 25;
 
 /// Runs a [`Checker`] in real time. All methods may be called from any thread.
 pub struct Monitor {
-    /// The deployment that it watches.
+    /// The deployment whose rules are checked.
     pub deployment: GeneratedDeployment,
-    /// When it was made.
+    /// The time at which the monitor was created.
     pub started_at: Instant,
     checker: Mutex<Checker>,
     rng: Mutex<Rng>,
-    /// When routers were notified that a worker drains, by worker.
+    /// The time at which routers were notified that a worker is draining, by worker index.
     draining_since: Mutex<BTreeMap<usize, Micros>>,
-    /// All that was logged, with its time.
+    /// The log lines, each with its time.
     log: Mutex<Vec<String>>,
     events: Mutex<Vec<WorkerEvent>>,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Monitor {
-    /// A monitor that observes everything at most `observation_delay` after it happened.
+    /// Creates a monitor that observes each event at most `observation_delay` after it happened.
     pub fn new(deployment: GeneratedDeployment, rng: Rng, observation_delay: Micros) -> Monitor {
         Monitor {
             deployment,
@@ -54,82 +54,83 @@
         }
     }
 
-    /// The present instant, in the checker's time.
+    /// Returns the present time on the checker's clock.
     pub fn now(&self) -> Micros {
         EPOCH + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the creation of the monitor.
     pub fn now_ms(&self) -> f64 {
         (self.now() - EPOCH) as f64 / MS as f64
     }
 
-    /// The checker, locked.
+    /// Locks and returns the checker.
     pub fn checker(&self) -> MutexGuard<'_, Checker> {
         lock(&self.checker)
     }
 
-    /// The first rule that was broken.
+    /// Returns the first violation that was found.
     pub fn violation(&self) -> Option<Violation> {
         self.checker().violation.clone()
     }
 
-    /// Reports something that is broken and that the checker can't see.
+    /// Logs and reports a violation that the checker cannot observe.
     pub fn report_violation(&self, message: String) {
         let now = self.now();
         self.log(message.clone());
         self.checker().report_violation(now, message);
     }
 
-    /// Checks the rules that hold at any instant.
+    /// Checks the rules that apply at any time.
     pub fn check(&self) {
         let now = self.now();
         self.checker().check(now, &self.deployment);
     }
 
-    /// A random number from 0 to below 1.
+    /// Returns a random number that is at least 0 and less than 1.
     pub fn random_unit(&self) -> f64 {
         lock(&self.rng).unit()
     }
 
-    /// A random integer from `least` to `most`, small ones as probable as large ones.
-    pub fn random_range(&self, least: f64, most: f64) -> u64 {
-        log_uniform(&mut lock(&self.rng), least, most) as u64
+    /// Returns a random integer from `min` to `max`, uniformly distributed by its logarithm.
+    pub fn random_range(&self, min: f64, max: f64) -> u64 {
+        log_uniform(&mut lock(&self.rng), min, max) as u64
     }
 
-    /// Logs a message beside the events.
+    /// Adds a message to the log, which also contains the events.
     pub fn log(&self, message: String) {
         let at_ms = self.now_ms();
         lock(&self.log).push(format!("{at_ms:.3} {message}"));
     }
 
-    /// All that was logged, in order.
+    /// Returns all log lines in order.
     pub fn log_lines(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// All events, in order.
+    /// Returns all events in order.
     pub fn events(&self) -> Vec<WorkerEvent> {
         lock(&self.events).clone()
     }
 
-    /// Routers are notified of a worker's endpoint; since when it drains, if it does.
+    /// Records that routers were notified of the endpoint of a worker. `draining_since` is the time since which the
+    /// worker is draining; `None` if it is not draining.
     pub fn endpoint_updated(&self, worker: usize, draining_since: Option<Micros>) {
-        let mut known = lock(&self.draining_since);
+        let mut draining_workers = lock(&self.draining_since);
         if let Some(since) = draining_since {
-            known.entry(worker).or_insert(since);
+            draining_workers.entry(worker).or_insert(since);
         } else {
-            known.remove(&worker);
+            draining_workers.remove(&worker);
         }
     }
 
-    /// A worker's process has ended, with all that it held and worked on.
+    /// Records that the process of a worker has ended, and with it all that the worker held and worked on.
     pub fn worker_died(&self, worker: usize) {
         let now = self.now();
         self.checker().worker_died(now, worker);
     }
 
-    /// Handles an event; the answer to one that asks, else true.
+    /// Handles an event. Returns the answer if the event is a question, else true.
     pub fn handle(&self, event: WorkerEvent) -> bool {
         let now = self.now();
         self.log(format!("{event:?}"));
@@ -163,28 +164,37 @@
         true
     }
 
-    fn call_received(&self, now: Micros, on: WorkerConnection, head: &str) {
-        let draining_since = lock(&self.draining_since).get(&on.worker).copied();
+    fn call_received(&self, now: Micros, connection: WorkerConnection, head: &str) {
+        let draining_since = lock(&self.draining_since).get(&connection.worker).copied();
         let mut checker = self.checker();
         if head.starts_with("POST ") {
             let call = &head[..head.len().min(CALL_NAME_LENGTH)];
             checker.call_sent(now, &self.deployment, call, draining_since);
         }
         let Some(request) = attempted_request(head) else { return };
-        // A head without remaining time counts as one with no end; its microseconds still fit.
+        // A head without a remaining time counts as one with a very long remaining time, which does not overflow when
+        // it is converted to microseconds.
         let remaining_ms: u64 = value_after(head, "x-expires-in-ms: ").parse().unwrap_or(u64::MAX / 2_000);
         checker.remaining_time_sent(now, request, remaining_ms * MS);
-        let is_decode = self.deployment.workers[on.worker].role != Role::Prefill;
-        checker.attempt_received(now, &self.deployment, request, on.worker, on.id(), is_decode);
-    }
-
-    /// Some prefills complete in the very moment in which their connection ends.
-    fn connection_closed(&self, now: Micros, on: WorkerConnection) {
+        let is_decode = self.deployment.workers[connection.worker].role != Role::Prefill;
+        checker.attempt_received(
+            now,
+            &self.deployment,
+            request,
+            connection.worker,
+            connection.id(),
+            is_decode,
+        );
+    }
+
+    /// Ends the attempts on a closed connection. Some of the prefills among them still complete: the worker may have
+    /// finished just before it noticed the end of the connection.
+    fn connection_closed(&self, now: Micros, connection: WorkerConnection) {
         let mut checker = self.checker();
-        for ended in checker.attempts_ended(now, on.id()) {
+        for ended in checker.attempts_ended(now, connection.id()) {
             let was_prefilling = !ended.is_decode
                 || checker.needs_prefill(ended.request) && self.deployment.prefills_locally(ended.worker);
-            if was_prefilling && self.random_unit() < COMPLETED_AT_CLOSE {
+            if was_prefilling && self.random_unit() < COMPLETED_AT_CLOSE_PROBABILITY {
                 checker.state_stored(now, ended.request, ended.worker);
             }
         }
--- a/crates/test-support/src/monitor_channel.rs
+++ b/crates/test-support/src/monitor_channel.rs
@@ -1,4 +1,5 @@
-//! Connects the processes of a test to its monitor: each event is a line of JSON, answered by a line with one digit.
+//! Connects the processes of a test to its monitor. Each event is sent as a line of JSON and answered by a line with
+//! one digit.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Write};
@@ -14,7 +15,7 @@
 const YES: &str = "1\n";
 const NO: &str = "0\n";
 
-/// Hands the events of all who connect to the monitor, for as long as the process lives.
+/// Accepts connections and passes the events received on them to the monitor, until the process ends.
 pub fn serve(listener: TcpListener, monitor: Arc<Monitor>) {
     for stream in listener.incoming().flatten() {
         let monitor = monitor.clone();
@@ -37,18 +38,18 @@
 }
 
 thread_local! {
-    /// This thread's connection to the monitor.
+    /// The connection of this thread to the monitor.
     static CONNECTION: RefCell<Option<BufReader<TcpStream>>> = const { RefCell::new(None) };
 }
 
-/// The monitor as another process sees it. That process ends with the connection to the monitor.
+/// A client for the monitor in another process. If the connection to the monitor fails, it ends its own process.
 pub struct RemoteMonitor {
     address: String,
     rng: Mutex<Rng>,
 }
 
 impl RemoteMonitor {
-    /// The monitor at an address, and the seed of this process's random numbers.
+    /// Creates a client for the monitor at an address. `seed` is the seed of this process's random number generator.
     pub fn new(address: &str, seed: u64) -> RemoteMonitor {
         RemoteMonitor { address: address.to_string(), rng: Mutex::new(Rng::new(seed)) }
     }
@@ -83,12 +84,13 @@
         false
     }
 
-    /// The proxy in front does.
+    /// Returns false: the proxy in front of the worker reports connections.
     fn reports_connections(&self) -> bool {
         false
     }
 
-    /// The port from which the proxy in front connected, by which it numbers the connection as well.
+    /// Returns the port from which the proxy in front of the worker connected. The proxy reports the connection under
+    /// the same number.
     fn connection_number(&self, stream: &TcpStream) -> u64 {
         stream.peer_addr().map_or(0, |peer| u64::from(peer.port()))
     }
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,33 +1,36 @@
-//! Child processes of tests: started ones that end with their test, signals to them, and waiting.
+//! Child processes of tests: ending them with their test, sending signals to them, and waiting for conditions.
 
 use std::net::TcpListener;
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for a condition: long past what anything here takes, so that it has failed by then.
+/// Time for which a test waits for a condition. It is much longer than any condition takes that is met at all.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// Pause between two looks at a condition.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Polls until there is a value, and returns it. Panics after [`TEST_TIMEOUT`].
+/// Polls until `poll` returns a value, and returns the value. Panics after [`TEST_TIMEOUT`].
 pub fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let started = Instant::now();
     loop {
-        if let Some(found) = poll() {
-            return found;
+        if let Some(value) = poll() {
+            return value;
         }
-        assert!(started.elapsed() < TEST_TIMEOUT, "waited too long");
+        assert!(started.elapsed() < TEST_TIMEOUT, "condition not met within the test timeout");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Sends a signal to a process, named as an option of kill(1): `-TERM`, `-HUP`. Panics if it can't be sent.
+/// Sends a signal to a process. `option` is the option of kill(1) that names the signal, such as `-TERM` or `-HUP`.
+/// Panics if the signal cannot be sent.
 pub fn send_signal(child: &Child, option: &str) {
-    let status = Command::new("kill").args([option, &child.id().to_string()]).status().expect("kill runs");
+    let status =
+        Command::new("kill").args([option, &child.id().to_string()]).status().expect("kill is started");
     assert!(status.success());
 }
 
-/// A process that is killed when this is dropped, so that it does not outlive its test, however that ends.
+/// A child process that is killed when this value is dropped, so that it does not outlive its test even if the test
+/// panics.
 pub struct KillOnDrop(pub Child);
 
 impl Drop for KillOnDrop {
@@ -37,8 +40,8 @@
     }
 }
 
-/// An address on loopback whose port was free a moment ago.
+/// Returns a loopback address whose port was unused at the time of the call.
 pub fn unused_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address").to_string()
+    let listener = TcpListener::bind("127.0.0.1:0").expect("listener is bound");
+    listener.local_addr().expect("listener has an address").to_string()
 }
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy in front of a worker: it reports received calls and ended connections, and delays, cuts up, silences or
-//! resets what passes, as it is commanded.
+//! A proxy in front of a worker. It reports received calls and ended connections, and on command it delays, splits or
+//! withholds the bytes that it forwards, or resets connections.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -11,24 +11,25 @@
 use crate::http_messages::take_request;
 use crate::worker_event::{WorkerConnection, WorkerEvent};
 
-/// Bytes that are read at once.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 16 << 10;
-/// Pause between two pieces of what is cut up.
+/// Pause between two pieces into which the forwarded bytes are split.
 const PIECE_INTERVAL: Duration = Duration::from_micros(200);
 
-/// What the proxy does with what passes. It starts with passing everything on.
+/// The faults that the proxy injects into its connections. Initially it forwards everything unchanged.
 #[derive(Default)]
 pub struct ProxyControl {
     is_silent: AtomicBool,
     delay_ms: AtomicU64,
-    /// Bytes passed on at once; 0 for as many as there are.
+    /// Maximum number of bytes forwarded per write; 0 if it is unlimited.
     piece_length: AtomicUsize,
-    /// How often all connections were reset.
+    /// Number of times that all connections were reset.
     resets: AtomicU64,
 }
 
 impl ProxyControl {
-    /// Applies a command: `open`, `silent`, `reset`, `delay MILLISECONDS` or `piece BYTES`; false if it is none.
+    /// Applies a command: `open`, `silent`, `reset`, `delay MILLISECONDS` or `piece BYTES`. Returns false if the
+    /// command is invalid.
     pub fn apply(&self, command: &str) -> bool {
         let (name, argument) = command.split_once(' ').unwrap_or((command, "0"));
         let Ok(argument) = argument.trim().parse::<u64>() else { return false };
@@ -43,7 +44,7 @@
         true
     }
 
-    /// Passes everything on again. What was silent is reset, as a machine does that comes back.
+    /// Forwards everything unchanged again. Connections that were silent are reset, as by a machine that has restarted.
     fn open(&self) {
         if self.is_silent.swap(false, Ordering::SeqCst) {
             self.reset_connections();
@@ -57,7 +58,7 @@
     }
 }
 
-/// Serves all who connect, each with a connection to the worker at `upstream`.
+/// Serves every connection, each with its own connection to the worker at `upstream`.
 pub fn serve<E: WorkerEnvironment>(
     listener: TcpListener,
     worker: usize,
@@ -80,7 +81,7 @@
     environment: &E,
 ) {
     let Ok(upstream) = TcpStream::connect(upstream) else { return reset(&client) };
-    let number = upstream.local_addr().map_or(0, |own| u64::from(own.port()));
+    let number = upstream.local_addr().map_or(0, |address| u64::from(address.port()));
     let on = WorkerConnection { worker, number };
     let (Ok(client_writer), Ok(upstream_reader)) = (client.try_clone(), upstream.try_clone()) else { return };
     let responses = Direction { from: upstream_reader, to: client_writer, control: control.clone() };
@@ -95,7 +96,7 @@
     environment.handle(WorkerEvent::ConnectionClosed { on });
 }
 
-/// One direction of a connection.
+/// One direction of a proxied connection.
 struct Direction {
     from: TcpStream,
     to: TcpStream,
@@ -103,20 +104,20 @@
 }
 
 impl Direction {
-    /// Forwards what comes, until one side ends or all connections are reset; `observe` sees what is about to be
+    /// Forwards bytes until one side ends or all connections are reset. Calls `observe` with bytes before they are
     /// forwarded.
     fn forward(&self, mut observe: impl FnMut(&[u8])) {
         for stream in [&self.from, &self.to] {
             let _ = stream.set_nodelay(true);
             let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
         }
-        let resets = self.control.resets.load(Ordering::SeqCst);
-        // A connection that was silent once stays so, to both ends, until it is reset.
+        let initial_resets = self.control.resets.load(Ordering::SeqCst);
+        // A connection that was silent once stays silent in both directions until it is reset.
         let mut is_blackholed = false;
         let mut is_over = false;
         let mut buffer = [0; READ_SIZE];
         loop {
-            if self.control.resets.load(Ordering::SeqCst) != resets {
+            if self.control.resets.load(Ordering::SeqCst) != initial_resets {
                 reset(&self.from);
                 return reset(&self.to);
             }
@@ -158,7 +159,7 @@
     }
 }
 
-/// Ends a connection both ways at once.
+/// Shuts down both directions of a connection.
 fn reset(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/test-support/src/random.rs
+++ b/crates/test-support/src/random.rs
@@ -2,17 +2,18 @@
 
 use tideroute::rng::Rng;
 
-/// A number from `least` to `most`, evenly distributed by its logarithm: small ones are as probable as large ones.
-pub fn log_uniform(rng: &mut Rng, least: f64, most: f64) -> f64 {
-    scale_log_uniform(rng.unit(), least, most)
+/// Returns a random number from `min` to `max` whose logarithm is uniformly distributed, so that each order of
+/// magnitude is equally probable.
+pub fn log_uniform(rng: &mut Rng, min: f64, max: f64) -> f64 {
+    scale_log_uniform(rng.unit(), min, max)
 }
 
-/// The number that [`log_uniform`] makes of a sample from 0 to 1.
-pub fn scale_log_uniform(unit: f64, least: f64, most: f64) -> f64 {
-    least * (most / least).powf(unit)
+/// Returns the number to which [`log_uniform`] maps a sample from 0 to 1.
+pub fn scale_log_uniform(unit: f64, min: f64, max: f64) -> f64 {
+    min * (max / min).powf(unit)
 }
 
-/// One of several values, each as probable as the others.
+/// Returns one of several values, each with the same probability.
 pub fn choose<T: Copy>(rng: &mut Rng, values: &[T]) -> T {
     values[(rng.unit() * values.len() as f64) as usize]
 }
--- a/crates/test-support/src/request_class.rs
+++ b/crates/test-support/src/request_class.rs
@@ -1,4 +1,4 @@
-//! Request classes of generated deployments, and what their idempotency permits.
+//! The request classes of generated deployments, and the retries that their idempotency permits.
 
 use serde_json::{json, Value};
 use tideroute::rng::Rng;
@@ -7,7 +7,7 @@
 use crate::random::{choose, log_uniform};
 use crate::virtual_time::MS;
 
-/// The workers among which repeats of a request with an idempotency key are dropped.
+/// The set of workers among which repeats of a request with an idempotency key are recognized and dropped.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DedupScope {
     /// All workers.
@@ -18,24 +18,24 @@
     Cell,
 }
 
-/// What it means to run a request more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Workers drop repeats by its key.
+    /// Workers drop repeats that have the same key.
     WithKey {
-        /// Among which workers.
+        /// The workers that recognize each other's requests.
         scope: DedupScope,
-        /// How long after the first attempt.
+        /// Time after the first attempt within which repeats are recognized.
         window: Micros,
     },
-    /// It must not be sent again once it may have run.
+    /// The request must not be sent again once it may have run.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a client may be told that its request was rejected after an attempt that may have run.
+    /// Returns whether a client may receive a rejection of its request after an attempt that may have run.
     pub fn may_be_rejected_after_run(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::WithKey { scope: DedupScope::All, .. })
     }
@@ -43,23 +43,24 @@
 
 /// A request class.
 pub struct RequestClass {
-    /// Its name in the settings.
+    /// The name of the class in the settings.
     pub name: String,
-    /// What it means to run its requests more than once.
+    /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Milliseconds that its clients wait at most.
+    /// Maximum time that clients of the class wait, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// The settings' words for idempotency and deduplication scope; a scope of `scoped` is a zone or a cell.
-const KINDS: [(&str, &str); 4] =
+/// Idempotency and deduplication scope of the generated classes, as values of the settings. `scoped` stands for a
+/// random choice of `zone` or `cell`.
+const CLASS_KINDS: [(&str, &str); 4] =
     [("pure", "all"), ("side_effect", "all"), ("token", "all"), ("token", "scoped")];
 
-/// Generates classes and their settings: one of each kind, in an order that differs between deployments.
+/// Generates classes and their settings: one class for each entry of [`CLASS_KINDS`], starting at a random entry.
 pub(crate) fn generate_classes(rng: &mut Rng) -> (Vec<RequestClass>, Vec<Value>) {
-    let first = (rng.unit() * KINDS.len() as f64) as usize;
-    (0..KINDS.len())
-        .map(|n| generate_class(rng, format!("class-{n}"), KINDS[(n + first) % KINDS.len()]))
+    let first = (rng.unit() * CLASS_KINDS.len() as f64) as usize;
+    (0..CLASS_KINDS.len())
+        .map(|n| generate_class(rng, format!("class-{n}"), CLASS_KINDS[(n + first) % CLASS_KINDS.len()]))
         .unzip()
 }
 
--- a/crates/test-support/src/request_record.rs
+++ b/crates/test-support/src/request_record.rs
@@ -1,43 +1,44 @@
-//! What the checker knows of one request.
+//! The checker's record of one request.
 
 use tideroute_wire::event_loop::ConnectionId;
 use tideroute_wire::Micros;
 
-/// A connection to a worker, by a number of its owner (the router in virtual time, else the worker) and its id there.
+/// A connection to a worker: the number of the process that assigned its id (the router in virtual time, else the
+/// worker), and the id.
 pub type Connection = (usize, ConnectionId);
 
 /// An attempt that has been received by a worker.
 pub struct Attempt {
     pub worker: usize,
-    pub on: Connection,
-    /// It responds, and has the request's effect; else it only prefills.
+    pub connection: Connection,
+    /// Whether it is a decode attempt, which runs the request; else it is a prefill.
     pub is_decode: bool,
     pub received_at: Micros,
-    /// Its worker still works on it.
+    /// Whether the worker still works on it.
     pub in_flight: bool,
-    /// The router has ended its connection, of which the worker may not know yet.
+    /// Whether the router has closed its connection. The worker may not have noticed this yet.
     pub cancelled: bool,
-    /// The router was told that it never ran.
+    /// Whether the worker has notified the router that it never ran.
     pub never_ran: bool,
 }
 
 /// A request that a client has sent.
 pub struct RequestRecord {
     pub class: usize,
-    /// Until when its client waits.
+    /// The time until which its client waits.
     pub deadline: Micros,
     pub client_disconnected_at: Option<Micros>,
     pub response_started_at: Option<Micros>,
     pub attempts: Vec<Attempt>,
     /// The worker that holds its KV state.
-    pub state_at: Option<usize>,
+    pub state_worker: Option<usize>,
     /// The worker that holds a decode reservation for it.
-    pub reservation_at: Option<usize>,
-    /// Since when state and reservation may be held with no attempt in flight.
+    pub reservation_worker: Option<usize>,
+    /// The time from which the limit on holding KV state and reservation with no attempt in flight is counted.
     pub held_since: Micros,
-    /// A worker has begun to stream its response.
+    /// Whether a worker has started to stream its response.
     pub stream_started: bool,
-    /// Its router was killed: no rule holds for it any more.
+    /// Whether its router was killed. The rules on responses and on holding resources no longer apply to it then.
     pub router_killed: bool,
 }
 
@@ -49,8 +50,8 @@
             client_disconnected_at: None,
             response_started_at: None,
             attempts: vec![],
-            state_at: None,
-            reservation_at: None,
+            state_worker: None,
+            reservation_worker: None,
             held_since: now,
             stream_started: false,
             router_killed: false,
@@ -69,19 +70,19 @@
         self.attempts.iter().any(|attempt| attempt.in_flight && !attempt.is_decode)
     }
 
-    /// A decode attempt is in flight whose connection the router has not ended.
-    pub fn has_live_decode(&self) -> bool {
+    /// Returns whether a decode attempt is in flight whose connection the router has not closed.
+    pub fn has_uncancelled_decode(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight && !attempt.cancelled && attempt.is_decode)
     }
 
-    /// The first attempt that may have had the request's effect.
+    /// Returns the first attempt that may have run the request.
     pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.is_decode && !attempt.never_ran)
     }
 
-    /// What is held for it, as a word, and the worker that holds it.
-    pub fn held(&self) -> Option<(&'static str, usize)> {
-        let state = self.state_at.map(|worker| ("state", worker));
-        state.or(self.reservation_at.map(|worker| ("reservation", worker)))
+    /// Returns which resource is held for the request, and the worker that holds it.
+    pub fn held_resource(&self) -> Option<(&'static str, usize)> {
+        let state = self.state_worker.map(|worker| ("state", worker));
+        state.or(self.reservation_worker.map(|worker| ("reservation", worker)))
     }
 }
--- a/crates/test-support/src/violation.rs
+++ b/crates/test-support/src/violation.rs
@@ -1,30 +1,30 @@
-//! Violations of the rules that the checker finds.
+//! Violations of the rules, as the checker reports them.
 
 use std::fmt;
 
 /// A rule that every router must keep.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Rule {
-    /// Each request gets one response within its deadline, and none that no worker made for it.
+    /// Each request receives one response before its deadline, and no response that no worker sent for it.
     LostRequest,
     /// A request runs no more often than its idempotency permits.
     DuplicateExecution,
-    /// Nothing new is sent to a worker that drains, once its grace period is over.
+    /// No new work is sent to a draining worker after its grace period.
     Draining,
-    /// KV state and decode reservations are not held beyond the limit with no attempt in flight.
+    /// KV state and decode reservations are not held longer than the limit while no attempt is in flight.
     HeldTooLong,
-    /// No worker is told a longer remaining time than the client's.
+    /// No worker is sent a remaining time that exceeds that of the client.
     Deadline,
 }
 
-/// A rule that was broken: when, and how.
+/// A violation of a rule, with its time and a description.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// Milliseconds since the start.
+    /// Milliseconds since the start of the checker.
     pub(crate) at_ms: u64,
-    /// What happened.
+    /// A description of the violation.
     pub(crate) message: String,
 }
 
--- a/crates/test-support/src/worker_event.rs
+++ b/crates/test-support/src/worker_event.rs
@@ -1,11 +1,11 @@
-//! What workers and their proxies report to the monitor.
+//! The events that workers and their proxies report to the monitor.
 
 use serde::{Deserialize, Serialize};
 use tideroute_wire::event_loop::ConnectionId;
 
 use crate::checker::Connection;
 
-/// A connection to a worker, by a number that no other connection of that worker has meanwhile.
+/// A connection to a worker, with a number that is unique among the open connections of that worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct WorkerConnection {
     /// The worker's index in the deployment.
@@ -15,16 +15,16 @@
 }
 
 impl WorkerConnection {
-    /// The connection in the checker's terms.
+    /// Returns the connection in the form that the checker uses.
     pub fn id(self) -> Connection {
         (self.worker, ConnectionId(self.number))
     }
 }
 
-/// What passes at a worker, or a question of an emulated worker.
+/// An event at a worker, or a question that an emulated worker asks the monitor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum WorkerEvent {
-    /// The last byte of a call has come.
+    /// The last byte of a call has arrived.
     CallReceived {
         /// The connection.
         on: WorkerConnection,
@@ -40,16 +40,16 @@
         /// Whether the worker holds the request's KV state now.
         left_state: bool,
     },
-    /// A decode attempt has failed before its response began.
+    /// A decode attempt has failed before its response started.
     DecodeFailed {
         /// The connection.
         on: WorkerConnection,
         /// The request's number.
         request: usize,
-        /// Whether the router is told that it never ran.
+        /// Whether the worker notifies the router that the attempt never ran.
         never_ran: bool,
     },
-    /// The events of a response have begun.
+    /// The worker starts to send the events of a response.
     StreamStarted {
         /// The request's number.
         request: usize,
@@ -59,7 +59,7 @@
         /// The connection.
         on: WorkerConnection,
     },
-    /// The connection has ended, or its worker has seen that.
+    /// The connection has ended, or its worker has noticed its end.
     ConnectionClosed {
         /// The connection.
         on: WorkerConnection,
@@ -71,7 +71,7 @@
         /// The request's number.
         request: usize,
     },
-    /// The worker has released all that it held for a request.
+    /// The worker releases the KV state and the decode reservation of a request.
     Released {
         /// The request's number.
         request: usize,
--- a/crates/test-support/src/worker_spec.rs
+++ b/crates/test-support/src/worker_spec.rs
@@ -1,23 +1,23 @@
-//! Workers of generated deployments.
+//! The workers of generated deployments.
 
 use serde::{Deserialize, Serialize};
 use tideroute::rng::Rng;
 
 use crate::random::choose;
 
-/// What a worker does with attempts.
+/// The role of a worker.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum Role {
-    /// Prefills prompts, and keeps their KV state.
+    /// Prefills prompts and holds their KV state.
     Prefill,
     /// Generates responses from the KV state of a prefill.
     Decode,
-    /// Both.
+    /// Prefills prompts and generates responses.
     Mixed,
 }
 
 impl Role {
-    /// The role's word in the settings.
+    /// Returns the value of the role in the settings.
     pub(crate) fn settings_key(self) -> &'static str {
         match self {
             Role::Prefill => "read",
@@ -27,31 +27,31 @@
     }
 }
 
-/// What an emulated worker has to know of itself.
+/// The parameters of an emulated worker.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct WorkerSpec {
-    /// Its index in the deployment.
+    /// The index of the worker in the deployment.
     pub worker: usize,
-    /// What it does.
+    /// The role of the worker.
     pub role: Role,
-    /// Whether it responds to a request of which no KV state is reserved, by prefilling itself.
+    /// Whether the worker prefills a request itself for which no KV state exists.
     pub prefills_locally: bool,
 }
 
-/// A worker's place in a deployment.
+/// The role and the location of a worker in a deployment.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// What it does.
+    /// The role of the worker.
     pub role: Role,
-    /// Index of its worker kind.
+    /// The index of its worker kind.
     pub(crate) kind: usize,
-    /// Index of its zone.
+    /// The index of its zone.
     pub zone: usize,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: u16,
 }
 
-/// Worker kinds by their roles, and whether decode workers can prefill.
+/// The roles of the worker kinds of a deployment, and whether decode workers can prefill.
 type KindChoice = (&'static [Role], bool);
 
 const KIND_CHOICES: [KindChoice; 7] = [
@@ -64,13 +64,13 @@
     (&[Role::Prefill, Role::Decode], true),
 ];
 
-/// Generates the roles of the worker kinds, and whether decode workers can prefill.
+/// Chooses the roles of the worker kinds, and whether decode workers can prefill.
 pub(crate) fn generate_kinds(rng: &mut Rng) -> (Vec<Role>, bool) {
     let (kinds, decode_workers_prefill) = choose(rng, &KIND_CHOICES);
     (kinds.to_vec(), decode_workers_prefill)
 }
 
-/// Generates two or three workers of each kind, so that one of each can stay healthy.
+/// Generates two or three workers of each kind, so that one of each kind can stay healthy while others fail.
 pub(crate) fn generate_workers(rng: &mut Rng, kinds: &[Role]) -> Vec<Worker> {
     let cells = choose(rng, &[1u16, 2, 3]);
     let zones = choose(rng, &[1usize, 2, 3]);
--- a/crates/test-support/tests/deployment.rs
+++ b/crates/test-support/tests/deployment.rs
@@ -1,11 +1,11 @@
-//! A seed names a deployment: the same one whenever it is generated.
+//! Tests that a seed always generates the same deployment.
 
 use tideroute::rng::Rng;
 use tideroute_test_support::deployment::GeneratedDeployment;
 
 const SEEDS: u64 = 64;
-/// FNV-1a over the deployments of the first seeds. A change here means that the seeds named in the journal and in
-/// issues generate other deployments than they did.
+/// FNV-1a hash of the deployments of the first seeds. If it changes, seeds that were recorded for failed runs no longer
+/// generate the deployments of those runs.
 const HASH_OF_FIRST_SEEDS: u64 = 0xc394_289e_5cb2_d6c2;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn seeds_generate_the_deployments_that_they_always_did() {
+fn seeds_generate_the_same_deployments_as_before() {
     let mut hash = FNV_OFFSET;
     for seed in 1..=SEEDS {
         let mut rng = Rng::new(2 * seed);
