--- a/crates/emulator/src/decode.rs
+++ b/crates/emulator/src/decode.rs
@@ -114,7 +114,7 @@
     }
 
     /// Handles a router's request for a reservation. It succeeds only if a slot is free now. The KV state is then
-    /// fetched while the prefill is still running.
+    /// fetched at once, while its prefill may still be running.
     pub fn reserve(&mut self, request: ReservationRequest, context: &mut WorkContext) {
         let ReservationRequest { id, router, max_tokens, prefill_worker } = request;
         let is_reserved = self.can_reserve(id, context);
