--- a/crates/command/src/admin_thread.rs
+++ b/crates/command/src/admin_thread.rs
@@ -32,7 +32,7 @@
 pub struct AdminThread {
     store: Arc<TenantStore>,
     cores: Arc<Mutex<BTreeMap<u32, Mailbox>>>,
-    /// The mailbox to which cores publish the tenants' usage figures.
+    /// The mailbox to which cores publish the tenants' statistics.
     figures: Mailbox,
 }
 
@@ -61,7 +61,7 @@
         Ok(AdminThread { store, cores, figures })
     }
 
-    /// Returns the mailbox to which a core publishes the tenants' usage figures.
+    /// Returns the mailbox to which a core publishes the tenants' statistics.
     pub fn figures(&self) -> Mailbox {
         self.figures.clone()
     }
--- a/crates/command/src/fleet_status.rs
+++ b/crates/command/src/fleet_status.rs
@@ -1,5 +1,5 @@
-//! The command `fleet status`: queries one router for all members it knows, and the other members for where their views
-//! differ from that.
+//! The command `fleet status`: queries one router for all members that it knows, then queries the other members for
+//! the differences between their views and that router's view.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -8,11 +8,11 @@
 
 /// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
-/// Seconds after the start in which all members learn of each other.
+/// Seconds after the start within which all members learn of each other.
 const CONVERGENCE: Micros = 15;
 /// Seconds without kills over which traffic and CPU time are measured.
 const QUIET: Micros = 20;
-/// Members that are killed, one after the other.
+/// Number of members that are killed, one after the other.
 const KILLS: usize = 5;
 /// Seconds between two kills.
 const KILL_INTERVAL: Micros = 6;
--- a/crates/command/src/measure/tenants.rs
+++ b/crates/command/src/measure/tenants.rs
@@ -14,9 +14,9 @@
 
 use crate::error::{CommandError, CommandResult, CommandStatus};
 
-/// Requests that are timed for each number of tenants.
+/// Number of requests that are timed for each number of tenants.
 const REQUESTS: u64 = 200_000;
-/// Changes of a tenant that are timed.
+/// Number of changes of a tenant that are timed.
 const CHANGES: usize = 200;
 /// The administrator's key.
 const ADMIN_KEY: &str = "a-key";
@@ -90,7 +90,7 @@
     }
 }
 
-/// Times changes at a router of so many cores; returns the median and the longest time.
+/// Measures how long changes take at a router with `cores` cores; returns the median and the longest time.
 fn time_changes(cores: u32) -> Result<(Duration, Duration), CommandError> {
     let folder = std::env::temp_dir().join(format!("tideroute-tenants-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(CommandError::in_file(&folder))?;
@@ -125,7 +125,7 @@
         read_response(&mut stream)?;
         durations.push(started.elapsed());
     }
-    // The first change also creates the tables of the store, so that its time is left out.
+    // The first change also creates the tables of the store, so its time is left out.
     Ok(durations.split_off(1))
 }
 
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -25,8 +25,8 @@
 use crate::process::{self, ProcessIdentity};
 use crate::{config_file, metrics_server};
 
-/// Runs the command `router`. `fail_after` makes core 0 panic after so many milliseconds, to test that it is restarted;
-/// a router of one core ignores it.
+/// Runs the command `router`. `fail_after` makes core 0 panic after this many milliseconds, to test that it is
+/// restarted; a router of one core ignores it.
 pub fn run(path: &Path, fail_after: Option<u64>, args: &ProcessArgs) -> CommandResult {
     let config = config_file::require(path, config_file::read(path)?.router, "router")?;
     let listen: SocketAddr = convert::socket(&config.listen)?.into();
--- a/crates/config-language/src/records/load.rs
+++ b/crates/config-language/src/records/load.rs
@@ -101,7 +101,7 @@
     /// Smallest count.
     #[serde(rename = "least")]
     pub min: u32,
-    /// Largest count, included.
+    /// Largest count; the range includes it.
     #[serde(rename = "most")]
     pub max: u32,
 }
--- a/crates/config-language/src/records/router.rs
+++ b/crates/config-language/src/records/router.rs
@@ -67,7 +67,7 @@
 pub struct AdminKey {
     /// Its name.
     pub name: String,
-    /// The BLAKE3 of the key, as 64 hexadecimal digits.
+    /// The BLAKE3 hash of the key, as 64 hexadecimal digits.
     pub key: String,
     /// What the key permits: `view` (reading), `operate` (also changes to tenants) or `own` (also snapshots).
     pub role: String,
@@ -78,7 +78,7 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// The BLAKE3 of its key, as 64 hexadecimal digits.
+    /// The BLAKE3 hash of its key, as 64 hexadecimal digits.
     pub key: String,
     /// Its weight in fair queueing.
     pub weight: f64,
@@ -168,16 +168,17 @@
     /// Longest time for which a worker may hold KV state while no attempt for it is in flight.
     #[serde(rename = "release")]
     pub state_release_timeout: u64,
-    /// Share of its usual load that a worker gets while it warms up.
+    /// Share of its full capacity that a worker has when it starts.
     #[serde(rename = "cold_share")]
     pub slow_start_share: f64,
-    /// How long a worker warms up.
+    /// Time from a worker's start until it has its full capacity.
     #[serde(rename = "warm_after")]
     pub warm_up: u64,
-    /// Factor of slowdown from which a worker counts as overloaded.
+    /// A warming worker is overloaded when it gets more than this multiple of the work that it can do in the overload
+    /// window.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Period over which overload of a worker is measured.
+    /// Length of the time window in which the load of a warming worker is counted.
     #[serde(rename = "fall_span")]
     pub overload_window: u64,
     /// Maximum number of attempts per request.
--- a/crates/gateway/src/client_connection.rs
+++ b/crates/gateway/src/client_connection.rs
@@ -29,7 +29,7 @@
 
 /// A request whose body is not yet complete.
 pub struct PartialRequest {
-    /// Its head.
+    /// The request's head.
     pub head: RequestHead,
     /// Decodes the body's framing.
     pub decoder: Body,
@@ -39,7 +39,7 @@
 
 /// One client's connection.
 pub struct ClientConnection {
-    /// What it waits for.
+    /// What the connection waits for.
     pub state: ClientState,
     /// Bytes received that are not yet parsed.
     pub received: BytesMut,
--- a/crates/gateway/src/discovery_watch.rs
+++ b/crates/gateway/src/discovery_watch.rs
@@ -1,9 +1,9 @@
 //! The watch at discovery: one HTTP response that never ends, with a JSON object for each change of the endpoint list.
 //!
-//! Even if one call fails or is given up, a change is received well within the six seconds after which a router counts
-//! as notified: a watch that falls silent is ended after [`SILENCE_TIMEOUT`], the next call is made after
-//! [`MAX_BACKOFF`] at the latest, and a call that nobody accepts or answers is given up after [`CONNECT_TIMEOUT`] or
-//! [`RESPONSE_TIMEOUT`]: 3 + 0.4 + 1 + 0.4 s with one failed call.
+//! A router counts as notified of a change six seconds after the change. The timeouts keep the delay well below that,
+//! even if one call fails: a watch without data is ended after [`SILENCE_TIMEOUT`], the next call is made after
+//! [`MAX_BACKOFF`] at the latest, and a call is given up if it is not accepted within [`CONNECT_TIMEOUT`] or not
+//! answered within [`RESPONSE_TIMEOUT`]. With one failed call, the delay is 3 + 0.4 + 1 + 0.4 s.
 
 use bytes::{Bytes, BytesMut};
 use tideroute_http::{write, Body, HttpError, Limits};
@@ -17,14 +17,14 @@
 const RESPONSE_LIMITS: Limits = Limits { head: 16 << 10, fields: 64, body: u64::MAX >> 1 };
 /// Maximum size of one object in bytes: a list of some thousands of workers.
 const MAX_OBJECT_BYTES: usize = 2 << 20;
-/// Microseconds to connect to the agent on the same machine.
+/// Microseconds within which the discovery agent, which runs on the same machine, must accept a connection.
 const CONNECT_TIMEOUT: Micros = 500_000;
-/// Microseconds in which a call must be answered; the agent answers from memory.
+/// Microseconds within which a call must be answered; the agent answers from memory.
 const RESPONSE_TIMEOUT: Micros = 1_000_000;
-/// Microseconds without an object or an empty line after which the watch is opened again, and in which an object that
-/// has begun must be complete; an empty line comes every two seconds.
+/// Microseconds without an object or an empty line after which the watch is opened again, and within which an object
+/// that has begun must be complete. Discovery sends an empty line every two seconds.
 const SILENCE_TIMEOUT: Micros = 3_000_000;
-/// Microseconds until the next call after a watch has ended; doubled up to [`MAX_BACKOFF`] while none succeeds.
+/// Microseconds until the next call after a watch has ended; doubled up to [`MAX_BACKOFF`] while no call succeeds.
 const MIN_BACKOFF: Micros = 100_000;
 const MAX_BACKOFF: Micros = 400_000;
 
--- a/crates/gateway/src/egress.rs
+++ b/crates/gateway/src/egress.rs
@@ -49,7 +49,7 @@
     pub id: RequestId,
     /// The attempt's number, counted within its request.
     pub number: u16,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -34,7 +34,7 @@
     AttemptEnded {
         /// The attempt's number, counted within its request.
         number: u16,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
     },
     /// The first bytes of the response have been sent to the client.
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -44,7 +44,7 @@
 pub enum EndedBy {
     /// This router.
     ThisSide,
-    /// The worker or the network: both ends see it by themselves, at about the same time.
+    /// The worker or the network: each end of the connection notices it by itself, at about the same time.
     Reset,
 }
 
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: open requests are finished, new ones are admitted for a short time still, and idle connections
+//! Graceful shutdown: open requests are finished, new ones are still admitted for a short time, and idle connections
 //! are closed.
 
 use tideroute_wire::event_loop::Effects;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -55,7 +55,7 @@
 }
 
 impl GatewayState {
-    /// The state of a gateway that has not started.
+    /// Creates the state of a gateway that has not started.
     pub fn new(config: Config, now: Micros) -> GatewayState {
         let idle_timeout = config.worker_idle_timeout / IDLE_TIMEOUT_DIVISOR;
         let max_connections = config.capacity.worker_connections;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The lifecycle, and the transport that carries out what it decides.
+    /// Returns the lifecycle, and the transport that carries out what it decides.
     pub fn lifecycle<'a>(
         &'a mut self,
         now: Micros,
@@ -96,7 +96,7 @@
         (&mut self.lifecycle, egress)
     }
 
-    /// The transport alone.
+    /// Returns the transport alone.
     pub fn egress<'a>(&'a mut self, now: Micros, effects: &'a mut Effects) -> Egress<'a> {
         self.lifecycle(now, effects).1
     }
--- a/crates/gateway/src/worker_connection.rs
+++ b/crates/gateway/src/worker_connection.rs
@@ -74,7 +74,7 @@
     pub is_written: bool,
     /// Whether the connection has carried a call before this one.
     pub is_reused: bool,
-    /// When an attempt whose last byte has not been written yet is given up.
+    /// When an attempt is given up if its last byte has not been written by then.
     pub dispatch_deadline: Micros,
     /// The decode worker to request a reservation from once the call is written.
     pub pending_reservation: Option<WorkerId>,
--- a/crates/gateway/src/worker_events.rs
+++ b/crates/gateway/src/worker_events.rs
@@ -17,8 +17,8 @@
 use crate::timers::TimerKey;
 use crate::worker_connection::{Call, ResponseEvent, ResponseStatus};
 
-/// Microseconds without reading after which a client's response is ended; as long as an idle client connection is
-/// kept.
+/// Microseconds after which the response to a client that does not read is ended: as long as an idle client connection
+/// is kept.
 const CLIENT_READ_TIMEOUT: Micros = 15_000_000;
 
 impl GatewayState {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Handles a connection to a worker that has ended or could not be established.
+    /// Handles the end of a connection to a worker, or a connection attempt that failed.
     pub fn worker_disconnected(
         &mut self,
         now: Micros,
--- a/crates/gateway/src/worker_pool.rs
+++ b/crates/gateway/src/worker_pool.rs
@@ -18,7 +18,7 @@
 
 /// Microseconds of silence after which a worker counts as gone rather than hung.
 const HANG_TIMEOUT: Micros = 20_000_000;
-/// The same during shutdown, which leaves little more time.
+/// The hang timeout during shutdown, which leaves little more time than this.
 const HANG_TIMEOUT_AT_SHUTDOWN: Micros = 3_500_000;
 /// Microseconds for which a connection whose stream has ended takes no other call. A second response may arrive some
 /// milliseconds after the first, and would be taken for the next call's response.
@@ -207,9 +207,9 @@
         self.idle.failed_after(now, idle_time);
     }
 
-    /// Handles a reservation call without an answer in time. Its worker may hang and grant the reservation later, so
-    /// the call is kept. Returns a call to give up: this one after its second timeout, or the oldest late call if so
-    /// many are late that other calls would lack connections.
+    /// Handles a reservation call that was not answered in time. Its worker may hang and grant the reservation later,
+    /// so the call is kept. Returns a call to give up: this one after its second timeout, or the oldest late call if
+    /// so many are late that other calls would lack connections.
     pub fn reservation_timed_out(
         &mut self,
         now: Micros,
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -6,7 +6,8 @@
 //! For a forbidden step it returns a [`Violation`], whose rule and reason are enums. The record does not depend on how
 //! the scheduler decides, so it also catches a wrong decision, and a code path that takes a step without a decision.
 //!
-//! No I/O, no clock, no random numbers. Times are tenths of a millisecond on the caller's clock.
+//! The package does no I/O and uses neither a clock nor random numbers. Times are tenths of a millisecond on the
+//! caller's clock.
 
 #![warn(missing_docs)]
 
--- a/crates/lifecycle/src/endpoint_incarnations.rs
+++ b/crates/lifecycle/src/endpoint_incarnations.rs
@@ -1,10 +1,10 @@
 //! The start times of worker processes, on this router's own clock.
 //!
 //! Discovery reports start times in Unix time, as the wall clock of another machine showed it. Wall clocks may be
-//! stepped by an hour and more, so a reported time is believed only where it agrees with what this router saw itself: a
-//! start that is reported now, and was not at the last synchronisation with discovery, lies between the two, give or
-//! take the lag of the list. Any other time is replaced by the current one, which errs towards treating the worker as
-//! colder than it is.
+//! stepped by an hour and more, so a reported time is believed only where it agrees with what this router saw itself:
+//! a start that is reported now, and was not at the last synchronisation with discovery, lies between the two,
+//! allowing for the lag of the list. Any other time is replaced by the current one, so that the router at worst treats
+//! the worker as warming up for longer than it does.
 
 use std::collections::HashMap;
 
@@ -22,9 +22,9 @@
 
 /// A worker's last known start.
 struct Start {
-    /// As discovery reported it, in Unix time.
+    /// The start time as discovery reported it, in Unix time.
     reported_at: Micros,
-    /// On this router's clock.
+    /// The start time on this router's clock.
     started_at: Micros,
     /// When the worker was removed from the list.
     removed_at: Option<Micros>,
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -3,8 +3,9 @@
 //!
 //! [`RequestLifecycle`] owns the open requests, their attempts and the endpoint list. It feeds events to the
 //! [scheduler](tideroute::scheduler::Scheduler) and executes the scheduler's actions. It is independent of the
-//! protocol: it communicates with workers, clients and discovery through [`Transport`]. Two protocols implement it: the
-//! HTTP gateway in `crates/gateway`, and [`ProtobufRouter`] here for this project's own protocol.
+//! protocol: it communicates with workers, clients and discovery through the trait [`Transport`]. Two protocols
+//! implement this trait: the HTTP gateway in `crates/gateway`, and [`ProtobufRouter`] here for this project's own
+//! protocol.
 //!
 //! Only the scheduler decides where and when a request runs. Limits that the scheduler does not know, such as the
 //! timeout of a connection or the number of open requests, are set by the operator in [`LifecycleConfig`] and
--- a/crates/lifecycle/src/protobuf_router.rs
+++ b/crates/lifecycle/src/protobuf_router.rs
@@ -3,7 +3,7 @@
 //!
 //! [`router::ProtobufRouter`] receives the event loop's calls and passes each to the module of its connection's kind:
 //! [`client_events`], [`worker_events`] or [`discovery_events`]. These change the shared [`state`], whose lifecycle
-//! speaks through the [`transport`].
+//! sends its messages through the [`transport`].
 
 mod client_events;
 mod clients;
--- a/crates/lifecycle/src/protobuf_router/config.rs
+++ b/crates/lifecycle/src/protobuf_router/config.rs
@@ -13,7 +13,7 @@
     pub discovery: Address,
     /// Makes this router's request ids unique among those of all routers and all their starts.
     pub origin: Origin,
-    /// Microseconds that a response takes to reach its client; deadlines are brought forward by as much.
+    /// Microseconds that a response takes to reach its client. The router brings each deadline forward by this time.
     pub network_delay: Micros,
     /// Tokens of one stream that a worker may send before its client has taken them.
     pub stream_window_tokens: u32,
--- a/crates/lifecycle/src/response.rs
+++ b/crates/lifecycle/src/response.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The `outcome` label of the response metrics.
+    /// Returns the `outcome` label of the response metrics.
     pub(crate) fn metric_label(self) -> &'static str {
         match self {
             Response::Completed(_) => "completed",
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,8 +7,8 @@
 //! outputs.
 //!
 //! [`MembershipNode`] runs it on an event loop, and [`MessageAuthenticator`] authenticates each datagram, so that
-//! datagrams of other clusters and of senders without the key are ignored. Nothing that a router must not lose depends
-//! on this package.
+//! datagrams of other clusters and of senders without the key are ignored. Routers do not rely on this package for
+//! anything that must not be lost.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -27,7 +27,7 @@
 
 impl ClaimSource {
     /// Returns whether claims from this source are disseminated as rumors. Claims from a full exchange are not: when a
-    /// thousand routers meet at once, their dissemination would take half a minute.
+    /// thousand routers discover each other at once, their dissemination would take half a minute.
     fn disseminates(self) -> bool {
         self == ClaimSource::Rumor
     }
--- a/crates/membership/src/message_authenticator.rs
+++ b/crates/membership/src/message_authenticator.rs
@@ -16,8 +16,8 @@
 /// MACs.
 const KEY_CONTEXT: &str = "tideroute 2026-12 datagrams within a fleet";
 
-/// Signs and verifies the datagrams of one cluster. Any holder of the cluster's key can send any message in the name of
-/// any member; nobody else can.
+/// Signs and verifies the datagrams of one cluster. Any holder of the cluster's key can send any message in the name
+/// of any member; a process without the key cannot send any.
 #[derive(Clone)]
 pub struct MessageAuthenticator {
     key: [u8; 32],
--- a/crates/membership/src/rumor_queue.rs
+++ b/crates/membership/src/rumor_queue.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 
-/// A rumor is transmitted this many times the logarithm (base 2) of the number of members. By SWIM's analysis all but a
-/// vanishing part of the members receive a rumor from a factor of 1 on; packet loss and faster dissemination need more.
+/// A rumor is transmitted this many times the logarithm (base 2) of the number of members. By SWIM's analysis a factor
+/// of 1 suffices for nearly all members to receive a rumor; packet loss and faster dissemination need more.
 const TRANSMISSION_FACTOR: u32 = 3;
 
 /// Returns how often a rumor is transmitted in a cluster with this number of members.
--- a/crates/membership/src/stats.rs
+++ b/crates/membership/src/stats.rs
@@ -5,7 +5,7 @@
 pub struct MembershipStats {
     /// Probes sent.
     pub probes: u64,
-    /// Probes that nobody answered, directly or indirectly.
+    /// Probes that were answered neither directly nor indirectly.
     pub unanswered_probes: u64,
     /// Suspicions that this router's own probes raised.
     pub suspicions: u64,
--- a/crates/reactor/src/poll_key.rs
+++ b/crates/reactor/src/poll_key.rs
@@ -24,7 +24,7 @@
 }
 
 impl PollKey {
-    /// Returns the poller's key of this source.
+    /// Returns the key of this source in the poller.
     pub fn encode(self) -> usize {
         match self {
             PollKey::Listener(index) => index,
--- a/crates/reactor/src/reactor/setup.rs
+++ b/crates/reactor/src/reactor/setup.rs
@@ -117,7 +117,7 @@
         self.drain_on_shutdown = true;
     }
 
-    /// Registers for SIGHUP; each one has the loop read the file and pass it to the handler.
+    /// Registers for SIGHUP. At each signal the loop reads the file and passes it to the handler.
     pub fn reload_config_on_sighup(&mut self, path: PathBuf) -> Result<(), ReactorError> {
         let signals = SignalPipe::for_reload()?;
         add(&self.poller, &signals.stream, readable(PollKey::ReloadSignals))?;
--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -30,7 +30,7 @@
 const MIN_RETRY_TIME: Micros = 50_000;
 /// Microseconds for which a client that reads slowly does not read.
 const SLOW_READER_PAUSE: Micros = 700_000;
-/// Microseconds for which such a client reads before it pauses again.
+/// Microseconds for which a client that reads slowly reads before it pauses again.
 const SLOW_READER_READ_TIME: Micros = 300_000;
 
 /// Kinds of timers. The kind is the top byte of a timer key; the other bytes are the index of a request or of a client.
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -27,7 +27,8 @@
 use player::ScenarioPlayer;
 pub(crate) use timeline::{fault_timeline, FaultAction};
 
-/// Microseconds that all processes have to start before the load begins, in addition to the lag of the endpoint list.
+/// Microseconds that are left for all processes to start before the load begins, in addition to the lag of the
+/// endpoint list.
 const START_TIME: Micros = 1_500_000;
 /// Microseconds by which `START_TIME` is extended for each process.
 const START_TIME_PER_PROCESS: Micros = 15_000;
--- a/crates/simulation/src/scenario/player.rs
+++ b/crates/simulation/src/scenario/player.rs
@@ -148,7 +148,8 @@
         Ok(())
     }
 
-    /// Starts one process. A worker starts cold if `cold` is set; other processes ignore it.
+    /// Starts one process. With `cold`, a worker starts with an empty cache and has to warm up; other processes ignore
+    /// it.
     fn start(&mut self, name: &str, cold: bool) -> Result<(), ScenarioError> {
         let Some(mut spec) = self.process_specs.get(name).cloned() else { return Ok(()) };
         if cold && spec.role == "worker" {
--- a/crates/simulation/src/scenario/timeline.rs
+++ b/crates/simulation/src/scenario/timeline.rs
@@ -3,7 +3,7 @@
 use tideroute_config_language::records::ScenarioFault;
 use tideroute_wire::Micros;
 
-/// Microseconds between the kill of a worker after its silence or draining and its restart.
+/// Microseconds from the kill of a worker that was silent or draining to its restart.
 const RESTART_DELAY: Micros = 500_000;
 
 /// An action on a process or a tenant.
--- a/crates/simulation/src/traffic.rs
+++ b/crates/simulation/src/traffic.rs
@@ -40,7 +40,8 @@
 
 /// Mean microseconds between two turns of a session, in which a person reads the response and writes the next prompt.
 const MEAN_THINK_TIME: f64 = 2e6;
-/// Combined with the seed of the load, so that the choice of busy routers is independent of the traffic.
+/// A constant that is combined with the seed of the load, so that the choice of busy routers is independent of the
+/// traffic.
 const SKEW_SEED: u64 = 0x756e_6576_656e;
 /// Bytes of the text of a prompt. The length in tokens is sent as a separate number.
 const PROMPT_BYTES: usize = 48;
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -23,8 +23,8 @@
 
 /// Microseconds since 1970 at which a scenario begins; the moment is arbitrary.
 const EPOCH: Micros = 1_700_000_000_000_000;
-/// Microseconds that the programs have to connect to each other before the load. Also the time between two checks for
-/// the end of the load, and the time that each program has to shut down.
+/// Microseconds that are left for the programs to connect to each other before the load, and for each program to shut
+/// down. Also the time between two checks for the end of the load.
 const START_TIME: Micros = 1_000_000;
 /// Microseconds after the last request within which all requests must have ended.
 const DRAIN_TIME: Micros = 120_000_000;
--- a/crates/trace-checker/src/connections/unpaired_ends.rs
+++ b/crates/trace-checker/src/connections/unpaired_ends.rs
@@ -25,8 +25,8 @@
 #[derive(Default)]
 pub struct UnpairedEnds {
     by_addresses: HashMap<AddressPair, Vec<EndKey>>,
-    /// Connections that a relay joined, by the upstream addresses, until the accepted end of the upstream connection is
-    /// known.
+    /// Connections that a relay joined, keyed by the addresses of the upstream connection. An entry is kept until the
+    /// accepted end of the upstream connection is known.
     relayed: HashMap<AddressPair, RelayedConnection>,
 }
 
--- a/crates/trace-checker/src/drain_rule.rs
+++ b/crates/trace-checker/src/drain_rule.rs
@@ -32,11 +32,11 @@
     grace: Micros,
     /// The address at which each router process listens. Processes with the same address are cores of one router.
     router_addresses: BTreeMap<u32, Address>,
-    /// By router address and worker.
+    /// What each router knows about each worker, by router address and worker.
     first_notified: BTreeMap<(Address, Address), FirstNotified>,
     /// The version of the endpoint list update that is being read.
     version: u64,
-    /// By process and worker.
+    /// The last notification about each worker, by process and worker.
     notified: BTreeMap<(u32, Address), Notified>,
 }
 
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -38,7 +38,7 @@
     fn token(&mut self, number: u64, index: u32, text: Bytes) -> Result<(), Malformed>;
     /// The response is complete, with this number of tokens.
     fn completed(&mut self, number: u64, tokens: u32) -> Result<(), Malformed>;
-    /// The request never ran. The client may retry it after `retry_after`; 0 for no advice.
+    /// The request never ran. The client may retry it after `retry_after`; 0 if the router names no time.
     fn rejected(&mut self, number: u64, retry_after: Micros) -> Result<(), Malformed>;
     /// The request failed; it may or may not have taken effect.
     fn failed(&mut self, number: u64) -> Result<(), Malformed>;
--- a/src/scheduler/backoff.rs
+++ b/src/scheduler/backoff.rs
@@ -4,7 +4,8 @@
 
 /// The length of the first backoff, half a second: about the time in which a process restarts.
 pub const FIRST_BACKOFF: TenthMillis = 5_000;
-/// How often the backoff is doubled at most; 4 doublings mean that a dead worker is tried about every 8 seconds.
+/// The largest number of times that the backoff is doubled; 4 doublings mean that a dead worker is tried about
+/// every 8 seconds.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Until when a worker is out of service, and how often it failed in a row.
--- a/src/scheduler/cross_cell_gate.rs
+++ b/src/scheduler/cross_cell_gate.rs
@@ -8,10 +8,9 @@
 use crate::types::{SchedulerConfig, TenthMillis};
 
 /// One in this many pairs of a prefill and a decode worker passes a closed gate, so that the delay is measured
-/// again. The value is the design's.
+/// again.
 const PAIRS_PER_PROBE: f64 = 50.0;
-/// The gate closes when the mean delay reaches the shortest latency objective divided by this. The value is the
-/// design's.
+/// The gate closes when the mean delay reaches the shortest latency objective divided by this.
 const OBJECTIVE_DIVISOR: f64 = 2.0;
 
 /// The gate, with the measured delay that opens and closes it.
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -150,8 +150,8 @@
                 }
             }
             AttemptOutcome::Unreachable | AttemptOutcome::ConnectionReset => {
-                // Exception to the backoff: a connection may break while its worker is healthy. After the first
-                // failure in a row the backoff is empty, so a health check follows at once.
+                // A connection may break while its worker is healthy. Where health checks are enabled, the first
+                // failure in a row therefore starts an empty backoff, so that a health check follows at once.
                 let check_at_once = worker.backoff.is_first() && self.config.health_checks_enabled;
                 let jitter = if check_at_once { 0.0 } else { 1.0 + self.rng.unit() };
                 worker.backoff.start(now, jitter);
@@ -191,8 +191,8 @@
 
     /// Records the load that a worker reported in a health check.
     pub fn record_load_report(&mut self, now: TenthMillis, worker: WorkerId, load: f64) {
-        // Exception to reservations: where they are disabled, too many prompt tokens waiting at a decode worker
-        // count as its rejection.
+        // Where reservations are disabled, a decode worker with too many waiting prompt tokens counts as having
+        // rejected.
         let is_full = !self.config.reservations_enabled && self.config.load_in_tokens && load > SPILL_TOKENS;
         let Some(worker) = self.workers.get_mut(&worker) else { return };
         worker.record_load_report(now, load);
--- a/src/scheduler/outlier_detection.rs
+++ b/src/scheduler/outlier_detection.rs
@@ -14,9 +14,9 @@
 const MIN_TIMEOUT_OBJECTIVE_SHARE: f64 = 0.25;
 /// The part of attempts that is assumed to be lost while there are no samples.
 const PRIOR_LOSS_RATE: f64 = 0.01;
-/// The number of samples that the prior loss rate counts as in the mean over all workers.
+/// The weight of the prior loss rate in the mean over all workers, as a number of samples.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// The number of samples that the mean over all workers counts as in the loss rate of one worker.
+/// The weight of the mean over all workers in the loss rate of one worker, as a number of samples.
 const FLEET_WEIGHT: f64 = 1.0;
 /// A worker is ejected for a request class if its loss rate exceeds that of all workers by more than this part of
 /// the difference between the latter and 1.
--- a/src/scheduler/prefill_placement.rs
+++ b/src/scheduler/prefill_placement.rs
@@ -12,8 +12,8 @@
 use crate::rendezvous::{unit_hash, RendezvousRanking};
 use crate::types::{Role, TenthMillis, WorkerId};
 
-/// When all suitable workers are beyond [`SPILL_TOKENS`], the one with the fewest tokens takes the prompt up to
-/// this multiple of it.
+/// When all suitable workers would have more than [`SPILL_TOKENS`] in flight, the one with the fewest takes the
+/// prompt, unless it would then have more than this multiple of [`SPILL_TOKENS`].
 const OVERFULL_FACTOR: f64 = 2.0;
 /// At each of its affinity workers, one prefix may take this multiple of an even share of all prefills.
 const PREFIX_SHARE_BOUND: f64 = 1.0;
@@ -138,8 +138,8 @@
         }
         let tokens = if is_idle { 0.0 } else { load.prefill_tokens + request.new_request.prompt_tokens };
         let is_busy = !is_idle && is_slow || tokens > limit;
-        // Exception to waiting for a decode worker: a prefill worker further down the order is chosen if a decode
-        // worker may grant a reservation for its cell.
+        // A prefill worker is skipped if no decode worker may grant a reservation for its cell: the request goes
+        // to a worker further down the order instead of waiting for a decode worker.
         let cell = worker.endpoint.cell;
         if worker.role != Role::Mixed && !self.any_decode_worker_may_grant(now, cell, requester) {
             return Suitability::Unavailable;
@@ -180,9 +180,9 @@
 
     /// Returns how many affinity workers a prefix has.
     ///
-    /// Exception to one affinity worker for each prefix: a popular prefix has as many as its part of all requests
-    /// needs, and its sessions are spread over them. One standard deviation is subtracted from its count, so that
-    /// chance alone adds no workers. Guards against a hot prefix that fills a cell.
+    /// Most prefixes have one affinity worker. A popular prefix has as many as its part of all requests needs,
+    /// and its sessions are spread over them. One standard deviation is subtracted from its count, so that chance
+    /// alone adds no workers. Guards against a hot prefix that fills a cell.
     fn affinity_worker_count(&mut self, now: TenthMillis, prefix: u64, worker_count: usize) -> usize {
         let popularity = self.prefixes.read(now, RATE_TIME_CONSTANT, prefix);
         let count_beyond_chance = (popularity.prefix_count - popularity.prefix_count.sqrt()).max(0.0);
@@ -192,10 +192,10 @@
 
     /// Chooses among the candidates by their load reports, and requests the reports that are missing.
     ///
-    /// Exception to the first candidate: a later one is chosen if it is clearly emptier by its load report. No
-    /// worker is chosen while reports are awaited. Guards against prefills of several routers that meet at one
-    /// worker while others idle, where each router sees little of the load. The drawback: a worker that fails
-    /// every request at once looks empty.
+    /// The first candidate is chosen unless a later one is clearly emptier by its load report. No worker is
+    /// chosen while reports are awaited. Guards against several routers that send prefills to the same worker
+    /// while others idle, because each router sees only its own part of the load. The drawback: a worker that
+    /// fails every request at once looks empty.
     pub fn least_loaded_by_report(
         &mut self,
         now: TenthMillis,
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -12,9 +12,9 @@
 use crate::types::{Role, SchedulerConfig, TenthMillis};
 use crate::worker_registry::WorkerRegistry;
 
-/// The largest probability with which the attempts of all routers at a warming worker exceed the limit of its
-/// budget plus twice the budget's square root plus two (a Chernoff bound; `docs/design.md`, "What changed for
-/// scale").
+/// The largest probability with which the attempts of all routers at a warming worker exceed a limit: the sum of
+/// the worker's budget, twice the budget's square root, and two (a Chernoff bound; `docs/design.md`, "What
+/// changed for scale").
 const OVERLOAD_RISK: f64 = 1e-4;
 /// A warming worker may get up to this multiple of its present capacity, because work warms it up.
 const MAX_LOAD_FACTOR: f64 = 1.5;
--- a/src/scheduler/wait_times.rs
+++ b/src/scheduler/wait_times.rs
@@ -10,7 +10,7 @@
 /// The recent wait is averaged with this many samples of no wait. With one, a second of moderate traffic
 /// outweighs it, and a router with little traffic forgets a wait within a few time constants.
 const NO_WAIT_WEIGHT: f64 = 1.0;
-/// The number of samples that the prior wait counts as.
+/// The weight of the prior wait in a mean wait, as a number of samples.
 const PRIOR_WEIGHT: f64 = 1.0;
 
 /// The mean waits of both stages.
--- a/src/scheduler/worker.rs
+++ b/src/scheduler/worker.rs
@@ -11,7 +11,7 @@
 /// Where reservations are disabled, a decode worker that reports a load of more tokens than this counts as having
 /// rejected.
 pub const SPILL_TOKENS: f64 = 4_000.0;
-/// How long a worker's rejection holds where no other worker can be asked: 50 ms, the design's value.
+/// How long a worker's rejection holds where no other worker can be asked: 50 ms.
 const REJECTION_TTL: TenthMillis = 500;
 /// How long a rejection is cached where another worker can be asked: 1 s.
 const CACHED_REJECTION_TTL: TenthMillis = 10_000;
--- a/src/types.rs
+++ b/src/types.rs
@@ -147,7 +147,7 @@
     pub idempotency: Idempotency,
     /// The latency objective: the wanted time from a request's arrival to its first token.
     pub ttft_objective: TenthMillis,
-    /// Added to the objective for every 1,000 prompt tokens.
+    /// The time added to the objective for every 1,000 prompt tokens.
     pub ttft_objective_per_1000_tokens: TenthMillis,
     /// The value of a response within the objective, relative to that of other classes.
     pub priority_weight: f64,
@@ -180,7 +180,8 @@
     pub cold_capacity_share: f64,
     /// How long after its start a worker reaches its full capacity.
     pub warm_up_time: TenthMillis,
-    /// A warming worker is overloaded by more than this multiple of what it can do in the overload window.
+    /// A warming worker is overloaded when it gets more than this multiple of the work that it can do in the
+    /// overload window.
     pub overload_multiple: f64,
     /// The time window in which the load of a warming worker is counted.
     pub overload_window: TenthMillis,
