--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -24,8 +24,8 @@
 const REQUEST_TIMEOUT: Micros = 2_000_000;
 /// Microseconds that a connection may be idle between requests.
 const IDLE_TIMEOUT: Micros = 15_000_000;
-/// Bytes that are kept after an open request: one more request of the largest size. Further bytes are read and
-/// discarded, because a disconnect is only seen once all bytes before it have been read.
+/// Maximum number of bytes kept that arrive while a request is open: one more request of the largest size. Further
+/// bytes are read and discarded, because a disconnect is only seen once all bytes before it have been read.
 const MAX_PIPELINED_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + (8 << 10);
 /// Number of discarded bytes after which a client is disconnected and its open request is cancelled.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
@@ -100,7 +100,8 @@
         self.take_requests(now, connection, effects);
     }
 
-    /// Parses requests until one is open, because it is answered before the next, or until more bytes are needed.
+    /// Parses requests until one is open or more bytes are needed. An open request is answered before the next one is
+    /// parsed.
     fn take_requests(&mut self, now: Micros, connection: ConnectionId, effects: &mut Effects) {
         for _ in 0..MAX_REQUESTS_AT_ONCE {
             let Some(client) = self.clients.get_mut(connection) else { return };
--- a/crates/gateway/src/reserved_state.rs
+++ b/crates/gateway/src/reserved_state.rs
@@ -223,8 +223,7 @@
             // The prefill is in progress at a running worker.
             entry.suspend_clock(id, self.release_timeout, context);
         } else if !is_not_reserved {
-            // The worker may hold the reservation from now on, and does not know of the prefill that was thought to be
-            // in progress.
+            // The worker may hold the reservation from now on, and nothing shows that the prefill is in progress.
             entry.release_rounds = 0;
             let since = entry.running_since().unwrap_or(context.now);
             self.run_clock(id, since, context);
--- a/crates/gateway/src/reserved_state/entry.rs
+++ b/crates/gateway/src/reserved_state/entry.rs
@@ -71,8 +71,8 @@
         if began_after_seen && (self.is_worker_seen || self.ended_by == EndedBy::Reset) {
             return false;
         }
-        // The worker is running, but a worker that has hung may handle the release before it sees the end of the
-        // connection: one more release is enough.
+        // Bytes that arrived from the worker show that it is running. A worker that has hung may still have handled
+        // this release before it saw the end of the connection: one more release is needed, and is enough.
         self.is_worker_seen = began_after_seen && context.workers.seen_since(self.worker, seen_at);
         true
     }
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -14,7 +14,7 @@
 use crate::transport::{Timer, Transport};
 use crate::units::{to_micros, to_tenth_millis};
 
-/// One part in this many of the open requests may wait for tenant admission.
+/// The maximum number of open requests divided by this may wait for tenant admission.
 const MAX_WAITING_DIVISOR: usize = 4;
 
 /// Creates tenant admission from the configuration; `None` where no tenants are configured.
--- a/crates/lifecycle/src/protobuf_router/client_events.rs
+++ b/crates/lifecycle/src/protobuf_router/client_events.rs
@@ -93,8 +93,8 @@
         Ok(())
     }
 
-    /// Handles a change of backpressure: the data that waits to be sent to the client rose above the high-water mark,
-    /// or fell below the low-water mark.
+    /// Handles a change of backpressure: the data that waits to be sent to the client rose above the high watermark,
+    /// or fell below the low watermark.
     pub fn backpressure(&mut self, has_backpressure: bool) {
         let Some(client) = self.state.clients.get_mut(self.connection) else { return };
         client.has_backpressure = has_backpressure;
--- a/crates/reactor/src/datagram_socket.rs
+++ b/crates/reactor/src/datagram_socket.rs
@@ -9,8 +9,8 @@
 
 use crate::address;
 
-/// Requested size of the kernel's receive buffer in bytes. It holds some hundreds of datagrams, as many as arrive while
-/// a process is halted for a second.
+/// Requested size of the kernel's receive buffer in bytes. It holds some hundreds of datagrams, as many as arrive
+/// while a process is paused for a second.
 const RECEIVE_BUFFER: usize = 1 << 20;
 
 /// A bound, non-blocking UDP socket.
--- a/src/scheduler/admission.rs
+++ b/src/scheduler/admission.rs
@@ -6,8 +6,8 @@
 use crate::rng::Rng;
 use crate::types::{RequestClass, SchedulerConfig, TenthMillis};
 
-/// A waiting request is given up when the time left to its objective or deadline is less than the usual time to a
-/// first token multiplied by this factor.
+/// A waiting request is given up when the remaining time to its objective or deadline is less than the usual time
+/// to a first token multiplied by this factor.
 const HOPELESS_WAIT_FACTOR: f64 = 3.0;
 
 /// Returns the probability with which a new request is admitted; 1 or more means that it is always admitted.
--- a/src/scheduler/decode_placement.rs
+++ b/src/scheduler/decode_placement.rs
@@ -54,7 +54,8 @@
 impl Fleet {
     /// Returns the decode worker for a request whose KV state is at a prefill worker: the worker that holds its
     /// reservation, else the one with the fewest streams in the prefill worker's cell, else one in another cell
-    /// if the cross-cell gate admits it, else one whose cached rejection is not recent.
+    /// if the cross-cell gate admits it, else one whose cached rejection is not recent. None also while the
+    /// worker of a confirmed reservation cannot be used.
     pub fn decode_worker_for(
         &mut self,
         now: TenthMillis,
