--- a/crates/command/tests/cluster_membership.rs
+++ b/crates/command/tests/cluster_membership.rs
@@ -32,11 +32,16 @@
 
 impl Cluster {
     fn new(name: &str, count: usize) -> Cluster {
-        let folder = std::env::temp_dir().join(format!("tideroute-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
         // Held all at once, so that no two are the same.
         let held: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
-        let doors = held.iter().map(|s| s.local_addr().expect("an address").to_string()).collect();
+        Cluster::with_addresses_of(name, &held)
+    }
+
+    /// A cluster whose members' membership addresses are those of the sockets.
+    fn with_addresses_of(name: &str, sockets: &[UdpSocket]) -> Cluster {
+        let folder = std::env::temp_dir().join(format!("tideroute-{name}-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let doors = sockets.iter().map(|s| s.local_addr().expect("an address").to_string()).collect();
         Cluster { folder, doors }
     }
 
@@ -123,8 +128,10 @@
 
 #[test]
 fn a_membership_address_in_use_ends_the_start() {
-    let cluster = Cluster::new("fleet-taken", 1);
-    let taken = UdpSocket::bind(&cluster.doors[0]).expect("it was free");
+    // The socket stays bound from here on. If it were closed and bound again, a process that another test starts
+    // meanwhile would hold a copy of it until its exec, and the second bind would fail now and then.
+    let taken = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let cluster = Cluster::with_addresses_of("fleet-taken", std::slice::from_ref(&taken));
     let path = cluster.record(0, KEY);
     let mut running = cluster.start(&path);
     let ended = running.0.wait().expect("it ends");
