--- a/crates/command/tests/soak/clients.rs
+++ b/crates/command/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, well behaved and not.
+//! The clients of a run: well-behaved ones, ones that disconnect early, and ones that send incomplete requests.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,219 +10,243 @@
 use tideroute_test_support::http_messages::chat_request_with;
 use tideroute_test_support::virtual_time::MS;
 
-use crate::fleet::{lock, ms, Fleet, Life, Router};
+use crate::fleet::{lock, ms, Fleet, Router, RouterProcess};
 
-/// Milliseconds that a client waits at most.
-const LONGEST_WAIT_MS: u64 = 1_500;
-/// In which bad clients are owed an error or a close, and how much later that may be seen on a busy machine.
+/// The longest time for which a client waits for its response, in milliseconds.
+const MAX_WAIT_MS: u64 = 1_500;
+/// The time within which the router sends an error to a client that stopped in the middle of a request, or closes its
+/// connection.
 const CLIENT_TIMEOUT_LIMIT: Duration = Duration::from_millis(3_000);
+/// How long after an event a client may observe it on a busy machine.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(400);
 
-/// A connection to a router, and the life of its process.
+/// A connection to a router, and the router's process at that time.
 struct Connection {
     stream: TcpStream,
-    life: Arc<Life>,
+    process: Arc<RouterProcess>,
 }
 
 fn connect(router: &Router) -> Option<Connection> {
-    // The life is looked up first: a connection to a later one than that is not taken for a killed one's.
-    let life = router.life();
+    // The process is looked up before connecting. In the other order, a connection to a process that is then killed
+    // could be counted as one to its successor, and the kill reported as a violation.
+    let process = router.process();
     let stream = TcpStream::connect(&router.listen).ok()?;
     let _ = (stream.set_nodelay(true), stream.set_read_timeout(Some(POLL_INTERVAL)));
-    Some(Connection { stream, life })
+    Some(Connection { stream, process })
 }
 
-/// How a request on a connection went.
-enum Went {
-    /// Answered, and the connection goes on.
-    On,
-    Over,
-    /// It ended with no byte of an answer.
+/// The outcome of a request on a connection.
+enum Outcome {
+    /// The response is complete and the connection stays open.
+    KeptAlive,
+    /// The request is over and the connection is not used again.
+    Closed,
+    /// The connection ended before any byte of a response; the text says how.
     Unanswered(String),
 }
 
-/// One client: some ask once, some several times on a connection, some go early, some behave badly.
+/// Runs one client: most send one request, some several on one connection, some disconnect early, and some send only a
+/// part of a request or nothing.
 pub fn client(fleet: &Fleet, router: &Router) {
-    let lot = fleet.judge.random_unit();
-    match lot {
+    let kind = fleet.monitor.random_unit();
+    match kind {
         0.0..0.06 => send_half_a_request(fleet, router, false),
         0.06..0.12 => send_half_a_request(fleet, router, true),
         0.12..0.16 => connect_and_stay_silent(fleet, router),
         0.16..0.4 => send_requests_on_one_connection(fleet, router),
-        _ => asks_once(fleet, router),
+        _ => send_one_request(fleet, router),
     }
 }
 
-/// One request on a connection of its own.
-pub fn asks_once(fleet: &Fleet, router: &Router) {
+/// Sends one request on a connection of its own. Some of these clients disconnect early.
+pub fn send_one_request(fleet: &Fleet, router: &Router) {
     let Some(mut connection) = connect(router) else { return };
-    let number = asked(fleet, &connection);
-    let leaves = fleet.judge.random_unit() < 0.2;
-    if let Went::Unanswered(end) = ask(fleet, &mut connection, number, leaves) {
+    let number = register_request(fleet, &connection);
+    let disconnects = fleet.monitor.random_unit() < 0.2;
+    if let Outcome::Unanswered(end) = send_request(fleet, &mut connection, number, disconnects) {
         report_disconnect(fleet, router, &connection, number, &end);
     }
 }
 
-/// A request that crosses the end of a resting connection is sent once more, on a new one.
+/// Sends up to four requests on one connection. A request that was sent while the router closed the idle connection is
+/// sent once more on a new connection.
 fn send_requests_on_one_connection(fleet: &Fleet, router: &Router) {
     let Some(mut connection) = connect(router) else { return };
     for n in 0..4 {
-        let number = asked(fleet, &connection);
-        match ask(fleet, &mut connection, number, false) {
-            Went::On => {}
-            Went::Over => return,
-            Went::Unanswered(_) if n > 0 => {
-                let crossed = connection.life.killed.load(Ordering::SeqCst);
-                let Some(mut fresh) = connect(router).filter(|_| !crossed) else {
-                    return fleet.judge.checker().router_killed(number);
+        let number = register_request(fleet, &connection);
+        match send_request(fleet, &mut connection, number, false) {
+            Outcome::KeptAlive => {}
+            Outcome::Closed => return,
+            Outcome::Unanswered(_) if n > 0 => {
+                let killed = connection.process.killed.load(Ordering::SeqCst);
+                let Some(mut new_connection) = connect(router).filter(|_| !killed) else {
+                    return fleet.monitor.checker().router_killed(number);
                 };
-                lock(&fresh.life.asked).push(number);
-                if let Went::Unanswered(end) = ask(fleet, &mut fresh, number, false) {
-                    report_disconnect(fleet, router, &fresh, number, &end);
+                lock(&new_connection.process.requests).push(number);
+                if let Outcome::Unanswered(end) = send_request(fleet, &mut new_connection, number, false) {
+                    report_disconnect(fleet, router, &new_connection, number, &end);
                 }
                 return;
             }
-            Went::Unanswered(end) => return report_disconnect(fleet, router, &connection, number, &end),
+            Outcome::Unanswered(end) => return report_disconnect(fleet, router, &connection, number, &end),
         }
-        std::thread::sleep(Duration::from_millis(fleet.judge.random_range(1.0, 600.0)));
+        std::thread::sleep(Duration::from_millis(fleet.monitor.random_range(1.0, 600.0)));
     }
 }
 
-/// Half a request, on a new connection or behind one that is whole; then nothing more.
+/// Sends a part of a request, on a new connection or after a complete request, and then sends nothing more. The router
+/// has to answer with an error or close the connection in time.
 fn send_half_a_request(fleet: &Fleet, router: &Router, behind_another: bool) {
     let Some(mut connection) = connect(router) else { return };
     if behind_another {
-        let number = asked(fleet, &connection);
-        let half = &text(fleet, number, 500)[..40];
-        let whole = text(fleet, number, wait_of(fleet, number));
-        if connection.stream.write_all(format!("{whole}{half}").as_bytes()).is_err() {
-            return report_disconnect(fleet, router, &connection, number, "it could not be written");
+        let number = register_request(fleet, &connection);
+        let partial_request = &request_text(fleet, number, 500)[..40];
+        let complete_request = request_text(fleet, number, remaining_ms(fleet, number));
+        if connection.stream.write_all(format!("{complete_request}{partial_request}").as_bytes()).is_err() {
+            return report_disconnect(fleet, router, &connection, number, "the request could not be written");
         }
-        if let Went::Unanswered(end) = receive_response(fleet, &mut connection, number, None) {
+        if let Outcome::Unanswered(end) = receive_response(fleet, &mut connection, number, None) {
             return report_disconnect(fleet, router, &connection, number, &end);
         }
     } else {
-        let half = &chat_request_with("half", "class-0", 500, "{}")[..40];
-        let _ = connection.stream.write_all(half.as_bytes());
+        let partial_request = &chat_request_with("half", "class-0", 500, "{}")[..40];
+        let _ = connection.stream.write_all(partial_request.as_bytes());
     }
-    let stopped = Instant::now();
+    let stopped_at = Instant::now();
     let mut piece = [0; 4096];
     while !fleet.is_over() {
         match connection.stream.read(&mut piece) {
-            Err(e) if is_timeout(&e) && stopped.elapsed() < CLIENT_TIMEOUT_LIMIT + OBSERVATION_DELAY => {}
+            Err(e) if is_timeout(&e) && stopped_at.elapsed() < CLIENT_TIMEOUT_LIMIT + OBSERVATION_DELAY => {}
             Err(e) if is_timeout(&e) => {
-                let what = format!("a client that stopped in the middle was left alone by {}", router.listen);
-                return fleet.judge.report_violation(what);
+                let message = format!(
+                    "{} neither answered nor closed a client that stopped in the middle of a request",
+                    router.listen
+                );
+                return fleet.monitor.report_violation(message);
             }
-            // An answer of the first may still come; what was owed is an error or a close.
-            Ok(got) if got > 0 && !String::from_utf8_lossy(&piece[..got]).contains("HTTP/1.1 4") => {}
+            // The response to the first request may still arrive; the client waits for an error response or a close.
+            Ok(count) if count > 0 && !String::from_utf8_lossy(&piece[..count]).contains("HTTP/1.1 4") => {}
             _ => return,
         }
     }
 }
 
-/// Connects, says nothing for a while, and goes.
+/// Connects, sends nothing for a while, and disconnects.
 fn connect_and_stay_silent(fleet: &Fleet, router: &Router) {
     let Some(connection) = connect(router) else { return };
-    std::thread::sleep(Duration::from_millis(fleet.judge.random_range(10.0, 3_000.0)));
+    std::thread::sleep(Duration::from_millis(fleet.monitor.random_range(10.0, 3_000.0)));
     drop(connection);
 }
 
-/// A request is about to be asked; its number.
-fn asked(fleet: &Fleet, connection: &Connection) -> usize {
-    let class = (fleet.judge.random_unit() * fleet.judge.deployment.classes.len() as f64) as usize;
-    let longest = fleet.judge.deployment.classes[class].deadline_ms.clamp(100, LONGEST_WAIT_MS);
-    let mut wait = fleet.judge.random_range(longest as f64 * 0.5, longest as f64) * MS;
-    // Some have very little time left.
-    if fleet.judge.random_unit() < 0.05 {
-        wait = fleet.judge.random_range(1.0, 50.0) * MS;
+/// Registers a request that is about to be sent with the checker, and returns its number.
+fn register_request(fleet: &Fleet, connection: &Connection) -> usize {
+    let class = (fleet.monitor.random_unit() * fleet.monitor.deployment.classes.len() as f64) as usize;
+    let max_wait_ms = fleet.monitor.deployment.classes[class].deadline_ms.clamp(100, MAX_WAIT_MS);
+    let mut time_left = fleet.monitor.random_range(max_wait_ms as f64 * 0.5, max_wait_ms as f64) * MS;
+    // Some requests have very little time left.
+    if fleet.monitor.random_unit() < 0.05 {
+        time_left = fleet.monitor.random_range(1.0, 50.0) * MS;
     }
-    let now = fleet.judge.now();
-    let number = fleet.judge.checker().request_sent(now, class, wait);
-    lock(&connection.life.asked).push(number);
-    // Who was killed just before is not asked any more.
-    if connection.life.killed.load(Ordering::SeqCst) {
-        fleet.judge.checker().router_killed(number);
+    let now = fleet.monitor.now();
+    let number = fleet.monitor.checker().request_sent(now, class, time_left);
+    lock(&connection.process.requests).push(number);
+    // The router may have been killed just before: a kill that ran already did not see this request.
+    if connection.process.killed.load(Ordering::SeqCst) {
+        fleet.monitor.checker().router_killed(number);
     }
     number
 }
 
-/// Milliseconds that are left of a request's time.
-fn wait_of(fleet: &Fleet, number: usize) -> u64 {
-    let deadline = fleet.judge.checker().deadline(number);
-    deadline.saturating_sub(fleet.judge.now()) / MS
+/// Returns the remaining time of a request, in milliseconds.
+fn remaining_ms(fleet: &Fleet, number: usize) -> u64 {
+    let deadline = fleet.monitor.checker().deadline(number);
+    deadline.saturating_sub(fleet.monitor.now()) / MS
 }
 
-fn text(fleet: &Fleet, number: usize, wait_ms: u64) -> String {
-    let class = fleet.judge.checker().class_of(number);
-    chat_request_with(&format!("t{number}"), &fleet.judge.deployment.classes[class].name, wait_ms, "{}")
+fn request_text(fleet: &Fleet, number: usize, remaining_ms: u64) -> String {
+    let class = fleet.monitor.checker().class_of(number);
+    chat_request_with(
+        &format!("t{number}"),
+        &fleet.monitor.deployment.classes[class].name,
+        remaining_ms,
+        "{}",
+    )
 }
 
-fn ask(fleet: &Fleet, connection: &mut Connection, number: usize, leaves: bool) -> Went {
-    let text = text(fleet, number, wait_of(fleet, number));
-    let leaves = leaves.then(|| Instant::now() + Duration::from_millis(fleet.judge.random_range(1.0, 800.0)));
-    if let Err(problem) = connection.stream.write_all(text.as_bytes()) {
-        return Went::Unanswered(format!("writing: {problem}"));
+/// Sends a request and receives its response, unless the client disconnects before.
+fn send_request(fleet: &Fleet, connection: &mut Connection, number: usize, disconnects: bool) -> Outcome {
+    let text = request_text(fleet, number, remaining_ms(fleet, number));
+    let disconnect_at =
+        disconnects.then(|| Instant::now() + Duration::from_millis(fleet.monitor.random_range(1.0, 800.0)));
+    if let Err(error) = connection.stream.write_all(text.as_bytes()) {
+        return Outcome::Unanswered(format!("writing failed: {error}"));
     }
-    receive_response(fleet, connection, number, leaves)
+    receive_response(fleet, connection, number, disconnect_at)
 }
 
-/// Hears the answer to a request, unless its client leaves before.
+/// Receives the response to a request, or disconnects at the given time.
 fn receive_response(
     fleet: &Fleet,
     connection: &mut Connection,
     number: usize,
-    leaves: Option<Instant>,
-) -> Went {
-    let (mut heard, mut piece) = (vec![], [0; 4096]);
+    disconnect_at: Option<Instant>,
+) -> Outcome {
+    let (mut received, mut piece) = (vec![], [0; 4096]);
     while !fleet.is_over() {
-        if leaves.is_some_and(|at| Instant::now() > at) {
-            let now = fleet.judge.now();
-            fleet.judge.checker().client_disconnected(now, number);
+        if disconnect_at.is_some_and(|at| Instant::now() > at) {
+            let now = fleet.monitor.now();
+            fleet.monitor.checker().client_disconnected(now, number);
             let _ = connection.stream.shutdown(std::net::Shutdown::Both);
-            return Went::Over;
+            return Outcome::Closed;
         }
         match connection.stream.read(&mut piece) {
-            Ok(got @ 1..) => heard.extend_from_slice(&piece[..got]),
+            Ok(count @ 1..) => received.extend_from_slice(&piece[..count]),
             Err(e) if is_timeout(&e) => {}
-            _ if !heard.is_empty() => return Went::Over,
-            how => return Went::Unanswered(format!("{how:?}")),
+            _ if !received.is_empty() => return Outcome::Closed,
+            end => return Outcome::Unanswered(format!("{end:?}")),
         }
-        let status = heard.get(9..12).and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
-        if let Some(status) = status.filter(|_| !fleet.judge.checker().has_response(number)) {
-            let now = fleet.judge.now();
-            fleet.judge.checker().response_started(now, &fleet.judge.deployment, number, status);
-            fleet.judge.log(format!("request {number} is answered {status}"));
+        let status = received.get(9..12).and_then(|s| std::str::from_utf8(s).ok()?.parse().ok());
+        if let Some(status) = status.filter(|_| !fleet.monitor.checker().has_response(number)) {
+            let now = fleet.monitor.now();
+            fleet.monitor.checker().response_started(now, &fleet.monitor.deployment, number, status);
+            fleet.monitor.log(format!("request {number} received status {status}"));
         }
-        if let Some(whole) = is_complete(&heard) {
-            return if whole { Went::On } else { Went::Over };
+        if let Some(stays_open) = keeps_alive(&received) {
+            return if stays_open { Outcome::KeptAlive } else { Outcome::Closed };
         }
     }
-    Went::Over
+    Outcome::Closed
 }
 
-/// Whether an answer that is complete lets its connection go on.
-fn is_complete(heard: &[u8]) -> Option<bool> {
-    let text = String::from_utf8_lossy(heard);
+/// Returns whether the connection stays open after the response, or `None` while the response is incomplete.
+fn keeps_alive(received: &[u8]) -> Option<bool> {
+    let text = String::from_utf8_lossy(received);
     let (head, body) = text.split_once("\r\n\r\n")?;
     let length = head.split("content-length: ").nth(1).and_then(|l| l.split("\r\n").next()?.parse().ok());
-    let whole = match length {
+    let complete = match length {
         Some(length) => body.len() >= length,
         None => body.contains("0\r\n\r\n"),
     };
-    whole.then(|| !head.contains("connection: close"))
+    complete.then(|| !head.contains("connection: close"))
 }
 
-/// The connection of a request ended with no answer: a break, unless its router was killed.
+/// Reports that the connection of a request ended without a response: a violation, unless its router was killed.
 fn report_disconnect(fleet: &Fleet, router: &Router, connection: &Connection, number: usize, end: &str) {
-    // A kill is known here a moment after it was made.
+    // The flag of a kill is set up to a moment after the connection ends.
     std::thread::sleep(Duration::from_millis(20));
-    if fleet.is_over() || connection.life.killed.load(Ordering::SeqCst) {
-        return fleet.judge.checker().router_killed(number);
+    if fleet.is_over() || connection.process.killed.load(Ordering::SeqCst) {
+        return fleet.monitor.checker().router_killed(number);
     }
-    let now = fleet.judge.now();
-    let own = connection.stream.local_addr();
-    fleet.judge.log(format!("request {number} at {} from {own:?} ends with no answer: {end}", router.listen));
-    println!("request {number} at {} from {own:?}: no answer at {} ms: {end}", router.listen, ms(now));
-    fleet.judge.checker().connection_ended_without_response(now, number);
+    let now = fleet.monitor.now();
+    let local_address = connection.stream.local_addr();
+    fleet.monitor.log(format!(
+        "request {number} at {} from {local_address:?} ended without a response: {end}",
+        router.listen
+    ));
+    println!(
+        "request {number} at {} from {local_address:?}: no response at {} ms: {end}",
+        router.listen,
+        ms(now)
+    );
+    fleet.monitor.checker().connection_ended_without_response(now, number);
 }
--- a/crates/command/tests/soak/fleet.rs
+++ b/crates/command/tests/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: routers, workers and the proxies before them.
+//! The processes of a run: routers, workers and the proxies in front of the workers.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -17,95 +17,104 @@
 use crate::discovery::Discovery;
 use crate::{Failure, ROLE};
 
-/// How long a process may take to listen.
+/// How long a process may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One life of a router's process.
-pub struct Life {
+/// One process of a router, which is replaced when the router restarts.
+pub struct RouterProcess {
     pub running: Mutex<KillOnDrop>,
-    /// It was killed: what it held is nobody's duty any more.
+    /// The test killed it, so its requests need no response and its reserved state no release.
     pub killed: AtomicBool,
-    /// The requests that were asked of it.
-    pub asked: Mutex<Vec<usize>>,
+    /// The numbers of the requests that were sent to it.
+    pub requests: Mutex<Vec<usize>>,
 }
 
+/// A router of the run, at one address through all its restarts.
 pub struct Router {
     pub listen: String,
     pub config: PathBuf,
-    life: Mutex<Arc<Life>>,
+    process: Mutex<Arc<RouterProcess>>,
+    /// Held while the router restarts or its configuration is written.
     pub restarts: Mutex<()>,
 }
 
 impl Router {
-    pub fn life(&self) -> Arc<Life> {
-        lock(&self.life).clone()
+    /// Returns the current process.
+    pub fn process(&self) -> Arc<RouterProcess> {
+        lock(&self.process).clone()
     }
 }
 
+/// A worker of the run, and the proxy in front of it.
 pub struct Worker {
     pub running: Mutex<KillOnDrop>,
     proxy: Mutex<KillOnDrop>,
-    /// Where its proxy is, which routers take for it, and where it is itself.
+    /// The proxy's address, which the endpoint list names as the worker's.
     pub address: String,
-    own: String,
+    /// The address of the worker's process.
+    process_address: String,
 }
 
+/// All processes of a run, and the emulated discovery service.
 pub struct Fleet {
-    pub judge: Arc<Monitor>,
+    pub monitor: Arc<Monitor>,
     pub seed: u64,
     pub workers: Vec<Worker>,
-    /// Milliseconds by which discovery's clock is ahead.
+    /// How far discovery's clock is ahead, in milliseconds.
     pub clock_ahead_ms: AtomicI64,
+    /// The run is over: clients and emulated services stop.
     pub over: AtomicBool,
     routers: OnceLock<Vec<Router>>,
-    lives: AtomicUsize,
+    /// The number of router processes started so far.
+    process_count: AtomicUsize,
     pub discovery: Discovery,
-    control: String,
+    /// The address at which worker and proxy processes reach the monitor.
+    monitor_address: String,
 }
 
-fn listener() -> Result<TcpListener, Failure> {
+fn bind_listener() -> Result<TcpListener, Failure> {
     Ok(TcpListener::bind("127.0.0.1:0")?)
 }
 
 impl Fleet {
-    /// Starts everything that runs in the run of that seed.
-    pub fn start(judge: Arc<Monitor>, seed: u64) -> Result<Arc<Fleet>, Failure> {
-        let control = listener()?;
-        let doors = [listener()?, listener()?];
+    /// Starts all processes and emulated services of the run with the given seed.
+    pub fn start(monitor: Arc<Monitor>, seed: u64) -> Result<Arc<Fleet>, Failure> {
+        let monitor_listener = bind_listener()?;
+        let listeners = [bind_listener()?, bind_listener()?];
         let mut discovery = Discovery::default();
-        for (address, door) in discovery.addresses.iter_mut().zip(&doors) {
-            *address = door.local_addr()?.to_string();
+        for (address, listener) in discovery.addresses.iter_mut().zip(&listeners) {
+            *address = listener.local_addr()?.to_string();
         }
         let mut fleet = Fleet {
-            judge,
+            monitor,
             seed,
             workers: vec![],
             clock_ahead_ms: AtomicI64::new(0),
             over: AtomicBool::new(false),
             routers: OnceLock::new(),
-            lives: AtomicUsize::new(0),
+            process_count: AtomicUsize::new(0),
             discovery,
-            control: control.local_addr()?.to_string(),
+            monitor_address: monitor_listener.local_addr()?.to_string(),
         };
-        let to = fleet.judge.clone();
-        std::thread::spawn(move || tideroute_test_support::monitor_channel::serve(control, to));
-        for number in 0..fleet.judge.deployment.workers.len() {
+        let monitor = fleet.monitor.clone();
+        std::thread::spawn(move || tideroute_test_support::monitor_channel::serve(monitor_listener, monitor));
+        for number in 0..fleet.monitor.deployment.workers.len() {
             let worker = fleet.start_worker(number)?;
             fleet.workers.push(worker);
         }
         let entries = (0..fleet.workers.len()).map(|w| fleet.entry(w, "SERVING", 0)).collect();
         *lock(&fleet.discovery.list) = (4, entries);
         let fleet = Arc::new(fleet);
-        for (number, door) in doors.into_iter().enumerate() {
-            let at = fleet.clone();
-            std::thread::spawn(move || at.accept_watches(number, &door));
+        for (number, listener) in listeners.into_iter().enumerate() {
+            let shared_fleet = fleet.clone();
+            std::thread::spawn(move || shared_fleet.accept_watches(number, &listener));
         }
-        let at = fleet.clone();
-        std::thread::spawn(move || at.send_heartbeats());
+        let shared_fleet = fleet.clone();
+        std::thread::spawn(move || shared_fleet.send_heartbeats());
         let mut routers = vec![];
         for number in 0..2 + seed as usize % 2 {
             let listen =
@@ -113,8 +122,8 @@
             let config = std::env::temp_dir()
                 .join(format!("tideroute-soak-{seed}-{number}-{}.json", std::process::id()));
             std::fs::write(&config, fleet.configuration(&listen).to_string())?;
-            let life = Mutex::new(Arc::new(fleet.start_router(&listen, &config)?));
-            routers.push(Router { listen, config, life, restarts: Mutex::default() });
+            let process = Mutex::new(Arc::new(fleet.start_router(&listen, &config)?));
+            routers.push(Router { listen, config, process, restarts: Mutex::default() });
         }
         let _ = fleet.routers.set(routers);
         Ok(fleet)
@@ -128,145 +137,157 @@
         self.over.load(Ordering::SeqCst)
     }
 
+    /// Returns the current configuration of the router that listens at the address.
     pub fn configuration(&self, listen: &str) -> Value {
         let current = self.discovery.current.load(Ordering::SeqCst);
-        let mut file = self.judge.deployment.config.clone();
+        let mut file = self.monitor.deployment.config.clone();
         (file["listen"], file["discovery"]) = (json!(listen), json!(self.discovery.addresses[current]));
         file["known"] = self.list();
         file
     }
 
-    /// What goes wrong inside a router's process, by the shim: some have no fault of their own.
-    fn fault_plan(&self, life: usize) -> Option<String> {
-        let draw = || self.judge.random_unit();
-        if draw() < 0.3 {
+    /// Returns the faults that the preloaded library injects into a router's process; some processes have none.
+    fn fault_plan(&self, process_number: usize) -> Option<String> {
+        let random = || self.monitor.random_unit();
+        if random() < 0.3 {
             return None;
         }
-        let mut plan = format!("seed={}", self.seed * 1_000 + life as u64);
-        if draw() < 0.5 {
-            let (ahead, at) = (if draw() < 0.5 { 3_600_000 } else { -3_600_000 }, (draw() * 3_000.0) as u64);
-            plan += &format!(";wall={ahead}@{at}");
+        let mut plan = format!("seed={}", self.seed * 1_000 + process_number as u64);
+        if random() < 0.5 {
+            let (ahead_ms, at) =
+                (if random() < 0.5 { 3_600_000 } else { -3_600_000 }, (random() * 3_000.0) as u64);
+            plan += &format!(";wall={ahead_ms}@{at}");
         }
-        if draw() < 0.5 {
-            let from = 200 + (draw() * 3_000.0) as u64;
-            let lasts = self.judge.random_range(50.0, 1_000.0);
-            plan += &format!(";fail={:.3};from={from};until={}", draw() * 0.3, from + lasts);
+        if random() < 0.5 {
+            let from = 200 + (random() * 3_000.0) as u64;
+            let duration = self.monitor.random_range(50.0, 1_000.0);
+            plan += &format!(";fail={:.3};from={from};until={}", random() * 0.3, from + duration);
         }
-        if draw() < 0.6 {
-            plan += &format!(";short={:.3};interrupt={:.3}", draw() * 0.5, draw() * 0.2);
+        if random() < 0.6 {
+            plan += &format!(";short={:.3};interrupt={:.3}", random() * 0.5, random() * 0.2);
         }
         Some(plan)
     }
 
-    fn start_router(&self, listen: &str, config: &Path) -> Result<Life, Failure> {
-        let life = self.lives.fetch_add(1, Ordering::SeqCst);
-        let log = config.with_extension(format!("{life}.log"));
+    fn start_router(&self, listen: &str, config: &Path) -> Result<RouterProcess, Failure> {
+        let process_number = self.process_count.fetch_add(1, Ordering::SeqCst);
+        let log = config.with_extension(format!("{process_number}.log"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
         command.args(["--log", "debug", "platform"]).env("EDGE_CONFIG", config).stdin(Stdio::null());
         command.stderr(std::fs::File::create(&log)?);
-        let proof = config.with_extension(format!("{life}.proof"));
-        let plan = self.fault_plan(life);
+        let proof = config.with_extension(format!("{process_number}.proof"));
+        let plan = self.fault_plan(process_number);
         if let Some(plan) = &plan {
             command.env("LD_PRELOAD", crate::shim()?);
             command.env("TIDEROUTE_SHIM", plan).env("TIDEROUTE_SHIM_PROOF", &proof);
         }
-        self.judge.log(format!("router {listen} starts as life {life}, shim {plan:?}"));
+        self.monitor.log(format!("router {listen} starts as process {process_number}, fault plan {plan:?}"));
         let running = KillOnDrop(command.spawn()?);
         self.wait_for_listener(listen)?;
-        // A library that can't be loaded is passed over by the loader: a run without it is none.
+        // The loader skips a library that it can't load. A run without the planned faults would prove nothing.
         if plan.is_some() {
-            std::fs::remove_file(&proof).map_err(|_| Failure(format!("{listen} runs without its shim")))?;
+            std::fs::remove_file(&proof)
+                .map_err(|_| Failure(format!("{listen} runs without its fault injection library")))?;
         }
-        Ok(Life { running: Mutex::new(running), killed: AtomicBool::new(false), asked: Mutex::default() })
+        Ok(RouterProcess {
+            running: Mutex::new(running),
+            killed: AtomicBool::new(false),
+            requests: Mutex::default(),
+        })
     }
 
-    /// Until a process of the run listens at its address.
+    /// Waits until a process of the run listens at the address.
     fn wait_for_listener(&self, listen: &str) -> Result<(), Failure> {
         let began = Instant::now();
         while TcpStream::connect(listen).is_err() {
             if began.elapsed() > START_TIMEOUT {
-                return Err(Failure(format!("nobody listens at {listen}")));
+                return Err(Failure(format!("no process listens at {listen}")));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
         Ok(())
     }
 
-    /// Another life of a router, whose process has ended; nothing if it has one already.
-    pub fn restart_router(&self, router: &Router, ended: &Arc<Life>) -> Result<(), Failure> {
+    /// Starts a new process of a router whose process has ended, unless it has a new one already or the run is over.
+    pub fn restart_router(&self, router: &Router, ended: &Arc<RouterProcess>) -> Result<(), Failure> {
         let _one_at_a_time = lock(&router.restarts);
-        if !Arc::ptr_eq(ended, &router.life()) || self.is_over() {
+        if !Arc::ptr_eq(ended, &router.process()) || self.is_over() {
             return Ok(());
         }
         std::fs::write(&router.config, self.configuration(&router.listen).to_string())?;
-        let life = self.start_router(&router.listen, &router.config)?;
-        *lock(&router.life) = Arc::new(life);
+        let process = self.start_router(&router.listen, &router.config)?;
+        *lock(&router.process) = Arc::new(process);
         Ok(())
     }
 
-    /// A new process of a worker, behind the proxy that it has.
+    /// Kills a worker's process and starts a new one behind the same proxy.
     pub fn restart_worker(&self, number: usize) -> Result<(), Failure> {
         let worker = &self.workers[number];
         let mut running = lock(&worker.running);
         let _ = (running.0.kill(), running.0.wait());
-        self.judge.worker_died(number);
-        *running = self.spawn_worker(number, &worker.own)?;
+        self.monitor.worker_died(number);
+        *running = self.spawn_worker(number, &worker.process_address)?;
         Ok(())
     }
 
     fn spawn_worker(&self, number: usize, listen: &str) -> Result<KillOnDrop, Failure> {
-        let seed = self.judge.random_range(1.0, 1e9);
-        let kind = self.judge.deployment.worker_spec(number);
+        let seed = self.monitor.random_range(1.0, 1e9);
+        let kind = self.monitor.deployment.worker_spec(number);
         let kind = serde_json::to_string(&kind)?;
-        let running = start_role("worker", &[listen.into(), kind, self.control.clone(), seed.to_string()])?;
+        let running =
+            start_role("worker", &[listen.into(), kind, self.monitor_address.clone(), seed.to_string()])?;
         self.wait_for_listener(listen)?;
         Ok(running)
     }
 
     fn start_worker(&self, number: usize) -> Result<Worker, Failure> {
-        // Addresses of their own: no connection that is dialled elsewhere is given one of their ports.
-        let at = |net: u8| {
+        // The addresses are used by nothing else, so that no outgoing connection takes one of their ports.
+        let unused_address_in = |net: u8| {
             unused_address()
                 .replace("127.0.0.1", &format!("127.{net}.{}.{}", self.seed % 250 + 1, number + 1))
         };
-        let (own, address) = (at(5), at(6));
-        let running = self.spawn_worker(number, &own)?;
-        let proxy =
-            start_role("proxy", &[address.clone(), number.to_string(), self.control.clone(), own.clone()])?;
+        let (process_address, address) = (unused_address_in(5), unused_address_in(6));
+        let running = self.spawn_worker(number, &process_address)?;
+        let proxy = start_role(
+            "proxy",
+            &[address.clone(), number.to_string(), self.monitor_address.clone(), process_address.clone()],
+        )?;
         self.wait_for_listener(&address)?;
-        Ok(Worker { running: Mutex::new(running), proxy: Mutex::new(proxy), address, own })
+        Ok(Worker { running: Mutex::new(running), proxy: Mutex::new(proxy), address, process_address })
     }
 
-    /// Tells a worker's proxy what to do with what passes.
-    pub fn order(&self, worker: usize, order: &str) {
+    /// Sends a command to a worker's proxy, for example to delay or to reset its connections.
+    pub fn apply_to_proxy(&self, worker: usize, command: &str) {
         let mut proxy = lock(&self.workers[worker].proxy);
-        if let Some(orders) = proxy.0.stdin.as_mut() {
-            let _ = writeln!(orders, "{order}");
+        if let Some(commands) = proxy.0.stdin.as_mut() {
+            let _ = writeln!(commands, "{command}");
         }
     }
 
+    /// Returns a worker's entry in the endpoint list, with the proxy's address.
     pub fn entry(&self, worker: usize, state: &str, started_ms: u64) -> Value {
-        let mut entry = self.judge.deployment.endpoint_entry(worker, state, started_ms);
+        let mut entry = self.monitor.deployment.endpoint_entry(worker, state, started_ms);
         entry["addr"] = json!(self.workers[worker].address);
         entry
     }
 
+    /// Returns the endpoint list as a full snapshot.
     pub fn list(&self) -> Value {
         let (version, servers) = &*lock(&self.discovery.list);
         json!({"version": version, "full": true, "servers": servers})
     }
 
-    /// A start of this moment, by discovery's clock.
+    /// Returns the current time by discovery's clock, as a worker's start time in Unix milliseconds.
     pub fn started_ms(&self) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
         now.saturating_add_signed(self.clock_ahead_ms.load(Ordering::SeqCst))
     }
 
-    /// Ends all processes, whoever still holds the fleet.
+    /// Kills all processes, even if a thread still holds the fleet.
     pub fn end(&self) {
         self.over.store(true, Ordering::SeqCst);
-        let routers: Vec<_> = self.routers().iter().map(Router::life).collect();
-        let routers = routers.iter().map(|life| &life.running);
+        let routers: Vec<_> = self.routers().iter().map(Router::process).collect();
+        let routers = routers.iter().map(|process| &process.running);
         let workers = self.workers.iter().flat_map(|worker| [&worker.running, &worker.proxy]);
         for running in routers.chain(workers) {
             let mut running = lock(running);
@@ -274,38 +295,38 @@
         }
     }
 
-    /// How many processes run, the test's own left out.
+    /// Returns the number of processes of the run, without the test's own.
     pub fn processes(&self) -> usize {
         2 * self.workers.len() + self.routers().len()
     }
 
-    /// The files that this run has made.
+    /// Returns the files that this run has written.
     pub fn files(&self) -> Vec<PathBuf> {
         let Ok(files) = std::fs::read_dir(std::env::temp_dir()) else { return vec![] };
         let (prefix, process) = (format!("tideroute-soak-{}-", self.seed), std::process::id().to_string());
-        let own = |path: &PathBuf| {
+        let belongs_to_run = |path: &PathBuf| {
             let name = path.file_name().unwrap_or_default().to_string_lossy();
             name.starts_with(&prefix) && name.contains(&process)
         };
-        files.flatten().map(|file| file.path()).filter(own).collect()
+        files.flatten().map(|file| file.path()).filter(belongs_to_run).collect()
     }
 
-    /// What routers' logs tell of broken invariants, and of panics.
+    /// Returns the lines of the routers' logs that report a violated invariant or a panic.
     pub fn violations(&self) -> Vec<String> {
         let logs = self.files().into_iter().filter(|path| path.extension().is_some_and(|e| e == "log"));
         let texts = logs.filter_map(|log| Some((std::fs::read_to_string(&log).ok()?, log)));
-        let bad = |line: &&str| {
+        let is_violation = |line: &&str| {
             line.contains("invariant violated; refusing the step") || line.contains("panicked at")
         };
         texts
             .flat_map(|(text, log)| {
-                let lines: Vec<_> = text.lines().filter(bad).map(str::to_string).collect();
+                let lines: Vec<_> = text.lines().filter(is_violation).map(str::to_string).collect();
                 lines.into_iter().map(move |line| format!("{}: {line}", log.display()))
             })
             .collect()
     }
 
-    /// Removes what a run that kept the rules has left; else names it.
+    /// Removes the files of the run, or prints their paths if they are to be kept.
     pub fn clean_up(&self, keep: bool) {
         for path in self.files() {
             if keep {
@@ -317,14 +338,14 @@
     }
 }
 
-/// A stand-in's process: this program in another role.
+/// Starts this program as an emulated worker or a proxy.
 fn start_role(role: &str, arguments: &[String]) -> Result<KillOnDrop, Failure> {
     let mut command = Command::new(std::env::current_exe()?);
     command.env(ROLE, role).args(arguments).stdin(Stdio::piped());
     Ok(KillOnDrop(command.spawn()?))
 }
 
-/// Milliseconds of a run at a moment of it.
+/// Returns the time since the start of the run, in milliseconds.
 pub fn ms(at: Micros) -> f64 {
     (at - EPOCH) as f64 / 1e3
 }
--- a/crates/command/tests/soak/request_traces.rs
+++ b/crates/command/tests/soak/request_traces.rs
@@ -7,27 +7,27 @@
 
 use crate::fleet::Fleet;
 
-/// A call of a worker: its trace id, the worker, and its kind.
+/// A call to a worker: its trace id, the worker's address, and its kind.
 type Call = (String, String, &'static str);
 
-/// The value behind a field's name in a line of the log, without its quotes.
+/// Returns the value of a field in a line of the log, without quotes.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let value = line.split(&format!(" {name}=")).nth(1)?;
     value.split([' ', '\n']).next().map(|value| value.trim_matches('"'))
 }
 
-/// The kind of a state that sends something.
+/// Returns the kind of call that a request's state sends, or `None` if the state sends no call.
 fn kind_of(state: &str) -> Option<&'static str> {
     match state {
         "attempt-chosen" => Some("attempt"),
-        "reservation-requested" => Some("place"),
+        "reservation-requested" => Some("reservation"),
         "release-sent" => Some("release"),
         _ => None,
     }
 }
 
-/// The calls that the logs say were sent, and how often.
-fn logged(fleet: &Fleet) -> BTreeMap<Call, usize> {
+/// Returns the calls that the routers' logs report as sent, with their counts.
+fn logged_calls(fleet: &Fleet) -> BTreeMap<Call, usize> {
     let mut calls = BTreeMap::new();
     for path in fleet.files().into_iter().filter(|path| path.extension().is_some_and(|e| e == "log")) {
         let Ok(text) = std::fs::read_to_string(path) else { continue };
@@ -42,26 +42,26 @@
     calls
 }
 
-/// A call as the emulated worker reported it.
-fn call_of(fleet: &Fleet, report: &WorkerEvent) -> Option<Call> {
-    let WorkerEvent::CallReceived { on, head } = report else { return None };
+/// Returns the call that an emulated worker reported, or `None` for other events and other requests.
+fn call_of(fleet: &Fleet, event: &WorkerEvent) -> Option<Call> {
+    let WorkerEvent::CallReceived { on, head } = event else { return None };
     let worker = fleet.workers[on.worker].address.clone();
     if let Some(request) = attempted_request(head) {
         return Some((format!("t{request}"), worker, "attempt"));
     }
     let trace = value_after(head, "/internal/reservations/").to_string();
-    let kind = if head.starts_with("DELETE ") { "release" } else { "place" };
+    let kind = if head.starts_with("DELETE ") { "release" } else { "reservation" };
     (!trace.is_empty()).then_some((trace, worker, kind))
 }
 
-/// The calls that arrived at workers and are in no log.
+/// Returns a message for each call that arrived at a worker and is missing from the routers' logs.
 pub fn missing(fleet: &Fleet) -> Vec<String> {
-    let mut logged = logged(fleet);
+    let mut logged = logged_calls(fleet);
     let mut missing = vec![];
-    for call in fleet.judge.events().iter().filter_map(|report| call_of(fleet, report)) {
+    for call in fleet.monitor.events().iter().filter_map(|event| call_of(fleet, event)) {
         match logged.get_mut(&call) {
-            Some(left) if *left > 0 => *left -= 1,
-            _ => missing.push(format!("no log tells of {call:?}, which came to its worker")),
+            Some(remaining) if *remaining > 0 => *remaining -= 1,
+            _ => missing.push(format!("no log contains {call:?}, which arrived at its worker")),
         }
     }
     missing
