--- a/crates/command/tests/gateway_signals.rs
+++ b/crates/command/tests/gateway_signals.rs
@@ -1,5 +1,5 @@
-//! The router on the platform as real processes on loopback: stand-ins of workers, discovery and clients that
-//! speak its protocol, SIGHUP and SIGTERM under load, and the five rules checked from what passed.
+//! SIGHUP and SIGTERM under load: the HTTP router as a real process on loopback between emulated workers, discovery and
+//! clients. The five rules are checked on what the emulated processes observed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -15,69 +15,75 @@
 use tideroute_test_support::process::{send_signal, unused_address, wait_for, KillOnDrop};
 use tideroute_test_support::{fixture, http_messages};
 
-/// How long the clients ask, when the new configuration comes, and when the signal to end.
+/// How long the clients send requests.
 const LOAD_TIME: Duration = Duration::from_millis(3_000);
+/// When the router receives SIGHUP with a new configuration, after the start of the load.
 const RELOAD_AT: Duration = Duration::from_millis(1_000);
+/// When the router receives SIGTERM, after the start of the load.
 const SHUTDOWN_AT: Duration = Duration::from_millis(2_600);
 const CLIENTS: usize = 12;
 
-/// What passed, as the stand-ins saw it.
+/// What the emulated workers, discovery and clients observed.
 #[derive(Default)]
 struct Observations {
-    /// Whole requests at each worker that were not proven void, by trace id: when, and where.
-    shots: BTreeMap<String, Vec<(Instant, usize)>>,
-    /// States that are held, and since when.
+    /// The attempts that may have run at a decode worker, by trace id: when each arrived, and at which worker.
+    attempts: BTreeMap<String, Vec<(Instant, usize)>>,
+    /// The reserved states that no decode worker has taken and no release has freed, by trace id, and since when.
     states: BTreeMap<String, Instant>,
-    /// The longest that any was.
-    pinned: Duration,
-    /// When a worker was told to drain.
-    drained: BTreeMap<usize, Instant>,
-    /// Final answers of each submission; a second one would be a second entry.
-    answers: BTreeMap<String, Vec<u16>>,
-    single_use: BTreeSet<String>,
-    broken: Vec<String>,
+    /// The longest time for which a state was reserved before a decode worker took it.
+    longest_reservation: Duration,
+    /// When discovery first listed a worker as draining, by worker.
+    draining_since: BTreeMap<usize, Instant>,
+    /// The final status codes of each request by trace id; a second response would be a second entry.
+    responses: BTreeMap<String, Vec<u16>>,
+    /// The trace ids of the non-idempotent requests.
+    non_idempotent: BTreeSet<String>,
+    violations: Vec<String>,
 }
 
-type Shared = Arc<Mutex<Observations>>;
+type SharedObservations = Arc<Mutex<Observations>>;
 
-fn with_observations<T>(observations: &Shared, at: impl FnOnce(&mut Observations) -> T) -> T {
-    at(&mut observations.lock().unwrap_or_else(|e| e.into_inner()))
+fn with_observations<T>(observations: &SharedObservations, access: impl FnOnce(&mut Observations) -> T) -> T {
+    access(&mut observations.lock().unwrap_or_else(|e| e.into_inner()))
 }
 
-/// One message: its head, and its body by Content-Length or chunks. None at the end of the connection.
-fn message(stream: &mut TcpStream, kept: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
+/// Reads one message, framed by Content-Length or chunks, and returns its head in lower case and its body. Returns
+/// `None` at the end of the connection.
+fn read_message(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<(String, Vec<u8>)> {
     let mut piece = [0; 4096];
     loop {
-        if let Some(end) = kept.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&kept[..end]).to_lowercase();
+        if let Some(end) = received.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&received[..end]).to_lowercase();
             let field = |name: &str| {
                 head.split(&format!("\r\n{name}: ")).nth(1).map(|v| v.split("\r\n").next().unwrap_or(""))
             };
             let length = field("content-length").and_then(|l| l.parse::<usize>().ok()).unwrap_or(0);
-            let whole = if field("transfer-encoding").is_some() {
-                kept[end..].windows(5).position(|w| w == b"0\r\n\r\n").map(|at| end + at + 5)
+            let message_end = if field("transfer-encoding").is_some() {
+                received[end..].windows(5).position(|w| w == b"0\r\n\r\n").map(|at| end + at + 5)
             } else {
-                (kept.len() >= end + 4 + length).then_some(end + 4 + length)
+                (received.len() >= end + 4 + length).then_some(end + 4 + length)
             };
-            if let Some(whole) = whole {
-                let body = kept[end + 4..whole].to_vec();
-                kept.drain(..whole);
+            if let Some(message_end) = message_end {
+                let body = received[end + 4..message_end].to_vec();
+                received.drain(..message_end);
                 return Some((head, body));
             }
         }
         match stream.read(&mut piece) {
             Ok(0) => return None,
-            Ok(got) => kept.extend_from_slice(&piece[..got]),
+            Ok(length) => received.extend_from_slice(&piece[..length]),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => return None,
         }
     }
 }
 
+/// Returns the value of a header field, or an empty text if the field is missing.
 fn field<'a>(head: &'a str, name: &str) -> &'a str {
     head.split(&format!("\r\n{name}: ")).nth(1).and_then(|v| v.split("\r\n").next()).unwrap_or("")
 }
 
+/// Accepts connections and handles each on a thread of its own.
 fn serve(listener: TcpListener, each: impl Fn(TcpStream) + Send + Sync + 'static) {
     let each = Arc::new(each);
     std::thread::spawn(move || {
@@ -88,82 +94,96 @@
     });
 }
 
-/// A reader or writer.
-fn worker(observations: Shared, number: usize, listener: TcpListener) {
+/// Serves an emulated prefill or decode worker.
+fn serve_worker(observations: SharedObservations, number: usize, listener: TcpListener) {
     serve(listener, move |mut stream| {
-        let (mut kept, mut count) = (vec![], 0_usize);
-        while let Some((head, _)) = message(&mut stream, &mut kept) {
-            count += 1;
-            if !respond(&observations, number, count, &head, &mut stream) {
+        let (mut received, mut request_number) = (vec![], 0_usize);
+        while let Some((head, _)) = read_message(&mut stream, &mut received) {
+            request_number += 1;
+            if !respond(&observations, number, request_number, &head, &mut stream) {
                 return;
             }
         }
     });
 }
 
-fn respond(observations: &Shared, number: usize, count: usize, head: &str, stream: &mut TcpStream) -> bool {
+/// Answers one request to a worker, of which `request_number` counts those on its connection from 1. Returns whether
+/// the connection stays open.
+fn respond(
+    observations: &SharedObservations,
+    number: usize,
+    request_number: usize,
+    head: &str,
+    stream: &mut TcpStream,
+) -> bool {
     let (line, trace) = (head.split("\r\n").next().unwrap_or(""), field(head, "x-trace-id").to_string());
-    let mut say = |text: &str| stream.write_all(text.as_bytes()).is_ok();
+    let mut send = |text: &str| stream.write_all(text.as_bytes()).is_ok();
     if let Some(trace) = line.strip_prefix("delete /internal/reservations/") {
         with_observations(observations, |s| s.states.remove(trace.split(' ').next().unwrap_or("")));
-        return say("HTTP/1.1 204 No Content\r\n\r\n");
+        return send("HTTP/1.1 204 No Content\r\n\r\n");
     }
     if line.starts_with("post /internal/reservations/") {
-        return say(&http_messages::response(if count.is_multiple_of(41) { 409 } else { 200 }, "", ""));
+        return send(&http_messages::response(
+            if request_number.is_multiple_of(41) { 409 } else { 200 },
+            "",
+            "",
+        ));
     }
     if line.starts_with("get /alive") {
-        return say(&http_messages::response(200, "", ""));
+        return send(&http_messages::response(200, "", ""));
     }
     let now = Instant::now();
     with_observations(observations, |s| {
-        if s.drained.get(&number).is_some_and(|at| now > *at + Duration::from_millis(1_050)) {
-            s.broken.push(format!("rule 3: {trace} came to worker {number} long after it was told to drain"));
+        if s.draining_since.get(&number).is_some_and(|at| now > *at + Duration::from_millis(1_050)) {
+            s.violations.push(format!(
+                "rule 3: {trace} arrived at worker {number} long after discovery listed it as draining"
+            ));
         }
     });
     if fixture::WORKERS[number].kind == "reading" {
         std::thread::sleep(Duration::from_millis(5));
-        if count.is_multiple_of(47) {
-            return say(NEVER_RAN);
+        if request_number.is_multiple_of(47) {
+            return send(NEVER_RAN);
         }
         with_observations(observations, |s| s.states.insert(trace, Instant::now()));
-        return say(PREFILL_COMPLETE);
+        return send(PREFILL_COMPLETE);
     }
-    if count.is_multiple_of(43) {
-        return say(NEVER_RAN);
+    if request_number.is_multiple_of(43) {
+        return send(NEVER_RAN);
     }
     let state = with_observations(observations, |s| {
         let state = s.states.remove(&trace);
         if let Some(since) = state {
-            s.pinned = s.pinned.max(since.elapsed());
-            s.shots.entry(trace.clone()).or_default().push((now, number));
+            s.longest_reservation = s.longest_reservation.max(since.elapsed());
+            s.attempts.entry(trace.clone()).or_default().push((now, number));
         }
         state
     });
     if state.is_none() {
-        return say(&NEVER_RAN.replace("503", "410"));
+        return send(&NEVER_RAN.replace("503", "410"));
     }
-    // Now and then the connection breaks with the request in hand, or the stream in the middle.
-    if count.is_multiple_of(29) {
+    // Some connections break after the request arrived, and others in the middle of the stream.
+    if request_number.is_multiple_of(29) {
         return false;
     }
-    if !say(http_messages::STREAM_HEAD) {
+    if !send(http_messages::STREAM_HEAD) {
         return false;
     }
     for (n, event) in STREAM_EVENTS.iter().enumerate() {
         std::thread::sleep(Duration::from_millis(3));
-        if (n == 2 && count.is_multiple_of(31)) || !say(&http_messages::chunk(event)) {
+        if (n == 2 && request_number.is_multiple_of(31)) || !send(&http_messages::chunk(event)) {
             return false;
         }
     }
-    say("0\r\n\r\n")
+    send("0\r\n\r\n")
 }
 
-/// Discovery: one line with the whole list, then empty ones.
-fn discovery(observations: Shared, list: Value) -> String {
+/// Serves an emulated discovery service that sends the full endpoint list and then heartbeats. Returns its address.
+fn serve_discovery(observations: SharedObservations, list: Value) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
+    let address = listener.local_addr().expect("an address").to_string();
     serve(listener, move |mut stream| {
-        if message(&mut stream, &mut vec![]).is_none() {
+        if read_message(&mut stream, &mut vec![]).is_none() {
             return;
         }
         let line = http_messages::chunk(&format!("{list}\n"));
@@ -172,54 +192,58 @@
         with_observations(&observations, |s| {
             let servers = list["servers"].as_array().into_iter().flatten().enumerate();
             for (n, _) in servers.filter(|(_, server)| server["state"] == "DRAINING") {
-                s.drained.entry(n).or_insert(Instant::now());
+                s.draining_since.entry(n).or_insert(Instant::now());
             }
         });
         while stream.write_all(http_messages::chunk("\n").as_bytes()).is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
-    at
+    address
 }
 
-/// Asks until it is told to stop. A connection that ends before a byte of an answer came is opened anew once.
-fn client(observations: Shared, number: usize, router: String, stop: Arc<AtomicBool>) {
+/// Sends requests until `stop` is set. A request whose connection ended before any byte of a response is sent once more
+/// on a new connection.
+fn run_client(observations: SharedObservations, number: usize, router: String, stop: Arc<AtomicBool>) {
     let mut connection: Option<(TcpStream, Vec<u8>)> = None;
     for n in 0.. {
         if stop.load(Ordering::Relaxed) {
             return;
         }
-        let (trace, track) = (format!("c{number}-{n}"), ["safe", "once", "keyed"][n % 3]);
-        if track == "once" {
-            with_observations(&observations, |s| s.single_use.insert(trace.clone()));
+        let (trace, class) = (format!("c{number}-{n}"), ["safe", "once", "keyed"][n % 3]);
+        if class == "once" {
+            with_observations(&observations, |s| s.non_idempotent.insert(trace.clone()));
         }
-        let asked = http_messages::chat_request_with(&trace, track, 2_000, "{\"model\":\"m\"}");
+        let request = http_messages::chat_request_with(&trace, class, 2_000, "{\"model\":\"m\"}");
         for _ in 0..2 {
-            let Some((mut stream, mut kept)) = connection.take().or_else(|| {
+            let Some((mut stream, mut received)) = connection.take().or_else(|| {
                 let stream = TcpStream::connect(&router).ok()?;
                 stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
                 Some((stream, vec![]))
             }) else {
-                // Nobody listens any more: the router has ended.
+                // The router has ended and listens no longer.
                 return;
             };
             let sent = Instant::now();
-            let whole =
-                stream.write_all(asked.as_bytes()).is_ok().then(|| message(&mut stream, &mut kept)).flatten();
-            let status = match &whole {
+            let response = stream
+                .write_all(request.as_bytes())
+                .is_ok()
+                .then(|| read_message(&mut stream, &mut received))
+                .flatten();
+            let status = match &response {
                 Some((head, _)) => head.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0),
-                // An answer that began and broke is an answer: its stream failed.
-                None if !kept.is_empty() => 1,
+                // 1 stands for a response whose stream began and then failed.
+                None if !received.is_empty() => 1,
                 None => continue,
             };
             with_observations(&observations, |s| {
-                s.answers.entry(trace.clone()).or_default().push(status);
+                s.responses.entry(trace.clone()).or_default().push(status);
                 if status != 200 && status != 1 && sent.elapsed() > Duration::from_millis(2_050) {
-                    s.broken.push(format!("rule 1: {trace} was answered {status} after its time"));
+                    s.violations.push(format!("rule 1: {trace} received status {status} after its deadline"));
                 }
             });
-            if whole.is_some_and(|(head, _)| field(&head, "connection") != "close") {
-                connection = Some((stream, kept));
+            if response.is_some_and(|(head, _)| field(&head, "connection") != "close") {
+                connection = Some((stream, received));
             }
             break;
         }
@@ -229,69 +253,82 @@
 fn is_up(router: &str) -> Option<()> {
     let mut stream = TcpStream::connect(router).ok()?;
     stream.write_all(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n").ok()?;
-    let (head, _) = message(&mut stream, &mut vec![])?;
+    let (head, _) = read_message(&mut stream, &mut vec![])?;
     head.starts_with("http/1.1 200").then_some(())
 }
 
 #[test]
 fn reload_and_shutdown_under_load_break_no_rule() {
-    let observations = Shared::default();
+    let observations = SharedObservations::default();
     let mut list = fixture::endpoint_list(5);
     for (n, server) in list["servers"].as_array_mut().expect("a list").iter_mut().enumerate() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         server["addr"] = json!(listener.local_addr().expect("an address").to_string());
-        worker(observations.clone(), n, listener);
+        serve_worker(observations.clone(), n, listener);
     }
-    let mut drains = list.clone();
-    drains["version"] = json!(6);
-    drains["servers"][2]["state"] = json!("DRAINING");
-    let (old, new) = (discovery(observations.clone(), list.clone()), discovery(observations.clone(), drains));
+    let mut draining_list = list.clone();
+    draining_list["version"] = json!(6);
+    draining_list["servers"][2]["state"] = json!("DRAINING");
+    let (old_discovery, new_discovery) = (
+        serve_discovery(observations.clone(), list.clone()),
+        serve_discovery(observations.clone(), draining_list),
+    );
     let (router, mut file) = (unused_address(), fixture::router_config());
-    (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old), list);
+    (file["listen"], file["discovery"], file["known"]) = (json!(router), json!(old_discovery), list);
     let path = std::env::temp_dir().join(format!("tideroute-platform-{}.json", std::process::id()));
     std::fs::write(&path, file.to_string()).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
     command.arg("platform").env("EDGE_CONFIG", &path).stdin(Stdio::null());
-    let mut running = KillOnDrop(command.spawn().expect("it runs"));
+    let mut running = KillOnDrop(command.spawn().expect("the program starts"));
     wait_for(|| is_up(&router));
-    let (stop, began) = (Arc::new(AtomicBool::new(false)), Instant::now());
+    let (stop, load_start) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|n| {
             let (observations, router, stop) = (observations.clone(), router.clone(), stop.clone());
-            std::thread::spawn(move || client(observations, n, router, stop))
+            std::thread::spawn(move || run_client(observations, n, router, stop))
         })
         .collect();
-    wait_for(|| (began.elapsed() >= RELOAD_AT).then_some(()));
-    file["discovery"] = json!(new);
+    wait_for(|| (load_start.elapsed() >= RELOAD_AT).then_some(()));
+    file["discovery"] = json!(new_discovery);
     std::fs::write(&path, file.to_string()).expect("a file");
     send_signal(&running.0, "-HUP");
-    wait_for(|| with_observations(&observations, |s| s.drained.get(&2).copied()));
-    wait_for(|| (began.elapsed() >= SHUTDOWN_AT).then_some(()));
+    wait_for(|| with_observations(&observations, |s| s.draining_since.get(&2).copied()));
+    wait_for(|| (load_start.elapsed() >= SHUTDOWN_AT).then_some(()));
     send_signal(&running.0, "-TERM");
     send_signal(&running.0, "-TERM");
-    wait_for(|| (began.elapsed() >= LOAD_TIME).then_some(()));
+    wait_for(|| (load_start.elapsed() >= LOAD_TIME).then_some(()));
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|c| c.join().expect("a client"));
-    let ended = wait_for(|| running.0.try_wait().expect("its end"));
-    assert_eq!(ended.code(), Some(0));
+    let exit_status = wait_for(|| running.0.try_wait().expect("the exit status"));
+    assert_eq!(exit_status.code(), Some(0));
     let _ = std::fs::remove_file(&path);
     with_observations(&observations, |s| {
-        assert_eq!(s.broken, Vec::<String>::new());
-        let honoured = s.answers.values().filter(|a| a[..] == [200]).count();
-        assert!(honoured > 200, "{honoured} honoured of {}", s.answers.len());
-        for (trace, answers) in &s.answers {
-            assert_eq!(answers.len(), 1, "rule 1: {trace} has {answers:?}");
-            assert!(matches!(answers[0], 1 | 200 | 502 | 503 | 504), "{trace}: {answers:?}");
-            let shots = s.shots.get(trace).map_or(0, Vec::len);
-            // Rule 2: once at most, and no turn-back after it.
-            let once = s.single_use.contains(trace);
-            assert!(!once || shots <= 1, "rule 2: {trace} ran {shots} times");
-            assert!(!once || shots == 0 || answers[0] != 503, "rule 2: {trace} ran and was turned back");
+        assert_eq!(s.violations, Vec::<String>::new());
+        let completed = s.responses.values().filter(|statuses| statuses[..] == [200]).count();
+        assert!(completed > 200, "{completed} completed of {}", s.responses.len());
+        for (trace, statuses) in &s.responses {
+            assert_eq!(statuses.len(), 1, "rule 1: {trace} received {statuses:?}");
+            assert!(matches!(statuses[0], 1 | 200 | 502 | 503 | 504), "{trace}: {statuses:?}");
+            let attempts = s.attempts.get(trace).map_or(0, Vec::len);
+            // Rule 2: a non-idempotent request runs at most once, and is not rejected after it ran.
+            let non_idempotent = s.non_idempotent.contains(trace);
+            assert!(!non_idempotent || attempts <= 1, "rule 2: {trace} ran {attempts} times");
+            assert!(
+                !non_idempotent || attempts == 0 || statuses[0] != 503,
+                "rule 2: {trace} ran and was rejected"
+            );
         }
-        assert!(s.shots.values().flatten().any(|(at, w)| *w == 3 && *at > s.drained[&2]), "others go on");
-        // Rule 5.
-        assert!(s.pinned < Duration::from_millis(1_300), "a state was held for {:?}", s.pinned);
-        assert!(s.states.is_empty(), "rule 5: states are left: {:?}", s.states);
+        assert!(
+            s.attempts.values().flatten().any(|(at, w)| *w == 3 && *at > s.draining_since[&2]),
+            "the other decode worker serves on"
+        );
+        // Rule 5: reserved state is released in time.
+        assert!(
+            s.longest_reservation < Duration::from_millis(1_300),
+            "a state was reserved for {:?}",
+            s.longest_reservation
+        );
+        assert!(s.states.is_empty(), "rule 5: states were not released: {:?}", s.states);
     });
 }
 
@@ -305,21 +342,24 @@
             std::fs::write(&path, text).expect("a file");
             command.env("EDGE_CONFIG", &path);
         }
-        let output = command.output().expect("it runs");
+        let output = command.output().expect("the program starts");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let (code, told) = start(None);
-    assert!(code == Some(2) && told.contains("EDGE_CONFIG"), "{told}");
-    let (code, told) = start(Some("{"));
-    assert!(code == Some(2) && told.contains("not valid JSON") && told.contains("tideroute-bad"), "{told}");
+    let (code, stderr) = start(None);
+    assert!(code == Some(2) && stderr.contains("EDGE_CONFIG"), "{stderr}");
+    let (code, stderr) = start(Some("{"));
+    assert!(
+        code == Some(2) && stderr.contains("not valid JSON") && stderr.contains("tideroute-bad"),
+        "{stderr}"
+    );
     let mut file = fixture::router_config();
     file["limits"] = json!({});
-    let (code, told) = start(Some(&file.to_string()));
-    assert!(code == Some(2) && told.contains("limits.sockets: expected"), "{told}");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (code, stderr) = start(Some(&file.to_string()));
+    assert!(code == Some(2) && stderr.contains("limits.sockets: expected"), "{stderr}");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut file = fixture::router_config();
-    file["listen"] = json!(taken.local_addr().expect("an address").to_string());
-    let (code, told) = start(Some(&file.to_string()));
-    assert!(code == Some(2) && told.contains("cannot listen at"), "{told}");
+    file["listen"] = json!(occupied.local_addr().expect("an address").to_string());
+    let (code, stderr) = start(Some(&file.to_string()));
+    assert!(code == Some(2) && stderr.contains("cannot listen at"), "{stderr}");
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/command/tests/shutdown_obligations/attempts.rs
+++ b/crates/command/tests/shutdown_obligations/attempts.rs
@@ -1,4 +1,4 @@
-//! What attempts carry, and which failed ones are retried.
+//! The header fields that attempts carry, and the failed attempts that are retried.
 
 use std::io::Write;
 use std::net::Shutdown;
@@ -15,36 +15,39 @@
 fn header_fields_of_a_client_reach_both_workers() {
     let mut harness = Harness::new("fields", without_reservations);
     let mut client = harness.connect();
-    let asked = chat_request("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
-    client.write_all(asked.as_bytes()).expect("written");
-    for answer in [PREFILL_COMPLETE.to_string(), http_messages::streamed_response()] {
+    let request = chat_request("fields", "keyed").replacen("Host:", "Idempotency-Key: 29-55\r\nHost:", 1);
+    client.write_all(request.as_bytes()).expect("written");
+    for response_text in [PREFILL_COMPLETE.to_string(), http_messages::streamed_response()] {
         let mut call = harness.next_call(ATTEMPT);
         assert!(call.text.contains("\r\nidempotency-key: 29-55\r\n"), "{}", call.text);
-        call.send(answer);
+        call.send(response_text);
     }
 }
 
 #[test]
 fn rejections_and_resets_are_retried_where_safe_and_reported_where_not() {
     let mut harness = Harness::new("breaks", without_reservations);
-    for (class, breaks, answered) in [("once", false, true), ("once", true, false), ("safe", true, true)] {
-        let (mut client, _, mut writer) = harness.prefilled(&format!("{class}-{breaks}"), class);
-        if breaks {
-            let _ = writer.stream.shutdown(Shutdown::Both);
+    for (class, resets, completes) in [("once", false, true), ("once", true, false), ("safe", true, true)] {
+        let (mut client, _, mut decode_call) = harness.prefilled(&format!("{class}-{resets}"), class);
+        if resets {
+            let _ = decode_call.stream.shutdown(Shutdown::Both);
         } else {
-            writer.send(NEVER_RAN);
+            decode_call.send(NEVER_RAN);
         }
-        if answered {
-            // The same state at another writer, or a new read.
-            let mut next = harness.next_call(ATTEMPT);
-            if WORKERS[next.at].kind == "reading" {
-                next.send(PREFILL_COMPLETE);
-                next = harness.next_call(ATTEMPT);
+        if completes {
+            // The retry uses the same KV state at another decode worker, or starts with a new prefill.
+            let mut retry = harness.next_call(ATTEMPT);
+            if WORKERS[retry.at].kind == "reading" {
+                retry.send(PREFILL_COMPLETE);
+                retry = harness.next_call(ATTEMPT);
             }
-            next.send(http_messages::streamed_response());
+            retry.send(http_messages::streamed_response());
         }
         let status = response(&mut client);
-        assert_eq!(status.starts_with("HTTP/1.1 200"), answered, "{class} {breaks}: {status}");
-        assert!(answered || status.starts_with("HTTP/1.1 502"), "it may have run: {status}");
+        assert_eq!(status.starts_with("HTTP/1.1 200"), completes, "{class} {resets}: {status}");
+        assert!(
+            completes || status.starts_with("HTTP/1.1 502"),
+            "the attempt may have run, so it must not be retried: {status}"
+        );
     }
 }
--- a/crates/command/tests/shutdown_obligations/endpoint_changes.rs
+++ b/crates/command/tests/shutdown_obligations/endpoint_changes.rs
@@ -1,4 +1,4 @@
-//! Workers that drain, restart or move, and watches that break.
+//! Workers that drain, restart or move to another address, and watches that break.
 
 use serde_json::json;
 use std::net::Shutdown;
@@ -17,17 +17,17 @@
 #[test]
 fn a_draining_worker_completes_its_attempts_and_gets_no_new_ones() {
     let mut harness = Harness::new("drain", without_reservations);
-    let (mut client, _, mut writer) = harness.prefilled("drain", "safe");
-    let change = harness.change(5, writer.at, "DRAINING");
+    let (mut client, _, mut decode_call) = harness.prefilled("drain", "safe");
+    let change = harness.change(5, decode_call.at, "DRAINING");
     harness.notify(&change);
-    writer.send(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
+    decode_call.send(format!("{STREAM_HEAD}{}", chunk(STREAM_EVENTS[0])));
     for n in 0..6 {
-        let (other, _, mut elsewhere) = harness.prefilled(&format!("other-{n}"), "safe");
-        assert_ne!(elsewhere.at, writer.at);
-        elsewhere.send(http_messages::streamed_response());
+        let (other, _, mut other_call) = harness.prefilled(&format!("other-{n}"), "safe");
+        assert_ne!(other_call.at, decode_call.at);
+        other_call.send(http_messages::streamed_response());
         drop(other);
     }
-    writer.send(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
+    decode_call.send(format!("{}{}0\r\n\r\n", chunk(STREAM_EVENTS[1]), chunk(STREAM_EVENTS[2])));
     assert!(response(&mut client).contains("[DONE]"));
 }
 
@@ -54,13 +54,13 @@
     harness.watch.send(format!("{:x}\r\n{}", line.len(), &line[..line.len() / 2]));
     let linger = socket2::SockRef::from(&harness.watch.stream).set_linger(Some(Duration::ZERO));
     linger.expect("a reset");
-    let broke = Instant::now();
+    let broken_at = Instant::now();
     let _ = harness.watch.stream.shutdown(Shutdown::Both);
     let mut watch = harness.next_call("GET /discovery/hosts?watch=1&after=4 ");
-    assert!(broke.elapsed() < Duration::from_secs(2));
+    assert!(broken_at.elapsed() < Duration::from_secs(2));
     watch.send(format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{}", chunk(&line)));
     for n in 0..6 {
-        let (_client, _, _writer) = harness.prefilled(&format!("r{n}"), "safe");
+        let (_client, _, _decode_call) = harness.prefilled(&format!("r{n}"), "safe");
     }
     assert!(harness.early.iter().all(|call| call.at != 0));
 }
@@ -69,18 +69,21 @@
 fn a_worker_that_moved_is_reached_at_its_new_address() {
     let mut harness = Harness::new("moved", without_reservations);
     let mut first = harness.request("first", "safe");
-    let mut reader = harness.next_call(ATTEMPT);
-    reader.send(PREFILL_COMPLETE);
+    let mut prefill_call = harness.next_call(ATTEMPT);
+    prefill_call.send(PREFILL_COMPLETE);
     harness.next_call(ATTEMPT).send(http_messages::streamed_response());
     response(&mut first);
-    let there = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut change = harness.change(5, reader.at, "SERVING");
-    change["servers"][0]["addr"] = json!(there.local_addr().expect("an address").to_string());
-    listen(there, 50, harness.sender.clone());
-    let told = Instant::now();
+    let new_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let mut change = harness.change(5, prefill_call.at, "SERVING");
+    change["servers"][0]["addr"] = json!(new_listener.local_addr().expect("an address").to_string());
+    listen(new_listener, 50, harness.sender.clone());
+    let notified_at = Instant::now();
     harness.notify(&change);
-    reader.wait_for_close();
-    assert!(told.elapsed() < Duration::from_secs(1), "at once, and not when it has rested for long");
+    prefill_call.wait_for_close();
+    assert!(
+        notified_at.elapsed() < Duration::from_secs(1),
+        "the connection closes at once, not by its idle timeout"
+    );
     let _again = harness.request("again", "safe");
-    assert_eq!(harness.next_call(ATTEMPT).at, 50, "the same text is at home there");
+    assert_eq!(harness.next_call(ATTEMPT).at, 50, "prefix affinity still selects the moved worker");
 }
--- a/crates/command/tests/shutdown_obligations/main.rs
+++ b/crates/command/tests/shutdown_obligations/main.rs
@@ -1,6 +1,6 @@
-//! What the router still owes when something ends, on loopback sockets: the real process between workers, clients and
-//! a discovery that do each next thing when the test says so. The order of events forces each crossing; clocks only
-//! judge.
+//! What the router has to complete when a client, a worker, a watch, a configuration or the router itself goes away.
+//! The router is a real process on loopback sockets; its workers, clients and discovery act only when the test tells
+//! them to. Each race is forced by the order of events; timers are only used to check limits.
 
 mod attempts;
 mod backpressure;
--- a/crates/command/tests/shutdown_obligations/released_state.rs
+++ b/crates/command/tests/shutdown_obligations/released_state.rs
@@ -1,4 +1,4 @@
-//! Reserved state is released in time, whatever ended before.
+//! Reserved state is released in time: after silence, disconnects and late reservations.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 #[test]
 fn reserved_state_is_released_in_time_while_the_decode_worker_is_silent() {
     let mut harness = Harness::new("void", without_reservations);
-    let (_client, since, _writer) = harness.prefilled("void", "once");
+    let (_client, prefilled_at, _decode_call) = harness.prefilled("void", "once");
     let mut release = harness.next_call(RELEASE);
     assert!(
-        since.elapsed() > Duration::from_millis(700) && since.elapsed() < RELEASE_LIMIT,
+        prefilled_at.elapsed() > Duration::from_millis(700) && prefilled_at.elapsed() < RELEASE_LIMIT,
         "{:?}",
-        since.elapsed()
+        prefilled_at.elapsed()
     );
     release.send(RELEASED);
 }
@@ -22,11 +22,11 @@
 #[test]
 fn a_release_is_retried_at_other_workers_while_the_holder_and_its_connection_are_dead() {
     let mut harness = Harness::new("dead", without_reservations);
-    let (client, since, _writer) = harness.prefilled("dead", "safe");
+    let (client, prefilled_at, _decode_call) = harness.prefilled("dead", "safe");
     drop(client);
     let first = harness.next_call(RELEASE);
     let mut second = harness.next_call(RELEASE);
-    assert!(first.at != second.at && since.elapsed() < RELEASE_LIMIT);
+    assert!(first.at != second.at && prefilled_at.elapsed() < RELEASE_LIMIT);
     second.send(RELEASED);
     first.wait_for_close();
 }
@@ -35,12 +35,12 @@
 fn a_reservation_granted_after_its_release_is_released_again() {
     let mut harness = Harness::new("behind", |_| ());
     let client = harness.request("behind", "safe");
-    let reader = harness.next_call(ATTEMPT);
-    let mut place = harness.next_call(RESERVE);
+    let prefill_call = harness.next_call(ATTEMPT);
+    let mut reservation = harness.next_call(RESERVE);
     drop(client);
     harness.next_call(RELEASE).send(RELEASED);
-    place.send(response(200, "", ""));
-    let again = harness.next_call(RELEASE);
-    assert!(place.received_at.elapsed() < RELEASE_LIMIT && again.text.contains("/behind "));
-    reader.wait_for_close();
+    reservation.send(response(200, "", ""));
+    let second_release = harness.next_call(RELEASE);
+    assert!(reservation.received_at.elapsed() < RELEASE_LIMIT && second_release.text.contains("/behind "));
+    prefill_call.wait_for_close();
 }
