--- a/crates/command/tests/admin.rs
+++ b/crates/command/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Tenants administered while a router of two cores runs: the program's own command line, and clients that speak
+//! Tenants that are administered by the command line while a router with two cores runs, checked by clients that speak
 //! the protocol.
 
 use std::io::{Read, Write};
@@ -14,22 +14,25 @@
 
 const KEY: &str = "a-key-for-tests";
 
-struct KillOnDrop {
+/// A router with an administration API and a tenant store, in a folder of its own. Killed when dropped.
+struct TestRouter {
     folder: PathBuf,
     child: Option<Child>,
+    /// The address for clients.
     listen: String,
+    /// The address of the administration API.
     admin: String,
 }
 
-impl KillOnDrop {
-    fn start(what: &str) -> KillOnDrop {
-        let folder = std::env::temp_dir().join(format!("tideroute-admin-{what}-{}", std::process::id()));
+impl TestRouter {
+    fn start(name: &str) -> TestRouter {
+        let folder = std::env::temp_dir().join(format!("tideroute-admin-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut running =
-            KillOnDrop { folder, child: None, listen: unused_address(), admin: unused_address() };
+        let mut router =
+            TestRouter { folder, child: None, listen: unused_address(), admin: unused_address() };
         let hash = blake3::hash(KEY.as_bytes()).to_hex();
-        let record = format!(
+        let configuration = format!(
             r#"router: {{
 	name: "r0", listen: "{}", list: "{}", cores: 2
 	tracks: [{{name: "query", contract: 1s, cut_off: 4s}}]
@@ -37,16 +40,17 @@
 	terms: {{}}
 	admin: {{listen: "{}", store: "{}", keys: [{{name: "ann", key: "{hash}", role: "own"}}]}}
 }}"#,
-            running.listen,
+            router.listen,
             unused_address(),
-            running.admin,
-            running.folder.join("tenants.redb").display()
+            router.admin,
+            router.folder.join("tenants.redb").display()
         );
-        std::fs::write(running.folder.join("router.cue"), record).expect("a file");
-        running.start_process();
-        running
+        std::fs::write(router.folder.join("router.cue"), configuration).expect("a file");
+        router.start_process();
+        router
     }
 
+    /// Starts the process and waits until it listens.
     fn start_process(&mut self) {
         let child = Command::new(env!("CARGO_BIN_EXE_tideroute"))
             .arg("router")
@@ -54,7 +58,7 @@
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         self.child = Some(child);
         wait_for(|| TcpStream::connect(&self.listen).and(TcpStream::connect(&self.admin)).ok());
     }
@@ -66,21 +70,23 @@
         }
     }
 
+    /// Runs an administration command.
     fn admin(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
         command.arg("admin").args(arguments).args(["--at", &self.admin]).env("TIDEROUTE_KEY", KEY);
-        command.stdin(Stdio::null()).output().expect("it runs")
+        command.stdin(Stdio::null()).output().expect("the program starts")
     }
 
-    /// What it printed, after it went well.
-    fn succeeds(&self, arguments: &[&str]) -> String {
+    /// Runs an administration command that must succeed, and returns what it printed.
+    fn admin_succeeds(&self, arguments: &[&str]) -> String {
         let output = self.admin(arguments);
-        let [out, problem] =
+        let [stdout, stderr] =
             [&output.stdout, &output.stderr].map(|b| String::from_utf8_lossy(b).into_owned());
-        assert!(output.status.success(), "{arguments:?}: {problem}");
-        out
+        assert!(output.status.success(), "{arguments:?}: {stderr}");
+        stdout
     }
 
+    /// Writes a tenant with one key, in place of the given version if there is one.
     fn put(&self, name: &str, key: &str, version: Option<&str>) -> Output {
         let file = self.folder.join(format!("{name}-{key}.json"));
         let hash = blake3::hash(key.as_bytes()).to_hex();
@@ -93,23 +99,27 @@
     }
 }
 
-impl Drop for KillOnDrop {
+impl Drop for TestRouter {
     fn drop(&mut self) {
         self.kill();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
+/// What a client has received.
 #[derive(Default, Debug)]
 struct Responses {
-    taken: u32,
-    turned_back: Vec<u64>,
-    denied: Option<String>,
+    /// The number of accepted requests.
+    accepted: u32,
+    /// The numbers of the rejected requests.
+    rejected: Vec<u64>,
+    /// Why the client's key was refused, if it was.
+    unauthorized: Option<String>,
 }
 
 impl client::Client for Responses {
     fn accepted(&mut self, _number: u64, _id: u64) -> Result<(), Malformed> {
-        self.taken += 1;
+        self.accepted += 1;
         Ok(())
     }
     fn token(&mut self, _number: u64, _index: u32, _text: Bytes) -> Result<(), Malformed> {
@@ -118,31 +128,34 @@
     fn completed(&mut self, _number: u64, _tokens: u32) -> Result<(), Malformed> {
         Ok(())
     }
-    fn rejected(&mut self, number: u64, _after: u64) -> Result<(), Malformed> {
-        self.turned_back.push(number);
+    fn rejected(&mut self, number: u64, _retry_after: u64) -> Result<(), Malformed> {
+        self.rejected.push(number);
         Ok(())
     }
     fn failed(&mut self, _number: u64) -> Result<(), Malformed> {
         Ok(())
     }
-    fn unauthorized(&mut self, why: &str) -> Result<(), Malformed> {
-        self.denied = Some(why.to_string());
+    fn unauthorized(&mut self, reason: &str) -> Result<(), Malformed> {
+        self.unauthorized = Some(reason.to_string());
         Ok(())
     }
 }
 
+/// A client connection.
 struct Client {
     stream: TcpStream,
-    arrived: BytesMut,
-    heard: Responses,
+    received: BytesMut,
+    responses: Responses,
+    /// The number of the last request.
     number: u64,
 }
 
 impl Client {
-    fn new(running: &KillOnDrop, key: &str) -> Client {
-        let stream = TcpStream::connect(&running.listen).expect("it listens");
+    fn new(router: &TestRouter, key: &str) -> Client {
+        let stream = TcpStream::connect(&router.listen).expect("the router listens");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-        let mut client = Client { stream, arrived: BytesMut::new(), heard: Responses::default(), number: 0 };
+        let mut client =
+            Client { stream, received: BytesMut::new(), responses: Responses::default(), number: 0 };
         client.send(&say_hello_with(Party::Client, "test", key.as_bytes()));
         client
     }
@@ -154,111 +167,117 @@
     }
 
     /// Reads until the condition holds or the connection ends.
-    fn receive_until(&mut self, enough: impl Fn(&Responses) -> bool) {
+    fn receive_until(&mut self, is_enough: impl Fn(&Responses) -> bool) {
         let mut piece = [0; 4096];
-        while !enough(&self.heard) {
-            let got = self.stream.read(&mut piece).unwrap_or(0);
-            if got == 0 {
+        while !is_enough(&self.responses) {
+            let length = self.stream.read(&mut piece).unwrap_or(0);
+            if length == 0 {
                 return;
             }
-            self.arrived.extend_from_slice(&piece[..got]);
-            while let Some(frame) = frame::next(&mut self.arrived).expect("frames") {
-                client::receive_from_router(&frame, &mut self.heard).expect("a router's words");
+            self.received.extend_from_slice(&piece[..length]);
+            while let Some(frame) = frame::next(&mut self.received).expect("frames") {
+                client::receive_from_router(&frame, &mut self.responses).expect("messages of a router");
             }
         }
     }
 
-    /// Submits, and tells how long its answer took; there are no workers, so it is turned back.
-    fn submit(&mut self, left: u64) -> Duration {
+    /// Sends a request with `remaining` microseconds until its deadline, and returns how long its rejection took. It is
+    /// rejected because there are no workers.
+    fn submit(&mut self, remaining: u64) -> Duration {
         self.number += 1;
         let number = self.number;
         let prompt = Bytes::from_static(b"prompt");
-        self.send(&client::submit(number, 0, 1, 0, 10, 0, 5, left, 1, prompt));
+        self.send(&client::submit(number, 0, 1, 0, 10, 0, 5, remaining, 1, prompt));
         let began = Instant::now();
-        self.receive_until(|heard| heard.turned_back.contains(&number));
-        assert!(self.heard.turned_back.contains(&number), "no answer: {:?}", self.heard);
+        self.receive_until(|responses| responses.rejected.contains(&number));
+        assert!(self.responses.rejected.contains(&number), "no rejection arrived: {:?}", self.responses);
         began.elapsed()
     }
 }
 
 #[test]
 fn tenants_are_added_changed_and_removed_while_the_router_runs() {
-    let mut running = KillOnDrop::start("life");
-    // Nobody is there yet: each core denies.
+    let mut router = TestRouter::start("life");
+    // There are no tenants yet, so each core refuses every key.
     for _ in 0..8 {
-        let mut nobody = Client::new(&running, "harbour's key");
-        nobody.receive_until(|heard| heard.denied.is_some());
-        assert_eq!(nobody.heard.denied.as_deref(), Some("no tenant has this key"));
+        let mut unknown = Client::new(&router, "harbour's key");
+        unknown.receive_until(|responses| responses.unauthorized.is_some());
+        assert_eq!(unknown.responses.unauthorized.as_deref(), Some("no tenant has this key"));
     }
-    assert!(running.put("harbour", "one", None).status.success());
-    // Once the answer is there each core takes the key.
-    let mut clients: Vec<_> = (0..8).map(|_| Client::new(&running, "one")).collect();
+    assert!(router.put("harbour", "one", None).status.success());
+    // After the response to the change, each core accepts the new key.
+    let mut clients: Vec<_> = (0..8).map(|_| Client::new(&router, "one")).collect();
     clients.iter_mut().for_each(|client| _ = client.submit(200_000));
-    assert!(clients.iter().all(|client| client.heard.taken == 1 && client.heard.denied.is_none()));
+    assert!(clients
+        .iter()
+        .all(|client| client.responses.accepted == 1 && client.responses.unauthorized.is_none()));
     let began = Instant::now();
     let shown = loop {
-        let shown = running.succeeds(&["top", "--once"]);
+        let shown = router.admin_succeeds(&["top", "--once"]);
         if shown.lines().any(|line| line.starts_with("harbour") && line.contains(" 8 ")) {
             break shown;
         }
-        assert!(began.elapsed() < TEST_TIMEOUT, "the figures never came: {shown}");
+        assert!(began.elapsed() < TEST_TIMEOUT, "the tenant's statistics did not arrive: {shown}");
         std::thread::sleep(Duration::from_millis(50));
     };
     assert!(shown.starts_with("tenant"), "{shown}");
-    // A new key in place of the old: the old is dead on all connections, those that are open too.
-    assert!(running.put("harbour", "two", Some("1")).status.success());
+    // A new key replaces the old one, which is then refused on all connections, including the open ones.
+    assert!(router.put("harbour", "two", Some("1")).status.success());
     for client in &mut clients {
-        let took = client.submit(3_000_000);
-        assert!(took < Duration::from_millis(500), "a dead key was held for {took:?}");
+        let elapsed = client.submit(3_000_000);
+        assert!(elapsed < Duration::from_millis(500), "the rejection of a replaced key took {elapsed:?}");
     }
-    let mut old = Client::new(&running, "one");
-    old.receive_until(|heard| heard.denied.is_some());
-    assert!(old.heard.denied.is_some());
-    // What was confirmed is there after a kill.
-    running.kill();
-    running.start_process();
-    let mut back: Vec<_> = (0..8).map(|_| Client::new(&running, "two")).collect();
-    back.iter_mut().for_each(|client| _ = client.submit(200_000));
-    assert!(running.succeeds(&["show", "harbour"]).contains("harbour"));
-    assert!(running.succeeds(&["remove", "harbour", "--version", "2"]).contains("removed"));
-    for client in &mut back {
+    let mut old = Client::new(&router, "one");
+    old.receive_until(|responses| responses.unauthorized.is_some());
+    assert!(old.responses.unauthorized.is_some());
+    // A confirmed change survives a kill.
+    router.kill();
+    router.start_process();
+    let mut clients_after_restart: Vec<_> = (0..8).map(|_| Client::new(&router, "two")).collect();
+    clients_after_restart.iter_mut().for_each(|client| _ = client.submit(200_000));
+    assert!(router.admin_succeeds(&["show", "harbour"]).contains("harbour"));
+    assert!(router.admin_succeeds(&["remove", "harbour", "--version", "2"]).contains("removed"));
+    for client in &mut clients_after_restart {
         assert!(client.submit(3_000_000) < Duration::from_millis(500));
-        assert_eq!(client.heard.taken, 2, "it is answered like any other, at once");
+        assert_eq!(
+            client.responses.accepted, 2,
+            "the request of a removed tenant is accepted and rejected at once like any other"
+        );
     }
-    let mut gone = Client::new(&running, "two");
-    gone.receive_until(|heard| heard.denied.is_some());
-    assert!(gone.heard.denied.is_some());
-    let history = running.succeeds(&["history", "harbour"]);
+    let mut removed = Client::new(&router, "two");
+    removed.receive_until(|responses| responses.unauthorized.is_some());
+    assert!(removed.responses.unauthorized.is_some());
+    let history = router.admin_succeeds(&["history", "harbour"]);
     assert!(history.lines().count() == 4 && history.contains("ann"), "{history}");
 }
 
 #[test]
 fn the_command_line_reports_errors() {
-    let running = KillOnDrop::start("wrong");
-    assert!(running.put("market", "k", None).status.success());
-    let problems = [
-        (running.put("market", "k", None), "412"),
-        (running.put("market", "k", Some("7")), "present version 1"),
-        (running.put("Market", "k2", None), "name"),
-        (running.admin(&["show", "nobody"]), "404"),
-        (running.admin(&["show", "../../x"]), "is not a tenant name"),
-        (running.admin(&["put", "x", "/no/such/file"]), "/no/such/file"),
-        (running.admin(&["remove", "market", "--version", "9"]), "412"),
+    let router = TestRouter::start("wrong");
+    assert!(router.put("market", "k", None).status.success());
+    let failures = [
+        (router.put("market", "k", None), "412"),
+        (router.put("market", "k", Some("7")), "present version 1"),
+        (router.put("Market", "k2", None), "name"),
+        (router.admin(&["show", "nobody"]), "404"),
+        (router.admin(&["show", "../../x"]), "is not a tenant name"),
+        (router.admin(&["put", "x", "/no/such/file"]), "/no/such/file"),
+        (router.admin(&["remove", "market", "--version", "9"]), "412"),
     ];
-    for (output, expected) in problems {
-        let problem = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.code() == Some(2) && problem.contains(expected), "{expected}: {problem}");
+    for (output, expected) in failures {
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(output.status.code() == Some(2) && stderr.contains(expected), "{expected}: {stderr}");
     }
-    let mut wrong = Command::new(env!("CARGO_BIN_EXE_tideroute"));
-    wrong.args(["admin", "list", "--at", &running.admin]).env("TIDEROUTE_KEY", "not-the-key");
-    let output = wrong.output().expect("it runs");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_tideroute"));
+    command.args(["admin", "list", "--at", &router.admin]).env("TIDEROUTE_KEY", "not-the-key");
+    let output = command.output().expect("the program starts");
     assert!(String::from_utf8_lossy(&output.stderr).contains("nobody has this key"));
-    // A snapshot, and it taken back into a store of its own.
-    let [file, store] = ["all.zst", "other.redb"].map(|name| running.folder.join(name).display().to_string());
-    running.succeeds(&["snapshot", &file]);
+    // A snapshot is restored into a new store.
+    let [file, store] = ["all.zst", "other.redb"].map(|name| router.folder.join(name).display().to_string());
+    router.admin_succeeds(&["snapshot", &file]);
     let restored = Command::new(env!("CARGO_BIN_EXE_tideroute"))
         .args(["admin", "restore", &store, &file])
         .output()
-        .expect("it runs");
+        .expect("the program starts");
     assert!(String::from_utf8_lossy(&restored.stdout).contains("1 entries"));
 }
--- a/crates/command/tests/stored_data.rs
+++ b/crates/command/tests/stored_data.rs
@@ -1,4 +1,4 @@
-//! Stored data of earlier versions is read as it was: a capture of a day, a store of tenants and its snapshot, and the
+//! Stored data of earlier versions stays readable: a capture of a scenario, a tenant store and its snapshot, and the
 //! files of `days/`. The files under `tests/stored` were written by version 0.2.0 before its packages were renamed.
 
 use std::fs::File;
@@ -12,7 +12,7 @@
 }
 
 fn tideroute(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_tideroute")).args(arguments).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_tideroute")).args(arguments).output().expect("the program starts")
 }
 
 fn path_text(path: &Path) -> &str {
@@ -23,7 +23,7 @@
     Key { name: format!("key-{number}"), hash: number.to_string().repeat(64) }
 }
 
-/// What the stored files hold: two tenants, of which one was changed and the other removed.
+/// Returns what the stored files contain: two tenants, of which one was changed and the other removed.
 fn expected_history() -> Vec<Revision> {
     let rate = Some(Rate { per_second: 10.5, burst: 5.0 });
     let harbour = Tenant {
@@ -59,40 +59,40 @@
 }
 
 #[test]
-fn a_stored_capture_is_judged_as_when_it_was_written() {
+fn checking_a_stored_capture_gives_the_stored_result() {
     let capture = stored("day.record.zst");
-    let judged = tideroute(&["rules", path_text(&capture)]);
-    assert!(judged.status.success(), "{judged:?}");
-    let expected = std::fs::read_to_string(stored("rules.txt")).expect("a stored judgement");
-    assert_eq!(String::from_utf8_lossy(&judged.stdout), expected);
+    let checked = tideroute(&["rules", path_text(&capture)]);
+    assert!(checked.status.success(), "{checked:?}");
+    let expected = std::fs::read_to_string(stored("rules.txt")).expect("the stored result of the check");
+    assert_eq!(String::from_utf8_lossy(&checked.stdout), expected);
     let measured = tideroute(&["spread", path_text(&capture), "--json"]);
     assert!(measured.status.success(), "{measured:?}");
-    let expected = std::fs::read_to_string(stored("spread.json")).expect("stored figures");
+    let expected = std::fs::read_to_string(stored("spread.json")).expect("the stored measurement");
     assert_eq!(String::from_utf8_lossy(&measured.stdout), expected);
 }
 
 #[test]
-fn a_stored_store_of_tenants_holds_every_change() {
+fn a_stored_tenant_store_contains_every_change() {
     let path = std::env::temp_dir().join(format!("tideroute-stored-tenants-{}.db", std::process::id()));
     let compressed = File::open(stored("tenants.db.zst")).expect("the stored store");
-    let bytes = zstd::decode_all(compressed).expect("it is whole");
+    let bytes = zstd::decode_all(compressed).expect("the stored store is complete");
     std::fs::write(&path, bytes).expect("a file");
-    let store = TenantStore::open(&path).expect("it opens");
-    assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
+    let store = TenantStore::open(&path).expect("the store opens");
+    assert_eq!(store.changes(0, 10).expect("the store is readable"), expected_history());
     drop(store);
     let _ = std::fs::remove_file(&path);
 }
 
 #[test]
-fn a_stored_snapshot_of_tenants_is_restored() {
+fn a_stored_tenant_snapshot_is_restored() {
     let path = std::env::temp_dir().join(format!("tideroute-stored-snapshot-{}.db", std::process::id()));
-    let store = TenantStore::open(&path).expect("it opens");
+    let store = TenantStore::open(&path).expect("the store opens");
     let snapshot = File::open(stored("tenants.snapshot")).expect("the stored snapshot");
-    assert_eq!(store.restore(snapshot).expect("it is restored"), expected_history().len());
-    assert_eq!(store.changes(0, 10).expect("it is read"), expected_history());
-    let harbour = store.get("harbour").expect("it is read").expect("it is there");
+    assert_eq!(store.restore(snapshot).expect("the snapshot is restored"), expected_history().len());
+    assert_eq!(store.changes(0, 10).expect("the store is readable"), expected_history());
+    let harbour = store.get("harbour").expect("the store is readable").expect("the tenant exists");
     assert_eq!(harbour.tenant, expected_history()[2].tenant);
-    assert!(store.get("lagoon").expect("it is read").is_none());
+    assert!(store.get("lagoon").expect("the store is readable").is_none());
     drop(store);
     let _ = std::fs::remove_file(&path);
 }
