--- a/crates/command/tests/gateway_signals.rs
+++ b/crates/command/tests/gateway_signals.rs
@@ -84,12 +84,12 @@
 }
 
 /// Accepts connections and handles each on a thread of its own.
-fn serve(listener: TcpListener, each: impl Fn(TcpStream) + Send + Sync + 'static) {
-    let each = Arc::new(each);
+fn serve(listener: TcpListener, handle_connection: impl Fn(TcpStream) + Send + Sync + 'static) {
+    let handle_connection = Arc::new(handle_connection);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (each, _) = (each.clone(), stream.set_nodelay(true));
-            std::thread::spawn(move || each(stream));
+            let (handle_connection, _) = (handle_connection.clone(), stream.set_nodelay(true));
+            std::thread::spawn(move || handle_connection(stream));
         }
     });
 }
--- a/crates/command/tests/load_report_balance.rs
+++ b/crates/command/tests/load_report_balance.rs
@@ -11,8 +11,8 @@
     (process_output.status.success(), output.into_owned())
 }
 
-/// Plays a scenario. Returns the fraction of time that prefill workers were idle while another one had queued requests,
-/// and the fraction of prompt tokens that were found in kept KV state.
+/// Plays a scenario. Returns the fraction of time that prefill workers were idle while another one had work queued, and
+/// the fraction of the prefilled tokens of shared prefixes that was found cached.
 fn play(name: &str, text: &str) -> (f64, f64) {
     let folder = std::env::temp_dir().join(format!("tideroute-spread-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -25,7 +25,7 @@
     assert!(succeeded, "{output}");
     let balance: serde_json::Value = serde_json::from_str(&output).expect("JSON");
     let _ = std::fs::remove_dir_all(&folder);
-    let number = |of: &serde_json::Value| of.as_f64().expect("a figure");
+    let number = |value: &serde_json::Value| value.as_f64().expect("a number");
     (number(&balance["readers"]["idle_beside"]), number(&balance["kept"]))
 }
 
@@ -43,8 +43,8 @@
         idle_without_reports > 0.008 && idle_without_reports > 3.0 * idle,
         "idle: {idle} with load reports, {idle_without_reports} without"
     );
-    // With load reports a prompt is prefilled at more workers before its KV state is reused, which lowers the share
-    // noticeably in a scenario this short.
+    // With load reports a shared prefix is first prefilled at more workers, which lowers the cached share noticeably in
+    // a scenario this short.
     assert!(
         kept > kept_without_reports - 0.12,
         "kept: {kept} with load reports, {kept_without_reports} without"
--- a/crates/command/tests/network_faults.rs
+++ b/crates/command/tests/network_faults.rs
@@ -32,7 +32,7 @@
     let (processes, _) = reader.head().expect("a head");
     let all: Vec<_> = std::iter::from_fn(|| reader.next_passed().expect("a complete capture")).collect();
     let process_of = |number: u32| processes.iter().find(|p| p.number == number).expect("a process");
-    let at: BTreeMap<Address, &str> =
+    let names_by_address: BTreeMap<Address, &str> =
         processes.iter().filter_map(|p| Some((p.address?, &p.name[..]))).collect();
     let (mut router_of_connection, mut dialled_workers, mut frames) =
         (BTreeMap::new(), BTreeMap::new(), vec![]);
@@ -40,7 +40,7 @@
         let (process, connection_id) = (process_of(p.process), (p.process, p.connection));
         if p.event == CaptureEvent::Connecting {
             let to = Address::try_from(&p.frame[..]).expect("an address");
-            dialled_workers.insert(connection_id, at[&to].to_string());
+            dialled_workers.insert(connection_id, names_by_address[&to].to_string());
         }
         if p.event != CaptureEvent::Received {
             continue;
--- a/crates/command/tests/soak.rs
+++ b/crates/command/tests/soak.rs
@@ -90,19 +90,19 @@
     std::thread::scope(|scope| {
         while Instant::now() < load_end {
             let count = 2 + (fleet.monitor.random_unit() * 2.0) as usize;
-            let mut drawn: Vec<Fault> = vec![];
-            while drawn.len() < count {
+            let mut faults: Vec<Fault> = vec![];
+            while faults.len() < count {
                 let candidate = ALL_FAULTS[(fleet.monitor.random_unit() * ALL_FAULTS.len() as f64) as usize];
                 let second_global_fault =
-                    candidate.is_global() && drawn.iter().any(|fault| fault.is_global());
+                    candidate.is_global() && faults.iter().any(|fault| fault.is_global());
                 if !(second_global_fault || candidate.delays_endpoint_lists() && endpoint_lists_in_time) {
-                    drawn.push(candidate);
+                    faults.push(candidate);
                 }
             }
-            drawn.sort();
+            faults.sort();
             let pairs = (0..count).flat_map(|a| (a + 1..count).map(move |b| (a, b)));
-            lock(overlapping).extend(pairs.map(|(a, b)| (drawn[a], drawn[b])));
-            for fault in drawn {
+            lock(overlapping).extend(pairs.map(|(a, b)| (faults[a], faults[b])));
+            for fault in faults {
                 let delay = Duration::from_millis(fleet.monitor.random_range(1.0, 300.0));
                 scope.spawn(move || {
                     std::thread::sleep(delay);
--- a/crates/command/tests/soak/discovery.rs
+++ b/crates/command/tests/soak/discovery.rs
@@ -114,7 +114,7 @@
         send_signal: impl Fn(&RouterProcess),
     ) -> Result<(), Failure> {
         self.allow_late(OLD_ADDRESS_GRACE);
-        let old = self.discovery.current.fetch_xor(1, Ordering::SeqCst);
+        let old_address = self.discovery.current.fetch_xor(1, Ordering::SeqCst);
         for router in self.routers() {
             // A router that started meanwhile would read a half-written file.
             let _no_restart = lock(&router.restarts);
@@ -132,7 +132,7 @@
             }
         }
         std::thread::sleep(OLD_ADDRESS_GRACE);
-        lock(&self.discovery.watches).retain(|watch| watch.address != old);
+        lock(&self.discovery.watches).retain(|watch| watch.address != old_address);
         Ok(())
     }
 
