--- a/crates/command/src/admin_thread.rs
+++ b/crates/command/src/admin_thread.rs
@@ -43,7 +43,7 @@
         let store = Arc::new(TenantStore::open(path).map_err(CommandError::in_file(path))?);
         let cores = Arc::<Mutex<BTreeMap<u32, Mailbox>>>::default();
         let administrators = config.keys.iter().map(administrator).collect::<Result<Vec<_>, _>>()?;
-        let listen: SocketAddr = convert::socket(&config.listen)?.into();
+        let listen: SocketAddr = convert::parse_socket(&config.listen)?.into();
         let mut reactor = Reactor::new(&[listen])?;
         reactor.set_raw(MAX_LINGERING_CONNECTIONS);
         let figures = reactor.mailbox();
@@ -85,7 +85,7 @@
 }
 
 fn administrator(key: &records::AdminKey) -> Result<Administrator, CommandError> {
-    let hash = convert::hash(&key.key)
+    let hash = convert::parse_hash(&key.key)
         .map_err(|source| CommandError::AdministratorKey { name: key.name.clone(), source })?;
     let role = match key.role.as_str() {
         "own" => Role::Own,
@@ -96,7 +96,7 @@
 }
 
 fn key_hashes(tenant: &Tenant) -> Vec<[u8; 32]> {
-    tenant.keys.iter().filter_map(|key| convert::hash(&key.hash).ok()).collect()
+    tenant.keys.iter().filter_map(|key| convert::parse_hash(&key.hash).ok()).collect()
 }
 
 fn tenant_config(revision: &Revision, tenant: &Tenant) -> TenantConfig {
--- a/crates/command/src/client_load.rs
+++ b/crates/command/src/client_load.rs
@@ -60,7 +60,7 @@
 /// Sends requests to routers and reports their outcomes.
 pub fn run(path: &Path, options: &LoadOptions, args: &ProcessArgs) -> CommandResult {
     let section = config_file::require(path, config_file::read(path)?.load, "load")?;
-    let routers = section.routers.iter().map(|r| convert::address(r)).collect::<Result<_, _>>()?;
+    let routers = section.routers.iter().map(|r| convert::parse_address(r)).collect::<Result<_, _>>()?;
     let reactor = process::reactor(&[], args, IDENTITY)?;
     wait_for(options.begin_at, &reactor);
     let mut load = Load::new(section, routers);
--- a/crates/command/src/measure/load_balance.rs
+++ b/crates/command/src/measure/load_balance.rs
@@ -38,7 +38,7 @@
          herding"
     );
     println!("policy                   p50    p99    max     idle  index  herding (expected)   cached  in time  rules");
-    let policies = PrefillPolicy::ALL.iter().filter(|(_, policy)| *policy != PrefillPolicy::Next);
+    let policies = PrefillPolicy::ALL.iter().filter(|(_, policy)| *policy != PrefillPolicy::BySession);
     let policies = policies.map(|(name, _)| (*name, Chooser::Policy(name)));
     let routers = [
         ("router, no reports", Chooser::Routers { load_reports: false }),
--- a/crates/command/src/measure/membership.rs
+++ b/crates/command/src/measure/membership.rs
@@ -78,10 +78,10 @@
     };
     let started = cluster.now();
     let (bytes_before, datagrams_before) = sent(cluster);
-    let cpu_before = cluster.member_cpu_time;
+    let cpu_before = cluster.time_in_members;
     cluster.run_for(QUIET * SECOND);
     let (bytes, datagrams) = sent(cluster);
-    let cpu = cluster.member_cpu_time - cpu_before;
+    let cpu = cluster.time_in_members - cpu_before;
     let suspicions = cluster
         .observations
         .iter()
--- a/crates/command/src/membership_thread.rs
+++ b/crates/command/src/membership_thread.rs
@@ -34,7 +34,7 @@
         args.process_number += config.cores * PROCESS_NUMBERS_PER_CORE;
         args.capture = args.capture.map(|path| capture_path(&path));
         let mut reactor = Reactor::new(&[])?;
-        let listen = convert::socket(&cluster.listen)?.into();
+        let listen = convert::parse_socket(&cluster.listen)?.into();
         reactor
             .add_datagram_sockets(&[listen])
             .map_err(|source| CommandError::Membership { cluster: cluster.name.clone(), source })?;
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -29,8 +29,8 @@
 /// a router of one core ignores it.
 pub fn run(path: &Path, fail_after: Option<u64>, args: &ProcessArgs) -> CommandResult {
     let config = config_file::require(path, config_file::read(path)?.router, "router")?;
-    let listen: SocketAddr = convert::socket(&config.listen)?.into();
-    let metrics = config.metrics.as_deref().map(convert::socket).transpose()?;
+    let listen: SocketAddr = convert::parse_socket(&config.listen)?.into();
+    let metrics = config.metrics.as_deref().map(convert::parse_socket).transpose()?;
     metrics_server::start(metrics.map(SocketAddr::from))?;
     if args.exit_with_stdin {
         process::exit_with_stdin();
@@ -189,7 +189,7 @@
         }
         let now = reactor.clock().now();
         let cached_endpoints = self.persist_endpoints(&mut reactor);
-        let mut config = convert::router(&self.config, self.index, self.seed(now), random_origin()?)?;
+        let mut config = convert::router_config(&self.config, self.index, self.seed(now), random_origin()?)?;
         if let Some(admin) = &self.admin {
             config.lifecycle.tenants = Some(admin.subscribe(self.index, reactor.mailbox())?);
             reactor.publish_to(admin.figures());
--- a/crates/command/src/process.rs
+++ b/crates/command/src/process.rs
@@ -64,7 +64,7 @@
     identity: ProcessIdentity,
 ) -> Result<Reactor, CommandError> {
     if let Some(path) = &args.capture {
-        let address = addresses.first().and_then(|a| convert::address(&a.to_string()).ok());
+        let address = addresses.first().and_then(|a| convert::parse_address(&a.to_string()).ok());
         let process = CapturedProcess {
             number: args.process_number,
             name: identity.name.into(),
@@ -92,7 +92,7 @@
         let Some((original, replacement)) = line.split_once(' ') else {
             return Err(CommandError::AddressOverride { path: path.into(), line: line.into() });
         };
-        overrides.insert(convert::address(original)?, convert::address(replacement)?);
+        overrides.insert(convert::parse_address(original)?, convert::parse_address(replacement)?);
     }
     Ok(overrides)
 }
--- a/crates/command/src/trace_report.rs
+++ b/crates/command/src/trace_report.rs
@@ -13,7 +13,7 @@
 
 /// Runs the command `check-trace`: checks a capture, and prints counts and violations.
 pub fn check(capture: &Path) -> CommandResult {
-    let report = scenario::check(capture).map_err(CommandError::in_file(capture))?;
+    let report = scenario::check_rules(capture).map_err(CommandError::in_file(capture))?;
     let membership = scenario::check_membership(capture).map_err(CommandError::in_file(capture))?;
     print(&report);
     membership.iter().for_each(print_membership);
--- a/crates/config-language/src/records/fault.rs
+++ b/crates/config-language/src/records/fault.rs
@@ -88,7 +88,7 @@
 impl ScenarioFault {
     /// Returns whether the scenario player applies the fault to the process (`kill`, `halt`, `clock`) rather than the
     /// worker's own script. Such a fault can also target routers, and several processes of a group by one name.
-    pub fn from_outside(&self) -> bool {
+    pub fn is_external(&self) -> bool {
         ["kill", "halt", "clock"].contains(&self.kind.as_str())
     }
 }
--- a/crates/config-language/src/records/scenario.rs
+++ b/crates/config-language/src/records/scenario.rs
@@ -120,7 +120,7 @@
 
     /// Returns the processes that a name refers to: a single one, all of a group (`router`, or a worker group's name),
     /// or a range of a group (`router10-19`). Empty if the name matches no process.
-    pub fn named(&self, name: &str) -> Vec<String> {
+    pub fn processes_matching(&self, name: &str) -> Vec<String> {
         let worker_groups = self.worker_groups.iter().map(|group| (group.name.as_str(), group.count));
         for (group, count) in worker_groups.chain([("router", self.routers)]) {
             let Some(numbers) = name.strip_prefix(group) else { continue };
@@ -136,10 +136,10 @@
     }
 
     /// Returns the scenario with the targets of external faults resolved to the names of single processes.
-    pub fn with_names(&self) -> Scenario {
+    pub fn with_resolved_targets(&self) -> Scenario {
         let mut scenario = self.clone();
-        for fault in scenario.scheduled_faults.iter_mut().filter(|fault| fault.from_outside()) {
-            fault.targets = fault.targets.iter().flat_map(|name| self.named(name)).collect();
+        for fault in scenario.scheduled_faults.iter_mut().filter(|fault| fault.is_external()) {
+            fault.targets = fault.targets.iter().flat_map(|name| self.processes_matching(name)).collect();
         }
         scenario
     }
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -141,8 +141,8 @@
         if fault.kind == "remove" {
             return self.tenants.contains(&name);
         }
-        let is_process = name != "load" && !self.scenario.named(name).is_empty();
-        self.workers.contains(name) || fault.from_outside() && is_process
+        let is_process = name != "load" && !self.scenario.processes_matching(name).is_empty();
+        self.workers.contains(name) || fault.is_external() && is_process
     }
 }
 
@@ -157,7 +157,7 @@
     ) {
         let scenario = targets.scenario;
         if fault.kind == "clock" {
-            for process in fault.targets.iter().flat_map(|name| scenario.named(name)) {
+            for process in fault.targets.iter().flat_map(|name| scenario.processes_matching(name)) {
                 if !wrong_clocks.insert(process.clone()) {
                     let message = format!("{process:?} has two clock troubles");
                     self.error(&format!("{path}.who"), message, "at most one for each process");
@@ -178,7 +178,9 @@
 
     fn fault_sides(&mut self, path: &str, fault: &ScenarioFault, scenario: &Scenario) {
         for (field, names) in [("between", &fault.side), ("and", &fault.other_side)] {
-            for (n, name) in names.iter().enumerate().filter(|(_, name)| scenario.named(name).is_empty()) {
+            for (n, name) in
+                names.iter().enumerate().filter(|(_, name)| scenario.processes_matching(name).is_empty())
+            {
                 let message = format!("{name:?} matches no process");
                 let expected = "a process, a group, a range of a group such as router0-9, list or load";
                 self.error(&format!("{path}.{field}[{n}]"), message, expected);
@@ -189,7 +191,7 @@
     fn fault_targets(&mut self, path: &str, fault: &ScenarioFault, targets: &FaultTargets) {
         let expected = match fault.kind.as_str() {
             "remove" => "a tenant's name",
-            _ if fault.from_outside() => "a worker's or a router's name, or list",
+            _ if fault.is_external() => "a worker's or a router's name, or list",
             _ => "a worker's name",
         };
         for (n, name) in fault.targets.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -268,7 +268,7 @@
         if self.clients.is_open(&head.trace_id) {
             return self.reject_and_wait(connection, DUPLICATE_TRACE_ID, effects);
         }
-        if let Some(rejection) = self.lifecycle.rejection(false) {
+        if let Some(rejection) = self.lifecycle.check_capacity(false) {
             let text = rejection.reason.text();
             self.egress(now, effects).respond_with_text(connection, 503, rejection.retry_after, text);
             return Progress::More;
--- a/crates/lifecycle/src/lifecycle/admission.rs
+++ b/crates/lifecycle/src/lifecycle/admission.rs
@@ -66,7 +66,7 @@
 impl<Context> RequestLifecycle<Context> {
     /// Returns why no further request can be accepted; `None` if one can. `full_client` says that the client has
     /// reached its own limit.
-    pub fn rejection(&self, full_client: bool) -> Option<AdmissionRejection> {
+    pub fn check_capacity(&self, full_client: bool) -> Option<AdmissionRejection> {
         let is_full = full_client || self.requests.len() >= self.config.max_open_requests;
         if !is_full && !self.shutting_down {
             return None;
--- a/crates/lifecycle/src/lifecycle/responses.rs
+++ b/crates/lifecycle/src/lifecycle/responses.rs
@@ -51,7 +51,7 @@
         let Some(tenant_admission) = &mut self.tenant_admission else { return };
         let Some(request) = self.requests.get(id) else { return };
         let Some(class) = self.config.scheduler.classes.get(usize::from(request.class)) else { return };
-        let ttft_objective = to_micros(class.ttft_objective_for(f64::from(request.prompt_tokens)));
+        let ttft_objective = to_micros(class.ttft_objective_for_prompt(f64::from(request.prompt_tokens)));
         let timing = match (request.first_token_at, response) {
             (Some(at), _) if at <= request.arrived_at + ttft_objective => ResponseTiming::InTime,
             (Some(_), _) | (None, Response::Rejected(_)) => ResponseTiming::Late,
--- a/crates/lifecycle/src/protobuf_router/client_events.rs
+++ b/crates/lifecycle/src/protobuf_router/client_events.rs
@@ -78,7 +78,7 @@
         client.last_number = Some(number);
         let key_hash = client.key_hash;
         let is_full = client.open_requests.len() >= state.config.max_requests_per_client;
-        if let Some(rejection) = state.lifecycle.rejection(is_full) {
+        if let Some(rejection) = state.lifecycle.check_capacity(is_full) {
             self.effects.send(self.connection, client::rejected(number, rejection.retry_after));
             return Ok(());
         }
--- a/crates/membership-checker/src/capture_header.rs
+++ b/crates/membership-checker/src/capture_header.rs
@@ -8,12 +8,12 @@
 pub struct CaptureHeader {
     /// The cluster, if the routers of the scenario form one.
     #[serde(rename = "members")]
-    pub cluster: Option<FleetMembers>,
+    pub cluster: Option<ClusterMembers>,
 }
 
 /// The members of a cluster of routers, and the network partitions between them.
 #[derive(Debug, Default, Deserialize, Serialize)]
-pub struct FleetMembers {
+pub struct ClusterMembers {
     /// Names of the members.
     pub names: Vec<String>,
     /// Network partitions of the scenario.
--- a/crates/membership-checker/src/ground_truth.rs
+++ b/crates/membership-checker/src/ground_truth.rs
@@ -4,7 +4,7 @@
 
 use tideroute_wire::Micros;
 
-use crate::capture_header::{FleetMembers, Partition};
+use crate::capture_header::{ClusterMembers, Partition};
 use crate::violation::ViolationKind;
 
 /// One run of a router, from its start to its end.
@@ -55,7 +55,7 @@
 }
 
 impl GroundTruth {
-    pub fn new(cluster: &FleetMembers) -> GroundTruth {
+    pub fn new(cluster: &ClusterMembers) -> GroundTruth {
         let names = cluster.names.clone();
         GroundTruth {
             index_by_name: names.iter().enumerate().map(|(index, name)| (name.clone(), index)).collect(),
--- a/crates/membership-checker/src/lib.rs
+++ b/crates/membership-checker/src/lib.rs
@@ -23,7 +23,7 @@
 mod view_convergence;
 mod violation;
 
-pub use capture_header::{CaptureHeader, FleetMembers, Partition};
+pub use capture_header::{CaptureHeader, ClusterMembers, Partition};
 pub use check::{check, CheckError};
 pub use limits::{CONVERGENCE_TIME, MAX_DETECTION_TIME};
 pub use report::{DetectionTimes, Report};
--- a/crates/membership-checker/tests/violations.rs
+++ b/crates/membership-checker/tests/violations.rs
@@ -1,7 +1,7 @@
 //! Each test changes a valid capture and asserts which violations the checker reports.
 
 use bytes::Bytes;
-use tideroute_membership_checker::{check, CaptureHeader, FleetMembers, Partition, Report};
+use tideroute_membership_checker::{check, CaptureHeader, ClusterMembers, Partition, Report};
 use tideroute_wire::capture::{self, CaptureEvent, CapturedFrame, CapturedProcess};
 
 const SECOND: u64 = 1_000_000;
@@ -59,7 +59,7 @@
 
     fn check(mut self) -> Report {
         let names = (0..MEMBER_COUNT).map(|n| format!("router{n}")).collect();
-        let header = CaptureHeader { cluster: Some(FleetMembers { names, partitions: self.partitions }) };
+        let header = CaptureHeader { cluster: Some(ClusterMembers { names, partitions: self.partitions }) };
         let process = |n: u32| CapturedProcess {
             number: n + 1,
             name: format!("router{n}"),
@@ -162,7 +162,7 @@
 #[test]
 fn the_header_keeps_its_serialized_names() {
     let partition = Partition { from: 1, until: 2, side: vec!["a".into()], other_side: vec!["b".into()] };
-    let cluster = FleetMembers { names: vec!["a".into(), "b".into()], partitions: vec![partition] };
+    let cluster = ClusterMembers { names: vec!["a".into(), "b".into()], partitions: vec![partition] };
     let json = concat!(
         r#"{"members":{"names":["a","b"],"#,
         r#""cuts":[{"from":1,"until":2,"between":["a"],"and":["b"]}]}}"#
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -44,7 +44,7 @@
     );
     assert_eq!((config.retry_after_enabled, config.max_retry_after), (true, 5_000));
     assert_eq!(config.classes[1].idempotency, Idempotency::NonIdempotent);
-    assert_eq!(config.classes[1].ttft_objective_for(2_000.0), 25_000 + 2_400);
+    assert_eq!(config.classes[1].ttft_objective_for_prompt(2_000.0), 25_000 + 2_400);
     let without_reservations =
         tideroute_settings::scheduler_config(&settings_with("/family_info/ahead", None))
             .expect("the settings are valid");
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -36,18 +36,18 @@
 }
 
 /// Parses an IPv4 address with a port.
-pub fn socket(text: &str) -> Result<SocketAddrV4, ConvertError> {
+pub fn parse_socket(text: &str) -> Result<SocketAddrV4, ConvertError> {
     text.parse().map_err(|_| ConvertError::InvalidAddress(text.to_string()))
 }
 
 /// Parses a hash of 64 hexadecimal digits.
-pub fn hash(text: &str) -> Result<[u8; 32], ConvertError> {
+pub fn parse_hash(text: &str) -> Result<[u8; 32], ConvertError> {
     blake3::Hash::from_hex(text).map(|hash| *hash.as_bytes()).map_err(ConvertError::InvalidHash)
 }
 
 /// Parses an IPv4 address with a port into the form of the wire protocol.
-pub fn address(text: &str) -> Result<Address, ConvertError> {
-    let parsed = socket(text)?;
+pub fn parse_address(text: &str) -> Result<Address, ConvertError> {
+    let parsed = parse_socket(text)?;
     let ([a, b, c, d], [high, low]) = (parsed.ip().octets(), parsed.port().to_be_bytes());
     Ok([a, b, c, d, high, low])
 }
@@ -109,7 +109,7 @@
 /// Returns the settings of one core of a router. The scheduler treats each core as a separate router, so that all cores
 /// together stay within the slow-start budget of a worker without communicating. Limits are divided evenly among the
 /// cores.
-pub fn router(
+pub fn router_config(
     config: &Router,
     core: u32,
     seed: u64,
@@ -131,7 +131,7 @@
     };
     Ok(tideroute_lifecycle::RouterConfig {
         lifecycle: lifecycle_config,
-        discovery: address(&config.discovery)?,
+        discovery: parse_address(&config.discovery)?,
         origin,
         network_delay: config.settings.network_delay,
         stream_window_tokens: config.settings.stream_window_tokens,
@@ -146,15 +146,15 @@
     membership: &MembershipConfig,
     seed: u64,
 ) -> Result<(tideroute_membership::MembershipConfig, MessageAuthenticator), ConvertError> {
-    let key = hash(&membership.key).map_err(|e| ConvertError::Key {
+    let key = parse_hash(&membership.key).map_err(|e| ConvertError::Key {
         owner: format!("the fleet {}", membership.name),
         source: Box::new(e),
     })?;
     let seeds =
-        membership.seeds.iter().map(|seed_address| address(seed_address)).collect::<Result<_, _>>()?;
+        membership.seeds.iter().map(|seed_address| parse_address(seed_address)).collect::<Result<_, _>>()?;
     let config = tideroute_membership::MembershipConfig {
         name: name.to_string(),
-        address: address(&membership.listen)?,
+        address: parse_address(&membership.listen)?,
         seeds,
         rng_seed: seed,
     };
@@ -170,7 +170,7 @@
 
 fn tenant(tenant: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
     let rate = |per_second: Option<f64>, burst| per_second.map(|per_second| RateLimit { per_second, burst });
-    let key = hash(&tenant.key)
+    let key = parse_hash(&tenant.key)
         .map_err(|e| ConvertError::Key { owner: tenant.name.clone(), source: Box::new(e) })?;
     let limits = Limits {
         requests: rate(tenant.requests_per_second, tenant.request_burst),
@@ -205,7 +205,7 @@
 }
 
 /// Returns the settings of an emulated worker that starts at `now` and whose script began at `script_start`.
-pub fn worker(
+pub fn worker_config(
     config: &Worker,
     cold: bool,
     script_start: Micros,
@@ -214,8 +214,8 @@
     let capacity: &WorkerCapacity = &config.capacity;
     Ok(WorkerConfig {
         name: config.name.clone(),
-        address: address(&config.listen)?,
-        discovery: address(&config.discovery)?,
+        address: parse_address(&config.listen)?,
+        discovery: parse_address(&config.discovery)?,
         role: match capacity.role {
             Role::Reader => WorkerRole::Prefill,
             Role::Writer => WorkerRole::Decode,
@@ -243,9 +243,10 @@
 }
 
 /// Returns the settings of a relay that starts at `now` and whose script began at `from`.
-pub fn relay(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
-    let route =
-        |listener: &RelayListener| Ok(Route { to: address(&listener.to)?, faults: listener.faults.clone() });
+pub fn relay_config(config: &Relay, from: Micros, now: Micros) -> Result<RelayConfig, ConvertError> {
+    let route = |listener: &RelayListener| {
+        Ok(Route { to: parse_address(&listener.to)?, faults: listener.faults.clone() })
+    };
     let elapsed = now.saturating_sub(from);
     let until_start = from.saturating_sub(now);
     let fault = |fault: &RelayFault| tideroute_relay::Fault {
@@ -274,7 +275,7 @@
 }
 
 /// Returns the settings of an endpoint list that starts at `now` and whose script began at `from`.
-pub fn discovery(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
+pub fn discovery_config(config: &Discovery, from: Micros, now: Micros) -> DiscoveryConfig {
     let delays = config
         .delays
         .iter()
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -20,7 +20,7 @@
 
 /// Returns the scenario with its random faults generated and added to its scheduled ones.
 pub fn with_generated_faults(scenario: &Scenario) -> Scenario {
-    let mut scenario = scenario.with_names();
+    let mut scenario = scenario.with_resolved_targets();
     let Some(random_faults) = scenario.random_faults.clone() else { return scenario };
     let mut rng = Pcg64::seed_from_u64(random_faults.seed);
     let (first, last) = (random_faults.from, random_faults.until.unwrap_or(scenario.load.duration));
@@ -36,7 +36,7 @@
         let duration = rng.random_range(MIN_DURATION..=random_faults.max_duration.max(MIN_DURATION));
         let mut fault = generate_fault(&scenario, &mut rng);
         (fault.at, fault.duration) = (at, Some(duration));
-        fault.targets = fault.targets.iter().flat_map(|name| scenario.named(name)).collect();
+        fault.targets = fault.targets.iter().flat_map(|name| scenario.processes_matching(name)).collect();
         if fault.kind == "kill" {
             fault.restart_after = fault.duration.take();
         }
--- a/crates/simulation/src/member_cluster.rs
+++ b/crates/simulation/src/member_cluster.rs
@@ -85,7 +85,7 @@
     /// All changes of status that members observed of others, in order of time.
     pub observations: Vec<Observation>,
     /// Real time spent in the code of the members.
-    pub member_cpu_time: std::time::Duration,
+    pub time_in_members: std::time::Duration,
 }
 
 /// Returns the address of a member, which contains its index.
@@ -128,7 +128,7 @@
             rng: Pcg64::seed_from_u64(seed),
             authenticator: MessageAuthenticator::new("crowd", &[7; 32]),
             observations: vec![],
-            member_cpu_time: Default::default(),
+            time_in_members: Default::default(),
         }
     }
 
@@ -320,7 +320,7 @@
         if let (Ok(message), Some(membership)) = (message, &mut self.nodes[member].membership) {
             membership.handle_datagram(now, from, &message).expect("messages of members are well formed");
         }
-        self.member_cpu_time += started_at.elapsed();
+        self.time_in_members += started_at.elapsed();
     }
 
     /// Executes the actions of a member until it has no more.
@@ -333,7 +333,7 @@
                 Output::Send { to, message } => (Some((to, self.authenticator.sign(&message))), None),
                 Output::StatusChanged(observed) => (None, Some(observed)),
             });
-            self.member_cpu_time += started_at.elapsed();
+            self.time_in_members += started_at.elapsed();
             let Some((message, observation)) = action else { break };
             self.observations.extend(observation.map(|observed| Observation {
                 at: self.now,
--- a/crates/simulation/src/prefill_policies.rs
+++ b/crates/simulation/src/prefill_policies.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PrefillPolicy {
     /// The worker at the index of the session modulo the number of workers, as a client without load balancing chooses.
-    Next,
+    BySession,
     /// A random worker.
     Random,
     /// The worker with the fewest prefills among those that the router of the client has sent.
@@ -31,7 +31,7 @@
 impl PrefillPolicy {
     /// All policies with their names on the command line.
     pub const ALL: [(&'static str, PrefillPolicy); 6] = [
-        ("next", PrefillPolicy::Next),
+        ("next", PrefillPolicy::BySession),
         ("random", PrefillPolicy::Random),
         ("fewest-own", PrefillPolicy::FewestOwn),
         ("two-choices", PrefillPolicy::TwoChoices),
@@ -110,7 +110,7 @@
         let count = workers.len();
         let random_index = |rng: &mut Pcg64| rng.random_range(0..count);
         match self.policy {
-            PrefillPolicy::Next => Some((session % count as u64) as usize),
+            PrefillPolicy::BySession => Some((session % count as u64) as usize),
             PrefillPolicy::Random => Some(random_index(&mut self.rng)),
             PrefillPolicy::TwoChoices => {
                 let candidates = [random_index(&mut self.rng), random_index(&mut self.rng)];
--- a/crates/simulation/src/process_configs.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -6,7 +6,7 @@
     Discovery, DiscoveryDelay, File, Load, LoadBurst, MembershipConfig, Role, Router, Scenario,
     SchedulerSettings, Tenant, TenantKey, Worker, WorkerFault, WorkerGroup,
 };
-use tideroute_membership_checker::{FleetMembers, Partition};
+use tideroute_membership_checker::{ClusterMembers, Partition};
 use tideroute_trace_checker::{ClassConfig, DeduplicationScope, Idempotency, WorkerConfig};
 use tideroute_wire::Micros;
 
@@ -104,7 +104,7 @@
         fault.targets.iter().any(|target| target == name)
     };
     let scripted =
-        scenario.scheduled_faults.iter().filter(targets_worker).filter(|fault| !fault.from_outside());
+        scenario.scheduled_faults.iter().filter(targets_worker).filter(|fault| !fault.is_external());
     let script = scripted.map(|fault| WorkerFault {
         at: fault.at,
         kind: fault.kind.clone(),
@@ -164,7 +164,7 @@
 /// Returns what the direct client load knows of the workers.
 pub fn known_workers(scenario: &Scenario, addresses: &ProcessAddresses) -> Vec<KnownWorker> {
     let workers = scenario.workers().enumerate().filter_map(|(index, (_, group, index_in_group))| {
-        let address = crate::convert::address(&addresses.workers[index]).ok()?;
+        let address = crate::convert::parse_address(&addresses.workers[index]).ok()?;
         let cell = (index_in_group % usize::from(scenario.cells)) as u16;
         let (is_prefill, size) = (group.capacity.role == Role::Reader, group.capacity.size);
         Some(KnownWorker { address, is_prefill, cell, size })
@@ -176,21 +176,22 @@
 const PARTITIONING_LOSS: f64 = 0.25;
 
 /// Returns what the membership checker needs to know of the scenario; `None` if the routers form no cluster.
-pub fn fleet_members(scenario: &Scenario, load_starts_at: Micros) -> Option<FleetMembers> {
+pub fn fleet_members(scenario: &Scenario, load_starts_at: Micros) -> Option<ClusterMembers> {
     let partitions = scenario.scheduled_faults.iter().filter(|fault| {
         fault.kind == "cut"
             || fault.kind == "delay" && fault.loss.is_some_and(|loss| loss > PARTITIONING_LOSS)
     });
-    let named = |names: &[String]| names.iter().flat_map(|name| scenario.named(name)).collect();
+    let named = |names: &[String]| names.iter().flat_map(|name| scenario.processes_matching(name)).collect();
     let partitions = partitions.map(|fault| Partition {
         from: load_starts_at + fault.at,
         until: load_starts_at + fault.at + fault.duration.unwrap_or(0),
         side: named(&fault.side),
         other_side: named(&fault.other_side),
     });
-    scenario
-        .membership
-        .then(|| FleetMembers { names: scenario.router_names().collect(), partitions: partitions.collect() })
+    scenario.membership.then(|| ClusterMembers {
+        names: scenario.router_names().collect(),
+        partitions: partitions.collect(),
+    })
 }
 
 /// Returns what the trace checker needs to know of the scenario.
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -99,8 +99,9 @@
         if network_faults.is_empty() {
             return relays;
         }
-        let expand =
-            |names: &[String]| names.iter().flat_map(|name| scenario.named(name)).collect::<HashSet<_>>();
+        let expand = |names: &[String]| {
+            names.iter().flat_map(|name| scenario.processes_matching(name)).collect::<HashSet<_>>()
+        };
         let fault_sets: Vec<_> =
             network_faults.iter().map(|fault| (expand(&fault.side), expand(&fault.other_side))).collect();
         let routers: Vec<_> = scenario.router_names().collect();
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -123,7 +123,7 @@
         serde_json::to_value(process_configs::fleet_members(scenario, player.load_starts_at))
             .unwrap_or_default();
     capture_merge::merge(capture_parts, &checker_config.to_string(), &capture)?;
-    let (report, membership) = (check(&capture)?, check_membership(&capture)?);
+    let (report, membership) = (check_rules(&capture)?, check_membership(&capture)?);
     let load_results = std::fs::read(folder.join("load.json")).map_err(|_| ScenarioError::NoLoadResults)?;
     let load_results = serde_json::from_slice(&load_results).map_err(|_| ScenarioError::NoLoadResults)?;
     let expected =
@@ -230,7 +230,7 @@
 }
 
 /// Checks the rules on a capture.
-pub fn check(capture: &Path) -> Result<Report, ScenarioError> {
+pub fn check_rules(capture: &Path) -> Result<Report, ScenarioError> {
     Ok(tideroute_trace_checker::check(open(capture)?)?)
 }
 
--- a/crates/simulation/src/scenario/player.rs
+++ b/crates/simulation/src/scenario/player.rs
@@ -12,7 +12,7 @@
 
 use super::timeline::{fault_timeline, FaultAction};
 use super::ScenarioError;
-use crate::convert::address;
+use crate::convert::parse_address;
 use crate::process_configs::{self, ProcessAddresses};
 use crate::processes::{ProcessSpec, Processes};
 use crate::relays::Relays;
@@ -62,7 +62,7 @@
         let spec = ProcessSpec {
             name: name.to_string(),
             role: role.to_string(),
-            address: listen.and_then(|text| address(text).ok()),
+            address: listen.and_then(|text| parse_address(text).ok()),
             arguments: arguments.iter().map(|argument| argument.to_string()).collect(),
             inherits_output: role == "client",
             cores: if role == "router" { self.scenario.cores } else { 1 },
--- a/crates/simulation/src/virtual_scenario.rs
+++ b/crates/simulation/src/virtual_scenario.rs
@@ -108,7 +108,7 @@
         let load_config = process_configs::load(scenario, &addresses)
             .load
             .ok_or_else(|| VirtualScenarioError::InvalidScenario("it has no client load".into()))?;
-        let routers = addresses.routers.iter().map(|router| convert::address(router));
+        let routers = addresses.routers.iter().map(|router| convert::parse_address(router));
         let routers = routers.collect::<Result<_, _>>()?;
         let load = SharedLoad(Arc::new(Mutex::new(Load::new(load_config, routers))));
         let simulator = Simulator::new(EPOCH, NETWORK_DELAY);
@@ -220,7 +220,7 @@
             (
                 "list",
                 &addresses.discovery,
-                Box::new(Discovery::new(convert::discovery(&discovery, self.load_starts_at, now))),
+                Box::new(Discovery::new(convert::discovery_config(&discovery, self.load_starts_at, now))),
             )
         } else if let Some(router_index) = scenario.router_names().position(|router| router == name) {
             let mut router = process_configs::router(scenario, addresses, router_index, String::new())
@@ -231,7 +231,7 @@
             let seed = scenario.seed << 16 | self.start_count;
             let persisted_endpoints = self.nodes.get(name).and_then(|&node| self.simulator.persisted(node));
             let router = ProtobufRouter::new(
-                convert::router(&router, 0, seed, u128::from(seed))?,
+                convert::router_config(&router, 0, seed, u128::from(seed))?,
                 persisted_endpoints,
                 now,
             );
@@ -243,10 +243,10 @@
             let worker = process_configs::worker(scenario, addresses, index, name, group, index_in_group)
                 .worker
                 .ok_or_else(missing)?;
-            let worker_config = convert::worker(&worker, cold, self.load_starts_at, now)?;
+            let worker_config = convert::worker_config(&worker, cold, self.load_starts_at, now)?;
             ("worker", &addresses.workers[index], Box::new(EmulatedWorker::new(worker_config, now)))
         };
-        let address = convert::address(address)?;
+        let address = convert::parse_address(address)?;
         let simulator = &mut self.simulator;
         let node = *self
             .nodes
--- a/crates/simulation/tests/generated_faults.rs
+++ b/crates/simulation/tests/generated_faults.rs
@@ -64,7 +64,11 @@
             );
             assert!(fault.targets.iter().all(|target| known.contains(target)), "{fault:?}");
             assert!(
-                fault.side.iter().chain(&fault.other_side).all(|name| !scenario.named(name).is_empty()),
+                fault
+                    .side
+                    .iter()
+                    .chain(&fault.other_side)
+                    .all(|name| !scenario.processes_matching(name).is_empty()),
                 "{fault:?}"
             );
             assert!(
--- a/src/scheduler/dispatcher.rs
+++ b/src/scheduler/dispatcher.rs
@@ -63,8 +63,8 @@
         if request.attempts + 2 > self.fleet.config.max_attempts {
             return self.finish(request);
         }
-        if request.attempts == 0 && !request.admitted {
-            request.admitted = true;
+        if request.attempts == 0 && !request.admission_decided {
+            request.admission_decided = true;
             if !self.admits(now, request) {
                 return self.finish(request);
             }
--- a/src/scheduler/request.rs
+++ b/src/scheduler/request.rs
@@ -78,8 +78,8 @@
     pub first_run: Option<FirstRun>,
     /// A KV state or reservation that cannot be used any more is to be released.
     pub must_release: bool,
-    /// Admission control has decided about the request, so it is not asked again.
-    pub admitted: bool,
+    /// Whether admission control has decided about the request; it is then not asked again.
+    pub admission_decided: bool,
     /// The request has its final response, or its client is gone.
     pub ended: bool,
     /// What in-flight accounting currently counts for the request.
@@ -93,7 +93,7 @@
         RequestState {
             new_request,
             arrived_at: now,
-            ttft_objective: now + class.ttft_objective_for(new_request.prompt_tokens),
+            ttft_objective: now + class.ttft_objective_for_prompt(new_request.prompt_tokens),
             deadline: now + new_request.remaining_time,
             attempts: 0,
             attempt: None,
@@ -103,7 +103,7 @@
             idle_since: now,
             first_run: None,
             must_release: false,
-            admitted: false,
+            admission_decided: false,
             ended: false,
             occupancy: Occupancy::default(),
             queue_position: QueuePosition::default(),
--- a/src/types.rs
+++ b/src/types.rs
@@ -70,13 +70,21 @@
         }
     }
 
-    /// Returns whether the worker `here` recognizes a retry. `first` describes the first attempt that may have
-    /// run: when it was sent, and its worker as it was listed then.
-    pub fn deduplicates_at(self, first: Option<(TenthMillis, Endpoint)>, here: &Endpoint) -> bool {
-        let Some((_, first)) = first else { return true };
+    /// Returns whether the worker at `endpoint` recognizes a retry. `first_attempt` describes the first attempt
+    /// that may have run: when it was sent, and its worker as it was listed then.
+    pub fn deduplicates_at(
+        self,
+        first_attempt: Option<(TenthMillis, Endpoint)>,
+        endpoint: &Endpoint,
+    ) -> bool {
+        let Some((_, first_endpoint)) = first_attempt else { return true };
         match self {
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => first.zone == here.zone,
-            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => first.cell == here.cell,
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Zone, .. } => {
+                first_endpoint.zone == endpoint.zone
+            }
+            Idempotency::IdempotentWithKey { scope: DeduplicationScope::Cell, .. } => {
+                first_endpoint.cell == endpoint.cell
+            }
             _ => true,
         }
     }
@@ -155,7 +163,7 @@
 
 impl RequestClass {
     /// Returns the latency objective of a request with `prompt_tokens` prompt tokens.
-    pub fn ttft_objective_for(&self, prompt_tokens: f64) -> TenthMillis {
+    pub fn ttft_objective_for_prompt(&self, prompt_tokens: f64) -> TenthMillis {
         let added = self.ttft_objective_per_1000_tokens as f64 * prompt_tokens.max(0.0) / 1000.0;
         self.ttft_objective + added as TenthMillis
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -172,7 +172,7 @@
         self.next_id += 1;
         let new_request = NewRequest { id, class, session: id, prefix, prompt_tokens, remaining_time };
         assert!(self.scheduler.request_arrived(self.now, new_request));
-        let allowance = self.config.classes[usize::from(class)].ttft_objective_for(prompt_tokens);
+        let allowance = self.config.classes[usize::from(class)].ttft_objective_for_prompt(prompt_tokens);
         let request = OpenRequest {
             class,
             ttft_objective: self.now + allowance,
