--- a/crates/simulation/src/client_load/mod.rs
+++ b/crates/simulation/src/client_load/mod.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns the second of the load for which a request was planned.
-    fn arrival_second(&self, request_index: usize) -> usize {
+    fn request_second(&self, request_index: usize) -> usize {
         (self.planned[request_index].at / 1_000_000) as usize
     }
 
@@ -144,7 +144,7 @@
                 planned.class,
                 planned.tenant,
                 priority_weight,
-                self.arrival_second(request_index),
+                self.request_second(request_index),
             );
             let started_at = self.load_started_at + self.planned[request_index].at;
             let request = RequestProgress {
@@ -304,10 +304,10 @@
         let objective = class.ttft_objective
             + u64::from(planned.prompt_tokens) * class.ttft_objective_per_1000_tokens / 1000;
         let late_weight = (elapsed > objective).then_some(class.late_weight);
-        let (class_index, priority_weight, arrival_second) =
-            (planned.class, class.priority_weight, self.arrival_second(request_index));
+        let (class_index, priority_weight, request_second) =
+            (planned.class, class.priority_weight, self.request_second(request_index));
         let tenant = planned.tenant;
-        self.statistics.record_response(class_index, tenant, priority_weight, late_weight, arrival_second);
+        self.statistics.record_response(class_index, tenant, priority_weight, late_weight, request_second);
         self.statistics.record_first_token(elapsed);
         if let Some(request) = self.requests.get_mut(&request_index) {
             (request.finished, request.in_flight) = (true, None);
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -164,8 +164,8 @@
 /// Returns the tenants that the configuration names; `None` if clients need no key. The administration API provides the
 /// tenants of a store.
 fn tenants(config: &Router) -> Result<Option<Vec<tideroute_lifecycle::TenantConfig>>, ConvertError> {
-    let named = config.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
-    Ok((config.admin.is_some() || !named.is_empty()).then_some(named))
+    let configured = config.tenants.iter().map(tenant).collect::<Result<Vec<_>, _>>()?;
+    Ok((config.admin.is_some() || !configured.is_empty()).then_some(configured))
 }
 
 fn tenant(tenant: &Tenant) -> Result<tideroute_lifecycle::TenantConfig, ConvertError> {
--- a/crates/simulation/src/process_configs.rs
+++ b/crates/simulation/src/process_configs.rs
@@ -176,17 +176,18 @@
 const PARTITIONING_LOSS: f64 = 0.25;
 
 /// Returns what the membership checker needs to know of the scenario; `None` if the routers form no cluster.
-pub fn fleet_members(scenario: &Scenario, load_starts_at: Micros) -> Option<ClusterMembers> {
+pub fn cluster_members(scenario: &Scenario, load_starts_at: Micros) -> Option<ClusterMembers> {
     let partitions = scenario.scheduled_faults.iter().filter(|fault| {
         fault.kind == "cut"
             || fault.kind == "delay" && fault.loss.is_some_and(|loss| loss > PARTITIONING_LOSS)
     });
-    let named = |names: &[String]| names.iter().flat_map(|name| scenario.processes_matching(name)).collect();
+    let matching_processes =
+        |names: &[String]| names.iter().flat_map(|name| scenario.processes_matching(name)).collect();
     let partitions = partitions.map(|fault| Partition {
         from: load_starts_at + fault.at,
         until: load_starts_at + fault.at + fault.duration.unwrap_or(0),
-        side: named(&fault.side),
-        other_side: named(&fault.other_side),
+        side: matching_processes(&fault.side),
+        other_side: matching_processes(&fault.other_side),
     });
     scenario.membership.then(|| ClusterMembers {
         names: scenario.router_names().collect(),
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -69,12 +69,12 @@
 /// affects those in the other direction.
 fn both_directions(fault: &ScenarioFault) -> [RelayFault; 2] {
     let direction = fault.direction.as_deref().unwrap_or("both");
-    let back = match direction {
+    let opposite = match direction {
         "there" => "back",
         "back" => "there",
         both => both,
     };
-    [direction, back].map(|direction| RelayFault {
+    [direction, opposite].map(|direction| RelayFault {
         at: fault.at,
         duration: fault.duration.unwrap_or(0),
         direction: direction.into(),
--- a/crates/simulation/src/scenario/expectations.rs
+++ b/crates/simulation/src/scenario/expectations.rs
@@ -43,7 +43,7 @@
             bytes <= scenario.expect.max_memory,
         ),
         ("routers exit cleanly on SIGTERM".into(), format!("{failed_exits} did not"), failed_exits == 0),
-        ("no worker overloaded".into(), crashed.join(", "), crashed.is_empty()),
+        ("no process crashed".into(), crashed.join(", "), crashed.is_empty()),
         (
             "every response correct and in time".into(),
             format!("{bad_responses:.0} not"),
--- a/crates/simulation/src/scenario/mod.rs
+++ b/crates/simulation/src/scenario/mod.rs
@@ -120,7 +120,7 @@
     let mut checker_config =
         serde_json::to_value(process_configs::checker_config(scenario, &addresses)).unwrap_or_default();
     checker_config["members"] =
-        serde_json::to_value(process_configs::fleet_members(scenario, player.load_starts_at))
+        serde_json::to_value(process_configs::cluster_members(scenario, player.load_starts_at))
             .unwrap_or_default();
     capture_merge::merge(capture_parts, &checker_config.to_string(), &capture)?;
     let (report, membership) = (check_rules(&capture)?, check_membership(&capture)?);
--- a/crates/simulation/src/simulator/connections.rs
+++ b/crates/simulation/src/simulator/connections.rs
@@ -22,7 +22,7 @@
     pub(super) paused: bool,
     pub(super) waiting: VecDeque<Bytes>,
     /// When the last frame sent on it arrives; a later frame arrives no earlier.
-    pub(super) last_arrival: Micros,
+    pub(super) last_delivery: Micros,
 }
 
 impl Simulator {
@@ -42,7 +42,7 @@
             received: 0,
             paused: false,
             waiting: VecDeque::new(),
-            last_arrival: now,
+            last_delivery: now,
         };
         let fails_after = match target {
             Some(node) if is_partitioned(node) || is_partitioned(id) => Some(timeout),
@@ -76,8 +76,8 @@
         };
         let position = end.sent;
         end.sent += 1;
-        end.last_arrival = end.last_arrival.max(self.now + self.delay);
-        let arrival = end.last_arrival;
+        end.last_delivery = end.last_delivery.max(self.now + self.delay);
+        let delivered_at = end.last_delivery;
         let peer = end.peer;
         self.capture_event(id, connection, CaptureEvent::Sent, position, &frame);
         let Some((node, peer_connection)) = peer else { return };
@@ -85,7 +85,7 @@
             return;
         }
         let incarnation = self.connection_ends.get(&(node, peer_connection)).map_or(0, |end| end.incarnation);
-        self.schedule(arrival, node, incarnation, Event::Frame(peer_connection, frame));
+        self.schedule(delivered_at, node, incarnation, Event::Frame(peer_connection, frame));
     }
 
     /// Delivers a frame to a program.
@@ -118,7 +118,7 @@
             return;
         };
         end.open = false;
-        let at = end.last_arrival.max(self.now + self.delay);
+        let at = end.last_delivery.max(self.now + self.delay);
         if let Some((node, peer_connection)) = end.peer {
             let incarnation =
                 self.connection_ends.get(&(node, peer_connection)).map_or(0, |end| end.incarnation);
