--- a/crates/command/src/fleet_status/tests.rs
+++ b/crates/command/src/fleet_status/tests.rs
@@ -1,9 +1,9 @@
-//! The JSON of `fleet status`, whose keys and words scripts read.
+//! The JSON of `fleet status`, whose keys and status names are read by scripts.
 
 use super::*;
 
 #[test]
-fn the_json_of_a_status_has_its_keys_and_words() {
+fn the_json_of_a_status_keeps_its_keys_and_status_names() {
     let member = |status: MemberStatus| ShownMember {
         address: "127.0.0.1:7000".into(),
         status: status.into(),
@@ -22,7 +22,8 @@
         differ: BTreeMap::from([("c".into(), vec!["lacks a".into()])]),
         silent: vec!["d".into()],
     };
-    let shown = |word: &str| format!(r#"{{"address":"127.0.0.1:7000","standing":"{word}","incarnation":5}}"#);
+    let shown =
+        |status: &str| format!(r#"{{"address":"127.0.0.1:7000","standing":"{status}","incarnation":5}}"#);
     let [alive, suspected, dead, left] = ["there", "suspected", "dead", "left"].map(shown);
     let expected = format!(
         r#"{{"fleet":"harbour","router":"a","health":1,"alone":false,"seen":{{"a":{alive},"b":{suspected},"c":{dead},"d":{left}}},"agree":["b"],"differ":{{"c":["lacks a"]}},"silent":["d"]}}"#
--- a/crates/gateway/tests/shutdown_obligations/simulation.rs
+++ b/crates/gateway/tests/shutdown_obligations/simulation.rs
@@ -234,10 +234,10 @@
         let text = sent[seen_bytes..].to_string();
         let Some(worker) = self.worker(connection) else { return true };
         let now = self.harness.now;
-        let word_after =
+        let value_after =
             |prefix: &str| text.split(prefix).nth(1)?.split(['\r', ' ']).next().map(str::to_string);
         if text.starts_with("POST /v1") {
-            let trace_id = word_after("x-trace-id: ").expect("an id");
+            let trace_id = value_after("x-trace-id: ").expect("an id");
             let client_index: usize = trace_id[1..].parse().expect("a number");
             let is_too_late = self
                 .clients
--- a/crates/gateway/tests/shutdown_obligations/workers.rs
+++ b/crates/gateway/tests/shutdown_obligations/workers.rs
@@ -5,27 +5,27 @@
 impl Simulation {
     /// Handles a call that has arrived at its worker.
     pub(super) fn call_received(&mut self, connection: ConnectionId, worker: usize, text: &str) {
-        let word_after = |prefix: &str| {
+        let value_after = |prefix: &str| {
             text.split(prefix).nth(1).and_then(|rest| rest.split(['\r', ' ']).next()).unwrap_or("")
         };
         if text.starts_with("GET ") {
             return self.schedule(1, Event::Response(connection, response(200, "", "")));
         }
         if text.starts_with("DELETE ") {
-            let request = self.requests.entry(word_after("/internal/reservations/").into()).or_default();
+            let request = self.requests.entry(value_after("/internal/reservations/").into()).or_default();
             (request.has_state, request.is_reserved) =
                 (request.has_state && !request.decodes.is_empty(), false);
             return self.schedule(1, Event::Response(connection, "HTTP/1.1 204 No Content\r\n\r\n".into()));
         }
         if text.starts_with("POST /internal") {
-            let trace_id = word_after("/internal/reservations/").to_string();
+            let trace_id = value_after("/internal/reservations/").to_string();
             let knows_prefill =
                 self.requests.get(&trace_id).is_some_and(|request| !request.prefills.is_empty());
             let duration_ms = if knows_prefill { self.random_range(1, 60) } else { 300 };
             return self
                 .schedule(duration_ms, Event::ReservationAnswered(connection, trace_id, knows_prefill));
         }
-        let (trace_id, roll) = (word_after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
+        let (trace_id, roll) = (value_after("x-trace-id: ").to_string(), self.random_range(0, 100) as u8);
         let request = self.requests.entry(trace_id.clone()).or_default();
         if WORKERS[worker].kind == "reading" {
             request.prefills.insert(connection);
--- a/crates/load-balance-report/src/herd_detector.rs
+++ b/crates/load-balance-report/src/herd_detector.rs
@@ -32,8 +32,8 @@
 }
 
 impl HerdDetector {
-    /// Records an arrival at a worker. `weights` are the capacities of all workers, 0 for a worker that does not run.
-    pub fn arrived(&mut self, now: Micros, worker: usize, weights: &[f64]) {
+    /// Records an attempt that a worker received. `weights` are the capacities of all workers, 0 for a worker that does not run.
+    pub fn attempt_received(&mut self, now: Micros, worker: usize, weights: &[f64]) {
         if self.arrivals.len() != weights.len() {
             self.arrivals = vec![0; weights.len()];
         }
--- a/crates/load-balance-report/src/herd_detector/tests.rs
+++ b/crates/load-balance-report/src/herd_detector/tests.rs
@@ -12,7 +12,7 @@
     let weights = [1.0; 40];
     let mut detector = HerdDetector::default();
     for n in 0..30_000u64 {
-        detector.arrived(1_000_000 + n * 4_000, choose(n), &weights);
+        detector.attempt_received(1_000_000 + n * 4_000, choose(n), &weights);
     }
     detector.close_window(&weights);
     (detector.dispersion_index(), detector.herd_windows() as f64, detector.expected_herd_windows())
--- a/crates/load-balance-report/src/role_load.rs
+++ b/crates/load-balance-report/src/role_load.rs
@@ -57,13 +57,13 @@
     }
 
     /// Records that an attempt arrived at a worker.
-    pub fn attempt_arrived(&mut self, now: Micros, worker: usize) {
+    pub fn attempt_received(&mut self, now: Micros, worker: usize) {
         self.advance(now);
         self.arrivals += 1;
         self.workers[worker].in_flight += 1;
         let running_weight = |worker: &Worker| if worker.is_running { worker.weight } else { 0.0 };
         let weights: Vec<f64> = self.workers.iter().map(running_weight).collect();
-        self.herds.arrived(now, worker, &weights);
+        self.herds.attempt_received(now, worker, &weights);
     }
 
     /// Records that an attempt at a worker ended.
--- a/crates/load-balance-report/src/worker_side.rs
+++ b/crates/load-balance-report/src/worker_side.rs
@@ -141,11 +141,11 @@
         }
     }
 
-    fn attempt_arrived(&mut self, captured: &CapturedFrame, request_id: u64, shared_prefix_tokens: u32) {
+    fn attempt_received(&mut self, captured: &CapturedFrame, request_id: u64, shared_prefix_tokens: u32) {
         let Some(&WorkerIndex { role, index }) = self.workers.get(&captured.process) else { return };
         let attempt = AttemptKey::of(captured, request_id);
         if self.attempts.insert(attempt, shared_prefix_tokens).is_none() {
-            self.loads[role as usize].attempt_arrived(captured.at, index);
+            self.loads[role as usize].attempt_received(captured.at, index);
         }
     }
 
@@ -205,7 +205,7 @@
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
         let shared = if prefix != 0 { prefix_tokens } else { 0 };
-        self.side.attempt_arrived(self.captured, id, shared);
+        self.side.attempt_received(self.captured, id, shared);
         Ok(())
     }
 
@@ -235,7 +235,7 @@
         _prefix_tokens: u32,
         _prompt: Bytes,
     ) -> Result<(), Malformed> {
-        self.side.attempt_arrived(self.captured, id, 0);
+        self.side.attempt_received(self.captured, id, 0);
         Ok(())
     }
 
--- a/crates/membership-checker/src/view_convergence.rs
+++ b/crates/membership-checker/src/view_convergence.rs
@@ -96,17 +96,17 @@
     for member in (0..truth.names.len()).filter(|member| *member != viewer) {
         let is_seen = has_observed && views.statuses[viewer][member] == ObservedStatus::Member;
         let down_since = truth.down_since(member, at);
-        let must_be_gone = down_since.is_some_and(|since| since + MAX_DETECTION_TIME_OF_ALL <= at);
+        let must_be_absent = down_since.is_some_and(|since| since + MAX_DETECTION_TIME_OF_ALL <= at);
         let run = truth.run_at(member, at);
         let must_be_seen = run.is_some_and(|run| run.from + CONVERGENCE_TIME <= at);
-        if must_be_gone || must_be_seen {
+        if must_be_absent || must_be_seen {
             report.compared_views += 1;
         }
         let viewer = truth.names[viewer].clone();
         let member = truth.names[member].clone();
         if must_be_seen && !is_seen {
             report.add_violation(at, ViolationKind::MissingMember { viewer, member });
-        } else if must_be_gone && is_seen {
+        } else if must_be_absent && is_seen {
             report.add_violation(at, ViolationKind::StaleMember { viewer, member });
         }
     }
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -81,7 +81,7 @@
                 self.suspect(now, slot, claim.suspecter, false);
                 self.send_rumors(slot);
             }
-            MemberStatus::Dead | MemberStatus::Left => self.mark_gone(now, slot, address, claimed),
+            MemberStatus::Dead | MemberStatus::Left => self.mark_dead_or_left(now, slot, address, claimed),
             MemberStatus::Alive => self.mark_alive(slot, known.status, claim),
         }
     }
--- a/crates/membership/src/membership/suspicions.rs
+++ b/crates/membership/src/membership/suspicions.rs
@@ -60,12 +60,18 @@
             let dead = Precedence { incarnation: entry.member.incarnation, status: MemberStatus::Dead };
             let address = entry.member.address;
             self.stats.declared_dead += 1;
-            self.mark_gone(now, slot, address, dead);
+            self.mark_dead_or_left(now, slot, address, dead);
         }
     }
 
     /// Records that a member is dead or has left.
-    pub(super) fn mark_gone(&mut self, now: Micros, slot: usize, address: Address, precedence: Precedence) {
+    pub(super) fn mark_dead_or_left(
+        &mut self,
+        now: Micros,
+        slot: usize,
+        address: Address,
+        precedence: Precedence,
+    ) {
         self.members.update(slot, address, precedence);
         self.members.set_expiration(slot, Some(now + FORGET_AFTER));
         self.members.rumors.start(slot);
--- a/crates/membership/tests/membership/claims.rs
+++ b/crates/membership/tests/membership/claims.rs
@@ -26,8 +26,8 @@
             continue;
         };
         // In a page, a claim that a member of the cluster is dead counts only as a suspicion.
-        let is_doubted = claim.in_page && claim.status == MemberStatus::Dead && known.1.is_in();
-        let status = if is_doubted { MemberStatus::Suspected } else { claim.status };
+        let counts_as_suspicion = claim.in_page && claim.status == MemberStatus::Dead && known.1.is_in();
+        let status = if counts_as_suspicion { MemberStatus::Suspected } else { claim.status };
         if (claim.incarnation, status) > known {
             view.insert(claim.name.clone(), (claim.incarnation, status));
         }
--- a/crates/simulation/src/capture_merge.rs
+++ b/crates/simulation/src/capture_merge.rs
@@ -41,7 +41,7 @@
         if self.next_event.is_none() && !self.ended {
             self.next_event = match self.reader.next_passed() {
                 // The process was killed while it wrote; the events before the incomplete one are used.
-                Err(CaptureError::CutOff { .. }) if self.killed.is_some() => None,
+                Err(CaptureError::Truncated { .. }) if self.killed.is_some() => None,
                 next => next?,
             };
             self.ended = self.next_event.is_none();
--- a/crates/wire/src/capture/event.rs
+++ b/crates/wire/src/capture/event.rs
@@ -87,7 +87,7 @@
     },
     /// The capture ends within a frame.
     #[error("the capture ends in the middle of the frame that begins at byte {at}")]
-    CutOff {
+    Truncated {
         /// Offset of the frame in the file.
         at: u64,
     },
--- a/crates/wire/src/capture/reader.rs
+++ b/crates/wire/src/capture/reader.rs
@@ -75,7 +75,7 @@
                 return Ok(None);
             }
             if length == 0 {
-                return Err(CaptureError::CutOff { at: self.at });
+                return Err(CaptureError::Truncated { at: self.at });
             }
             self.buffered.extend_from_slice(&chunk[..length]);
         }
--- a/crates/wire/src/endpoint_list.rs
+++ b/crates/wire/src/endpoint_list.rs
@@ -78,7 +78,7 @@
     }
 
     fn encode(self) -> generated::Listing {
-        let standing = match self.status {
+        let status = match self.status {
             EndpointStatus::Removed => listing::Standing::Gone,
             EndpointStatus::Serving => listing::Standing::Ready,
             EndpointStatus::Draining => listing::Standing::Draining,
@@ -87,7 +87,7 @@
             worker: encode_address(self.worker),
             kind: self.kind.into(),
             size: self.size,
-            standing: standing.into(),
+            standing: status.into(),
             cell: self.cell.into(),
             zone: self.zone.into(),
             started_us: self.started_at,
@@ -95,8 +95,8 @@
     }
 }
 
-fn decode_status(standing: i32) -> Result<EndpointStatus, Malformed> {
-    match listing::Standing::try_from(standing) {
+fn decode_status(status: i32) -> Result<EndpointStatus, Malformed> {
+    match listing::Standing::try_from(status) {
         Ok(listing::Standing::Gone) => Ok(EndpointStatus::Removed),
         Ok(listing::Standing::Ready) => Ok(EndpointStatus::Serving),
         Ok(listing::Standing::Draining) => Ok(EndpointStatus::Draining),
--- a/crates/wire/src/gossip.rs
+++ b/crates/wire/src/gossip.rs
@@ -101,7 +101,7 @@
     }
 
     fn encode(self) -> Claim {
-        let standing = match self.status {
+        let status = match self.status {
             MemberStatus::Alive => claim::Standing::There,
             MemberStatus::Suspected => claim::Standing::Suspected,
             MemberStatus::Dead => claim::Standing::Dead,
@@ -111,7 +111,7 @@
             name: self.name.to_string(),
             address: encode_address(self.address),
             incarnation: self.incarnation,
-            standing: standing.into(),
+            standing: status.into(),
             by: self.suspecter,
         }
     }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -175,8 +175,8 @@
     }
 }
 
-fn decode_attempt(shot: u32) -> Result<u16, Malformed> {
-    decode_small("shot", shot)
+fn decode_attempt(attempt: u32) -> Result<u16, Malformed> {
+    decode_small("shot", attempt)
 }
 
 fn decode_failure(how: i32) -> Result<AttemptFailure, Malformed> {
--- a/src/scheduler/prefill_placement.rs
+++ b/src/scheduler/prefill_placement.rs
@@ -185,8 +185,8 @@
     /// chance alone adds no workers. Guards against a hot prefix that fills a cell.
     fn affinity_worker_count(&mut self, now: TenthMillis, prefix: u64, worker_count: usize) -> usize {
         let popularity = self.prefixes.read(now, RATE_TIME_CONSTANT, prefix);
-        let count_beyond_chance = (popularity.prefix_count - popularity.prefix_count.sqrt()).max(0.0);
-        let request_share = count_beyond_chance / popularity.total_count.max(1.0);
+        let count_less_deviation = (popularity.prefix_count - popularity.prefix_count.sqrt()).max(0.0);
+        let request_share = count_less_deviation / popularity.total_count.max(1.0);
         (request_share * worker_count as f64 / PREFIX_SHARE_BOUND).ceil().max(1.0) as usize
     }
 
