--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -8,13 +8,12 @@
 fn run_script(case: &str, known_red: &str, test_output: &str, status: i32) -> (bool, String) {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(case);
     std::fs::create_dir_all(&directory).expect("the directory of the case should be created");
-    let known_red_file = directory.join("known");
-    let output_file = directory.join("said");
-    let test_command = directory.join("tests");
+    let (known_red_file, output_file, test_command) =
+        (directory.join("known"), directory.join("said"), directory.join("tests"));
     std::fs::write(&known_red_file, known_red).expect("the list of known failures should be written");
     std::fs::write(&output_file, test_output).expect("the test output should be written");
-    let command_text = format!("cat {}\nexit {status}\n", output_file.display());
-    std::fs::write(&test_command, command_text).expect("the test command should be written");
+    std::fs::write(&test_command, format!("cat {}\nexit {status}\n", output_file.display()))
+        .expect("the test command should be written");
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/tests.sh");
     let output = Command::new("sh")
         .arg(script)
