--- a/crates/lifecycle/src/protobuf_router/tenant_events.rs
+++ b/crates/lifecycle/src/protobuf_router/tenant_events.rs
@@ -10,7 +10,7 @@
 use crate::lifecycle::RequestLifecycle;
 use crate::tenant_admission::TenantConfig;
 
-/// Microseconds between two publications of tenants' statistics: short enough for a person who watches them.
+/// Microseconds between two publications of tenants' statistics: short enough for an operator who watches them live.
 const STATS_INTERVAL: Micros = 1_000_000;
 
 /// Maximum number of tenants whose statistics one message holds.
--- a/crates/simulation/src/relays.rs
+++ b/crates/simulation/src/relays.rs
@@ -69,12 +69,12 @@
 /// affects those in the other direction.
 fn both_directions(fault: &ScenarioFault) -> [RelayFault; 2] {
     let direction = fault.direction.as_deref().unwrap_or("both");
-    let back = match direction {
+    let opposite = match direction {
         "there" => "back",
         "back" => "there",
         both => both,
     };
-    [direction, back].map(|direction| RelayFault {
+    [direction, opposite].map(|direction| RelayFault {
         at: fault.at,
         duration: fault.duration.unwrap_or(0),
         direction: direction.into(),
@@ -99,8 +99,9 @@
         if network_faults.is_empty() {
             return relays;
         }
-        let expand =
-            |names: &[String]| names.iter().flat_map(|name| scenario.named(name)).collect::<HashSet<_>>();
+        let expand = |names: &[String]| {
+            names.iter().flat_map(|name| scenario.processes_matching(name)).collect::<HashSet<_>>()
+        };
         let fault_sets: Vec<_> =
             network_faults.iter().map(|fault| (expand(&fault.side), expand(&fault.other_side))).collect();
         let routers: Vec<_> = scenario.router_names().collect();
