--- a/crates/command/src/admin_thread.rs
+++ b/crates/command/src/admin_thread.rs
@@ -33,7 +33,7 @@
     store: Arc<TenantStore>,
     cores: Arc<Mutex<BTreeMap<u32, Mailbox>>>,
     /// The mailbox to which cores publish the tenants' statistics.
-    figures: Mailbox,
+    statistics: Mailbox,
 }
 
 impl AdminThread {
@@ -46,7 +46,7 @@
         let listen: SocketAddr = convert::socket(&config.listen)?.into();
         let mut reactor = Reactor::new(&[listen])?;
         reactor.set_raw(MAX_LINGERING_CONNECTIONS);
-        let figures = reactor.mailbox();
+        let statistics = reactor.mailbox();
         reactor.catch_signals()?;
         let api = Api::new(store.clone(), administrators);
         let notified_cores = cores.clone();
@@ -58,12 +58,12 @@
         };
         std::thread::Builder::new().name("admin".into()).spawn(body)?;
         tracing::info!(%listen, "administration API started");
-        Ok(AdminThread { store, cores, figures })
+        Ok(AdminThread { store, cores, statistics })
     }
 
     /// Returns the mailbox to which a core publishes the tenants' statistics.
-    pub fn figures(&self) -> Mailbox {
-        self.figures.clone()
+    pub fn statistics(&self) -> Mailbox {
+        self.statistics.clone()
     }
 
     /// Subscribes a core that starts to all changes from now on, and returns the current tenants.
--- a/crates/command/src/multi_core.rs
+++ b/crates/command/src/multi_core.rs
@@ -192,7 +192,7 @@
         let mut config = convert::router(&self.config, self.index, self.seed(now), random_origin()?)?;
         if let Some(admin) = &self.admin {
             config.lifecycle.tenants = Some(admin.subscribe(self.index, reactor.mailbox())?);
-            reactor.publish_to(admin.figures());
+            reactor.publish_to(admin.statistics());
         }
         let mut router = ProtobufRouter::new(config, cached_endpoints, now);
         tracing::info!(name, listen = %self.listen, "router started");
--- a/crates/command/src/trace_report.rs
+++ b/crates/command/src/trace_report.rs
@@ -76,7 +76,7 @@
     );
     println!(
         "  {} attempts, {} decode reservations; latest send after a drain notification {:.1} ms; peak load of a \
-         warming-up worker {:.0}% of its limit; longest state without an attempt in flight {:.1} ms",
+         warming worker {:.0}% of its limit; longest state without an attempt in flight {:.1} ms",
         counts.attempts,
         counts.reservations,
         counts.latest_send_after_drain as f64 / 1e3,
--- a/crates/command/tests/bad/day-without-such-a-worker.cue
+++ b/crates/command/tests/bad/day-without-such-a-worker.cue
@@ -1,4 +1,4 @@
-// expect: 8:51: "writer7" cannot be a target of this trouble; expected a worker's or a router's name
+// expect: 8:51: "writer7" cannot be a target of this fault; expected a worker's or a router's name
 day: {
 	kinds: [{name: "readers", role: "reader"}]
 	fleet: [{name: "reader", kind: "readers", count: 1, does: {role: "reader"}}]
--- a/crates/config-language/src/validation.rs
+++ b/crates/config-language/src/validation.rs
@@ -108,9 +108,9 @@
         self.worker_groups(scenario);
         let targets =
             FaultTargets { scenario, tenants, workers: scenario.workers().map(|(name, ..)| name).collect() };
-        let mut wrong_clocks = BTreeSet::new();
+        let mut processes_with_clock_faults = BTreeSet::new();
         for (n, fault) in scenario.scheduled_faults.iter().enumerate() {
-            self.fault(&format!("day.troubles[{n}]"), fault, &targets, &mut wrong_clocks);
+            self.fault(&format!("day.troubles[{n}]"), fault, &targets, &mut processes_with_clock_faults);
         }
     }
 
@@ -122,7 +122,7 @@
             }
             let known = scenario.kinds.iter().map(|kind| format!("{} ({:?})", kind.name, kind.role));
             let expected = format!("one of {}", known.collect::<Vec<_>>().join(", ")).to_lowercase();
-            let message = format!("{:?} is not a kind of the role of `does`", group.kind);
+            let message = format!("{:?} is not a worker kind with the role that `does` names", group.kind);
             self.error(&format!("day.fleet[{n}].kind"), message, expected);
         }
     }
@@ -137,7 +137,7 @@
 
 impl FaultTargets<'_> {
     /// Returns whether a fault can target the process or tenant of that name.
-    fn can_meet(&self, fault: &ScenarioFault, name: &String) -> bool {
+    fn can_target(&self, fault: &ScenarioFault, name: &String) -> bool {
         if fault.kind == "remove" {
             return self.tenants.contains(&name);
         }
@@ -153,13 +153,13 @@
         path: &str,
         fault: &ScenarioFault,
         targets: &FaultTargets,
-        wrong_clocks: &mut BTreeSet<String>,
+        processes_with_clock_faults: &mut BTreeSet<String>,
     ) {
         let scenario = targets.scenario;
         if fault.kind == "clock" {
             for process in fault.targets.iter().flat_map(|name| scenario.named(name)) {
-                if !wrong_clocks.insert(process.clone()) {
-                    let message = format!("{process:?} has two clock troubles");
+                if !processes_with_clock_faults.insert(process.clone()) {
+                    let message = format!("{process:?} has two clock faults");
                     self.error(&format!("{path}.who"), message, "at most one for each process");
                 }
             }
@@ -167,7 +167,7 @@
         self.fault_sides(path, fault, scenario);
         self.fault_targets(path, fault, targets);
         if let Some(tenant) = fault.tenant.as_ref().filter(|tenant| !targets.tenants.contains(tenant)) {
-            let message = format!("{tenant:?} is no tenant");
+            let message = format!("there is no tenant {tenant:?}");
             self.error(&format!("{path}.tenant"), message, "the name of one of the day's tenants");
         }
         if fault.at > scenario.load.duration {
@@ -192,8 +192,9 @@
             _ if fault.from_outside() => "a worker's or a router's name, or list",
             _ => "a worker's name",
         };
-        for (n, name) in fault.targets.iter().enumerate().filter(|(_, name)| !targets.can_meet(fault, name)) {
-            let message = format!("{name:?} cannot be a target of this trouble");
+        for (n, name) in fault.targets.iter().enumerate().filter(|(_, name)| !targets.can_target(fault, name))
+        {
+            let message = format!("{name:?} cannot be a target of this fault");
             self.error(&format!("{path}.who[{n}]"), message, expected);
         }
     }
@@ -277,16 +278,16 @@
         }
         let known: Vec<_> = classes.iter().map(|class| class.name.as_str()).collect();
         let expected = format!("one of {}", known.join(", "));
-        self.error(&format!("{path}.track"), format!("{:?} is no track", traffic.class), expected);
+        self.error(&format!("{path}.track"), format!("there is no track {:?}", traffic.class), expected);
     }
 
     /// Checks that traffic names a tenant if tenants are configured, and none otherwise.
     fn traffic_tenant(&mut self, path: &str, traffic: &Traffic, tenants: &[&String]) {
-        let is_sound = match &traffic.tenant {
+        let is_valid = match &traffic.tenant {
             Some(tenant) => tenants.contains(&tenant),
             None => tenants.is_empty(),
         };
-        if is_sound {
+        if is_valid {
             return;
         }
         let named = traffic.tenant.as_ref().map_or("None".to_string(), |tenant| format!("{tenant:?}"));
@@ -296,7 +297,7 @@
             let known: Vec<_> = tenants.iter().map(|tenant| tenant.as_str()).collect();
             format!("one of {}", known.join(", "))
         };
-        self.error(&format!("{path}.tenant"), format!("{named} is no tenant"), expected);
+        self.error(&format!("{path}.tenant"), format!("there is no tenant {named}"), expected);
     }
 
     /// Checks that each tenant has a client that sends its requests.
--- a/crates/gateway/tests/worker_restarts.rs
+++ b/crates/gateway/tests/worker_restarts.rs
@@ -22,7 +22,7 @@
     assert_ne!(
         harness.new_attempt().1,
         worker,
-        "the prefill is retried elsewhere, because the restarted worker is cold"
+        "the prefill is retried elsewhere, because the restarted worker is warming up"
     );
 }
 
@@ -112,7 +112,7 @@
     let (worker, cold, warm) = prefill_workers_after_a_start(WorkerClock::InStep);
     assert!(
         cold.iter().filter(|prefill| **prefill == worker).count() < 20,
-        "the restarted worker is cold and gets fewer requests: {cold:?}"
+        "the restarted worker is warming up and gets fewer requests: {cold:?}"
     );
     for clock in [WorkerClock::Ahead, WorkerClock::Behind] {
         assert_eq!(prefill_workers_after_a_start(clock), (worker, cold.clone(), warm.clone()), "{clock:?}");
--- a/crates/reactor/benches/cross_thread_handoff.rs
+++ b/crates/reactor/benches/cross_thread_handoff.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// Microseconds there and back, in order, with so many frames handed over at a time.
+/// Returns the round-trip time of each frame in microseconds, in ascending order. The frames are handed over in groups of
+/// `at_once`.
 fn round_trips(at_once: u64) -> Vec<f64> {
     let pollers = [(); 2].map(|()| Arc::new(Poller::new().expect("a poller")));
     let ((there, received), (back, answers)) = (channel(), channel());
--- a/crates/simulation/src/convert.rs
+++ b/crates/simulation/src/convert.rs
@@ -147,7 +147,7 @@
     seed: u64,
 ) -> Result<(tideroute_membership::MembershipConfig, MessageAuthenticator), ConvertError> {
     let key = hash(&membership.key).map_err(|e| ConvertError::Key {
-        owner: format!("the fleet {}", membership.name),
+        owner: format!("the cluster {}", membership.name),
         source: Box::new(e),
     })?;
     let seeds =
--- a/crates/simulation/tests/hard_cases.rs
+++ b/crates/simulation/tests/hard_cases.rs
@@ -187,7 +187,7 @@
 	"#;
     let outcome = play(&scenario(faults, 90, "retries: 3")).expect("the scenario is played");
     assert_rules_kept(&outcome);
-    assert!(outcome.report.counts.peak_slow_start_load > 0.0, "no request reached a cold worker");
+    assert!(outcome.report.counts.peak_slow_start_load > 0.0, "no request reached a warming worker");
     assert!(outcome.report.counts.peak_slow_start_load < 1.0);
 }
 
--- a/crates/simulation/tests/router_cores.rs
+++ b/crates/simulation/tests/router_cores.rs
@@ -83,12 +83,12 @@
             let slow_start_load = outcome.report.counts.peak_slow_start_load;
             assert!(
                 slow_start_load <= 1.0,
-                "{cores} cores loaded a cold worker to {slow_start_load} of its slow-start limit"
+                "{cores} cores loaded a warming worker to {slow_start_load} of its slow-start limit"
             );
             peak_load = peak_load.max(slow_start_load);
         }
     }
-    assert!(peak_load > 0.0, "no request reached a cold worker");
+    assert!(peak_load > 0.0, "no request reached a warming worker");
 }
 
 #[test]
